--- a/apps/linenpier_load.cpp
+++ b/apps/linenpier_load.cpp
@@ -12,7 +12,6 @@
 #include "common/log.h"
 #include "load/report.h"
 #include "settings/settings.h"
-#include "sim/slope_run.h"
 
 namespace {
 
@@ -23,16 +22,9 @@
 
 Usage:
   linenpier-load run SCENARIO [--json FILE] [--seed N] [--duration S]
-  linenpier-load hollow [--daemons N] [--engines N] [--zones N] [--regions N] [--tenants N]
-                 [--seed N] [--json FILE]
   linenpier-load --help
 
 Options:
-  --daemons N   Hollow daemons, in virtual time [default: 40].
-  --engines N   Hollow engines [default: 400].
-  --zones N     Zones [default: 4].
-  --regions N   Regions [default: 2].
-  --tenants N   Tenants in the configuration [default: 100].
   --json FILE   Write the result as JSON ("-" for standard output).
   --seed N      Overrides the scenario's seed.
   --duration S  Overrides the scenario's duration in seconds.
@@ -74,32 +66,12 @@
   return result;
 }
 
-int runHollow(std::map<std::string, docopt::value>& arguments) {
-  const auto number = [&arguments](const char* name) {
-    return static_cast<std::uint32_t>(std::stoul(arguments[name].asString()));
-  };
-  sim::FleetOptions options;
-  options.daemons = number("--daemons");
-  options.engines = number("--engines");
-  options.zones = number("--zones");
-  options.regions = number("--regions");
-  options.tenants = number("--tenants");
-  if (arguments["--seed"]) options.seed = std::stoull(arguments["--seed"].asString());
-  const sim::SlopeResult result = sim::measureSlope(options);
-  std::cout << sim::toTable(result);
-  if (arguments["--json"]) {
-    std::ofstream(arguments["--json"].asString()) << sim::toJson(result) << "\n";
-  }
-  return 0;
-}
-
 }  // namespace
 
 int main(int argc, char** argv) {
   auto arguments = docopt::docopt(kUsage, {argv + 1, argv + argc});
   std::signal(SIGPIPE, SIG_IGN);
   setUpLogging("error");
-  if (arguments["hollow"].asBool()) return runHollow(arguments);
   const std::string file = arguments["SCENARIO"].asString();
   const auto text = settings::readFile(file);
   auto scenario = text ? load::parseScenario(file, *text)
