--- a/src/gateway/peer_rows.h
+++ b/src/gateway/peer_rows.h
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "table/table_client.h"
+#include "table/row.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/peer_snapshot.h
+++ b/src/gateway/peer_snapshot.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "common/ids.h"
-#include "table/table_client.h"
+#include "table/row.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/store_keys.h
+++ b/src/gateway/store_keys.h
@@ -10,7 +10,7 @@
 
 #include "batch/batch_types.h"
 #include "routing/route_table.h"
-#include "table/table_client.h"
+#include "table/row.h"
 
 namespace linenpier::gateway {
 
--- a/src/lease/lease_table.h
+++ b/src/lease/lease_table.h
@@ -17,7 +17,7 @@
 #include "batch/batch_types.h"
 #include "common/address.h"
 #include "common/time.h"
-#include "table/table_client.h"
+#include "table/row.h"
 
 namespace linenpier::lease {
 
--- a/src/suspects/suspect_book.h
+++ b/src/suspects/suspect_book.h
@@ -16,7 +16,7 @@
 #include "common/time.h"
 #include "suspects/request_key.h"
 #include "suspects/suspect_record.h"
-#include "table/table_client.h"
+#include "table/row.h"
 
 namespace linenpier::suspects {
 
--- a/src/table/async_table.h
+++ b/src/table/async_table.h
@@ -8,8 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "common/error.h"
 #include "common/task.h"
-#include "table/table_client.h"
+#include "table/row.h"
 
 namespace linenpier::table {
 
--- a/src/table/table_client.h
+++ b/src/table/table_client.h
@@ -3,48 +3,15 @@
 /// @file
 /// The platform's transactional table service as the core sees it.
 
-#include <cstdint>
 #include <memory>
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "common/error.h"
-#include "common/ids.h"
+#include "table/row.h"
 
 namespace linenpier::table {
 
-/// A row with its revision. Revisions only grow; 0 means that the row does not exist.
-struct Row {
-  std::string key;
-  Revision revision = 0;
-  std::string value;  ///< JSON text.
-};
-
-/// The transaction goes through only if `key` still has `revision`.
-struct Check {
-  std::string key;
-  Revision revision = 0;
-};
-
-struct Put {
-  std::string key;
-  std::string value;
-};
-
-/// All checks and puts take effect together, or none does.
-struct Transaction {
-  std::vector<Check> checks;
-  std::vector<Put> puts;
-};
-
-/// The service's answer to a transaction it has processed.
-struct TransactionAnswer {
-  bool committed = false;
-  Revision revision = 0;       ///< Revision given to every row written, if committed.
-  std::vector<Row> conflicts;  ///< The rows whose check failed, as they are, if not committed.
-};
-
 /// Blocking client; every call may take as long as its timeout. Thread-safe.
 class TableClient {
  public:
