--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -8,10 +8,10 @@
 #include <cstdlib>
 #include <iostream>
 
+#include "common/event_log.h"
 #include "common/random.h"
-#include "gateway/gateway.h"
-#include "gateway/settings_watch.h"
-#include "logging/event_log.h"
+#include "gateway/service/gateway.h"
+#include "gateway/service/settings_watch.h"
 #include "platform.h"
 
 namespace {
--- a/apps/linenpier_load.cpp
+++ b/apps/linenpier_load.cpp
@@ -10,8 +10,8 @@
 #include <thread>
 
 #include "common/log.h"
-#include "load/report.h"
-#include "settings/settings.h"
+#include "daemon/settings/settings.h"
+#include "testbed/load/report.h"
 
 namespace {
 
--- a/apps/linenpier_platform.cpp
+++ b/apps/linenpier_platform.cpp
@@ -8,8 +8,8 @@
 #include <thread>
 
 #include "common/log.h"
-#include "settings/settings.h"
-#include "standin/platform_server.h"
+#include "daemon/settings/settings.h"
+#include "testbed/standin/platform_server.h"
 
 namespace {
 
--- a/apps/linenpierctl.cpp
+++ b/apps/linenpierctl.cpp
@@ -8,11 +8,11 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "config/documents.h"
-#include "logging/step_table.h"
-#include "logging/trace_reader.h"
-#include "platform/http_call.h"
-#include "settings/settings.h"
+#include "daemon/clients/http_call.h"
+#include "daemon/config/documents.h"
+#include "daemon/settings/settings.h"
+#include "gateway/trace/step_table.h"
+#include "gateway/trace/trace_reader.h"
 
 namespace {
 
--- a/apps/linenpierd.cpp
+++ b/apps/linenpierd.cpp
@@ -6,12 +6,12 @@
 #include <csignal>
 #include <iostream>
 
-#include "api/http_server.h"
 #include "common/log.h"
-#include "daemon/daemon.h"
-#include "platform/http_engine_client.h"
-#include "platform/http_object_store_client.h"
-#include "platform/http_table_client.h"
+#include "daemon/api/http_server.h"
+#include "daemon/clients/http_engine_client.h"
+#include "daemon/clients/http_object_store_client.h"
+#include "daemon/clients/http_table_client.h"
+#include "daemon/process/daemon.h"
 
 namespace {
 
--- a/spec/job_log.pml
+++ b/spec/job_log.pml
@@ -1,4 +1,4 @@
-/* Results of a batch job at positions that never change (src/batch/job_store, batch_service).
+/* Results of a batch job at positions that never change (src/gateway/batch/job_store, batch_service).
  *
  * Two daemons may own the job one after the other; the second may claim it at any time, and the first
  * may go on believing that it owns it. A claim raises the revision of the job's row; that revision is
--- a/src/logging/event_log.cpp
+++ b/src/common/event_log.cpp
@@ -1,4 +1,4 @@
-#include "logging/event_log.h"
+#include "common/event_log.h"
 
 #include <atomic>
 #include <boost/log/core.hpp>
--- a/src/settings/read_file.cpp
+++ b/src/common/read_file.cpp
@@ -1,4 +1,4 @@
-#include "settings/read_file.h"
+#include "common/read_file.h"
 
 #include <fstream>
 #include <sstream>
--- a/src/logging/success_sampler.cpp
+++ b/src/common/success_sampler.cpp
@@ -1,4 +1,4 @@
-#include "logging/success_sampler.h"
+#include "common/success_sampler.h"
 
 #include <utility>
 
--- a/src/settings/toml_reader.cpp
+++ b/src/common/toml_reader.cpp
@@ -1,4 +1,4 @@
-#include "settings/toml_reader.h"
+#include "common/toml_reader.h"
 
 #include <toml++/toml.h>
 
--- a/src/settings/toml_reader.h
+++ b/src/common/toml_reader.h
@@ -11,7 +11,7 @@
 
 #include "common/address.h"
 #include "common/error.h"
-#include "settings/settings.h"
+#include "daemon/settings/settings.h"
 
 namespace linenpier::settings {
 
--- a/src/admission/admission_controller.h
+++ b/src/daemon/admission/admission_controller.h
@@ -10,10 +10,10 @@
 #include <variant>
 #include <vector>
 
-#include "admission/fair_queue.h"
-#include "admission/retry_budget.h"
-#include "upstream/engine_directory.h"
-#include "upstream/routing_policy.h"
+#include "daemon/admission/fair_queue.h"
+#include "daemon/admission/retry_budget.h"
+#include "daemon/upstream/engine_directory.h"
+#include "daemon/upstream/routing_policy.h"
 
 namespace linenpier::admission {
 
--- a/src/api/answers.cpp
+++ b/src/daemon/api/answers.cpp
@@ -1,4 +1,4 @@
-#include "api/answers.h"
+#include "daemon/api/answers.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
--- a/src/api/answers.h
+++ b/src/daemon/api/answers.h
@@ -8,9 +8,9 @@
 #include <optional>
 #include <string>
 
-#include "admission/admission_controller.h"
 #include "common/ids.h"
-#include "upstream/request_driver.h"
+#include "daemon/admission/admission_controller.h"
+#include "daemon/upstream/request_driver.h"
 
 namespace linenpier::api {
 
--- a/src/api/api_context.h
+++ b/src/daemon/api/api_context.h
@@ -7,13 +7,13 @@
 #include <optional>
 #include <string>
 
-#include "api/answers.h"
-#include "api/api_metrics.h"
 #include "common/random.h"
-#include "daemon/effect_runner.h"
-#include "daemon/node_handle.h"
-#include "daemon/services.h"
-#include "settings/settings.h"
+#include "daemon/api/answers.h"
+#include "daemon/api/api_metrics.h"
+#include "daemon/process/effect_runner.h"
+#include "daemon/process/node_handle.h"
+#include "daemon/process/services.h"
+#include "daemon/settings/settings.h"
 
 namespace linenpier::api {
 
--- a/src/api/api_metrics.cpp
+++ b/src/daemon/api/api_metrics.cpp
@@ -1,4 +1,4 @@
-#include "api/api_metrics.h"
+#include "daemon/api/api_metrics.h"
 
 #include <prometheus/text_serializer.h>
 
--- a/src/api/api_metrics.h
+++ b/src/daemon/api/api_metrics.h
@@ -10,8 +10,8 @@
 
 #include <string>
 
-#include "daemon/node_handle.h"
-#include "daemon/udp_transport.h"
+#include "daemon/process/node_handle.h"
+#include "daemon/process/udp_transport.h"
 
 namespace linenpier::api {
 
--- a/src/api/caller_routes.cpp
+++ b/src/daemon/api/caller_routes.cpp
@@ -1,11 +1,11 @@
-#include "api/caller_routes.h"
+#include "daemon/api/caller_routes.h"
 
 #include <algorithm>
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-#include "api/completion_answer.h"
-#include "config/documents.h"
+#include "daemon/api/completion_answer.h"
+#include "daemon/config/documents.h"
 
 namespace linenpier::api {
 
--- a/src/api/caller_routes.h
+++ b/src/daemon/api/caller_routes.h
@@ -7,9 +7,9 @@
 
 #include <memory>
 
-#include "api/api_context.h"
-#include "api/completion_request.h"
-#include "api/intent_guard.h"
+#include "daemon/api/api_context.h"
+#include "daemon/api/completion_request.h"
+#include "daemon/api/intent_guard.h"
 
 namespace linenpier::api {
 
--- a/src/api/completion_answer.cpp
+++ b/src/daemon/api/completion_answer.cpp
@@ -1,4 +1,4 @@
-#include "api/completion_answer.h"
+#include "daemon/api/completion_answer.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/api/completion_answer.h
+++ b/src/daemon/api/completion_answer.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "api/completion_request.h"
-#include "engine/engine_client.h"
+#include "daemon/api/completion_request.h"
+#include "daemon/ports/engine_client.h"
 
 namespace linenpier::api {
 
--- a/src/api/completion_request.cpp
+++ b/src/daemon/api/completion_request.cpp
@@ -1,4 +1,4 @@
-#include "api/completion_request.h"
+#include "daemon/api/completion_request.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/api/elastic_task_queue.cpp
+++ b/src/daemon/api/elastic_task_queue.cpp
@@ -1,4 +1,4 @@
-#include "api/elastic_task_queue.h"
+#include "daemon/api/elastic_task_queue.h"
 
 namespace linenpier::api {
 
--- a/src/api/http_server.cpp
+++ b/src/daemon/api/http_server.cpp
@@ -1,10 +1,10 @@
-#include "api/http_server.h"
+#include "daemon/api/http_server.h"
 
 #include <nlohmann/json.hpp>
 
-#include "api/elastic_task_queue.h"
 #include "common/log.h"
-#include "platform/http_listen.h"
+#include "daemon/api/elastic_task_queue.h"
+#include "daemon/clients/http_listen.h"
 
 namespace linenpier::api {
 
--- a/src/api/http_server.h
+++ b/src/daemon/api/http_server.h
@@ -7,9 +7,9 @@
 
 #include <thread>
 
-#include "api/caller_routes.h"
-#include "api/operator_routes.h"
-#include "api/trainer_routes.h"
+#include "daemon/api/caller_routes.h"
+#include "daemon/api/operator_routes.h"
+#include "daemon/api/trainer_routes.h"
 
 namespace linenpier::api {
 
--- a/src/api/intent_guard.cpp
+++ b/src/daemon/api/intent_guard.cpp
@@ -1,4 +1,4 @@
-#include "api/intent_guard.h"
+#include "daemon/api/intent_guard.h"
 
 #include <thread>
 
--- a/src/api/intent_guard.h
+++ b/src/daemon/api/intent_guard.h
@@ -5,9 +5,9 @@
 
 #include <functional>
 
-#include "daemon/effect_runner.h"
-#include "daemon/services.h"
-#include "intent/intent_row.h"
+#include "daemon/intent/intent_row.h"
+#include "daemon/process/effect_runner.h"
+#include "daemon/process/services.h"
 
 namespace linenpier::api {
 
--- a/src/api/operator_routes.cpp
+++ b/src/daemon/api/operator_routes.cpp
@@ -1,4 +1,4 @@
-#include "api/operator_routes.h"
+#include "daemon/api/operator_routes.h"
 
 #include <nlohmann/json.hpp>
 #include <thread>
--- a/src/api/operator_routes.h
+++ b/src/daemon/api/operator_routes.h
@@ -7,8 +7,8 @@
 
 #include <string>
 
-#include "api/api_context.h"
-#include "daemon/config_store.h"
+#include "daemon/api/api_context.h"
+#include "daemon/process/config_store.h"
 
 namespace linenpier::api {
 
--- a/src/api/trainer_routes.cpp
+++ b/src/daemon/api/trainer_routes.cpp
@@ -1,4 +1,4 @@
-#include "api/trainer_routes.h"
+#include "daemon/api/trainer_routes.h"
 
 #include <nlohmann/json.hpp>
 #include <thread>
--- a/src/api/trainer_routes.h
+++ b/src/daemon/api/trainer_routes.h
@@ -7,8 +7,8 @@
 
 #include <nlohmann/json_fwd.hpp>
 
-#include "api/api_context.h"
-#include "daemon/step_store.h"
+#include "daemon/api/api_context.h"
+#include "daemon/process/step_store.h"
 
 namespace linenpier::api {
 
--- a/src/platform/http_call.cpp
+++ b/src/daemon/clients/http_call.cpp
@@ -1,4 +1,4 @@
-#include "platform/http_call.h"
+#include "daemon/clients/http_call.h"
 
 #include <cctype>
 
--- a/src/platform/http_engine_client.cpp
+++ b/src/daemon/clients/http_engine_client.cpp
@@ -1,8 +1,8 @@
-#include "platform/http_engine_client.h"
+#include "daemon/clients/http_engine_client.h"
 
 #include <nlohmann/json.hpp>
 
-#include "platform/server_sent_events.h"
+#include "daemon/clients/server_sent_events.h"
 
 namespace linenpier::platform {
 
--- a/src/platform/http_engine_client.h
+++ b/src/daemon/clients/http_engine_client.h
@@ -3,8 +3,8 @@
 /// @file
 /// Model engines over HTTP: OpenAI-style completions with server-sent events, and fenced orders.
 
-#include "engine/engine_client.h"
-#include "platform/http_call.h"
+#include "daemon/clients/http_call.h"
+#include "daemon/ports/engine_client.h"
 
 namespace linenpier::platform {
 
--- a/src/platform/http_listen.cpp
+++ b/src/daemon/clients/http_listen.cpp
@@ -1,4 +1,4 @@
-#include "platform/http_listen.h"
+#include "daemon/clients/http_listen.h"
 
 #include <sys/socket.h>
 
--- a/src/platform/http_object_store_client.cpp
+++ b/src/daemon/clients/http_object_store_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/http_object_store_client.h"
+#include "daemon/clients/http_object_store_client.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/platform/http_object_store_client.h
+++ b/src/daemon/clients/http_object_store_client.h
@@ -4,8 +4,8 @@
 /// The object store over HTTP.
 
 #include "common/address.h"
-#include "object_store/object_store_client.h"
-#include "platform/http_call.h"
+#include "daemon/clients/http_call.h"
+#include "daemon/ports/object_store_client.h"
 
 namespace linenpier::platform {
 
--- a/src/platform/http_table_client.cpp
+++ b/src/daemon/clients/http_table_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/http_table_client.h"
+#include "daemon/clients/http_table_client.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/platform/http_table_client.h
+++ b/src/daemon/clients/http_table_client.h
@@ -4,8 +4,8 @@
 /// The table service over HTTP and JSON.
 
 #include "common/address.h"
-#include "platform/http_call.h"
-#include "table/table_client.h"
+#include "daemon/clients/http_call.h"
+#include "daemon/ports/table_client.h"
 
 namespace linenpier::platform {
 
--- a/src/platform/platform_directory.cpp
+++ b/src/daemon/clients/platform_directory.cpp
@@ -1,4 +1,4 @@
-#include "platform/platform_directory.h"
+#include "daemon/clients/platform_directory.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/platform/platform_directory.h
+++ b/src/daemon/clients/platform_directory.h
@@ -6,10 +6,10 @@
 #include <memory>
 
 #include "common/error.h"
-#include "membership/membership.h"
-#include "platform/http_call.h"
-#include "upstream/engine_directory.h"
-#include "wire/messages.h"
+#include "daemon/clients/http_call.h"
+#include "daemon/membership/membership.h"
+#include "daemon/upstream/engine_directory.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::platform {
 
--- a/src/config/config_state.cpp
+++ b/src/daemon/config/config_state.cpp
@@ -1,4 +1,4 @@
-#include "config/config_state.h"
+#include "daemon/config/config_state.h"
 
 #include <algorithm>
 
--- a/src/config/config_state.h
+++ b/src/daemon/config/config_state.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "config/documents.h"
-#include "wire/messages.h"
+#include "daemon/config/documents.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::config {
 
--- a/src/intent/intent_row.cpp
+++ b/src/daemon/intent/intent_row.cpp
@@ -1,8 +1,8 @@
-#include "intent/intent_row.h"
+#include "daemon/intent/intent_row.h"
 
 #include <nlohmann/json.hpp>
 
-#include "config/documents.h"
+#include "daemon/config/documents.h"
 
 namespace linenpier::intent {
 
--- a/src/intent/intent_row.h
+++ b/src/daemon/intent/intent_row.h
@@ -14,7 +14,7 @@
 
 #include "common/error.h"
 #include "common/ids.h"
-#include "table/conditional_write.h"
+#include "daemon/ports/conditional_write.h"
 
 namespace linenpier::intent {
 
--- a/src/membership/membership.cpp
+++ b/src/daemon/membership/membership.cpp
@@ -1,4 +1,4 @@
-#include "membership/membership.h"
+#include "daemon/membership/membership.h"
 
 #include <algorithm>
 #include <bit>
--- a/src/membership/membership.h
+++ b/src/daemon/membership/membership.h
@@ -17,7 +17,7 @@
 
 #include "common/random.h"
 #include "common/time.h"
-#include "wire/messages.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::membership {
 
--- a/src/node/events.h
+++ b/src/daemon/node/events.h
@@ -8,12 +8,12 @@
 #include <variant>
 #include <vector>
 
-#include "admission/admission_controller.h"
-#include "config/config_state.h"
-#include "engine/engine_client.h"
-#include "membership/membership.h"
-#include "rollout/step_coordinator.h"
-#include "wire/messages.h"
+#include "daemon/admission/admission_controller.h"
+#include "daemon/config/config_state.h"
+#include "daemon/membership/membership.h"
+#include "daemon/ports/engine_client.h"
+#include "daemon/rollout/step_coordinator.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::node {
 
--- a/src/node/node_core.cpp
+++ b/src/daemon/node/node_core.cpp
@@ -1,10 +1,10 @@
-#include "node/node_core.h"
+#include "daemon/node/node_core.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "common/rendezvous.h"
-#include "node/table_grace.h"
+#include "daemon/membership/rendezvous.h"
+#include "daemon/node/table_grace.h"
 
 namespace linenpier::node {
 
--- a/src/node/node_core.h
+++ b/src/daemon/node/node_core.h
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "node/events.h"
-#include "ownership/engine_ownership.h"
-#include "rollout/sample_worker.h"
-#include "weights/weight_rollout.h"
+#include "daemon/node/events.h"
+#include "daemon/ownership/engine_ownership.h"
+#include "daemon/rollout/sample_worker.h"
+#include "daemon/weights/weight_rollout.h"
 
 namespace linenpier::node {
 
--- a/src/node/node_core_receive.cpp
+++ b/src/daemon/node/node_core_receive.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "node/node_core.h"
-#include "node/table_grace.h"
+#include "daemon/node/node_core.h"
+#include "daemon/node/table_grace.h"
 
 namespace linenpier::node {
 
--- a/src/node/node_core_tick.cpp
+++ b/src/daemon/node/node_core_tick.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "common/rendezvous.h"
-#include "node/node_core.h"
+#include "daemon/membership/rendezvous.h"
+#include "daemon/node/node_core.h"
 
 namespace linenpier::node {
 
--- a/src/ownership/engine_ownership.cpp
+++ b/src/daemon/ownership/engine_ownership.cpp
@@ -1,9 +1,9 @@
-#include "ownership/engine_ownership.h"
+#include "daemon/ownership/engine_ownership.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "common/rendezvous.h"
+#include "daemon/membership/rendezvous.h"
 
 namespace linenpier::ownership {
 
--- a/src/ownership/engine_ownership.h
+++ b/src/daemon/ownership/engine_ownership.h
@@ -16,8 +16,8 @@
 #include <vector>
 
 #include "common/time.h"
-#include "upstream/engine_directory.h"
-#include "wire/messages.h"
+#include "daemon/upstream/engine_directory.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::ownership {
 
--- a/src/table/conditional_write.cpp
+++ b/src/daemon/ports/conditional_write.cpp
@@ -1,4 +1,4 @@
-#include "table/conditional_write.h"
+#include "daemon/ports/conditional_write.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/table/conditional_write.h
+++ b/src/daemon/ports/conditional_write.h
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "common/ids.h"
-#include "table/table_client.h"
+#include "daemon/ports/table_client.h"
 
 namespace linenpier::table {
 
--- a/src/engine/engine_client.h
+++ b/src/daemon/ports/engine_client.h
@@ -11,7 +11,7 @@
 
 #include "common/error.h"
 #include "common/ids.h"
-#include "wire/messages.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::engine {
 
--- a/src/table/table_client.h
+++ b/src/daemon/ports/table_client.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "common/error.h"
-#include "table/row.h"
+#include "common/table_row.h"
 
 namespace linenpier::table {
 
--- a/src/daemon/config_store.cpp
+++ b/src/daemon/process/config_store.cpp
@@ -1,4 +1,4 @@
-#include "daemon/config_store.h"
+#include "daemon/process/config_store.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/daemon/config_store.h
+++ b/src/daemon/process/config_store.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "config/config_state.h"
-#include "table/conditional_write.h"
+#include "daemon/config/config_state.h"
+#include "daemon/ports/conditional_write.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/process/daemon.cpp
@@ -1,4 +1,4 @@
-#include "daemon/daemon.h"
+#include "daemon/process/daemon.h"
 
 #include <ctime>
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/process/daemon.h
@@ -7,10 +7,10 @@
 #include <caf/all.hpp>
 #include <memory>
 
-#include "daemon/effect_runner.h"
-#include "daemon/node_actor.h"
-#include "daemon/node_handle.h"
-#include "settings/settings.h"
+#include "daemon/process/effect_runner.h"
+#include "daemon/process/node_actor.h"
+#include "daemon/process/node_handle.h"
+#include "daemon/settings/settings.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/effect_runner.cpp
+++ b/src/daemon/process/effect_runner.cpp
@@ -1,4 +1,4 @@
-#include "daemon/effect_runner.h"
+#include "daemon/process/effect_runner.h"
 
 #include <nlohmann/json.hpp>
 #include <thread>
--- a/src/daemon/effect_runner.h
+++ b/src/daemon/process/effect_runner.h
@@ -12,12 +12,12 @@
 #include <memory>
 #include <mutex>
 
-#include "daemon/config_store.h"
-#include "daemon/request_runner.h"
-#include "daemon/services.h"
-#include "daemon/step_store.h"
-#include "daemon/udp_transport.h"
-#include "wire/frame_codec.h"
+#include "daemon/process/config_store.h"
+#include "daemon/process/request_runner.h"
+#include "daemon/process/services.h"
+#include "daemon/process/step_store.h"
+#include "daemon/process/udp_transport.h"
+#include "daemon/wire/frame_codec.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/node_actor.cpp
+++ b/src/daemon/process/node_actor.cpp
@@ -1,4 +1,4 @@
-#include "daemon/node_actor.h"
+#include "daemon/process/node_actor.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/node_actor.h
+++ b/src/daemon/process/node_actor.h
@@ -8,7 +8,7 @@
 #include <map>
 #include <memory>
 
-#include "daemon/node_handle.h"
+#include "daemon/process/node_handle.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/node_handle.cpp
+++ b/src/daemon/process/node_handle.cpp
@@ -1,4 +1,4 @@
-#include "daemon/node_handle.h"
+#include "daemon/process/node_handle.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/node_handle.h
+++ b/src/daemon/process/node_handle.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "node/node_core.h"
+#include "daemon/node/node_core.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/request_runner.cpp
+++ b/src/daemon/process/request_runner.cpp
@@ -1,4 +1,4 @@
-#include "daemon/request_runner.h"
+#include "daemon/process/request_runner.h"
 
 #include "common/hash.h"
 
--- a/src/daemon/request_runner.h
+++ b/src/daemon/process/request_runner.h
@@ -9,9 +9,9 @@
 #include <string>
 
 #include "common/random.h"
-#include "daemon/node_handle.h"
-#include "engine/engine_client.h"
-#include "upstream/request_driver.h"
+#include "daemon/ports/engine_client.h"
+#include "daemon/process/node_handle.h"
+#include "daemon/upstream/request_driver.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/services.h
+++ b/src/daemon/process/services.h
@@ -3,10 +3,10 @@
 /// @file
 /// The outside world as a daemon's threads use it.
 
-#include "engine/engine_client.h"
-#include "object_store/object_store_client.h"
-#include "platform/platform_directory.h"
-#include "table/table_client.h"
+#include "daemon/clients/platform_directory.h"
+#include "daemon/ports/engine_client.h"
+#include "daemon/ports/object_store_client.h"
+#include "daemon/ports/table_client.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/step_store.cpp
+++ b/src/daemon/process/step_store.cpp
@@ -1,9 +1,9 @@
-#include "daemon/step_store.h"
+#include "daemon/process/step_store.h"
 
 #include <algorithm>
 #include <thread>
 
-#include "config/documents.h"
+#include "daemon/config/documents.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/step_store.h
+++ b/src/daemon/process/step_store.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "object_store/object_store_client.h"
-#include "rollout/step_coordinator.h"
-#include "table/conditional_write.h"
+#include "daemon/ports/conditional_write.h"
+#include "daemon/ports/object_store_client.h"
+#include "daemon/rollout/step_coordinator.h"
 
 namespace linenpier::daemon {
 
--- a/src/daemon/udp_transport.cpp
+++ b/src/daemon/process/udp_transport.cpp
@@ -1,4 +1,4 @@
-#include "daemon/udp_transport.h"
+#include "daemon/process/udp_transport.h"
 
 #include <arpa/inet.h>
 #include <poll.h>
@@ -9,7 +9,7 @@
 #include <cstring>
 #include <vector>
 
-#include "wire/frame_codec.h"
+#include "daemon/wire/frame_codec.h"
 
 namespace linenpier::daemon {
 
--- a/src/rollout/sample_worker.cpp
+++ b/src/daemon/rollout/sample_worker.cpp
@@ -1,4 +1,4 @@
-#include "rollout/sample_worker.h"
+#include "daemon/rollout/sample_worker.h"
 
 #include <algorithm>
 
--- a/src/rollout/step_coordinator.h
+++ b/src/daemon/rollout/step_coordinator.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "common/time.h"
-#include "rollout/step_types.h"
+#include "daemon/rollout/step_types.h"
 
 namespace linenpier::rollout {
 
--- a/src/rollout/step_types.cpp
+++ b/src/daemon/rollout/step_types.cpp
@@ -1,4 +1,4 @@
-#include "rollout/step_types.h"
+#include "daemon/rollout/step_types.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/rollout/step_types.h
+++ b/src/daemon/rollout/step_types.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "common/error.h"
-#include "wire/messages.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::rollout {
 
--- a/src/settings/settings.cpp
+++ b/src/daemon/settings/settings.cpp
@@ -1,7 +1,7 @@
-#include "settings/settings.h"
+#include "daemon/settings/settings.h"
 
-#include "settings/toml_reader.h"
-#include "upstream/routing_policy.h"
+#include "common/toml_reader.h"
+#include "daemon/upstream/routing_policy.h"
 
 namespace linenpier::settings {
 
--- a/src/settings/settings.h
+++ b/src/daemon/settings/settings.h
@@ -11,8 +11,8 @@
 #include "common/address.h"
 #include "common/error.h"
 #include "common/ids.h"
+#include "common/read_file.h"
 #include "common/time.h"
-#include "settings/read_file.h"
 
 namespace linenpier::settings {
 
--- a/src/upstream/engine_directory.cpp
+++ b/src/daemon/upstream/engine_directory.cpp
@@ -1,4 +1,4 @@
-#include "upstream/engine_directory.h"
+#include "daemon/upstream/engine_directory.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/upstream/engine_directory.h
+++ b/src/daemon/upstream/engine_directory.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "common/time.h"
-#include "wire/messages.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::upstream {
 
--- a/src/upstream/request_driver.h
+++ b/src/daemon/upstream/request_driver.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "engine/engine_client.h"
+#include "daemon/ports/engine_client.h"
 
 namespace linenpier::upstream {
 
--- a/src/upstream/routing_policy.h
+++ b/src/daemon/upstream/routing_policy.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "common/random.h"
-#include "upstream/engine_directory.h"
+#include "daemon/upstream/engine_directory.h"
 
 namespace linenpier::upstream {
 
--- a/src/weights/weight_rollout.h
+++ b/src/daemon/weights/weight_rollout.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "common/time.h"
-#include "engine/engine_client.h"
-#include "ownership/engine_ownership.h"
-#include "upstream/engine_directory.h"
+#include "daemon/ownership/engine_ownership.h"
+#include "daemon/ports/engine_client.h"
+#include "daemon/upstream/engine_directory.h"
 
 namespace linenpier::weights {
 
--- a/src/wire/frame_codec.h
+++ b/src/daemon/wire/frame_codec.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <tl/expected.hpp>
 
-#include "wire/messages.h"
+#include "daemon/wire/messages.h"
 
 namespace linenpier::wire {
 
--- a/src/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -8,14 +8,14 @@
 #include <string>
 #include <vector>
 
-#include "batch/batch_run.h"
-#include "batch/checkpoint_log.h"
-#include "batch/job_store.h"
-#include "batch/listing_schedule.h"
+#include "common/event_log.h"
 #include "common/task.h"
-#include "forward/engine_call.h"
-#include "http/http_types.h"
-#include "logging/event_log.h"
+#include "gateway/batch/batch_run.h"
+#include "gateway/batch/checkpoint_log.h"
+#include "gateway/batch/job_store.h"
+#include "gateway/batch/listing_schedule.h"
+#include "gateway/forward/engine_call.h"
+#include "gateway/http/http_types.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/awaited_runs.h
+++ b/src/gateway/batch/awaited_runs.h
@@ -6,8 +6,8 @@
 
 #include <vector>
 
-#include "batch/batch_run.h"
-#include "batch/length_estimate.h"
+#include "gateway/batch/batch_run.h"
+#include "gateway/batch/length_estimate.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -3,12 +3,12 @@
 
 #include <algorithm>
 
-#include "batch/active_job.h"
-#include "batch/batch_service.h"
-#include "batch/call_status.h"
-#include "batch/owner_choice.h"
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/batch_service.h"
+#include "gateway/batch/call_status.h"
+#include "gateway/batch/owner_choice.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_carry_over.cpp
+++ b/src/gateway/batch/batch_carry_over.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <boost/smart_ptr/intrusive_ref_counter.hpp>
 
-#include "batch/active_job.h"
-#include "batch/batch_service.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/batch_service.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_codec.h
+++ b/src/gateway/batch/batch_codec.h
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
-#include "batch/batch_types.h"
 #include "common/error.h"
+#include "gateway/batch/batch_types.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -3,12 +3,12 @@
 
 #include <algorithm>
 
-#include "batch/active_job.h"
-#include "batch/awaited_runs.h"
-#include "batch/batch_service.h"
-#include "batch/item_placement.h"
-#include "logging/event_log.h"
-#include "tenants/caller.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/awaited_runs.h"
+#include "gateway/batch/batch_service.h"
+#include "gateway/batch/item_placement.h"
+#include "gateway/tenants/caller.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_leaving.cpp
+++ b/src/gateway/batch/batch_leaving.cpp
@@ -3,9 +3,9 @@
 
 #include <limits>
 
-#include "batch/active_job.h"
-#include "batch/batch_service.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/batch_service.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_listing.cpp
+++ b/src/gateway/batch/batch_listing.cpp
@@ -3,11 +3,11 @@
 
 #include <algorithm>
 
-#include "batch/active_job.h"
-#include "batch/batch_service.h"
-#include "batch/checkpoint_rows.h"
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/batch_service.h"
+#include "gateway/batch/checkpoint_rows.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -7,10 +7,10 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "batch/listing_schedule.h"
-#include "batch/run_patience.h"
-#include "batch/runs_leaving.h"
 #include "common/time.h"
+#include "gateway/batch/listing_schedule.h"
+#include "gateway/batch/run_patience.h"
+#include "gateway/batch/runs_leaving.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_reading.cpp
+++ b/src/gateway/batch/batch_reading.cpp
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "batch/active_job.h"
-#include "batch/batch_service.h"
-#include "batch/call_status.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/batch_service.h"
+#include "gateway/batch/call_status.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_removal.cpp
+++ b/src/gateway/batch/batch_removal.cpp
@@ -1,9 +1,9 @@
 /// @file
 /// Removal of jobs that have ended and that nobody may ask for any more.
 
-#include "batch/active_job.h"
-#include "batch/batch_service.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/batch_service.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -1,4 +1,4 @@
-#include "batch/batch_run.h"
+#include "gateway/batch/batch_run.h"
 
 #include <algorithm>
 #include <map>
--- a/src/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -1,10 +1,10 @@
-#include "batch/batch_service.h"
+#include "gateway/batch/batch_service.h"
 
 #include <algorithm>
 
-#include "batch/active_job.h"
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/carry_over.h
+++ b/src/gateway/batch/carry_over.h
@@ -8,8 +8,8 @@
 #include <map>
 #include <set>
 
-#include "batch/batch_types.h"
-#include "batch/checkpoint.h"
+#include "gateway/batch/batch_types.h"
+#include "gateway/batch/checkpoint.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/checkpoint.cpp
+++ b/src/gateway/batch/checkpoint.cpp
@@ -1,4 +1,4 @@
-#include "batch/checkpoint.h"
+#include "gateway/batch/checkpoint.h"
 
 #include <map>
 #include <nlohmann/json.hpp>
--- a/src/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "batch/batch_types.h"
+#include "gateway/batch/batch_types.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/checkpoint_log.cpp
+++ b/src/gateway/batch/checkpoint_log.cpp
@@ -1,4 +1,4 @@
-#include "batch/checkpoint_log.h"
+#include "gateway/batch/checkpoint_log.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/checkpoint_log.h
+++ b/src/gateway/batch/checkpoint_log.h
@@ -9,8 +9,8 @@
 #include <map>
 #include <optional>
 
-#include "batch/batch_run.h"
-#include "batch/checkpoint.h"
+#include "gateway/batch/batch_run.h"
+#include "gateway/batch/checkpoint.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/checkpoint_rows.h
+++ b/src/gateway/batch/checkpoint_rows.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "batch/checkpoint.h"
+#include "gateway/batch/checkpoint.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -4,8 +4,8 @@
  * Which engine runs an item. Pure: asks the registry, sends nothing.
  */
 
-#include "batch/batch_run.h"
-#include "engines/engine_registry.h"
+#include "gateway/batch/batch_run.h"
+#include "gateway/engines/engine_registry.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -1,7 +1,7 @@
-#include "batch/item_scorer.h"
+#include "gateway/batch/item_scorer.h"
 
-#include "batch/active_job.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -7,12 +7,12 @@
 #include <functional>
 #include <memory>
 
-#include "batch/batch_options.h"
-#include "batch/batch_run.h"
-#include "forward/field_names.h"
-#include "forward/internal_requests.h"
-#include "http/http_types.h"
-#include "logging/success_sampler.h"
+#include "common/success_sampler.h"
+#include "gateway/batch/batch_options.h"
+#include "gateway/batch/batch_run.h"
+#include "gateway/forward/field_names.h"
+#include "gateway/forward/internal_requests.h"
+#include "gateway/http/http_types.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -1,10 +1,10 @@
-#include "batch/job_store.h"
+#include "gateway/batch/job_store.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "batch/checkpoint_rows.h"
-#include "gateway/store_keys.h"
+#include "gateway/batch/checkpoint_rows.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -14,10 +14,10 @@
 
 #include <memory>
 
-#include "batch/batch_types.h"
-#include "batch/checkpoint.h"
-#include "table/async_table.h"
-#include "tenants/caller.h"
+#include "gateway/batch/batch_types.h"
+#include "gateway/batch/checkpoint.h"
+#include "gateway/table/async_table.h"
+#include "gateway/tenants/caller.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/length_estimate.cpp
+++ b/src/gateway/batch/length_estimate.cpp
@@ -1,4 +1,4 @@
-#include "batch/length_estimate.h"
+#include "gateway/batch/length_estimate.h"
 
 #include <algorithm>
 
--- a/src/batch/owner_choice.h
+++ b/src/gateway/batch/owner_choice.h
@@ -6,10 +6,10 @@
 #include <set>
 #include <vector>
 
-#include "batch/batch_types.h"
-#include "fleet/fleet_layout.h"
-#include "fleet/home_regions.h"
-#include "lease/lease_table.h"
+#include "gateway/batch/batch_types.h"
+#include "gateway/fleet/fleet_layout.h"
+#include "gateway/fleet/home_regions.h"
+#include "gateway/lease/lease_table.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -1,4 +1,4 @@
-#include "batch/run_moves.h"
+#include "gateway/batch/run_moves.h"
 
 #include <algorithm>
 
--- a/src/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -8,9 +8,9 @@
 #include <optional>
 #include <vector>
 
-#include "batch/batch_run.h"
-#include "batch/length_estimate.h"
-#include "engines/engine_registry.h"
+#include "gateway/batch/batch_run.h"
+#include "gateway/batch/length_estimate.h"
+#include "gateway/engines/engine_registry.h"
 
 namespace linenpier::batch {
 
--- a/src/batch/runs_leaving.cpp
+++ b/src/gateway/batch/runs_leaving.cpp
@@ -1,4 +1,4 @@
-#include "batch/runs_leaving.h"
+#include "gateway/batch/runs_leaving.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/engines/cold_budget.cpp
+++ b/src/gateway/engines/cold_budget.cpp
@@ -1,4 +1,4 @@
-#include "engines/cold_budget.h"
+#include "gateway/engines/cold_budget.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/engines/cold_budget.h
+++ b/src/gateway/engines/cold_budget.h
@@ -18,7 +18,7 @@
 
 #include "common/ids.h"
 #include "common/time.h"
-#include "routing/route_table.h"
+#include "gateway/routing/route_table.h"
 
 namespace linenpier::engines {
 
--- a/src/engines/engine_admission.cpp
+++ b/src/gateway/engines/engine_admission.cpp
@@ -1,4 +1,4 @@
-#include "engines/engine_admission.h"
+#include "gateway/engines/engine_admission.h"
 
 #include <algorithm>
 
--- a/src/engines/engine_index.cpp
+++ b/src/gateway/engines/engine_index.cpp
@@ -1,7 +1,7 @@
-#include "engines/engine_index.h"
+#include "gateway/engines/engine_index.h"
 
 #include "common/hash.h"
-#include "engines/engine_registry.h"
+#include "gateway/engines/engine_registry.h"
 
 namespace linenpier::engines {
 
--- a/src/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -14,7 +14,7 @@
 #include <set>
 
 #include "common/ids.h"
-#include "routing/route_table.h"
+#include "gateway/routing/route_table.h"
 
 namespace linenpier::engines {
 
--- a/src/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -1,4 +1,4 @@
-#include "engines/engine_registry.h"
+#include "gateway/engines/engine_registry.h"
 
 #include <algorithm>
 
--- a/src/engines/lasting_slowness.cpp
+++ b/src/gateway/engines/lasting_slowness.cpp
@@ -1,4 +1,4 @@
-#include "engines/lasting_slowness.h"
+#include "gateway/engines/lasting_slowness.h"
 
 #include <algorithm>
 
--- a/src/fleet/zone_closings.h
+++ b/src/gateway/fleet/zone_closings.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "common/time.h"
-#include "fleet/closed_zones.h"
+#include "gateway/fleet/closed_zones.h"
 
 namespace linenpier::fleet {
 
--- a/src/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -1,4 +1,4 @@
-#include "forward/attempt_policy.h"
+#include "gateway/forward/attempt_policy.h"
 
 namespace linenpier::forward {
 
--- a/src/forward/attempt_policy.h
+++ b/src/gateway/forward/attempt_policy.h
@@ -7,8 +7,8 @@
 #include <optional>
 
 #include "common/time.h"
-#include "forward/engine_call.h"
-#include "routing/route_table.h"
+#include "gateway/forward/engine_call.h"
+#include "gateway/routing/route_table.h"
 
 namespace linenpier::forward {
 
--- a/src/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -1,4 +1,4 @@
-#include "forward/engine_call.h"
+#include "gateway/forward/engine_call.h"
 
 #include <cstdio>
 #include <cstdlib>
--- a/src/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "engines/engine_registry.h"
-#include "forward/event_parser.h"
-#include "forward/field_names.h"
-#include "http/client_exchange.h"
+#include "gateway/engines/engine_registry.h"
+#include "gateway/forward/event_parser.h"
+#include "gateway/forward/field_names.h"
+#include "gateway/http/client_exchange.h"
 
 namespace linenpier::forward {
 
--- a/src/forward/event_parser.cpp
+++ b/src/gateway/forward/event_parser.cpp
@@ -1,4 +1,4 @@
-#include "forward/event_parser.h"
+#include "gateway/forward/event_parser.h"
 
 #include <boost/algorithm/string/case_conv.hpp>
 #include <charconv>
--- a/src/forward/forward_plain.cpp
+++ b/src/gateway/forward/forward_plain.cpp
@@ -2,7 +2,7 @@
 /// Requests with one whole answer: attempts that may run beside each other, for clients and for the
 /// system itself.
 
-#include "forward/forwarder.h"
+#include "gateway/forward/forwarder.h"
 
 namespace linenpier::forward {
 
--- a/src/forward/forward_stream.cpp
+++ b/src/gateway/forward/forward_stream.cpp
@@ -4,7 +4,7 @@
 #include <boost/beast/http/status.hpp>
 #include <cstdlib>
 
-#include "forward/forwarder.h"
+#include "gateway/forward/forwarder.h"
 
 namespace linenpier::forward {
 
--- a/src/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -1,12 +1,12 @@
-#include "forward/forwarder.h"
+#include "gateway/forward/forwarder.h"
 
 #include <algorithm>
 #include <boost/beast/http/status.hpp>
 #include <cstdio>
 #include <cstdlib>
 
-#include "suspects/request_key.h"
-#include "tenants/homes.h"
+#include "gateway/suspects/request_key.h"
+#include "gateway/tenants/homes.h"
 
 namespace linenpier::forward {
 
--- a/src/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -5,16 +5,16 @@
 
 #include <functional>
 
-#include "forward/attempt_policy.h"
-#include "forward/internal_requests.h"
-#include "forward/run_recorder.h"
-#include "http/server.h"
-#include "logging/event_log.h"
-#include "logging/success_sampler.h"
-#include "metrics/gateway_metrics.h"
-#include "routing/route_table.h"
-#include "suspects/suspect_gate.h"
-#include "tenants/caller.h"
+#include "common/event_log.h"
+#include "common/success_sampler.h"
+#include "gateway/forward/attempt_policy.h"
+#include "gateway/forward/internal_requests.h"
+#include "gateway/forward/run_recorder.h"
+#include "gateway/http/server.h"
+#include "gateway/metrics/gateway_metrics.h"
+#include "gateway/routing/route_table.h"
+#include "gateway/suspects/suspect_gate.h"
+#include "gateway/tenants/caller.h"
 
 namespace linenpier::forward {
 
--- a/src/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "common/task.h"
-#include "http/http_types.h"
-#include "routing/route_table.h"
+#include "gateway/http/http_types.h"
+#include "gateway/routing/route_table.h"
 
 namespace linenpier::forward {
 
--- a/src/http/client_exchange.cpp
+++ b/src/gateway/http/client_exchange.cpp
@@ -1,4 +1,4 @@
-#include "http/client_exchange.h"
+#include "gateway/http/client_exchange.h"
 
 #include <array>
 #include <boost/asio/error.hpp>
--- a/src/http/client_exchange.h
+++ b/src/gateway/http/client_exchange.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "http/connection_pool.h"
+#include "gateway/http/connection_pool.h"
 
 namespace linenpier::http {
 
--- a/src/http/connection_pool.cpp
+++ b/src/gateway/http/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "http/connection_pool.h"
+#include "gateway/http/connection_pool.h"
 
 #include <sys/socket.h>
 
--- a/src/http/http_types.cpp
+++ b/src/gateway/http/http_types.cpp
@@ -1,4 +1,4 @@
-#include "http/http_types.h"
+#include "gateway/http/http_types.h"
 
 #include <boost/algorithm/string/predicate.hpp>
 #include <boost/beast/http/rfc7230.hpp>
--- a/src/http/server.cpp
+++ b/src/gateway/http/server.cpp
@@ -1,6 +1,6 @@
-#include "http/server.h"
+#include "gateway/http/server.h"
 
-#include "http/server_session.h"
+#include "gateway/http/server_session.h"
 
 namespace linenpier::http {
 
--- a/src/http/server.h
+++ b/src/gateway/http/server.h
@@ -13,7 +13,7 @@
 #include "common/address.h"
 #include "common/error.h"
 #include "common/task.h"
-#include "http/http_types.h"
+#include "gateway/http/http_types.h"
 
 namespace linenpier::http {
 
--- a/src/http/server_session.cpp
+++ b/src/gateway/http/server_session.cpp
@@ -1,4 +1,4 @@
-#include "http/server_session.h"
+#include "gateway/http/server_session.h"
 
 #include <sys/socket.h>
 
--- a/src/http/server_session.h
+++ b/src/gateway/http/server_session.h
@@ -5,7 +5,7 @@
 
 #include <boost/beast/http/parser.hpp>
 
-#include "http/server.h"
+#include "gateway/http/server.h"
 
 namespace linenpier::http {
 
--- a/src/lease/exclusive_right.cpp
+++ b/src/gateway/lease/exclusive_right.cpp
@@ -1,8 +1,8 @@
-#include "lease/exclusive_right.h"
+#include "gateway/lease/exclusive_right.h"
 
 #include <algorithm>
 
-#include "logging/event_log.h"
+#include "common/event_log.h"
 
 namespace linenpier::lease {
 
--- a/src/lease/exclusive_right.h
+++ b/src/gateway/lease/exclusive_right.h
@@ -23,8 +23,8 @@
 #include <functional>
 #include <string>
 
-#include "lease/lease_keeper.h"
-#include "table/async_table.h"
+#include "gateway/lease/lease_keeper.h"
+#include "gateway/table/async_table.h"
 
 namespace linenpier::lease {
 
--- a/src/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -1,7 +1,7 @@
-#include "lease/lease_keeper.h"
+#include "gateway/lease/lease_keeper.h"
 
-#include "gateway/store_keys.h"
-#include "lease/store_delay.h"
+#include "gateway/lease/store_delay.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::lease {
 
--- a/src/lease/lease_keeper.h
+++ b/src/gateway/lease/lease_keeper.h
@@ -6,9 +6,9 @@
 #include <functional>
 
 #include "common/task.h"
-#include "lease/lease_table.h"
-#include "lease/owner_pool.h"
-#include "table/async_table.h"
+#include "gateway/lease/lease_table.h"
+#include "gateway/lease/owner_pool.h"
+#include "gateway/table/async_table.h"
 
 namespace linenpier::lease {
 
--- a/src/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -1,4 +1,4 @@
-#include "lease/lease_table.h"
+#include "gateway/lease/lease_table.h"
 
 #include <algorithm>
 #include <set>
--- a/src/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -14,10 +14,10 @@
 #include <string>
 #include <vector>
 
-#include "batch/batch_types.h"
 #include "common/address.h"
+#include "common/table_row.h"
 #include "common/time.h"
-#include "table/row.h"
+#include "gateway/batch/batch_types.h"
 
 namespace linenpier::lease {
 
--- a/src/lease/lease_watch.cpp
+++ b/src/gateway/lease/lease_watch.cpp
@@ -1,7 +1,7 @@
-#include "lease/lease_watch.h"
+#include "gateway/lease/lease_watch.h"
 
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::lease {
 
--- a/src/lease/lease_watch.h
+++ b/src/gateway/lease/lease_watch.h
@@ -10,9 +10,9 @@
 
 #include "common/random.h"
 #include "common/task.h"
-#include "lease/lease_keeper.h"
-#include "lease/lease_table.h"
-#include "table/async_table.h"
+#include "gateway/lease/lease_keeper.h"
+#include "gateway/lease/lease_table.h"
+#include "gateway/table/async_table.h"
 
 namespace linenpier::lease {
 
--- a/src/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -1,4 +1,4 @@
-#include "lease/owner_pool.h"
+#include "gateway/lease/owner_pool.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -10,8 +10,8 @@
 #include <set>
 #include <vector>
 
-#include "lease/lease_table.h"
-#include "lease/own_capacity.h"
+#include "gateway/lease/lease_table.h"
+#include "gateway/lease/own_capacity.h"
 
 namespace linenpier::lease {
 
--- a/src/lease/store_delay.h
+++ b/src/gateway/lease/store_delay.h
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "lease/lease_table.h"
+#include "gateway/lease/lease_table.h"
 
 namespace linenpier::lease {
 
--- a/src/metrics/gateway_metrics.cpp
+++ b/src/gateway/metrics/gateway_metrics.cpp
@@ -1,4 +1,4 @@
-#include "metrics/gateway_metrics.h"
+#include "gateway/metrics/gateway_metrics.h"
 
 #include <prometheus/text_serializer.h>
 #include <sys/resource.h>
--- a/src/routing/route_table.cpp
+++ b/src/gateway/routing/route_table.cpp
@@ -1,4 +1,4 @@
-#include "routing/route_table.h"
+#include "gateway/routing/route_table.h"
 
 #include <algorithm>
 
--- a/src/routing/route_table.h
+++ b/src/gateway/routing/route_table.h
@@ -13,10 +13,10 @@
 
 #include "common/ids.h"
 #include "common/time.h"
-#include "fleet/home_regions.h"
-#include "http/server.h"
-#include "scaling/scaling_bounds.h"
-#include "tenants/tenant_table.h"
+#include "gateway/fleet/home_regions.h"
+#include "gateway/http/server.h"
+#include "gateway/routing/tenant_table.h"
+#include "gateway/scaling/scaling_bounds.h"
 
 namespace linenpier::routing {
 
--- a/src/tenants/tenant_table.cpp
+++ b/src/gateway/routing/tenant_table.cpp
@@ -1,4 +1,4 @@
-#include "tenants/tenant_table.h"
+#include "gateway/routing/tenant_table.h"
 
 #include <openssl/crypto.h>
 #include <openssl/sha.h>
--- a/src/tenants/tenant_table.h
+++ b/src/gateway/routing/tenant_table.h
@@ -17,7 +17,7 @@
 
 #include "common/error.h"
 #include "common/ids.h"
-#include "fleet/home_regions.h"
+#include "gateway/fleet/home_regions.h"
 
 namespace linenpier::tenants {
 
--- a/src/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -1,4 +1,4 @@
-#include "scaling/scaling_policy.h"
+#include "gateway/scaling/scaling_policy.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -12,8 +12,8 @@
 #include <set>
 #include <vector>
 
-#include "scaling/scaling_record.h"
-#include "usage/duty_port.h"
+#include "gateway/scaling/scaling_record.h"
+#include "gateway/usage/duty_port.h"
 
 namespace linenpier::scaling {
 
--- a/src/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -5,9 +5,9 @@
  */
 
 #include "common/task.h"
-#include "routing/route_table.h"
-#include "scaling/scaling_bounds.h"
-#include "usage/duty_port.h"
+#include "gateway/routing/route_table.h"
+#include "gateway/scaling/scaling_bounds.h"
+#include "gateway/usage/duty_port.h"
 
 namespace linenpier::scaling {
 
--- a/src/scaling/scaling_record.cpp
+++ b/src/gateway/scaling/scaling_record.cpp
@@ -1,4 +1,4 @@
-#include "scaling/scaling_record.h"
+#include "gateway/scaling/scaling_record.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/scaling/scaling_record.h
+++ b/src/gateway/scaling/scaling_record.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "scaling/scaling_bounds.h"
+#include "gateway/scaling/scaling_bounds.h"
 
 namespace linenpier::scaling {
 
--- a/src/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -1,7 +1,7 @@
-#include "scaling/scaling_service.h"
+#include "gateway/scaling/scaling_service.h"
 
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::scaling {
 
--- a/src/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -12,11 +12,11 @@
 #include <functional>
 #include <optional>
 
-#include "engines/engine_registry.h"
-#include "lease/exclusive_right.h"
-#include "scaling/scaling_policy.h"
-#include "scaling/scaling_port.h"
-#include "versions/load_demand.h"
+#include "gateway/engines/engine_registry.h"
+#include "gateway/lease/exclusive_right.h"
+#include "gateway/scaling/scaling_policy.h"
+#include "gateway/scaling/scaling_port.h"
+#include "gateway/versions/load_demand.h"
 
 namespace linenpier::scaling {
 
--- a/src/gateway/engine_changes.cpp
+++ b/src/gateway/service/engine_changes.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engine_changes.h"
+#include "gateway/service/engine_changes.h"
 
 #include <algorithm>
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -1,7 +1,7 @@
-#include "gateway/gateway.h"
+#include "gateway/service/gateway.h"
 
+#include "common/event_log.h"
 #include "common/random.h"
-#include "logging/event_log.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -5,22 +5,22 @@
 
 #include <memory>
 
-#include "batch/batch_service.h"
 #include "common/random.h"
-#include "fleet/zone_closings.h"
-#include "forward/forwarder.h"
-#include "gateway/engine_changes.h"
-#include "gateway/gateway_settings.h"
-#include "gateway/owner_demand.h"
-#include "gateway/peer_snapshot.h"
-#include "gateway/platform_port.h"
-#include "lease/lease_watch.h"
-#include "logging/success_sampler.h"
-#include "metrics/gateway_metrics.h"
-#include "scaling/scaling_service.h"
-#include "suspects/suspect_service.h"
-#include "table/table_watcher.h"
-#include "usage/usage_service.h"
+#include "common/success_sampler.h"
+#include "gateway/batch/batch_service.h"
+#include "gateway/fleet/zone_closings.h"
+#include "gateway/forward/forwarder.h"
+#include "gateway/lease/lease_watch.h"
+#include "gateway/metrics/gateway_metrics.h"
+#include "gateway/scaling/scaling_service.h"
+#include "gateway/service/engine_changes.h"
+#include "gateway/service/gateway_settings.h"
+#include "gateway/service/owner_demand.h"
+#include "gateway/service/peer_snapshot.h"
+#include "gateway/service/platform_port.h"
+#include "gateway/suspects/suspect_service.h"
+#include "gateway/table/table_watcher.h"
+#include "gateway/usage/usage_service.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// The gateway's metrics at the moment of a scrape.
 
-#include "gateway/gateway.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/service/gateway.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/gateway_peers.cpp
+++ b/src/gateway/service/gateway_peers.cpp
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "gateway/gateway.h"
-#include "gateway/peer_write.h"
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/service/gateway.h"
+#include "gateway/service/peer_write.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -1,9 +1,9 @@
-#include "gateway/gateway_settings.h"
+#include "gateway/service/gateway_settings.h"
 
 #include <boost/algorithm/string/trim.hpp>
 #include <sstream>
 
-#include "settings/toml_reader.h"
+#include "common/toml_reader.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -7,17 +7,17 @@
 #include <string>
 #include <vector>
 
-#include "batch/batch_service.h"
 #include "common/address.h"
 #include "common/error.h"
 #include "common/ids.h"
 #include "common/time.h"
-#include "engines/cold_budget.h"
-#include "fleet/fleet_layout.h"
-#include "lease/own_capacity.h"
-#include "scaling/scaling_policy.h"
-#include "usage/usage_service.h"
-#include "versions/version_rollout.h"
+#include "gateway/batch/batch_service.h"
+#include "gateway/engines/cold_budget.h"
+#include "gateway/fleet/fleet_layout.h"
+#include "gateway/lease/own_capacity.h"
+#include "gateway/scaling/scaling_policy.h"
+#include "gateway/usage/usage_service.h"
+#include "gateway/versions/version_rollout.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -1,10 +1,10 @@
 /// @file
 /// What the store tells a gateway: configuration, engines, jobs and rights, leases.
 
+#include "common/event_log.h"
 #include "common/hash.h"
-#include "gateway/gateway.h"
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "gateway/service/gateway.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/gateway_zones.cpp
+++ b/src/gateway/service/gateway_zones.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-#include "gateway/gateway.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/service/gateway.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -1,4 +1,4 @@
-#include "gateway/owner_demand.h"
+#include "gateway/service/owner_demand.h"
 
 #include <algorithm>
 
--- a/src/gateway/owner_demand.h
+++ b/src/gateway/service/owner_demand.h
@@ -4,9 +4,9 @@
  * How many daemons should offer to own work, and where, by what is configured. Pure.
  */
 
-#include "fleet/fleet_layout.h"
-#include "lease/owner_pool.h"
-#include "routing/route_table.h"
+#include "gateway/fleet/fleet_layout.h"
+#include "gateway/lease/owner_pool.h"
+#include "gateway/routing/route_table.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/peer_rows.cpp
+++ b/src/gateway/service/peer_rows.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peer_rows.h"
+#include "gateway/service/peer_rows.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/peer_rows.h
+++ b/src/gateway/service/peer_rows.h
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "table/row.h"
+#include "common/table_row.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/peer_snapshot.cpp
+++ b/src/gateway/service/peer_snapshot.cpp
@@ -1,8 +1,8 @@
-#include "gateway/peer_snapshot.h"
+#include "gateway/service/peer_snapshot.h"
 
 #include <cstdlib>
 
-#include "gateway/peer_rows.h"
+#include "gateway/service/peer_rows.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/peer_snapshot.h
+++ b/src/gateway/service/peer_snapshot.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "common/ids.h"
-#include "table/row.h"
+#include "common/table_row.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/peer_write.cpp
+++ b/src/gateway/service/peer_write.cpp
@@ -1,6 +1,6 @@
-#include "gateway/peer_write.h"
+#include "gateway/service/peer_write.h"
 
-#include "gateway/peer_rows.h"
+#include "gateway/service/peer_rows.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/peer_write.h
+++ b/src/gateway/service/peer_write.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "table/async_table.h"
+#include "gateway/table/async_table.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -8,15 +8,15 @@
 #include <optional>
 #include <string>
 
-#include "batch/batch_codec.h"
-#include "engines/engine_registry.h"
-#include "forward/field_names.h"
-#include "http/http_types.h"
-#include "routing/route_table.h"
-#include "scaling/scaling_port.h"
-#include "table/async_table.h"
-#include "usage/duty_port.h"
-#include "versions/order_service.h"
+#include "gateway/batch/batch_codec.h"
+#include "gateway/engines/engine_registry.h"
+#include "gateway/forward/field_names.h"
+#include "gateway/http/http_types.h"
+#include "gateway/routing/route_table.h"
+#include "gateway/scaling/scaling_port.h"
+#include "gateway/table/async_table.h"
+#include "gateway/usage/duty_port.h"
+#include "gateway/versions/order_service.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/settings_watch.cpp
+++ b/src/gateway/service/settings_watch.cpp
@@ -1,7 +1,7 @@
-#include "gateway/settings_watch.h"
+#include "gateway/service/settings_watch.h"
 
-#include "logging/event_log.h"
-#include "settings/read_file.h"
+#include "common/event_log.h"
+#include "common/read_file.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/settings_watch.h
+++ b/src/gateway/service/settings_watch.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "common/task.h"
-#include "gateway/gateway_settings.h"
+#include "gateway/service/gateway_settings.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/store_keys.h
+++ b/src/gateway/service/store_keys.h
@@ -8,9 +8,9 @@
 #include <cstdio>
 #include <string>
 
-#include "batch/batch_types.h"
-#include "routing/route_table.h"
-#include "table/row.h"
+#include "common/table_row.h"
+#include "gateway/batch/batch_types.h"
+#include "gateway/routing/route_table.h"
 
 namespace linenpier::gateway {
 
--- a/src/suspects/request_key.cpp
+++ b/src/gateway/suspects/request_key.cpp
@@ -1,4 +1,4 @@
-#include "suspects/request_key.h"
+#include "gateway/suspects/request_key.h"
 
 #include <cstdio>
 
--- a/src/suspects/request_key.h
+++ b/src/gateway/suspects/request_key.h
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "common/ids.h"
-#include "http/http_types.h"
+#include "gateway/http/http_types.h"
 
 namespace linenpier::suspects {
 
--- a/src/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -1,4 +1,4 @@
-#include "suspects/suspect_book.h"
+#include "gateway/suspects/suspect_book.h"
 
 #include <algorithm>
 
--- a/src/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_book.h
@@ -13,10 +13,10 @@
 #include <set>
 #include <vector>
 
+#include "common/table_row.h"
 #include "common/time.h"
-#include "suspects/request_key.h"
-#include "suspects/suspect_record.h"
-#include "table/row.h"
+#include "gateway/suspects/request_key.h"
+#include "gateway/suspects/suspect_record.h"
 
 namespace linenpier::suspects {
 
--- a/src/suspects/suspect_record.cpp
+++ b/src/gateway/suspects/suspect_record.cpp
@@ -1,4 +1,4 @@
-#include "suspects/suspect_record.h"
+#include "gateway/suspects/suspect_record.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -1,8 +1,8 @@
-#include "suspects/suspect_service.h"
+#include "gateway/suspects/suspect_service.h"
 
+#include "common/event_log.h"
 #include "common/hash.h"
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::suspects {
 
--- a/src/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -15,12 +15,12 @@
 #include <memory>
 #include <optional>
 
+#include "common/success_sampler.h"
 #include "common/task.h"
-#include "lease/lease_keeper.h"
-#include "lease/lease_table.h"
-#include "logging/success_sampler.h"
-#include "suspects/suspect_gate.h"
-#include "table/async_table.h"
+#include "gateway/lease/lease_keeper.h"
+#include "gateway/lease/lease_table.h"
+#include "gateway/suspects/suspect_gate.h"
+#include "gateway/table/async_table.h"
 
 namespace linenpier::suspects {
 
--- a/src/table/async_table.h
+++ b/src/gateway/table/async_table.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "common/error.h"
+#include "common/table_row.h"
 #include "common/task.h"
-#include "table/row.h"
 
 namespace linenpier::table {
 
--- a/src/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -1,9 +1,9 @@
-#include "table/table_watcher.h"
+#include "gateway/table/table_watcher.h"
 
 #include <algorithm>
 #include <iterator>
 
-#include "logging/event_log.h"
+#include "common/event_log.h"
 
 namespace linenpier::table {
 
--- a/src/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -10,7 +10,7 @@
 
 #include "common/retry_backoff.h"
 #include "common/task.h"
-#include "table/async_table.h"
+#include "gateway/table/async_table.h"
 
 namespace linenpier::table {
 
--- a/src/tenants/caller.cpp
+++ b/src/gateway/tenants/caller.cpp
@@ -1,4 +1,4 @@
-#include "tenants/caller.h"
+#include "gateway/tenants/caller.h"
 
 #include <boost/algorithm/string/predicate.hpp>
 #include <boost/algorithm/string/trim.hpp>
--- a/src/tenants/caller.h
+++ b/src/gateway/tenants/caller.h
@@ -7,9 +7,9 @@
 #include <optional>
 #include <string>
 
-#include "http/http_types.h"
-#include "routing/route_table.h"
-#include "tenants/tenant_table.h"
+#include "gateway/http/http_types.h"
+#include "gateway/routing/route_table.h"
+#include "gateway/routing/tenant_table.h"
 
 namespace linenpier::tenants {
 
--- a/src/tenants/homes.cpp
+++ b/src/gateway/tenants/homes.cpp
@@ -1,4 +1,4 @@
-#include "tenants/homes.h"
+#include "gateway/tenants/homes.h"
 
 namespace linenpier::tenants {
 
--- a/src/tenants/homes.h
+++ b/src/gateway/tenants/homes.h
@@ -4,8 +4,8 @@
  * Where requests may be served, cached and stored, by their route and their tenant. Pure.
  */
 
-#include "fleet/home_regions.h"
-#include "routing/route_table.h"
+#include "gateway/fleet/home_regions.h"
+#include "gateway/routing/route_table.h"
 
 namespace linenpier::tenants {
 
--- a/src/logging/step_table.cpp
+++ b/src/gateway/trace/step_table.cpp
@@ -1,4 +1,4 @@
-#include "logging/step_table.h"
+#include "gateway/trace/step_table.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/logging/step_table.h
+++ b/src/gateway/trace/step_table.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "logging/trace_reader.h"
+#include "gateway/trace/trace_reader.h"
 
 namespace linenpier::logging {
 
--- a/src/logging/trace_reader.cpp
+++ b/src/gateway/trace/trace_reader.cpp
@@ -1,4 +1,4 @@
-#include "logging/trace_reader.h"
+#include "gateway/trace/trace_reader.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/usage/duty_port.h
+++ b/src/gateway/usage/duty_port.h
@@ -8,7 +8,7 @@
 
 #include "common/ids.h"
 #include "common/task.h"
-#include "usage/usage_counter.h"
+#include "gateway/usage/usage_counter.h"
 
 namespace linenpier::usage {
 
--- a/src/usage/true_time.cpp
+++ b/src/gateway/usage/true_time.cpp
@@ -1,4 +1,4 @@
-#include "usage/true_time.h"
+#include "gateway/usage/true_time.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -1,4 +1,4 @@
-#include "usage/usage_counter.h"
+#include "gateway/usage/usage_counter.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/usage/usage_counter.h
+++ b/src/gateway/usage/usage_counter.h
@@ -11,7 +11,7 @@
 
 #include "common/ids.h"
 #include "common/time.h"
-#include "usage/true_time.h"
+#include "gateway/usage/true_time.h"
 
 namespace linenpier::usage {
 
--- a/src/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -16,10 +16,10 @@
 #include <functional>
 #include <optional>
 
-#include "forward/run_recorder.h"
-#include "lease/exclusive_right.h"
-#include "usage/duty_port.h"
-#include "usage/usage_counter.h"
+#include "gateway/forward/run_recorder.h"
+#include "gateway/lease/exclusive_right.h"
+#include "gateway/usage/duty_port.h"
+#include "gateway/usage/usage_counter.h"
 
 namespace linenpier::usage {
 
--- a/src/versions/engine_shares.cpp
+++ b/src/gateway/versions/engine_shares.cpp
@@ -1,4 +1,4 @@
-#include "versions/engine_shares.h"
+#include "gateway/versions/engine_shares.h"
 
 #include <algorithm>
 
--- a/src/versions/engine_shares.h
+++ b/src/gateway/versions/engine_shares.h
@@ -11,7 +11,7 @@
 #include <set>
 #include <vector>
 
-#include "engines/engine_registry.h"
+#include "gateway/engines/engine_registry.h"
 
 namespace linenpier::versions {
 
--- a/src/versions/load_demand.cpp
+++ b/src/gateway/versions/load_demand.cpp
@@ -1,4 +1,4 @@
-#include "versions/load_demand.h"
+#include "gateway/versions/load_demand.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -1,9 +1,9 @@
-#include "versions/order_service.h"
+#include "gateway/versions/order_service.h"
 
 #include <algorithm>
 
-#include "gateway/store_keys.h"
-#include "logging/event_log.h"
+#include "common/event_log.h"
+#include "gateway/service/store_keys.h"
 
 namespace linenpier::versions {
 
--- a/src/versions/order_service.h
+++ b/src/gateway/versions/order_service.h
@@ -8,8 +8,8 @@
 #include <map>
 #include <memory>
 
-#include "lease/exclusive_right.h"
-#include "versions/version_rollout.h"
+#include "gateway/lease/exclusive_right.h"
+#include "gateway/versions/version_rollout.h"
 
 namespace linenpier::versions {
 
--- a/src/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -8,9 +8,9 @@
 #include <optional>
 #include <vector>
 
-#include "engines/engine_registry.h"
-#include "versions/engine_shares.h"
-#include "versions/load_demand.h"
+#include "gateway/engines/engine_registry.h"
+#include "gateway/versions/engine_shares.h"
+#include "gateway/versions/load_demand.h"
 
 namespace linenpier::versions {
 
--- a/src/load/caller.cpp
+++ b/src/testbed/load/caller.cpp
@@ -1,4 +1,4 @@
-#include "load/caller.h"
+#include "testbed/load/caller.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,9 +6,9 @@
 #include <set>
 #include <thread>
 
-#include "platform/http_call.h"
-#include "platform/server_sent_events.h"
-#include "standin/token_text.h"
+#include "daemon/clients/http_call.h"
+#include "daemon/clients/server_sent_events.h"
+#include "testbed/standin/token_text.h"
 
 namespace linenpier::load {
 
--- a/src/load/caller.h
+++ b/src/testbed/load/caller.h
@@ -10,8 +10,8 @@
 
 #include "common/random.h"
 #include "common/time.h"
-#include "load/scenario.h"
-#include "load/targets.h"
+#include "testbed/load/scenario.h"
+#include "testbed/load/targets.h"
 
 namespace linenpier::load {
 
--- a/src/load/report.cpp
+++ b/src/testbed/load/report.cpp
@@ -1,9 +1,9 @@
-#include "load/report.h"
+#include "testbed/load/report.h"
 
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
-#include "platform/http_call.h"
+#include "daemon/clients/http_call.h"
 
 namespace linenpier::load {
 
--- a/src/load/report.h
+++ b/src/testbed/load/report.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "load/caller.h"
-#include "load/trainer.h"
+#include "testbed/load/caller.h"
+#include "testbed/load/trainer.h"
 
 namespace linenpier::load {
 
--- a/src/load/scenario.cpp
+++ b/src/testbed/load/scenario.cpp
@@ -1,6 +1,6 @@
-#include "load/scenario.h"
+#include "testbed/load/scenario.h"
 
-#include "settings/toml_table_reader.h"
+#include "common/toml_table_reader.h"
 
 namespace linenpier::load {
 
--- a/src/load/trainer.cpp
+++ b/src/testbed/load/trainer.cpp
@@ -1,12 +1,12 @@
-#include "load/trainer.h"
+#include "testbed/load/trainer.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <set>
 #include <thread>
 
-#include "platform/http_call.h"
-#include "standin/token_text.h"
+#include "daemon/clients/http_call.h"
+#include "testbed/standin/token_text.h"
 
 namespace linenpier::load {
 
--- a/src/load/trainer.h
+++ b/src/testbed/load/trainer.h
@@ -10,9 +10,9 @@
 
 #include "common/random.h"
 #include "common/time.h"
-#include "load/scenario.h"
-#include "load/targets.h"
-#include "rollout/step_types.h"
+#include "daemon/rollout/step_types.h"
+#include "testbed/load/scenario.h"
+#include "testbed/load/targets.h"
 
 namespace linenpier::load {
 
--- a/src/standin/engine_sim.cpp
+++ b/src/testbed/standin/engine_sim.cpp
@@ -1,10 +1,10 @@
-#include "standin/engine_sim.h"
+#include "testbed/standin/engine_sim.h"
 
 #include <algorithm>
 #include <thread>
 
 #include "common/hash.h"
-#include "standin/token_text.h"
+#include "testbed/standin/token_text.h"
 
 namespace linenpier::standin {
 
--- a/src/standin/engine_sim.h
+++ b/src/testbed/standin/engine_sim.h
@@ -17,9 +17,9 @@
 #include <vector>
 
 #include "common/time.h"
-#include "engine/engine_client.h"
-#include "standin/faults.h"
-#include "standin/topology.h"
+#include "daemon/ports/engine_client.h"
+#include "testbed/standin/faults.h"
+#include "testbed/standin/topology.h"
 
 namespace linenpier::standin {
 
--- a/src/standin/faults.cpp
+++ b/src/testbed/standin/faults.cpp
@@ -1,4 +1,4 @@
-#include "standin/faults.h"
+#include "testbed/standin/faults.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/standin/platform_server.cpp
+++ b/src/testbed/standin/platform_server.cpp
@@ -1,11 +1,11 @@
-#include "standin/platform_server.h"
+#include "testbed/standin/platform_server.h"
 
 #include <nlohmann/json.hpp>
 
-#include "api/elastic_task_queue.h"
 #include "common/log.h"
-#include "platform/http_call.h"
-#include "platform/http_listen.h"
+#include "daemon/api/elastic_task_queue.h"
+#include "daemon/clients/http_call.h"
+#include "daemon/clients/http_listen.h"
 
 namespace linenpier::standin {
 
--- a/src/standin/platform_server.h
+++ b/src/testbed/standin/platform_server.h
@@ -11,9 +11,9 @@
 #include <memory>
 #include <thread>
 
-#include "standin/engine_sim.h"
-#include "standin/relay.h"
-#include "standin/store.h"
+#include "testbed/standin/engine_sim.h"
+#include "testbed/standin/relay.h"
+#include "testbed/standin/store.h"
 
 namespace linenpier::standin {
 
--- a/src/standin/relay.cpp
+++ b/src/testbed/standin/relay.cpp
@@ -1,4 +1,4 @@
-#include "standin/relay.h"
+#include "testbed/standin/relay.h"
 
 #include <arpa/inet.h>
 #include <poll.h>
--- a/src/standin/relay.h
+++ b/src/testbed/standin/relay.h
@@ -7,8 +7,8 @@
 #include <thread>
 #include <vector>
 
-#include "standin/faults.h"
-#include "standin/topology.h"
+#include "testbed/standin/faults.h"
+#include "testbed/standin/topology.h"
 
 namespace linenpier::standin {
 
--- a/src/standin/store.cpp
+++ b/src/testbed/standin/store.cpp
@@ -1,4 +1,4 @@
-#include "standin/store.h"
+#include "testbed/standin/store.h"
 
 #include <algorithm>
 
--- a/src/standin/store.h
+++ b/src/testbed/standin/store.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "common/time.h"
-#include "table/table_client.h"
+#include "daemon/ports/table_client.h"
 
 namespace linenpier::standin {
 
--- a/src/standin/token_text.cpp
+++ b/src/testbed/standin/token_text.cpp
@@ -1,4 +1,4 @@
-#include "standin/token_text.h"
+#include "testbed/standin/token_text.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/standin/topology.cpp
+++ b/src/testbed/standin/topology.cpp
@@ -1,6 +1,6 @@
-#include "standin/topology.h"
+#include "testbed/standin/topology.h"
 
-#include "settings/toml_table_reader.h"
+#include "common/toml_table_reader.h"
 
 namespace linenpier::standin {
 
--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -3,13 +3,13 @@
 /// machines are replaced one after the other both run side by side. The bytes were recorded from
 /// that build's own encoders.
 
-#include "batch/checkpoint.h"
-#include "batch/job_store.h"
 #include "documents.h"
-#include "gateway/peer_snapshot.h"
-#include "lease/exclusive_right.h"
-#include "lease/lease_table.h"
-#include "suspects/suspect_record.h"
+#include "gateway/batch/checkpoint.h"
+#include "gateway/batch/job_store.h"
+#include "gateway/lease/exclusive_right.h"
+#include "gateway/lease/lease_table.h"
+#include "gateway/service/peer_snapshot.h"
+#include "gateway/suspects/suspect_record.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
--- a/tests/admission/admission_controller_test.cpp
+++ b/tests/daemon/admission/admission_controller_test.cpp
@@ -1,4 +1,4 @@
-#include "admission/admission_controller.h"
+#include "daemon/admission/admission_controller.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/admission/fair_queue_test.cpp
+++ b/tests/daemon/admission/fair_queue_test.cpp
@@ -1,4 +1,4 @@
-#include "admission/fair_queue.h"
+#include "daemon/admission/fair_queue.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/api/http_server_test.cpp
+++ b/tests/daemon/api/http_server_test.cpp
@@ -1,4 +1,4 @@
-#include "api/http_server.h"
+#include "daemon/api/http_server.h"
 
 #include <arpa/inet.h>
 #include <criterion/criterion.h>
@@ -8,10 +8,10 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "daemon/daemon.h"
-#include "platform/http_call.h"
-#include "standin/store.h"
-#include "standin/token_text.h"
+#include "daemon/clients/http_call.h"
+#include "daemon/process/daemon.h"
+#include "testbed/standin/store.h"
+#include "testbed/standin/token_text.h"
 
 using namespace linenpier;
 using nlohmann::json;
--- a/tests/config/documents_test.cpp
+++ b/tests/daemon/config/documents_test.cpp
@@ -1,4 +1,4 @@
-#include "config/documents.h"
+#include "daemon/config/documents.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/intent/intent_row_test.cpp
+++ b/tests/daemon/intent/intent_row_test.cpp
@@ -1,4 +1,4 @@
-#include "intent/intent_row.h"
+#include "daemon/intent/intent_row.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/node/node_core_test.cpp
+++ b/tests/daemon/node/node_core_test.cpp
@@ -1,4 +1,4 @@
-#include "node/node_core.h"
+#include "daemon/node/node_core.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/ownership/engine_ownership_test.cpp
+++ b/tests/daemon/ownership/engine_ownership_test.cpp
@@ -1,4 +1,4 @@
-#include "ownership/engine_ownership.h"
+#include "daemon/ownership/engine_ownership.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/rollout/step_coordinator_test.cpp
+++ b/tests/daemon/rollout/step_coordinator_test.cpp
@@ -1,4 +1,4 @@
-#include "rollout/step_coordinator.h"
+#include "daemon/rollout/step_coordinator.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/settings/settings_test.cpp
+++ b/tests/daemon/settings/settings_test.cpp
@@ -1,4 +1,4 @@
-#include "settings/settings.h"
+#include "daemon/settings/settings.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/upstream/request_driver_test.cpp
+++ b/tests/daemon/upstream/request_driver_test.cpp
@@ -1,4 +1,4 @@
-#include "upstream/request_driver.h"
+#include "daemon/upstream/request_driver.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/upstream/routing_policy_test.cpp
+++ b/tests/daemon/upstream/routing_policy_test.cpp
@@ -1,4 +1,4 @@
-#include "upstream/routing_policy.h"
+#include "daemon/upstream/routing_policy.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/weights/weight_rollout_test.cpp
+++ b/tests/daemon/weights/weight_rollout_test.cpp
@@ -1,4 +1,4 @@
-#include "weights/weight_rollout.h"
+#include "daemon/weights/weight_rollout.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/wire/frame_codec_test.cpp
+++ b/tests/daemon/wire/frame_codec_test.cpp
@@ -1,4 +1,4 @@
-#include "wire/frame_codec.h"
+#include "daemon/wire/frame_codec.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/batch/awaited_runs_test.cpp
+++ b/tests/gateway/batch/awaited_runs_test.cpp
@@ -1,4 +1,4 @@
-#include "batch/awaited_runs.h"
+#include "gateway/batch/awaited_runs.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/batch/carry_over_test.cpp
+++ b/tests/gateway/batch/carry_over_test.cpp
@@ -1,4 +1,4 @@
-#include "batch/carry_over.h"
+#include "gateway/batch/carry_over.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/batch/checkpoint_rows_test.cpp
+++ b/tests/gateway/batch/checkpoint_rows_test.cpp
@@ -1,4 +1,4 @@
-#include "batch/checkpoint_rows.h"
+#include "gateway/batch/checkpoint_rows.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -1,4 +1,4 @@
-#include "batch/item_placement.h"
+#include "gateway/batch/item_placement.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/batch/listing_schedule_test.cpp
+++ b/tests/gateway/batch/listing_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "batch/listing_schedule.h"
+#include "gateway/batch/listing_schedule.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/batch/moves_planned_test.cpp
+++ b/tests/gateway/batch/moves_planned_test.cpp
@@ -1,4 +1,4 @@
-#include "batch/moves_planned.h"
+#include "gateway/batch/moves_planned.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/batch/owner_choice_test.cpp
+++ b/tests/gateway/batch/owner_choice_test.cpp
@@ -1,4 +1,4 @@
-#include "batch/owner_choice.h"
+#include "gateway/batch/owner_choice.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/batch/run_patience_test.cpp
+++ b/tests/gateway/batch/run_patience_test.cpp
@@ -1,4 +1,4 @@
-#include "batch/run_patience.h"
+#include "gateway/batch/run_patience.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -1,9 +1,9 @@
-#include "engines/cold_budget.h"
+#include "gateway/engines/cold_budget.h"
 
 #include <algorithm>
 #include <vector>
 
-#include "engines/engine_registry.h"
+#include "gateway/engines/engine_registry.h"
 
 // clang-format off
 #include <criterion/criterion.h>
--- a/tests/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -1,4 +1,4 @@
-#include "engines/engine_registry.h"
+#include "gateway/engines/engine_registry.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
--- a/tests/fleet/home_regions_test.cpp
+++ b/tests/gateway/fleet/home_regions_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/home_regions.h"
+#include "gateway/fleet/home_regions.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/fleet/zone_closings_test.cpp
+++ b/tests/gateway/fleet/zone_closings_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/zone_closings.h"
+#include "gateway/fleet/zone_closings.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/lease/store_delay_test.cpp
+++ b/tests/gateway/lease/store_delay_test.cpp
@@ -1,8 +1,8 @@
-#include "lease/store_delay.h"
+#include "gateway/lease/store_delay.h"
 
 #include <criterion/criterion.h>
 
-#include "lease/owner_pool.h"
+#include "gateway/lease/owner_pool.h"
 
 using namespace linenpier;
 using lease::LeaseTable;
--- a/tests/tenants/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -1,10 +1,10 @@
 /// @file
 /// Tenants, their keys, and who sends a request.
 
-#include "tenants/tenant_table.h"
+#include "gateway/routing/tenant_table.h"
 
 #include "documents.h"
-#include "tenants/caller.h"
+#include "gateway/tenants/caller.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
--- a/tests/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// How many engines a service should have in each zone.
 
-#include "scaling/scaling_policy.h"
+#include "gateway/scaling/scaling_policy.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/gateway/closed_zones_test.cpp
+++ b/tests/gateway/service/closed_zones_test.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "http/client_exchange.h"
+#include "gateway/http/client_exchange.h"
 #include "support/gateway_fixture.h"
 
 using namespace linenpier;
--- a/tests/gateway/engine_changes_test.cpp
+++ b/tests/gateway/service/engine_changes_test.cpp
@@ -1,8 +1,8 @@
-#include "gateway/engine_changes.h"
+#include "gateway/service/engine_changes.h"
 
 #include <criterion/criterion.h>
 
-#include "gateway/peer_snapshot.h"
+#include "gateway/service/peer_snapshot.h"
 
 using namespace linenpier;
 using gateway::engine_changes;
--- a/tests/gateway/gateway_settings_test.cpp
+++ b/tests/gateway/service/gateway_settings_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/gateway_settings.h"
+#include "gateway/service/gateway_settings.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
--- a/tests/gateway/job_store_test.cpp
+++ b/tests/gateway/service/job_store_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Jobs in a stand-in store, through the platform's client.
 
-#include "batch/job_store.h"
+#include "gateway/batch/job_store.h"
 
 #include "store_client.h"
 #include "support/gateway_fixture.h"
--- a/tests/gateway/peers_test.cpp
+++ b/tests/gateway/service/peers_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Daemons that cannot reach the store are told by others.
 
-#include "gateway/peer_snapshot.h"
+#include "gateway/service/peer_snapshot.h"
 #include "support/gateway_fixture.h"
 
 using namespace linenpier;
--- a/tests/gateway/scaling_settings_test.cpp
+++ b/tests/gateway/service/scaling_settings_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Whether a number of engines is ordered, as the settings say.
 
-#include "gateway/gateway_settings.h"
+#include "gateway/service/gateway_settings.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
--- a/tests/gateway/settings_watch_test.cpp
+++ b/tests/gateway/service/settings_watch_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/settings_watch.h"
+#include "gateway/service/settings_watch.h"
 
 #include <unistd.h>
 
--- a/tests/suspects/request_key_test.cpp
+++ b/tests/gateway/suspects/request_key_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Which requests count as the same.
 
-#include "suspects/request_key.h"
+#include "gateway/suspects/request_key.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/suspects/suspect_book_test.cpp
+++ b/tests/gateway/suspects/suspect_book_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// What requests under which engines ended are allowed, as one daemon sees it.
 
-#include "suspects/suspect_book.h"
+#include "gateway/suspects/suspect_book.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
--- a/tests/table/table_watcher_test.cpp
+++ b/tests/gateway/table/table_watcher_test.cpp
@@ -1,4 +1,4 @@
-#include "table/table_watcher.h"
+#include "gateway/table/table_watcher.h"
 
 #include <deque>
 
--- a/tests/logging/trace_reader_test.cpp
+++ b/tests/gateway/trace/trace_reader_test.cpp
@@ -1,10 +1,10 @@
-#include "logging/trace_reader.h"
+#include "gateway/trace/trace_reader.h"
 
 #include <criterion/criterion.h>
 
 #include <sstream>
 
-#include "logging/success_sampler.h"
+#include "common/success_sampler.h"
 
 using namespace linenpier;
 
--- a/tests/usage/usage_counter_test.cpp
+++ b/tests/gateway/usage/usage_counter_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Counting by window and tenant, and true time.
 
-#include "usage/usage_counter.h"
+#include "gateway/usage/usage_counter.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -1,4 +1,4 @@
-#include "versions/version_rollout.h"
+#include "gateway/versions/version_rollout.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -1,7 +1,7 @@
 #include "documents.h"
 
 #include "base64.h"
-#include "tenants/homes.h"
+#include "gateway/tenants/homes.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "common/random.h"
-#include "http/client_exchange.h"
+#include "gateway/http/client_exchange.h"
 #include "soak/fault_proxy.h"
 #include "soak/soak_checker.h"
 #include "support/standin_sampler.h"
--- a/tests/support/gateway_fixture.h
+++ b/tests/support/gateway_fixture.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "gateway/gateway.h"
+#include "gateway/service/gateway.h"
 #include "platform.h"
 #include "support/standin_duties.h"
 #include "support/standin_sampler.h"
--- a/tests/support/standin_duties.h
+++ b/tests/support/standin_duties.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "http/server.h"
+#include "gateway/http/server.h"
 
 namespace linenpier::test {
 
--- a/tests/support/standin_store.h
+++ b/tests/support/standin_store.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "common/random.h"
-#include "http/server.h"
+#include "gateway/http/server.h"
 
 namespace linenpier::test {
 
