--- a/src/common/ids.h
+++ b/src/common/ids.h
@@ -39,14 +39,20 @@
   return out << id.str();
 }
 
-using DaemonId = Id<struct DaemonIdTag>;      ///< One running daemon process.
-using EngineId = Id<struct EngineIdTag>;      ///< One model engine (a sampler).
-using ZoneName = Id<struct ZoneNameTag>;      ///< A failure domain, such as a hall.
-using RegionName = Id<struct RegionNameTag>;  ///< A group of zones.
-using TenantId = Id<struct TenantIdTag>;      ///< A paying user of the service.
-using ModelName = Id<struct ModelNameTag>;    ///< A model or adapter that engines serve.
-using TrainerId = Id<struct TrainerIdTag>;    ///< A trainer, unique within its tenant.
-using RequestId = Id<struct RequestIdTag>;    ///< One caller request; unique everywhere.
+using DaemonId = Id<struct DaemonIdTag>;        ///< One running daemon process.
+using EngineId = Id<struct EngineIdTag>;        ///< One model engine (a sampler).
+using ZoneName = Id<struct ZoneNameTag>;        ///< A failure domain, such as a hall.
+using RegionName = Id<struct RegionNameTag>;    ///< A group of zones.
+using TenantId = Id<struct TenantIdTag>;        ///< A paying user of the service.
+using ModelName = Id<struct ModelNameTag>;      ///< A model or adapter that engines serve.
+using TrainerId = Id<struct TrainerIdTag>;      ///< A trainer, unique within its tenant.
+using RequestId = Id<struct RequestIdTag>;      ///< One caller request; unique everywhere.
+using ServiceName = Id<struct ServiceNameTag>;  ///< A pool of engines that requests are routed to.
+using RouteName = Id<struct RouteNameTag>;      ///< A route of the operator's configuration.
+using JobId = Id<struct JobIdTag>;              ///< A batch job.
+using ItemId = Id<struct ItemIdTag>;            ///< One request of a batch job.
+using GroupId = Id<struct GroupIdTag>;          ///< Items of a job that belong together.
+using LeaseId = Id<struct LeaseIdTag>;          ///< The lease of one life of a gateway.
 using AttemptId = Id<struct AttemptIdTag>;  ///< One try of a write or dispatch; unique everywhere.
 
 /// Version of a model's weights. Trainers publish 1, 2, 3, …; 0 means "none known".
--- a/src/gateway/batch/batch_homes.cpp
+++ b/src/gateway/batch/batch_homes.cpp
@@ -23,7 +23,7 @@
   return target.substr(0, target.find('?'));
 }
 
-const routing::Route* routeNamed(const routing::RouteTable& table, const routing::RouteName& name) {
+const routing::Route* routeNamed(const routing::RouteTable& table, const RouteName& name) {
   const auto at = std::find_if(table.routes.begin(), table.routes.end(),
                                [&name](const auto& each) { return each.name == name; });
   return at == table.routes.end() ? nullptr : &*at;
@@ -38,11 +38,10 @@
 
 }  // namespace
 
-std::set<routing::RouteName> BatchService::otherRoutes(const routing::RouteTable& table,
-                                                       const routing::Route& route,
-                                                       const std::string& host,
-                                                       const BatchJob& job) const {
-  std::set<routing::RouteName> others;
+std::set<RouteName> BatchService::otherRoutes(const routing::RouteTable& table,
+                                              const routing::Route& route, const std::string& host,
+                                              const BatchJob& job) const {
+  std::set<RouteName> others;
   const auto add = [&](const routing::Route* found) {
     if (found != nullptr && found->name != route.name) others.insert(found->name);
   };
@@ -58,7 +57,7 @@
   const routing::Route* route = routeOf(record, table);
   if (!table) return std::nullopt;
   fleet::home_regions homes = tenants::homesOf(*table, route, record.tenant);
-  for (const routing::RouteName& name : record.other_routes) {
+  for (const RouteName& name : record.other_routes) {
     const routing::Route* other = routeNamed(*table, name);
     if (other != nullptr) homes = homes.both(other->homes);
   }
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -6,9 +6,9 @@
 
 #include <vector>
 
+#include "common/ids.h"
 #include "gateway/batch/batch_types.h"
 #include "gateway/batch/carry_over.h"
-#include "gateway/routing/route_table.h"
 
 namespace linenpier::batch {
 
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -150,9 +150,8 @@
   void activate(const JobId& id, BatchJob job, const Inheritance& inheritance, Instant accepted_at);
 
   /// @return the routes of items and scorers that are not the job's own.
-  std::set<routing::RouteName> otherRoutes(const routing::RouteTable& table,
-                                           const routing::Route& route, const std::string& host,
-                                           const BatchJob& job) const;
+  std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
+                                  const std::string& host, const BatchJob& job) const;
   /// @return where the job may be; nothing before there is a configuration.
   std::optional<fleet::home_regions> homesOf(const JobRecord& record) const;
   /// @return where an item of the job may be served.
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -13,15 +13,9 @@
 
 #include "common/ids.h"
 #include "common/time.h"
-#include "gateway/routing/route_table.h"
 
 namespace linenpier::batch {
 
-using JobId = Id<struct JobIdTag>;
-using ItemId = Id<struct ItemIdTag>;
-using GroupId = Id<struct GroupIdTag>;
-using LeaseId = Id<struct LeaseIdTag>;  ///< One life of one daemon, as an owner.
-
 /** The request that scores an item's text once it is whole. */
 struct reward_request {
   std::string id;
@@ -79,7 +73,7 @@
   std::string path;
   ModelName model;  ///< Of its items; empty if none is named.
   TenantId tenant;  ///< Who handed it in; empty: nobody in particular, everybody may read it.
-  std::set<routing::RouteName> other_routes;  ///< Of items and scorers, where they are others'.
+  std::set<RouteName> other_routes;  ///< Of items and scorers, where they are others'.
   std::size_t total = 0;
   std::size_t body_rows = 0;  ///< That hold the job as handed in; 0: an object does.
   std::size_t released = 0;   ///< Results that readers are shown; those behind are kept back.
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -53,7 +53,7 @@
                    {"ended", record.ended},
                    {"begun", record.begun},
                    {"accepted_ms", record.accepted_ms}};
-  for (const routing::RouteName& each : record.other_routes) {
+  for (const RouteName& each : record.other_routes) {
     document["other_routes"].push_back(each.str());
   }
   return document.dump();
@@ -71,7 +71,7 @@
     record.model = ModelName(document.value("model", ""));
     record.tenant = TenantId(document.value("tenant", ""));
     for (const auto& name : document.value("other_routes", std::vector<std::string>{})) {
-      record.other_routes.insert(routing::RouteName(name));
+      record.other_routes.insert(RouteName(name));
     }
     record.total = document.at("total").get<std::size_t>();
     record.body_rows = document.value("body_rows", std::size_t{0});
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::batch {
 
 std::vector<item_run> movableRuns(Instant now, const engines::EngineRegistry& registry,
-                                  const routing::ServiceName& service, const BatchJob& job,
+                                  const ServiceName& service, const BatchJob& job,
                                   const std::vector<item_run>& runs, const run_move_rules& rules) {
   const double median = registry.medianPace(now, service);
   std::vector<item_run> movable;
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -37,7 +37,7 @@
 
 /** @return the runs that may move, those that are expected to last longest first. */
 std::vector<item_run> movableRuns(Instant now, const engines::EngineRegistry& registry,
-                                  const routing::ServiceName& service, const BatchJob& job,
+                                  const ServiceName& service, const BatchJob& job,
                                   const std::vector<item_run>& runs, const run_move_rules& rules);
 
 /** @param wanted what the item asks of an engine, without the one that it is at.
--- a/src/gateway/engines/cold_budget.cpp
+++ b/src/gateway/engines/cold_budget.cpp
@@ -36,7 +36,7 @@
   return "unknown";
 }
 
-void cold_budget::setServices(const std::map<routing::ServiceName, routing::Service>& services) {
+void cold_budget::setServices(const std::map<ServiceName, routing::Service>& services) {
   this->per_second_.clear();
   for (const auto& [name, service] : services) {
     if (service.cold_per_second > 0) this->per_second_[name] = service.cold_per_second;
@@ -75,8 +75,7 @@
   state.sent.push_back(now);
 }
 
-void cold_budget::onRefused(Instant now, const routing::ServiceName& service,
-                            const EngineId& engine) {
+void cold_budget::onRefused(Instant now, const ServiceName& service, const EngineId& engine) {
   ++this->refused_;
   cold_refusals& refusals = this->refusals_[engine];
   refusals.engine = engine;
@@ -113,7 +112,7 @@
   return state == nullptr ? 0 : this->sent(now, *state);
 }
 
-std::size_t cold_budget::most(const routing::ServiceName& service) const {
+std::size_t cold_budget::most(const ServiceName& service) const {
   if (this->rules_.overshoot <= 0) return 0;
   const auto at = this->per_second_.find(service);
   if (at == this->per_second_.end()) return 0;
@@ -140,7 +139,7 @@
   return {limit, std::max<std::size_t>(1, most / shares)};
 }
 
-cold_allowance cold_budget::allowance(Instant now, const routing::ServiceName& service,
+cold_allowance cold_budget::allowance(Instant now, const ServiceName& service,
                                       const EngineId& engine) const {
   const std::size_t bound = this->most(service);
   return bound == 0 ? cold_allowance{} : this->allowance(now, this->find(engine), bound);
@@ -152,8 +151,7 @@
   return cold ? this->coldAllowance(now, *state, most) : this->warmAllowance(now, most);
 }
 
-bool cold_budget::hasRoom(Instant now, const routing::ServiceName& service,
-                          const EngineId& engine) const {
+bool cold_budget::hasRoom(Instant now, const ServiceName& service, const EngineId& engine) const {
   const std::size_t bound = this->most(service);
   if (bound == 0) return true;
   // Asked of every engine at every choice: one look-up of its state.
--- a/src/gateway/engines/cold_budget.h
+++ b/src/gateway/engines/cold_budget.h
@@ -99,7 +99,7 @@
   void onStart(Instant now) { this->started_at_ = now; }
   void setRules(const cold_rules& rules) { this->rules_ = rules; }
   /** @param services of the configuration in force. */
-  void setServices(const std::map<routing::ServiceName, routing::Service>& services);
+  void setServices(const std::map<ServiceName, routing::Service>& services);
   bool boundsAny() const { return !this->per_second_.empty(); }
   void setHeartbeat(Duration heartbeat) { this->times_.heartbeat = heartbeat; }
   /** The engine is listed: should it turn cold, it was warm before. */
@@ -117,17 +117,16 @@
   /** A request goes to the engine now. */
   void onSent(Instant now, const EngineId& engine);
   /** A request did not go to the engine for lack of budget. */
-  void onRefused(Instant now, const routing::ServiceName& service, const EngineId& engine);
+  void onRefused(Instant now, const ServiceName& service, const EngineId& engine);
 
   bool isCold(Instant now, const EngineId& engine) const;
   /** @return requests to the engine within the last window. */
   std::size_t sent(Instant now, const EngineId& engine) const;
-  cold_allowance allowance(Instant now, const routing::ServiceName& service,
-                           const EngineId& engine) const;
+  cold_allowance allowance(Instant now, const ServiceName& service, const EngineId& engine) const;
   /** @return whether the engine may be sent one more request. */
-  bool hasRoom(Instant now, const routing::ServiceName& service, const EngineId& engine) const;
+  bool hasRoom(Instant now, const ServiceName& service, const EngineId& engine) const;
   /** @return whether engines of the service are bounded while they are cold. */
-  bool isBounded(const routing::ServiceName& service) const { return this->most(service) > 0; }
+  bool isBounded(const ServiceName& service) const { return this->most(service) > 0; }
 
   /** @return the engines that turned cold or warm since this was last asked. */
   std::vector<cold_change> takeChanges(Instant now);
@@ -152,7 +151,7 @@
   bool isCold(Instant now, const engine_state& state) const { return now < state.cold_until; }
   std::size_t sent(Instant now, const engine_state& state) const;
   /** @return requests a second that all daemons together may send to a cold engine; 0: no bound. */
-  std::size_t most(const routing::ServiceName& service) const;
+  std::size_t most(const ServiceName& service) const;
   /** @param state nothing is known of the engine if it is not set. */
   cold_allowance allowance(Instant now, const engine_state* state, std::size_t most) const;
   cold_allowance coldAllowance(Instant now, const engine_state& state, std::size_t most) const;
@@ -162,8 +161,8 @@
   cold_rules rules_;
   cold_senders senders_;
   Instant started_at_{};
-  Instant feed_at_{};                                  ///< When the feed of entries last answered.
-  std::map<routing::ServiceName, double> per_second_;  ///< Services whose engines are bounded.
+  Instant feed_at_{};                         ///< When the feed of entries last answered.
+  std::map<ServiceName, double> per_second_;  ///< Services whose engines are bounded.
   std::map<EngineId, engine_state> engines_;
   std::map<EngineId, cold_refusals> refusals_;  ///< Since they were last asked for.
   std::uint64_t refused_ = 0;
--- a/src/gateway/engines/engine_index.cpp
+++ b/src/gateway/engines/engine_index.cpp
@@ -36,14 +36,13 @@
   }
 }
 
-const engine_index::engine_order& engine_index::ofService(
-    const routing::ServiceName& service) const {
+const engine_index::engine_order& engine_index::ofService(const ServiceName& service) const {
   static const engine_order kNone;
   const auto at = this->services_.find(service);
   return at == this->services_.end() ? kNone : at->second;
 }
 
-const engine_index::holders& engine_index::holding(const routing::ServiceName& service,
+const engine_index::holders& engine_index::holding(const ServiceName& service,
                                                    const ModelName& model) {
   const auto [at, is_new] = this->models_[service].try_emplace(model);
   if (!is_new) return at->second;
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -14,7 +14,6 @@
 #include <set>
 
 #include "common/ids.h"
-#include "gateway/routing/route_table.h"
 
 namespace linenpier::engines {
 
@@ -42,11 +41,11 @@
   void put(const EngineState& engine);
   void take(const EngineState& engine);
 
-  const engine_order& ofService(const routing::ServiceName& service) const;
+  const engine_order& ofService(const ServiceName& service) const;
   /** @return the service's engines by the version of the model that they hold. The first question
    *     for a model looks at each engine of the service; from then on the answer is kept up.
    */
-  const holders& holding(const routing::ServiceName& service, const ModelName& model);
+  const holders& holding(const ServiceName& service, const ModelName& model);
 
  private:
   using holders_by_model = std::map<ModelName, holders>;
@@ -54,8 +53,8 @@
   entry entryOf(const EngineState& engine) const;
 
   std::uint64_t seed_;
-  std::map<routing::ServiceName, engine_order> services_;
-  std::map<routing::ServiceName, holders_by_model> models_;  ///< Of the models that were asked for.
+  std::map<ServiceName, engine_order> services_;
+  std::map<ServiceName, holders_by_model> models_;  ///< Of the models that were asked for.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -69,7 +69,7 @@
   }
 }
 
-void EngineRegistry::setServices(const std::map<routing::ServiceName, routing::Service>& services) {
+void EngineRegistry::setServices(const std::map<ServiceName, routing::Service>& services) {
   const bool before = cold_.boundsAny();
   cold_.setServices(services);
   if (before || !cold_.boundsAny()) return;
@@ -277,7 +277,7 @@
   return engine == nullptr ? 0 : engine->record.slots - load(now, *engine);
 }
 
-double EngineRegistry::medianPace(Instant now, const routing::ServiceName& service) const {
+double EngineRegistry::medianPace(Instant now, const ServiceName& service) const {
   std::vector<double> paces;
   for (const EngineState* engine : used_) {
     if (engine->record.service == service && usedLately(now, *engine)) {
@@ -407,8 +407,7 @@
   return false;
 }
 
-WeightVersion EngineRegistry::newestHeld(const routing::ServiceName& service,
-                                         const ModelName& model) {
+WeightVersion EngineRegistry::newestHeld(const ServiceName& service, const ModelName& model) {
   const engine_index::holders& held = index_.holding(service, model);
   return held.empty() ? 0 : held.begin()->first;
 }
@@ -468,7 +467,7 @@
   return choice.engine;
 }
 
-const EngineList& EngineRegistry::ofService(const routing::ServiceName& service) const {
+const EngineList& EngineRegistry::ofService(const ServiceName& service) const {
   static const EngineList kNone;
   const auto at = open_.find(service);
   return at == open_.end() ? kNone : at->second;
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -36,7 +36,7 @@
 struct EngineRecord {
   EngineId id;
   EngineStart start = 0;
-  routing::ServiceName service;
+  ServiceName service;
   Address address;
   ZoneName zone;
   std::uint32_t slots = 1;
@@ -124,7 +124,7 @@
 
 /// What a request needs of an engine.
 struct PickRequest {
-  routing::ServiceName service;
+  ServiceName service;
   std::set<EngineId> excluded;
   ModelName model;  ///< Empty: any.
   WeightVersion minimum_version = 0;
@@ -211,7 +211,7 @@
   cold_budget& cold() { return cold_; }
   const cold_budget& cold() const { return cold_; }
   /// @param services of the configuration in force.
-  void setServices(const std::map<routing::ServiceName, routing::Service>& services);
+  void setServices(const std::map<ServiceName, routing::Service>& services);
   /// The platform's settings may change while the daemon runs.
   void setHeartbeat(Duration heartbeat);
   /// Forgets what engines were sent that left the list long ago, and which ones were used.
@@ -219,9 +219,9 @@
   const EngineState* find(const EngineId& id) const;
   /// @return every engine of the service that may be sent something: not draining, in no closed
   ///     zone. Kept up as engines change; asking costs nothing.
-  const EngineList& ofService(const routing::ServiceName& service) const;
+  const EngineList& ofService(const ServiceName& service) const;
   /// @return every engine of the service, whatever its state, in this daemon's order.
-  const engine_index::engine_order& known(const routing::ServiceName& service) const {
+  const engine_index::engine_order& known(const ServiceName& service) const {
     return index_.ofService(service);
   }
   const std::map<EngineId, EngineState>& all() const { return engines_; }
@@ -242,7 +242,7 @@
   ///     0: none was.
   double measuredPace(Instant now, const EngineId& id) const;
   /// @return the median of the paces that are known of the service's engines; 0: none is.
-  double medianPace(Instant now, const routing::ServiceName& service) const;
+  double medianPace(Instant now, const ServiceName& service) const;
 
  private:
   /// What is the same for all engines that a choice compares.
@@ -284,7 +284,7 @@
   /// @return memory that one of this daemon's requests is expected to need, in the mean.
   double typicalTokens() const;
   /// @return the newest version of the model that an engine of the service holds.
-  WeightVersion newestHeld(const routing::ServiceName& service, const ModelName& model);
+  WeightVersion newestHeld(const ServiceName& service, const ModelName& model);
   double memoryFactor(Instant now, const EngineState& engine, const PickRequest& request,
                       const Comparison& all) const;
   double expectedWait(Instant now, const EngineState& engine, const PickRequest& request,
@@ -299,7 +299,7 @@
   RegistryOptions options_;
   Random random_;
   EngineMap engines_;
-  std::map<routing::ServiceName, EngineList> open_;  ///< Engines that may be sent something.
+  std::map<ServiceName, EngineList> open_;  ///< Engines that may be sent something.
   /// Engines with requests of this daemon, or a pace that it measured: few of a large service.
   std::set<const EngineState*> used_;
   Instant lapse_ends_at_{};  ///< Entries that disappear before this may have lapsed.
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -15,14 +15,12 @@
 #include <vector>
 
 #include "common/address.h"
+#include "common/ids.h"
 #include "common/table_row.h"
 #include "common/time.h"
-#include "gateway/batch/batch_types.h"
 
 namespace linenpier::lease {
 
-using batch::LeaseId;
-
 struct LeaseTimes {
   Duration renewal = std::chrono::milliseconds(400);
   /// An owner acts under a lease only this long after it sent the last successful renewal.
--- a/src/gateway/routing/route_table.h
+++ b/src/gateway/routing/route_table.h
@@ -20,9 +20,6 @@
 
 namespace linenpier::routing {
 
-using ServiceName = Id<struct ServiceNameTag>;  ///< A pool of engines.
-using RouteName = Id<struct RouteNameTag>;
-
 /// What the operator says about repeating a route's requests, and in what form they answer.
 enum class RequestKind {
   kIdempotent,     ///< May run more than once.
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -4,8 +4,8 @@
  * Orders to the platform for a number of engines.
  */
 
+#include "common/ids.h"
 #include "common/task.h"
-#include "gateway/routing/route_table.h"
 #include "gateway/scaling/scaling_bounds.h"
 #include "gateway/usage/duty_port.h"
 
@@ -13,7 +13,7 @@
 
 /** That a group of a service's engines shall have so many. */
 struct count_order {
-  routing::ServiceName service;
+  ServiceName service;
   engine_group group;
   std::size_t count = 0;
 
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -6,7 +6,6 @@
 namespace linenpier::scaling {
 
 using logging::LogEvent;
-using routing::ServiceName;
 using usage::DutyAnswer;
 
 namespace {
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -54,7 +54,7 @@
   Task<void> handOver();
   const scaling_totals& totals() const { return this->totals_; }
   /** @return the last order for each group, by service; empty unless this daemon decides. */
-  std::map<routing::ServiceName, group_counts> ordered() const;
+  std::map<ServiceName, group_counts> ordered() const;
 
  private:
   /** A service whose engines are counted. */
@@ -74,18 +74,18 @@
   scaling_view look(const routing::Service& service, work_peak& work) const;
   Task<void> attend(routing::Service service);
   /** Writes the service's record under the right. @return whether the store took it. */
-  Task<bool> writeRecord(routing::ServiceName name, scaling_record record);
-  Task<void> carryOut(routing::ServiceName name, count_decision decision);
+  Task<bool> writeRecord(ServiceName name, scaling_record record);
+  Task<void> carryOut(ServiceName name, count_decision decision);
   /** @return whether the engines of a zone have little to do. */
-  Task<bool> quiet(routing::ServiceName name, ZoneName zone);
+  Task<bool> quiet(ServiceName name, ZoneName zone);
 
   dependencies deps_;
   scaling_options options_;
   lease::exclusive_right right_;
   scaling_totals totals_;
   /** Empty while this holder has not read the rows. */
-  std::optional<std::map<routing::ServiceName, table::Row>> rows_;
-  std::map<routing::ServiceName, service_state> services_;
+  std::optional<std::map<ServiceName, table::Row>> rows_;
+  std::map<ServiceName, service_state> services_;
   Instant followed_since_{};  ///< The list of engines is up to date since then; zero: it is not.
   bool table_read_ = false;
 };
--- a/src/gateway/service/gateway_cold.cpp
+++ b/src/gateway/service/gateway_cold.cpp
@@ -65,7 +65,7 @@
   const engines::cold_budget& cold = registry_.cold();
   state.cold_refusals = cold.refused();
   for (const auto& [id, engine] : registry_.all()) {
-    const routing::ServiceName& service = engine.record.service;
+    const ServiceName& service = engine.record.service;
     if (!cold.isBounded(service)) continue;
     metrics::ColdEngines& told = state.cold_engines[service.str()];
     if (!cold.isCold(now, id)) continue;
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -309,10 +309,10 @@
   const std::string key = keyWithoutTable(change.row);
   const auto tail = [&key](const std::string& prefix) { return key.substr(prefix.size()); };
   if (key.starts_with(kJobPrefix)) {
-    const batch::JobId id(tail(kJobPrefix));
+    const JobId id(tail(kJobPrefix));
     change.gone ? batches_.onRecordGone(id) : batches_.onRecordRow(id, change.row);
   } else if (key.starts_with(kOrderPrefix)) {
-    const routing::ServiceName service(tail(kOrderPrefix));
+    const ServiceName service(tail(kOrderPrefix));
     change.gone ? orders_.onRightGone(service) : orders_.onRightRow(service, change.row);
   } else if (key.starts_with(kSuspectPrefix)) {
     const suspects::request_key suspect(tail(kSuspectPrefix));
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -24,8 +24,8 @@
 struct BatchCall {
   enum class Kind { kReadResults, kReadItem, kEnd };
   Kind kind = Kind::kReadResults;
-  batch::JobId job;
-  batch::ItemId item;
+  JobId job;
+  ItemId item;
   std::size_t position = 0;
   Duration wait{};
 };
--- a/src/gateway/service/store_keys.h
+++ b/src/gateway/table/store_keys.h
@@ -8,9 +8,8 @@
 #include <cstdio>
 #include <string>
 
+#include "common/ids.h"
 #include "common/table_row.h"
-#include "gateway/batch/batch_types.h"
-#include "gateway/routing/route_table.h"
 
 namespace linenpier::gateway {
 
@@ -27,13 +26,13 @@
   return row.key.substr(row.key.find('/') + 1);
 }
 
-inline std::string jobKey(const batch::JobId& id) {
+inline std::string jobKey(const JobId& id) {
   return kCoordinationTable + "/" + kJobPrefix + id.str();
 }
-inline std::string leaseKey(const batch::LeaseId& id) {
+inline std::string leaseKey(const LeaseId& id) {
   return kLeaseTable + "/" + id.str();
 }
-inline std::string orderKey(const routing::ServiceName& service) {
+inline std::string orderKey(const ServiceName& service) {
   return kCoordinationTable + "/" + kOrderPrefix + service.str();
 }
 inline const std::string kRightPrefix = "right/";  ///< Of rights to carry out duties.
@@ -56,7 +55,7 @@
 inline std::string rightKey(const std::string& duty) {
   return kCoordinationTable + "/" + kRightPrefix + duty;
 }
-inline std::string scalingKey(const routing::ServiceName& service) {
+inline std::string scalingKey(const ServiceName& service) {
   return kScalingTable + "/" + service.str();
 }
 inline std::string clockKey() {
@@ -76,25 +75,25 @@
 inline std::string usageKeyPrefix(std::int64_t window) {
   return kUsageTable + "/" + usageWindowPrefix(window);
 }
-inline std::string usageKey(std::int64_t window, const batch::LeaseId& lease) {
+inline std::string usageKey(std::int64_t window, const LeaseId& lease) {
   return usageKeyPrefix(window) + lease.str();
 }
 /// @return the key of a job's row within the tables of results, checkpoints and bodies, where each
 ///     job has many; they sort as the numbers do.
-inline std::string numberedKey(const batch::JobId& id, std::size_t number) {
+inline std::string numberedKey(const JobId& id, std::size_t number) {
   char digits[16];
   std::snprintf(digits, sizeof(digits), "%08zu", number);
   return id.str() + "/" + digits;
 }
 /// @return a key behind all of those.
-inline std::string numberedEnd(const batch::JobId& id) {
+inline std::string numberedEnd(const JobId& id) {
   return id.str() + "/~";
 }
 /// @return what the names of all results of the job begin with that are too large for a row.
-inline std::string resultObjects(const batch::JobId& id) {
+inline std::string resultObjects(const JobId& id) {
   return "result-" + id.str() + "-";
 }
-inline std::string jobObject(const batch::JobId& id) {
+inline std::string jobObject(const JobId& id) {
   return "job-" + id.str();
 }
 
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -54,12 +54,12 @@
 }
 
 OrderService::Right::Right(const lease::exclusive_right::dependencies& deps,
-                           const routing::ServiceName& service, const OrderOptions& options)
+                           const ServiceName& service, const OrderOptions& options)
     : rollout(options.rollout),
       right(deps, "order/" + service.str(), gateway::orderKey(service), options.handover,
             [this](bool) { rollout.reset(); }) {}
 
-OrderService::Right& OrderService::rightOf(const routing::ServiceName& service) {
+OrderService::Right& OrderService::rightOf(const ServiceName& service) {
   auto& right = rights_[service];
   if (!right) {
     const lease::exclusive_right::dependencies deps{deps_.loop, deps_.table, deps_.leases,
@@ -85,11 +85,11 @@
   for (auto& [service, right] : rights_) right->rollout.onNamed(steadyNow(), model, version);
 }
 
-void OrderService::onRightRow(const routing::ServiceName& service, const table::Row& row) {
+void OrderService::onRightRow(const ServiceName& service, const table::Row& row) {
   rightOf(service).right.onRow(row);
 }
 
-void OrderService::onRightGone(const routing::ServiceName& service) {
+void OrderService::onRightGone(const ServiceName& service) {
   rightOf(service).right.onGone();
 }
 
@@ -106,7 +106,7 @@
   }
 }
 
-void OrderService::tickService(Instant now, const routing::ServiceName& service) {
+void OrderService::tickService(Instant now, const ServiceName& service) {
   Right& right = rightOf(service);
   right.right.onTick(now, table_read_);
   if (!right.right.mayAct(now)) return;
@@ -125,12 +125,12 @@
   }
 }
 
-Task<void> OrderService::askReport(routing::ServiceName service, EngineId engine, Address address) {
+Task<void> OrderService::askReport(ServiceName service, EngineId engine, Address address) {
   const auto report = co_await deps_.orders.report(engine, address);
   if (report) rightOf(service).rollout.onReport(steadyNow(), engine, *report);
 }
 
-Task<void> OrderService::sendOrder(routing::ServiceName service, VersionOrder order) {
+Task<void> OrderService::sendOrder(ServiceName service, VersionOrder order) {
   Right& right = rightOf(service);
   const Instant send_by = right.right.mayActUntil();
   if (!right.right.mayAct(steadyNow()) || stopping_) {
--- a/src/gateway/versions/order_service.h
+++ b/src/gateway/versions/order_service.h
@@ -61,8 +61,8 @@
   void setOptions(const OrderOptions& options) { options_ = options; }
   void onNamed(const ModelName& model, WeightVersion version);
   /// The row of a service's right, as the feed tells it.
-  void onRightRow(const routing::ServiceName& service, const table::Row& row);
-  void onRightGone(const routing::ServiceName& service);
+  void onRightRow(const ServiceName& service, const table::Row& row);
+  void onRightGone(const ServiceName& service);
   /// The table was read and other rows of it are about to be told: unless told, there is no row.
   void onTableRead() { table_read_ = true; }
   bool holdsAny() const { return rightsHeld() > 0; }
@@ -74,21 +74,21 @@
  private:
   /// A service's right, and what its holder does.
   struct Right {
-    Right(const lease::exclusive_right::dependencies& deps, const routing::ServiceName& service,
+    Right(const lease::exclusive_right::dependencies& deps, const ServiceName& service,
           const OrderOptions& options);
 
     VersionRollout rollout;
     lease::exclusive_right right;
   };
-  Right& rightOf(const routing::ServiceName& service);
+  Right& rightOf(const ServiceName& service);
   Task<void> tickLoop();
-  void tickService(Instant now, const routing::ServiceName& service);
-  Task<void> askReport(routing::ServiceName service, EngineId engine, Address address);
-  Task<void> sendOrder(routing::ServiceName service, VersionOrder order);
+  void tickService(Instant now, const ServiceName& service);
+  Task<void> askReport(ServiceName service, EngineId engine, Address address);
+  Task<void> sendOrder(ServiceName service, VersionOrder order);
 
   Dependencies deps_;
   OrderOptions options_;
-  std::map<routing::ServiceName, std::unique_ptr<Right>> rights_;
+  std::map<ServiceName, std::unique_ptr<Right>> rights_;
   std::map<ModelName, WeightVersion> named_;
   OrderCounts counts_;
   bool table_read_ = false;  ///< Whether an unknown right means that there is no row.
--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -66,7 +66,7 @@
 }
 
 Test(earlier_build, its_jobs_are_read_and_written_alike) {
-  const auto job = batch::decodeRecord(batch::JobId("j"), kJob);
+  const auto job = batch::decodeRecord(JobId("j"), kJob);
   cr_assert(job.has_value());
   cr_assert_eq(job->total, 208U);
   cr_assert_eq(job->released, 7U);
--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -17,15 +17,15 @@
 
 BatchItem item(const std::string& id, const std::string& group, std::uint64_t hint) {
   BatchItem made;
-  made.id = batch::ItemId(id);
-  made.group = batch::GroupId(group);
+  made.id = ItemId(id);
+  made.group = GroupId(group);
   made.length_hint = hint;
   return made;
 }
 
 BatchJob job() {
   BatchJob made;
-  made.id = batch::JobId("j");
+  made.id = JobId("j");
   made.minimum_version = 3;
   made.items = {item("a", "g1", 10), item("b", "g1", 40), item("c", "g2", 90), item("d", "g2", 5)};
   return made;
--- a/tests/gateway/batch/carry_over_test.cpp
+++ b/tests/gateway/batch/carry_over_test.cpp
@@ -5,7 +5,6 @@
 using namespace linenpier;
 using batch::BatchItem;
 using batch::BatchJob;
-using batch::ItemId;
 
 namespace {
 
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 const ModelName kModel("m");
-const routing::ServiceName kService("s");
+const ServiceName kService("s");
 constexpr Instant kStart{std::chrono::seconds(100)};
 
 EngineRecord record(const std::string& id, WeightVersion version) {
--- a/tests/gateway/batch/owner_choice_test.cpp
+++ b/tests/gateway/batch/owner_choice_test.cpp
@@ -4,7 +4,6 @@
 
 using namespace linenpier;
 using batch::chooseOwner;
-using batch::LeaseId;
 using batch::OwnerChoice;
 
 namespace {
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-const routing::ServiceName kService("s");
+const ServiceName kService("s");
 constexpr Instant kStart{std::chrono::seconds(100)};
 constexpr Instant kLater = kStart + std::chrono::seconds(2);
 const EngineId kSlow("slow");
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-const routing::ServiceName kService("s");
+const ServiceName kService("s");
 const EngineId kEngine("e");
 constexpr Instant kStart{std::chrono::seconds(1000)};
 constexpr Instant kLater = kStart + 10s;  ///< Earlier lives of daemons are of no matter then.
@@ -29,7 +29,7 @@
 /// Without a bound a daemon would send for ever: a test that fails must end.
 constexpr std::size_t kMostTried = 200;
 
-std::map<routing::ServiceName, routing::Service> services() {
+std::map<ServiceName, routing::Service> services() {
   routing::Service service;
   service.name = kService;
   service.cold_per_second = 9.3;
@@ -127,8 +127,8 @@
 Test(cold_budget, a_service_without_a_bound_is_not_bounded) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  cr_assert_not(budget.isBounded(routing::ServiceName("other")));
-  cr_assert(budget.hasRoom(kLater, routing::ServiceName("other"), kEngine));
+  cr_assert_not(budget.isBounded(ServiceName("other")));
+  cr_assert(budget.hasRoom(kLater, ServiceName("other"), kEngine));
 }
 
 Test(cold_budget, coldness_counts_from_when_its_entry_was_heard_and_comes_again) {
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -15,7 +15,7 @@
 
 const ZoneName kHere("here");
 const ZoneName kThere("there");
-const routing::ServiceName kService("s");
+const ServiceName kService("s");
 constexpr Instant kStart{std::chrono::seconds(100)};
 
 EngineRecord record(const std::string& id, const ZoneName& zone) {
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -14,7 +14,7 @@
 
 const ZoneName kZone("z");
 const ModelName kModel("m");
-const routing::ServiceName kService("s");
+const ServiceName kService("s");
 constexpr Instant kStart{std::chrono::seconds(100)};
 
 EngineRecord record(const std::string& id, WeightVersion version = 1) {
--- a/tests/gateway/lease/lease_table_test.cpp
+++ b/tests/gateway/lease/lease_table_test.cpp
@@ -9,12 +9,11 @@
 namespace {
 
 constexpr Instant kStart{std::chrono::seconds(100)};
-const lease::LeaseId kOwn = makeLeaseId("d1", "b");
-const lease::LeaseId kOther = makeLeaseId("d2", "a");
+const LeaseId kOwn = makeLeaseId("d1", "b");
+const LeaseId kOther = makeLeaseId("d2", "a");
 
 /// Reads the store, where `revision` stands for the lease of `kOther`, and asks for `lease`.
-bool expiredAfterRead(LeaseTable& table, Instant now, const lease::LeaseId& lease,
-                      Revision revision = 5) {
+bool expiredAfterRead(LeaseTable& table, Instant now, const LeaseId& lease, Revision revision = 5) {
   table.onRead(now, now, {{kOther, revision}});
   return table.expired(lease);
 }
@@ -58,7 +57,7 @@
 
 Test(lease_table, rows_of_earlier_lives_and_of_long_silence_may_be_removed) {
   LeaseTable table = watching();
-  const lease::LeaseId earlier = makeLeaseId("d1", "a");
+  const LeaseId earlier = makeLeaseId("d1", "a");
   table.onRead(kStart, kStart, {{kOther, 5}, {earlier, 3}, {kOwn, 9}});
   cr_assert_eq(table.forgotten(kStart + std::chrono::seconds(1)).size(), 1U);
   cr_assert_eq(table.forgotten(kStart + std::chrono::seconds(1)).front(), earlier);
@@ -82,7 +81,7 @@
 
 Test(lease_table, an_owner_whose_row_was_never_seen_gets_its_time) {
   LeaseTable table = watching();
-  const lease::LeaseId unseen = makeLeaseId("d3", "x");
+  const LeaseId unseen = makeLeaseId("d3", "x");
   cr_assert_not(expiredAfterRead(table, kStart, unseen));
   cr_assert(expiredAfterRead(table, kStart + std::chrono::milliseconds(1600), unseen));
 }
@@ -105,10 +104,10 @@
 constexpr Duration kQuick = std::chrono::milliseconds(5);
 constexpr Duration kSlow = std::chrono::milliseconds(300);
 constexpr Instant kHealthySince{std::chrono::seconds(100)};
-const lease::LeaseId kSlowOwner("other#1");
+const LeaseId kSlowOwner("other#1");
 
 lease::LeaseTable tableOfHealthyStore() {
-  lease::LeaseTable table(lease::LeaseId("own#1"), {}, kHealthySince);
+  lease::LeaseTable table(LeaseId("own#1"), {}, kHealthySince);
   table.onStoreRegained(kHealthySince);
   return table;
 }
@@ -151,9 +150,9 @@
 
 Test(lease_table, this_life_never_expires_and_an_earlier_one_always_has) {
   lease::LeaseTable table = tableOfHealthyStore();
-  cr_assert_not(table.expired(lease::LeaseId("own#1")));
-  cr_assert(table.expired(lease::LeaseId("own#0")));
-  cr_assert(table.expired(lease::LeaseId("")));
+  cr_assert_not(table.expired(LeaseId("own#1")));
+  cr_assert(table.expired(LeaseId("own#0")));
+  cr_assert(table.expired(LeaseId("")));
 }
 
 Test(lease_table, while_the_store_is_away_those_count_as_alive_who_were_when_it_was_last_read) {
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Instant kStart{std::chrono::seconds(100)};
-const lease::LeaseId kOwn = makeLeaseId("own", "a");
+const LeaseId kOwn = makeLeaseId("own", "a");
 const lease::MachineLimits kSmall{0.12, 60};
 const lease::MachineLimits kLarge{0.5, 600};
 
@@ -21,7 +21,7 @@
   pool.onLeasesRead(kStart, wanted);
 }
 
-LeaseTable tableWith(const std::map<lease::LeaseId, LeaseRow>& rows) {
+LeaseTable tableWith(const std::map<LeaseId, LeaseRow>& rows) {
   LeaseTable table(kOwn, {}, kStart);
   table.onStoreRegained(kStart);
   table.onRead(kStart, kStart, rows);
--- a/tests/gateway/routing/route_table_test.cpp
+++ b/tests/gateway/routing/route_table_test.cpp
@@ -5,13 +5,12 @@
 using namespace linenpier;
 using routing::Route;
 using routing::RouteTable;
-using routing::ServiceName;
 
 namespace {
 
 Route route(const std::string& name, const std::string& host, const std::string& prefix) {
   Route made;
-  made.name = routing::RouteName(name);
+  made.name = RouteName(name);
   made.host = host;
   made.path_prefix = prefix;
   made.services = {{ServiceName("only"), 1}};
--- a/tests/gateway/service/job_store_test.cpp
+++ b/tests/gateway/service/job_store_test.cpp
@@ -15,8 +15,8 @@
 
 batch::JobRecord recordOf(const std::string& id) {
   batch::JobRecord record;
-  record.id = batch::JobId(id);
-  record.owner = batch::LeaseId("d0#1");
+  record.id = JobId(id);
+  record.owner = LeaseId("d0#1");
   record.total = 3;
   return record;
 }
--- a/tests/gateway/service/owner_demand_test.cpp
+++ b/tests/gateway/service/owner_demand_test.cpp
@@ -17,11 +17,11 @@
 routing::RouteTable twoModels() {
   routing::RouteTable table;
   routing::Service service;
-  service.name = routing::ServiceName("s");
+  service.name = ServiceName("s");
   service.models = {ModelName("m"), ModelName("n")};
   table.services[service.name] = service;
   routing::Route route;
-  route.name = routing::RouteName("jobs");
+  route.name = RouteName("jobs");
   route.kind = routing::RequestKind::kBatch;
   route.services = {{service.name, 1}};
   table.routes = {route};
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -45,9 +45,9 @@
   const routing::Route* batch = table->find("a.example", "/y/1");
   cr_assert_eq(batch->kind, routing::RequestKind::kBatch);
   cr_assert(batch->queue_limit == std::chrono::seconds(40));
-  cr_assert_eq(table->services.at(routing::ServiceName("s1")).models.size(), 1U);
+  cr_assert_eq(table->services.at(ServiceName("s1")).models.size(), 1U);
   cr_assert_eq(table->limits.body_bytes, 1000U);
-  const routing::Service& service = table->services.at(routing::ServiceName("s1"));
+  const routing::Service& service = table->services.at(ServiceName("s1"));
   cr_assert_float_eq(service.cold_per_second, 9.3, 1e-9);
   cr_assert(service.cold_time == std::chrono::seconds(3));
 }
@@ -142,7 +142,7 @@
 Test(documents, a_batch_job_is_read_with_its_items) {
   const BatchDocuments documents;
   const auto job =
-      documents.parseJob(batch::JobId("j"),
+      documents.parseJob(JobId("j"),
                          R"({"step":7,"model":"m","minVersion":6,"desired":12,"requests":[
           {"id":"i1","path":"/y/3","headers":{"Model":"m","Token-Usage":"540,400",
            "Length-Hint":"123"},"body":"q83vEjRWeJA=","tokens":940,"group":"g"}]})");
@@ -159,20 +159,20 @@
 Test(documents, every_fault_of_a_batch_job_is_reported_with_its_place) {
   const BatchDocuments documents;
   const auto job = documents.parseJob(
-      batch::JobId("j"),
+      JobId("j"),
       R"({"minVersion":"x","requests":[{"id":"i1","path":"/y/3","body":"!!"},{"path":7}]})");
   cr_assert_not(job.has_value());
   cr_assert(mentions(job.error(), "job.minVersion"));
   cr_assert(mentions(job.error(), "requests[0].body"));
   cr_assert(mentions(job.error(), "requests[1].id"));
   cr_assert(mentions(job.error(), "requests[1].path"));
-  cr_assert_not(documents.parseJob(batch::JobId("j"), "{}").has_value());
-  cr_assert_not(documents.parseJob(batch::JobId("j"), "\xff\xfe").has_value());
+  cr_assert_not(documents.parseJob(JobId("j"), "{}").has_value());
+  cr_assert_not(documents.parseJob(JobId("j"), "\xff\xfe").has_value());
 }
 
 Test(documents, the_request_that_scores_an_item_is_read_with_it) {
   const BatchDocuments documents;
-  const auto job = documents.parseJob(batch::JobId("j"), R"({"requests":[
+  const auto job = documents.parseJob(JobId("j"), R"({"requests":[
       {"id":"a","path":"/x/1","scorer":{"id":"s","host":"h","path":"/y/2","body":"aGk="}},
       {"id":"b","path":"/x/2"}]})");
   cr_assert(job.has_value());
@@ -183,7 +183,7 @@
 
 Test(documents, every_fault_of_a_scorer_is_reported_with_its_place) {
   const BatchDocuments documents;
-  const auto job = documents.parseJob(batch::JobId("j"), R"({"requests":[
+  const auto job = documents.parseJob(JobId("j"), R"({"requests":[
       {"id":"a","path":"/x/1","scorer":"s"},
       {"id":"b","path":"/x/2","scorer":{"id":7,"host":"h","body":"?"}}]})");
   cr_assert_not(job.has_value());
@@ -196,7 +196,7 @@
 Test(documents, results_are_written_as_readers_expect_them) {
   const BatchDocuments documents;
   batch::BatchResult result;
-  result.item = batch::ItemId("i");
+  result.item = ItemId("i");
   result.text = "a\nb";
   result.versions = {6, 7};
   const std::string encoded = documents.encodeResult(result);
@@ -220,7 +220,7 @@
       R"({"version":1,"services":[{"name":"s","scaling":{"min":1,"max":32,"bootTimeS":4.0,
           "spotPrice":0.22,"zonePrices":{"a":1.0,"b":0.8}}},{"name":"t"}]})");
   cr_assert(table.has_value());
-  const auto& bounds = table->services.at(routing::ServiceName("s")).scaling;
+  const auto& bounds = table->services.at(ServiceName("s")).scaling;
   cr_assert(bounds.has_value());
   cr_assert_eq(bounds->least, 1U);
   cr_assert_eq(bounds->most, 32U);
@@ -228,7 +228,7 @@
   cr_assert_eq(bounds->spot_price, 0.22);
   cr_assert_eq(bounds->priceOf({ZoneName("b"), scaling::EngineKind::kOnDemand}), 0.8);
   cr_assert_eq(bounds->priceOf({ZoneName("c"), scaling::EngineKind::kOnDemand}), 1.0);
-  cr_assert_not(table->services.at(routing::ServiceName("t")).scaling.has_value());
+  cr_assert_not(table->services.at(ServiceName("t")).scaling.has_value());
 }
 
 Test(documents, bounds_that_contradict_themselves_are_reported) {
