--- a/src/gateway/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -8,7 +8,7 @@
 #include "gateway/batch/batch_service.h"
 #include "gateway/batch/call_status.h"
 #include "gateway/batch/owner_choice.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::batch {
 
@@ -217,7 +217,7 @@
 /// @param revision of the row as the feed told it; 0: it did not.
 std::optional<table::Row> toldRow(const JobRecord& record, Revision revision) {
   if (revision == 0) return std::nullopt;
-  return table::Row{gateway::jobKey(record.id), revision, encodeRecord(record)};
+  return table::Row{table::jobKey(record.id), revision, encodeRecord(record)};
 }
 }  // namespace
 
--- a/src/gateway/batch/batch_listing.cpp
+++ b/src/gateway/batch/batch_listing.cpp
@@ -7,7 +7,7 @@
 #include "gateway/batch/active_job.h"
 #include "gateway/batch/batch_service.h"
 #include "gateway/batch/checkpoint_rows.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::batch {
 
@@ -162,7 +162,7 @@
   if (answer.current) {
     onRecordRow(id, *answer.current);
   } else if (release) {
-    onRecordRow(id, {gateway::jobKey(id), answer.revision, encodeRecord(*release)});
+    onRecordRow(id, {table::jobKey(id), answer.revision, encodeRecord(*release)});
   }
   onPendingWritten(*active);
   co_return true;
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -4,7 +4,7 @@
 
 #include "common/event_log.h"
 #include "gateway/batch/active_job.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::batch {
 
@@ -371,7 +371,7 @@
       .text("batch", id.str())
       .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
   if (answer.outcome == FencedOutcome::kDone) {
-    onRecordRow(id, {gateway::jobKey(id), answer.revision, encodeRecord(record)});
+    onRecordRow(id, {table::jobKey(id), answer.revision, encodeRecord(record)});
   }
 }
 
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -4,16 +4,16 @@
 #include <nlohmann/json.hpp>
 
 #include "gateway/batch/checkpoint_rows.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::batch {
 
-using gateway::jobKey;
-using gateway::jobObject;
-using gateway::kResultTable;
-using gateway::numberedEnd;
-using gateway::numberedKey;
 using nlohmann::json;
+using table::jobKey;
+using table::jobObject;
+using table::kResultTable;
+using table::numberedEnd;
+using table::numberedKey;
 
 namespace {
 
@@ -36,7 +36,7 @@
 }
 
 std::string largeResultName(const JobId& id, std::size_t position, Revision fence) {
-  return gateway::resultObjects(id) + std::to_string(position) + "-" + std::to_string(fence);
+  return table::resultObjects(id) + std::to_string(position) + "-" + std::to_string(fence);
 }
 
 }  // namespace
@@ -98,7 +98,7 @@
   std::vector<table::Put> rows;
   if (bytes.size() > kMostWriteBytes) return rows;
   for (std::size_t at = 0; at < bytes.size(); at += row_bytes_) {
-    const std::string key = gateway::kBodyTable + "/" + numberedKey(id, rows.size());
+    const std::string key = table::kBodyTable + "/" + numberedKey(id, rows.size());
     rows.push_back({key, bytes.substr(at, row_bytes_)});
   }
   return rows;
@@ -111,7 +111,7 @@
   std::string bytes;
   std::size_t read = 0;
   while (read < record.body_rows) {
-    table::RowRange range{gateway::kBodyTable, numberedKey(record.id, read), numberedEnd(record.id),
+    table::RowRange range{table::kBodyTable, numberedKey(record.id, read), numberedEnd(record.id),
                           0};
     const auto page = co_await table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
@@ -164,7 +164,7 @@
 
 namespace {
 table::RowRange recordRange(const JobId& id) {
-  return table::onlyRow(gateway::kCoordinationTable, gateway::kJobPrefix + id.str());
+  return table::onlyRow(table::kCoordinationTable, table::kJobPrefix + id.str());
 }
 }  // namespace
 
@@ -209,7 +209,7 @@
 
 Task<FencedAnswer> JobStore::putCheckpoint(JobId id, Revision fence, CheckpointWrite part) {
   const std::string job_key = jobKey(id);
-  const std::string prefix = gateway::kCheckpointTable + "/";
+  const std::string prefix = table::kCheckpointTable + "/";
   table::Write write;
   write.transaction.checks.push_back({job_key, fence});
   std::size_t bytes = 0;
@@ -263,11 +263,11 @@
 Task<bool> JobStore::removeJob(JobId id, Revision fence) {
   const bool results_gone = co_await removeRows(kResultTable, id, fence);
   if (!results_gone) co_return false;
-  const bool body_gone = co_await removeRows(gateway::kBodyTable, id, fence);
+  const bool body_gone = co_await removeRows(table::kBodyTable, id, fence);
   if (!body_gone) co_return false;
-  const bool large_gone = co_await removeObjects(gateway::resultObjects(id));
+  const bool large_gone = co_await removeObjects(table::resultObjects(id));
   if (!large_gone) co_return false;
-  const bool checkpoints_gone = co_await removeRows(gateway::kCheckpointTable, id, fence);
+  const bool checkpoints_gone = co_await removeRows(table::kCheckpointTable, id, fence);
   if (!checkpoints_gone) co_return false;
   const auto job_gone = co_await objects_.remove(jobObject(id));
   if (!job_gone) co_return false;
@@ -282,7 +282,7 @@
 Task<CallResult<StoredCheckpoint>> JobStore::getCheckpoint(JobId id) {
   StoredCheckpoint stored;
   std::vector<std::string> values;
-  table::RowRange range{gateway::kCheckpointTable, numberedKey(id, 0), numberedEnd(id), 0};
+  table::RowRange range{table::kCheckpointTable, numberedKey(id, 0), numberedEnd(id), 0};
   for (;;) {
     auto page = co_await table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -1,7 +1,7 @@
 #include "gateway/lease/lease_keeper.h"
 
 #include "gateway/lease/store_delay.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::lease {
 
@@ -19,7 +19,7 @@
 
 table::Put LeaseKeeper::renewal() const {
   const std::set<EngineId> awaited = awaited_ ? awaited_() : std::set<EngineId>();
-  return {gateway::leaseKey(leases_.own()),
+  return {table::leaseKey(leases_.own()),
           encodeLease(pool_.capacity(), peer_, pool_.zone(), awaited)};
 }
 
@@ -46,7 +46,7 @@
 
 Task<bool> LeaseKeeper::confirmSilent(LeaseId lease) {
   if (lease.empty() || leases_.isEarlierSelf(lease)) co_return true;
-  const table::RowRange range = table::onlyRow(gateway::kLeaseTable, lease.str());
+  const table::RowRange range = table::onlyRow(table::kLeaseTable, lease.str());
   const auto page = co_await table_.read(range);
   if (!page) co_return false;
   if (page->rows.empty()) co_return true;
@@ -98,7 +98,7 @@
 
 Task<bool> LeaseKeeper::removeRow() {
   table::Write write;
-  write.removes.push_back(gateway::leaseKey(leases_.own()));
+  write.removes.push_back(table::leaseKey(leases_.own()));
   const auto answer = co_await table_.write(std::move(write));
   co_return answer.has_value() && answer->committed;
 }
--- a/src/gateway/lease/lease_watch.cpp
+++ b/src/gateway/lease/lease_watch.cpp
@@ -1,7 +1,7 @@
 #include "gateway/lease/lease_watch.h"
 
 #include "common/event_log.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::lease {
 
@@ -39,7 +39,7 @@
 Task<bool> lease_watch::readAll() {
   const Instant sent_at = steadyNow();
   std::map<LeaseId, LeaseRow> rows;
-  table::RowRange range{gateway::kLeaseTable, "", "", 0};
+  table::RowRange range{table::kLeaseTable, "", "", 0};
   for (;;) {
     auto page = co_await this->table_.read(range);
     if (!page) {
@@ -50,7 +50,7 @@
     }
     this->keeper_.onStoreClock(steadyNow(), page->clock_ms);
     for (const table::Row& row : page->rows) {
-      const LeaseId lease(row.key.substr(gateway::kLeaseTable.size() + 1));
+      const LeaseId lease(row.key.substr(table::kLeaseTable.size() + 1));
       rows[lease] = LeaseRow(row.revision, decodeCapacity(row.value), decodePeer(row.value),
                              decodeZone(row.value), decodeAwaited(row.value));
     }
@@ -66,7 +66,7 @@
   if (forgotten.empty()) co_return;
   if (forgotten.size() > kMostRemovedAtOnce) forgotten.resize(kMostRemovedAtOnce);
   table::Write write;
-  for (const LeaseId& lease : forgotten) write.removes.push_back(gateway::leaseKey(lease));
+  for (const LeaseId& lease : forgotten) write.removes.push_back(table::leaseKey(lease));
   const auto answer = co_await this->table_.write(std::move(write));
   logging::LogEvent("lease", "forgotten_removed")
       .number("rows", static_cast<std::int64_t>(forgotten.size()))
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -1,7 +1,7 @@
 #include "gateway/scaling/scaling_service.h"
 
 #include "common/event_log.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::scaling {
 
@@ -29,7 +29,7 @@
                                  const lease::handover_rules& handover)
     : deps_(std::move(deps)),
       options_(options),
-      right_(deps_.right, kRightName, gateway::rightKey(kRightName), handover, [this](bool) {
+      right_(deps_.right, kRightName, table::rightKey(kRightName), handover, [this](bool) {
         this->rows_.reset();
         this->services_.clear();
       }) {}
@@ -98,13 +98,13 @@
 
 Task<bool> scaling_service::readRecords() {
   std::map<ServiceName, table::Row> rows;
-  table::RowRange range{gateway::kScalingTable, "", "", 0, Duration::zero()};
+  table::RowRange range{table::kScalingTable, "", "", 0, Duration::zero()};
   const FencingToken token = this->right_.token();
   for (;;) {
     const auto page = co_await this->deps_.right.table.read(range);
     if (!page) co_return false;
     for (const table::Row& row : page->rows) {
-      rows[ServiceName(row.key.substr(gateway::kScalingTable.size() + 1))] = row;
+      rows[ServiceName(row.key.substr(table::kScalingTable.size() + 1))] = row;
     }
     if (!table::moveBehind(*page, range)) break;
   }
@@ -178,7 +178,7 @@
 }
 
 Task<bool> scaling_service::writeRecord(ServiceName name, scaling_record record) {
-  const std::string key = gateway::scalingKey(name);
+  const std::string key = table::scalingKey(name);
   const FencingToken token = this->right_.token();
   table::Write write;
   write.transaction.checks.push_back(this->right_.condition());
--- a/src/gateway/service/gateway_peers.cpp
+++ b/src/gateway/service/gateway_peers.cpp
@@ -6,7 +6,7 @@
 #include "common/event_log.h"
 #include "gateway/service/gateway.h"
 #include "gateway/service/peer_write.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::gateway {
 
@@ -38,8 +38,9 @@
 
 /// Counts, clocks and suspects only: nothing that a right or a lease stands on.
 bool maybeWrittenForPeers(const table::Put& put) {
-  return put.key.starts_with(kUsageTable + "/" + kUsageRows) ||
-         put.key.starts_with(kClockTable + "/") || put.key.starts_with(suspectKey({}));
+  return put.key.starts_with(table::kUsageTable + "/" + table::kUsageRows) ||
+         put.key.starts_with(table::kClockTable + "/") ||
+         put.key.starts_with(table::suspectKey({}));
 }
 
 }  // namespace
@@ -173,7 +174,7 @@
   if (!told.engines_since) listed_engines_.clear();
   for (const table::Row& row : told.engines) {
     onEngineListed(row);
-    engine_changes_.onChange(EngineId(keyWithoutTable(row)), told.engines_revision);
+    engine_changes_.onChange(EngineId(table::keyWithoutTable(row)), told.engines_revision);
   }
   if (!told.engines_since) {
     onEnginesListed(told.engines_revision);
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -4,7 +4,7 @@
 #include "common/event_log.h"
 #include "common/hash.h"
 #include "gateway/service/gateway.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::gateway {
 
@@ -39,14 +39,14 @@
   operators.on_snapshot = [this](const std::vector<table::Row>& rows) {
     std::map<ZoneName, Revision> closed;
     for (const table::Row& row : rows) {
-      const auto zone = platform_.parseZoneClosing(keyWithoutTable(row));
+      const auto zone = platform_.parseZoneClosing(table::keyWithoutTable(row));
       if (zone) closed[*zone] = row.revision;
     }
     onZoneTable(operator_watcher_->revision(), closed, "store");
     for (const table::Row& row : rows) onOperatorRow(row);
   };
   operators.on_change = [this](const table::RowChange& change) {
-    const auto zone = platform_.parseZoneClosing(keyWithoutTable(change.row));
+    const auto zone = platform_.parseZoneClosing(table::keyWithoutTable(change.row));
     if (zone) onZoneRow(*zone, change);
     if (!change.gone) onOperatorRow(change.row);
   };
@@ -101,7 +101,7 @@
   };
   options.seed = hash64(settings_.id.str(), 3);
   coordination_watcher_ = std::make_unique<table::TableWatcher>(
-      loop_, platform_.table(), kCoordinationTable, options, coordination);
+      loop_, platform_.table(), table::kCoordinationTable, options, coordination);
 
   operator_watcher_->start();
   engine_watcher_->start();
@@ -127,7 +127,7 @@
 }
 
 Task<void> Gateway::probeStore() {
-  table::RowRange range = table::onlyRow(kLeaseTable, leases_.own().str());
+  table::RowRange range = table::onlyRow(table::kLeaseTable, leases_.own().str());
   range.patience = kProbePatience;
   const Instant begun = steadyNow();
   const auto page = co_await platform_.table().read(range);
@@ -151,7 +151,7 @@
 }
 
 void Gateway::onOperatorRow(const table::Row& row) {
-  const std::string key = keyWithoutTable(row);
+  const std::string key = table::keyWithoutTable(row);
   if (platform_.isConfiguration(key)) {
     onConfiguration(row.value);
   } else if (const auto named = platform_.parseNamedVersion(key, row.value)) {
@@ -200,7 +200,7 @@
 }
 
 std::optional<engines::EngineRecord> Gateway::readEngine(const table::Row& row) {
-  const std::string key = keyWithoutTable(row);
+  const std::string key = table::keyWithoutTable(row);
   auto record = platform_.parseEngine(key, row.value);
   if (record) return std::move(*record);
   const auto address = registry_.onUnreadable(EngineId(key));
@@ -243,7 +243,7 @@
 }
 
 void Gateway::onEngineRow(const table::RowChange& change) {
-  const EngineId id(keyWithoutTable(change.row));
+  const EngineId id(table::keyWithoutTable(change.row));
   engine_changes_.onChange(id, change.row.revision);
   if (!change.gone) {
     if (const auto record = readEngine(change.row)) noteEngine(*record, change.row.revision);
@@ -296,8 +296,9 @@
   std::set<suspects::request_key> suspected;
   for (const table::Row& row : rows) {
     onCoordinationRow({row, false});
-    const std::string key = keyWithoutTable(row);
-    if (key.starts_with(kSuspectPrefix)) suspected.emplace(key.substr(kSuspectPrefix.size()));
+    const std::string key = table::keyWithoutTable(row);
+    if (key.starts_with(table::kSuspectPrefix))
+      suspected.emplace(key.substr(table::kSuspectPrefix.size()));
   }
   orders_.onTableRead();
   usage_.onTableRead();
@@ -306,23 +307,23 @@
 }
 
 void Gateway::onCoordinationRow(const table::RowChange& change) {
-  const std::string key = keyWithoutTable(change.row);
+  const std::string key = table::keyWithoutTable(change.row);
   const auto tail = [&key](const std::string& prefix) { return key.substr(prefix.size()); };
-  if (key.starts_with(kJobPrefix)) {
-    const JobId id(tail(kJobPrefix));
+  if (key.starts_with(table::kJobPrefix)) {
+    const JobId id(tail(table::kJobPrefix));
     change.gone ? batches_.onRecordGone(id) : batches_.onRecordRow(id, change.row);
-  } else if (key.starts_with(kOrderPrefix)) {
-    const ServiceName service(tail(kOrderPrefix));
+  } else if (key.starts_with(table::kOrderPrefix)) {
+    const ServiceName service(tail(table::kOrderPrefix));
     change.gone ? orders_.onRightGone(service) : orders_.onRightRow(service, change.row);
-  } else if (key.starts_with(kSuspectPrefix)) {
-    const suspects::request_key suspect(tail(kSuspectPrefix));
+  } else if (key.starts_with(table::kSuspectPrefix)) {
+    const suspects::request_key suspect(tail(table::kSuspectPrefix));
     change.gone ? suspects_.onRowGone(suspect, change.row.revision)
                 : suspects_.onRow(suspect, change.row);
-  } else if (key == kRightPrefix + "usage") {
+  } else if (key == table::kRightPrefix + "usage") {
     change.gone ? usage_.onRightGone() : usage_.onRightRow(change.row);
-  } else if (key == kRightPrefix + "scaling") {
+  } else if (key == table::kRightPrefix + "scaling") {
     change.gone ? scaling_.onRightGone() : scaling_.onRightRow(change.row);
-  } else if (key == kClockName && !change.gone) {
+  } else if (key == table::kClockName && !change.gone) {
     usage_.onClockRow(change.row);
   }
 }
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -2,7 +2,7 @@
 
 #include "common/event_log.h"
 #include "common/hash.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::suspects {
 
@@ -175,20 +175,20 @@
   for (const table::Row& row : rows) {
     const auto record = decodeSuspect(row.value);
     if (!record) continue;
-    const request_key key(row.key.substr(gateway::suspectKey({}).size()));
+    const request_key key(row.key.substr(table::suspectKey({}).size()));
     this->book_.onTold(steadyNow(), this->clock(), key, row.revision, *record);
   }
   this->known_ = true;
 }
 
 std::vector<table::Row> suspect_service::rows() const {
-  return this->book_.rows(steadyNow(), this->clock(), gateway::suspectKey({}), kRowsTold);
+  return this->book_.rows(steadyNow(), this->clock(), table::suspectKey({}), kRowsTold);
 }
 
 // --- The store -----------------------------------------------------------------------------------
 
 void suspect_service::onConflict(const request_key& key, const std::vector<table::Row>& rows) {
-  const std::string name = gateway::suspectKey(key.str());
+  const std::string name = table::suspectKey(key.str());
   for (const table::Row& row : rows) {
     if (row.key != name) continue;
     this->onRow(key, row);
@@ -199,7 +199,7 @@
 }
 
 table::Write suspect_service::writeOf(const request_key& key, const suspect_record& record) const {
-  const std::string name = gateway::suspectKey(key.str());
+  const std::string name = table::suspectKey(key.str());
   table::Write write;
   write.transaction.checks.push_back({name, this->book_.revisionOf(key)});
   write.transaction.puts.push_back({name, encodeSuspect(record)});
@@ -250,7 +250,7 @@
 }
 
 Task<void> suspect_service::removeRow(request_key key, Revision revision) {
-  const std::string name = gateway::suspectKey(key.str());
+  const std::string name = table::suspectKey(key.str());
   for (int tries = 0; tries < kRemoveTries && revision != 0; ++tries) {
     table::Write write;
     write.transaction.checks.push_back({name, revision});
--- a/src/gateway/table/store_keys.h
+++ b/src/gateway/table/store_keys.h
@@ -11,7 +11,7 @@
 #include "common/ids.h"
 #include "common/table_row.h"
 
-namespace linenpier::gateway {
+namespace linenpier::table {
 
 inline const std::string kCoordinationTable = "linenpier";
 inline const std::string kLeaseTable = "leases";
@@ -22,7 +22,7 @@
 inline const std::string kOrderPrefix = "order/";
 
 /// @return the row's key as the table's writers spell it.
-inline std::string keyWithoutTable(const table::Row& row) {
+inline std::string keyWithoutTable(const Row& row) {
   return row.key.substr(row.key.find('/') + 1);
 }
 
@@ -97,4 +97,4 @@
   return "job-" + id.str();
 }
 
-}  // namespace linenpier::gateway
+}  // namespace linenpier::table
--- a/src/gateway/usage/usage_service.cpp
+++ b/src/gateway/usage/usage_service.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "common/event_log.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::usage {
 
@@ -43,7 +43,7 @@
 usage_service::usage_service(dependencies deps, const usage_options& options)
     : deps_(std::move(deps)),
       options_(options),
-      right_(deps_.right, "usage", gateway::rightKey("usage"), options.handover,
+      right_(deps_.right, "usage", table::rightKey("usage"), options.handover,
              [this](bool held) {
                this->progress_.reset();
                if (held) this->acquired_at_ = steadyNow();
@@ -93,7 +93,7 @@
   if (store_ms == 0 || (taken && now - this->sampled_at_ < this->options_.sample_period)) return;
   const clock_sample sample{this->deps_.time_of_day_ms() - store_ms, store_ms};
   write.transaction.puts.push_back(
-      {gateway::clockSampleKey(this->deps_.holder), encodeSample(sample)});
+      {table::clockSampleKey(this->deps_.holder), encodeSample(sample)});
 }
 
 Task<void> usage_service::writeLoop() {
@@ -119,7 +119,7 @@
   std::vector<std::uint64_t> changes;
   for (const window_number window : unsaved) {
     const window_counts& counts = this->counter_.of(window);
-    const std::string key = gateway::usageKey(window, this->deps_.right.leases.own());
+    const std::string key = table::usageKey(window, this->deps_.right.leases.own());
     write.transaction.checks.push_back({key, counts.revision});
     write.transaction.puts.push_back({key, encodeCounts(counts.counts)});
     changes.push_back(counts.changes);
@@ -157,7 +157,7 @@
       counts.stored = std::max(counts.stored, changes[i]);
       continue;
     }
-    const std::string key = gateway::usageKey(written[i], this->deps_.right.leases.own());
+    const std::string key = table::usageKey(written[i], this->deps_.right.leases.own());
     const auto row = std::find_if(answer.conflicts.begin(), answer.conflicts.end(),
                                   [&key](const table::Row& each) { return each.key == key; });
     const bool present = row != answer.conflicts.end();
@@ -230,7 +230,7 @@
 }
 
 Task<bool> usage_service::readProgress() {
-  const table::RowRange range = table::onlyRow(gateway::kUsageTable, gateway::kUsageProgress);
+  const table::RowRange range = table::onlyRow(table::kUsageTable, table::kUsageProgress);
   const auto page = co_await this->deps_.right.table.read(range);
   if (!page) co_return false;
   progress read;
@@ -254,7 +254,7 @@
   const Instant now = steadyNow();
   if (!this->offset_ms_ && now - this->acquired_at_ < this->options_.first_samples) co_return;
   const std::int64_t store_ms = this->deps_.right.keeper.storeClock(now);
-  table::RowRange range{gateway::kClockTable, "", "", 0};
+  table::RowRange range{table::kClockTable, "", "", 0};
   std::vector<clock_sample> samples;
   for (;;) {
     const auto page = co_await this->deps_.right.table.read(range);
@@ -274,8 +274,8 @@
   if (good) co_return;
   table::Write write;
   write.transaction.checks.push_back(this->right_.condition());
-  write.transaction.checks.push_back({gateway::clockKey(), this->clock_revision_});
-  write.transaction.puts.push_back({gateway::clockKey(), std::to_string(*median)});
+  write.transaction.checks.push_back({table::clockKey(), this->clock_revision_});
+  write.transaction.puts.push_back({table::clockKey(), std::to_string(*median)});
   const auto answer = co_await this->deps_.right.table.write(std::move(write));
   const bool done = answer && answer->committed;
   LogEvent("usage", "true_time")
@@ -283,16 +283,16 @@
       .number("offset_ms", *median)
       .number("before_ms", this->offset_ms_.value_or(0))
       .text("outcome", done ? "written" : "not_written");
-  if (done) this->onClockRow({gateway::clockKey(), answer->revision, std::to_string(*median)});
+  if (done) this->onClockRow({table::clockKey(), answer->revision, std::to_string(*median)});
 }
 
 Task<void> usage_service::decide(window_number window) {
   tenant_counts sum;
   std::size_t daemons = 0;
   std::vector<std::string> obsolete;  // Rows of windows that were decided before, by any holder.
-  const std::string prefix = gateway::usageKeyPrefix(window);
-  table::RowRange range{gateway::kUsageTable, gateway::kUsageRows,
-                        gateway::usageWindowPrefix(window + 1), 0};
+  const std::string prefix = table::usageKeyPrefix(window);
+  table::RowRange range{table::kUsageTable, table::kUsageRows, table::usageWindowPrefix(window + 1),
+                        0};
   for (;;) {
     const auto page = co_await this->deps_.right.table.read(range);
     if (!page) co_return;
@@ -312,7 +312,7 @@
   progress next;
   next.report = {window, std::move(sum)};
   const std::string value = std::to_string(window) + " " + encodeCounts(next.report.counts);
-  const std::string key = gateway::kUsageTable + "/" + gateway::kUsageProgress;
+  const std::string key = table::kUsageTable + "/" + table::kUsageProgress;
   table::Write write;
   write.transaction.checks.push_back(this->right_.condition());
   write.transaction.checks.push_back({key, this->progress_->revision});
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "common/event_log.h"
-#include "gateway/service/store_keys.h"
+#include "gateway/table/store_keys.h"
 
 namespace linenpier::versions {
 
@@ -56,7 +56,7 @@
 OrderService::Right::Right(const lease::exclusive_right::dependencies& deps,
                            const ServiceName& service, const OrderOptions& options)
     : rollout(options.rollout),
-      right(deps, "order/" + service.str(), gateway::orderKey(service), options.handover,
+      right(deps, "order/" + service.str(), table::orderKey(service), options.handover,
             [this](bool) { rollout.reset(); }) {}
 
 OrderService::Right& OrderService::rightOf(const ServiceName& service) {
