--- a/src/gateway/routing/route_table.h
+++ b/src/gateway/routing/route_table.h
@@ -77,7 +77,7 @@
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::map<ServiceName, Service> services;
-  tenants::tenant_table tenants;
+  tenant_table tenants;
   http::ServerLimits limits;
 
   /// @return the route of that host whose prefix begins `path` and is longest, or nullptr.
--- a/src/gateway/routing/tenant_table.cpp
+++ b/src/gateway/routing/tenant_table.cpp
@@ -5,7 +5,7 @@
 
 #include <cstring>
 
-namespace linenpier::tenants {
+namespace linenpier::routing {
 
 namespace {
 
@@ -92,4 +92,4 @@
   return at == this->by_name_.end() ? fleet::home_regions() : this->tenants_[at->second].homes;
 }
 
-}  // namespace linenpier::tenants
+}  // namespace linenpier::routing
--- a/src/gateway/routing/tenant_table.h
+++ b/src/gateway/routing/tenant_table.h
@@ -19,7 +19,7 @@
 #include "common/ids.h"
 #include "gateway/fleet/home_regions.h"
 
-namespace linenpier::tenants {
+namespace linenpier::routing {
 
 /** SHA-256 of a key. Keys are long and random, so that nobody finds a key from its digest. */
 using key_digest = std::array<std::uint8_t, 32>;
@@ -68,4 +68,4 @@
   std::multimap<std::uint64_t, std::pair<key_digest, std::size_t>> by_prefix_;
 };
 
-}  // namespace linenpier::tenants
+}  // namespace linenpier::routing
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -56,7 +56,7 @@
       if (homes.bound()) addPlace(demand.places, zonesIn(layout, homes), owners);
     };
     add(route.homes);
-    for (const tenants::tenant& each : table.tenants.all()) add(route.homes.both(each.homes));
+    for (const routing::tenant& each : table.tenants.all()) add(route.homes.both(each.homes));
   }
   return demand;
 }
--- a/src/gateway/tenants/caller.cpp
+++ b/src/gateway/tenants/caller.cpp
@@ -44,7 +44,7 @@
     from.verdict = KeyVerdict::kMissing;
     return from;
   }
-  const tenant* owner = table.tenants.find(digestOf(key));
+  const routing::tenant* owner = table.tenants.find(routing::digestOf(key));
   from.verdict = owner == nullptr ? KeyVerdict::kUnknown : KeyVerdict::kKnown;
   if (owner != nullptr) {
     from.tenant = owner->name;
--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -12,10 +12,10 @@
 // clang-format on
 
 using namespace linenpier;
-using tenants::digestOf;
+using routing::digestOf;
+using routing::tenant;
+using routing::tenant_table;
 using tenants::KeyVerdict;
-using tenants::tenant;
-using tenants::tenant_table;
 
 namespace {
 
@@ -89,9 +89,9 @@
 
 Test(tenant_table, digests_are_read_as_written) {
   const auto digest = digestOf("key");
-  cr_assert(tenants::digestFromHex(tenants::toHex(digest)) == digest);
-  cr_assert_not(tenants::digestFromHex("12").has_value());
-  cr_assert_not(tenants::digestFromHex(std::string(64, 'x')).has_value());
+  cr_assert(routing::digestFromHex(routing::toHex(digest)) == digest);
+  cr_assert_not(routing::digestFromHex("12").has_value());
+  cr_assert_not(routing::digestFromHex(std::string(64, 'x')).has_value());
 }
 
 Test(tenant_table, a_configuration_without_keys_says_the_same_and_gives_none_away) {
--- a/tests/gateway/service/owner_demand_test.cpp
+++ b/tests/gateway/service/owner_demand_test.cpp
@@ -39,10 +39,10 @@
   table.routes.front().homes = fleet::home_regions({RegionName("near")});
   const lease::pool_demand::place near{{ZoneName("a"), ZoneName("b")}, 3};
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}));
-  tenants::tenant far;
+  routing::tenant far;
   far.name = TenantId("t");
   far.homes = fleet::home_regions({RegionName("far")});
-  table.tenants = *tenants::tenant_table::make({far});
+  table.tenants = *routing::tenant_table::make({far});
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}),
             "the two have no region in common");
   table.routes.front().homes = {};
