--- a/src/gateway/scaling/scaling_bounds.h
+++ b/src/gateway/fleet/scaling_bounds.h
@@ -11,7 +11,7 @@
 #include "common/ids.h"
 #include "common/time.h"
 
-namespace linenpier::scaling {
+namespace linenpier::fleet {
 
 /** How an engine is paid for. */
 enum class EngineKind {
@@ -46,4 +46,4 @@
   bool operator==(const scaling_bounds&) const = default;
 };
 
-}  // namespace linenpier::scaling
+}  // namespace linenpier::fleet
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -9,12 +9,12 @@
 #include "common/success_sampler.h"
 #include "gateway/forward/attempt_policy.h"
 #include "gateway/forward/internal_requests.h"
-#include "gateway/forward/run_recorder.h"
 #include "gateway/http/server.h"
 #include "gateway/metrics/gateway_metrics.h"
 #include "gateway/routing/route_table.h"
 #include "gateway/suspects/suspect_gate.h"
 #include "gateway/tenants/caller.h"
+#include "gateway/usage/run_recorder.h"
 
 namespace linenpier::forward {
 
@@ -56,7 +56,8 @@
  public:
   Forwarder(boost::asio::io_context& loop, EngineCallContext context,
             routing::WeightedDealer& dealer, metrics::GatewayMetrics& metrics,
-            run_recorder& recorder, suspects::suspect_gate& suspects, ForwarderOptions options)
+            usage::run_recorder& recorder, suspects::suspect_gate& suspects,
+            ForwarderOptions options)
       : loop_(loop),
         context_(context),
         dealer_(dealer),
@@ -138,7 +139,7 @@
   EngineCallContext context_;
   routing::WeightedDealer& dealer_;
   metrics::GatewayMetrics& metrics_;
-  run_recorder& recorder_;
+  usage::run_recorder& recorder_;
   suspects::suspect_gate& suspects_;
   ForwarderOptions options_;
   std::function<routing::RouteTablePtr()> newest_;
--- a/src/gateway/routing/route_table.h
+++ b/src/gateway/routing/route_table.h
@@ -14,9 +14,9 @@
 #include "common/ids.h"
 #include "common/time.h"
 #include "gateway/fleet/home_regions.h"
+#include "gateway/fleet/scaling_bounds.h"
 #include "gateway/http/server.h"
 #include "gateway/routing/tenant_table.h"
-#include "gateway/scaling/scaling_bounds.h"
 
 namespace linenpier::routing {
 
@@ -69,7 +69,7 @@
   Duration cold_time{};           ///< How long that is.
   double memory_tokens = 0;       ///< Tokens that an engine's memory holds; 0: not told.
   std::vector<ModelName> models;  ///< Empty for services that serve no model.
-  std::optional<scaling::scaling_bounds> scaling;  ///< Absent: its engines are not ours to count.
+  std::optional<fleet::scaling_bounds> scaling;  ///< Absent: its engines are not ours to count.
 };
 
 /// One version of the operator's configuration. Versions only grow.
--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -15,20 +15,20 @@
 /// A call without an answer is carried out at most so much later, as far as the platform tells.
 constexpr Duration kLatestCarriedOut = std::chrono::seconds(15);
 
-std::size_t sumOf(const group_counts& counts) {
+std::size_t sumOf(const fleet::group_counts& counts) {
   std::size_t sum = 0;
   for (const auto& [group, count] : counts) sum += count;
   return sum;
 }
 
-std::size_t countOf(const group_counts& counts, const engine_group& group) {
+std::size_t countOf(const fleet::group_counts& counts, const fleet::engine_group& group) {
   const auto at = counts.find(group);
   return at == counts.end() ? 0 : at->second;
 }
 
-std::size_t inZone(const group_counts& counts, const ZoneName& zone) {
-  return countOf(counts, {zone, EngineKind::kOnDemand}) +
-         countOf(counts, {zone, EngineKind::kSpot});
+std::size_t inZone(const fleet::group_counts& counts, const ZoneName& zone) {
+  return countOf(counts, {zone, fleet::EngineKind::kOnDemand}) +
+         countOf(counts, {zone, fleet::EngineKind::kSpot});
 }
 
 /// Notes since when something holds.
@@ -57,7 +57,7 @@
   return "unknown";
 }
 
-observed_engines scaling_view::of(const engine_group& group) const {
+observed_engines scaling_view::of(const fleet::engine_group& group) const {
   const auto at = this->groups.find(group);
   return at == this->groups.end() ? observed_engines{} : at->second;
 }
@@ -95,11 +95,11 @@
 }
 
 void scaling_policy::observe(Instant now, const scaling_view& view) {
-  std::set<engine_group> groups;
+  std::set<fleet::engine_group> groups;
   for (const auto& [group, seen] : view.groups) groups.insert(group);
   for (const auto& [group, count] : this->record_.usual) groups.insert(group);
   for (const auto& [group, count] : this->record_.ordered) groups.insert(group);
-  for (const engine_group& group : groups) {
+  for (const fleet::engine_group& group : groups) {
     const observed_engines seen = view.of(group);
     const std::size_t current = this->record_.current(group);
     group_state& state = this->states_[group];
@@ -110,7 +110,7 @@
   }
 }
 
-bool scaling_policy::scarce(Instant now, const engine_group& group) const {
+bool scaling_policy::scarce(Instant now, const fleet::engine_group& group) const {
   const auto at = this->states_.find(group);
   return at != this->states_.end() && now < at->second.scarce_until;
 }
@@ -125,8 +125,8 @@
                                    const ZoneName& zone) const {
   if (view.closed.contains(zone)) return false;
   bool lost = inZone(this->record_.usual, zone) > 0;
-  for (const EngineKind kind : {EngineKind::kOnDemand, EngineKind::kSpot}) {
-    const engine_group group{zone, kind};
+  for (const fleet::EngineKind kind : {fleet::EngineKind::kOnDemand, fleet::EngineKind::kSpot}) {
+    const fleet::engine_group group{zone, kind};
     if (this->record_.current(group) == 0) continue;
     const observed_engines seen = view.of(group);
     const auto state = this->states_.find(group);
@@ -137,13 +137,14 @@
   return !lost;
 }
 
-std::size_t scaling_policy::place(Instant now, const scaling_bounds& bounds, std::size_t count,
-                                  EngineKind kind, group_counts& wanted) const {
+std::size_t scaling_policy::place(Instant now, const fleet::scaling_bounds& bounds,
+                                  std::size_t count, fleet::EngineKind kind,
+                                  fleet::group_counts& wanted) const {
   for (; count > 0; --count) {
-    group_counts::iterator best = wanted.end();
+    fleet::group_counts::iterator best = wanted.end();
     std::tuple<std::size_t, double> best_rank;
     for (auto at = wanted.begin(); at != wanted.end(); ++at) {
-      const engine_group& group = at->first;
+      const fleet::engine_group& group = at->first;
       if (group.kind != kind || this->scarce(now, group)) continue;
       if (inZone(wanted, group.zone) >= bounds.most) continue;
       const std::size_t usual = countOf(this->record_.usual, group);
@@ -159,10 +160,10 @@
   return 0;
 }
 
-void scaling_policy::spare(const scaling_bounds& bounds, std::size_t count,
-                           group_counts& wanted) const {
+void scaling_policy::spare(const fleet::scaling_bounds& bounds, std::size_t count,
+                           fleet::group_counts& wanted) const {
   for (; count > 0; --count) {
-    group_counts::iterator best = wanted.end();
+    fleet::group_counts::iterator best = wanted.end();
     for (auto at = wanted.begin(); at != wanted.end(); ++at) {
       const std::size_t usual = inZone(this->record_.usual, at->first.zone);
       const auto kept = static_cast<std::size_t>(
@@ -178,16 +179,16 @@
   }
 }
 
-void scaling_policy::hold(const scaling_bounds& bounds, group_counts& wanted) {
+void scaling_policy::hold(const fleet::scaling_bounds& bounds, fleet::group_counts& wanted) {
   for (auto& [group, count] : wanted) {
-    if (group.kind != EngineKind::kOnDemand) continue;
-    const std::size_t spot = countOf(wanted, {group.zone, EngineKind::kSpot});
+    if (group.kind != fleet::EngineKind::kOnDemand) continue;
+    const std::size_t spot = countOf(wanted, {group.zone, fleet::EngineKind::kSpot});
     if (count + spot < bounds.least) count = bounds.least - spot;
     if (count + spot > bounds.most) count = bounds.most - std::min(spot, bounds.most);
   }
 }
 
-scaling_policy::targets scaling_policy::aim(Instant now, const scaling_bounds& bounds,
+scaling_policy::targets scaling_policy::aim(Instant now, const fleet::scaling_bounds& bounds,
                                             const scaling_view& view) const {
   targets found;
   for (const ZoneName& zone : this->zones()) {
@@ -195,8 +196,8 @@
       found.missing += inZone(this->record_.usual, zone);
       continue;
     }
-    for (const EngineKind kind : {EngineKind::kOnDemand, EngineKind::kSpot}) {
-      const engine_group group{zone, kind};
+    for (const fleet::EngineKind kind : {fleet::EngineKind::kOnDemand, fleet::EngineKind::kSpot}) {
+      const fleet::engine_group group{zone, kind};
       const std::size_t usual = countOf(this->record_.usual, group);
       const std::size_t there = std::min(usual, view.of(group).serving);
       const bool unattainable = this->scarce(now, group);
@@ -213,12 +214,12 @@
   fewer -= not_missed;
   this->spare(bounds, fewer, found.wanted);
   const std::size_t left =
-      this->place(now, bounds, found.missing, EngineKind::kOnDemand, found.wanted);
+      this->place(now, bounds, found.missing, fleet::EngineKind::kOnDemand, found.wanted);
   std::size_t more = needed - std::min(usual, needed) + left;
   if (bounds.spot_price < 1) {
-    more = this->place(now, bounds, more, EngineKind::kSpot, found.wanted);
+    more = this->place(now, bounds, more, fleet::EngineKind::kSpot, found.wanted);
   }
-  this->place(now, bounds, more, EngineKind::kOnDemand, found.wanted);
+  this->place(now, bounds, more, fleet::EngineKind::kOnDemand, found.wanted);
   hold(bounds, found.wanted);
   return found;
 }
@@ -236,7 +237,8 @@
   return change;
 }
 
-std::optional<count_decision> scaling_policy::repeat(Instant now, const scaling_bounds& bounds,
+std::optional<count_decision> scaling_policy::repeat(Instant now,
+                                                     const fleet::scaling_bounds& bounds,
                                                      count_decision change) const {
   const group_state& state = this->states_.at(change.group);
   change.reason = OrderReason::kRepeat;
@@ -254,7 +256,8 @@
   return change;
 }
 
-std::optional<count_decision> scaling_policy::compare(Instant now, const scaling_bounds& bounds,
+std::optional<count_decision> scaling_policy::compare(Instant now,
+                                                      const fleet::scaling_bounds& bounds,
                                                       count_decision change) {
   group_state& state = this->states_[change.group];
   if (change.wanted >= change.before) state.needed_at = now;
@@ -265,7 +268,7 @@
   return this->repeat(now, bounds, change);
 }
 
-std::vector<count_decision> scaling_policy::decide(Instant now, const scaling_bounds& bounds,
+std::vector<count_decision> scaling_policy::decide(Instant now, const fleet::scaling_bounds& bounds,
                                                    const scaling_view& view) {
   std::vector<count_decision> more;
   std::vector<count_decision> fewer;
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -57,11 +57,11 @@
 };
 
 struct scaling_view {
-  std::map<engine_group, observed_engines> groups;
+  std::map<fleet::engine_group, observed_engines> groups;
   std::set<ZoneName> closed;
   std::optional<std::size_t> engines_for_work;  ///< That the open work needs; empty: not known.
 
-  observed_engines of(const engine_group& group) const;
+  observed_engines of(const fleet::engine_group& group) const;
 };
 
 enum class OrderReason {
@@ -74,7 +74,7 @@
 const char* toText(OrderReason reason);
 
 struct count_decision {
-  engine_group group;
+  fleet::engine_group group;
   std::size_t have = 0;
   std::size_t before = 0;  ///< By the last order.
   std::size_t wanted = 0;
@@ -95,7 +95,7 @@
   /** @return the record with what came without an order as the usual number, if that differs. */
   std::optional<scaling_record> learn(Instant now, const scaling_view& view);
   /** @return the orders that are due, those for more engines first. */
-  std::vector<count_decision> decide(Instant now, const scaling_bounds& bounds,
+  std::vector<count_decision> decide(Instant now, const fleet::scaling_bounds& bounds,
                                      const scaling_view& view);
   /** The record was written down. */
   void onRecord(scaling_record record) { this->record_ = std::move(record); }
@@ -121,38 +121,40 @@
   };
   /** The numbers that are wanted, and why. */
   struct targets {
-    group_counts wanted;
+    fleet::group_counts wanted;
     std::size_t missing = 0;  ///< Engines that are made up for.
   };
 
   void observe(Instant now, const scaling_view& view);
   bool zoneAvailable(Instant now, const scaling_view& view, const ZoneName& zone) const;
   /** @return whether there are none to be had of the group. */
-  bool scarce(Instant now, const engine_group& group) const;
+  bool scarce(Instant now, const fleet::engine_group& group) const;
   std::set<ZoneName> zones() const;
-  targets aim(Instant now, const scaling_bounds& bounds, const scaling_view& view) const;
+  targets aim(Instant now, const fleet::scaling_bounds& bounds, const scaling_view& view) const;
   /** Gives `count` more engines of the kind to the zones in `wanted`, evenly, the cheaper first.
    * @return how many found no place.
    */
-  std::size_t place(Instant now, const scaling_bounds& bounds, std::size_t count, EngineKind kind,
-                    group_counts& wanted) const;
+  std::size_t place(Instant now, const fleet::scaling_bounds& bounds, std::size_t count,
+                    fleet::EngineKind kind, fleet::group_counts& wanted) const;
   /** Takes away up to `count` engines, the dearer ones first. */
-  void spare(const scaling_bounds& bounds, std::size_t count, group_counts& wanted) const;
+  void spare(const fleet::scaling_bounds& bounds, std::size_t count,
+             fleet::group_counts& wanted) const;
   /** Keeps every zone within its bounds. */
-  static void hold(const scaling_bounds& bounds, group_counts& wanted);
-  std::optional<count_decision> compare(Instant now, const scaling_bounds& bounds,
+  static void hold(const fleet::scaling_bounds& bounds, fleet::group_counts& wanted);
+  std::optional<count_decision> compare(Instant now, const fleet::scaling_bounds& bounds,
                                         count_decision change);
   /** @param since there are more than needed. */
   std::optional<count_decision> shrink(Instant now, Instant since, count_decision change) const;
-  std::optional<count_decision> repeat(Instant now, const scaling_bounds& bounds,
+  std::optional<count_decision> repeat(Instant now, const fleet::scaling_bounds& bounds,
                                        count_decision change) const;
   Duration backoff(int step) const;
 
   scaling_options options_;
   scaling_record record_;
-  std::map<engine_group, group_state> states_;
-  std::map<engine_group, observed_engines> first_look_;  ///< While the usual number is not known.
-  Instant unchanged_since_{};                            ///< That look.
+  std::map<fleet::engine_group, group_state> states_;
+  std::map<fleet::engine_group, observed_engines>
+      first_look_;             ///< While the usual number is not known.
+  Instant unchanged_since_{};  ///< That look.
 };
 
 /** The most engines that open work needed lately. Pure. */
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -6,7 +6,7 @@
 
 #include "common/ids.h"
 #include "common/task.h"
-#include "gateway/scaling/scaling_bounds.h"
+#include "gateway/fleet/scaling_bounds.h"
 #include "gateway/usage/duty_port.h"
 
 namespace linenpier::scaling {
@@ -14,7 +14,7 @@
 /** That a group of a service's engines shall have so many. */
 struct count_order {
   ServiceName service;
-  engine_group group;
+  fleet::engine_group group;
   std::size_t count = 0;
 
   bool operator==(const count_order&) const = default;
--- a/src/gateway/scaling/scaling_record.cpp
+++ b/src/gateway/scaling/scaling_record.cpp
@@ -14,7 +14,7 @@
 constexpr char kKind[] = "kind";
 constexpr char kCount[] = "count";
 
-json encodeCounts(const group_counts& counts) {
+json encodeCounts(const fleet::group_counts& counts) {
   json list = json::array();
   for (const auto& [group, count] : counts) {
     list.push_back({{kZone, group.zone.str()}, {kKind, toText(group.kind)}, {kCount, count}});
@@ -22,11 +22,11 @@
   return list;
 }
 
-group_counts decodeCounts(const json& list) {
-  group_counts counts;
+fleet::group_counts decodeCounts(const json& list) {
+  fleet::group_counts counts;
   for (const json& each : list) {
-    const bool spot = each.at(kKind).get<std::string>() == toText(EngineKind::kSpot);
-    const EngineKind kind = spot ? EngineKind::kSpot : EngineKind::kOnDemand;
+    const bool spot = each.at(kKind).get<std::string>() == toText(fleet::EngineKind::kSpot);
+    const fleet::EngineKind kind = spot ? fleet::EngineKind::kSpot : fleet::EngineKind::kOnDemand;
     const ZoneName zone(each.at(kZone).get<std::string>());
     counts[{zone, kind}] = each.at(kCount).get<std::size_t>();
   }
@@ -35,11 +35,7 @@
 
 }  // namespace
 
-const char* toText(EngineKind kind) {
-  return kind == EngineKind::kSpot ? "spot" : "on_demand";
-}
-
-std::size_t scaling_record::current(const engine_group& group) const {
+std::size_t scaling_record::current(const fleet::engine_group& group) const {
   const auto last = this->ordered.find(group);
   if (last != this->ordered.end()) return last->second;
   const auto found = this->usual.find(group);
--- a/src/gateway/scaling/scaling_record.h
+++ b/src/gateway/scaling/scaling_record.h
@@ -7,18 +7,18 @@
 #include <optional>
 #include <string>
 
-#include "gateway/scaling/scaling_bounds.h"
+#include "gateway/fleet/scaling_bounds.h"
 
 namespace linenpier::scaling {
 
 struct scaling_record {
   /** What the service runs with while nothing is missing: what was there without an order. */
-  group_counts usual;
+  fleet::group_counts usual;
   /** The last order for each group, written down before it was sent. */
-  group_counts ordered;
+  fleet::group_counts ordered;
 
   /** @return how many engines the group should have by the last order. */
-  std::size_t current(const engine_group& group) const;
+  std::size_t current(const fleet::engine_group& group) const;
   bool operator==(const scaling_record&) const = default;
 };
 
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -40,8 +40,8 @@
   spawn(this->deps_.right.loop, [this] { return this->orderLoop(); });
 }
 
-std::map<ServiceName, group_counts> scaling_service::ordered() const {
-  std::map<ServiceName, group_counts> found;
+std::map<ServiceName, fleet::group_counts> scaling_service::ordered() const {
+  std::map<ServiceName, fleet::group_counts> found;
   for (const auto& [name, state] : this->services_) {
     found[name] = state.policy.record().ordered;
   }
@@ -132,7 +132,8 @@
     const engines::EngineRecord& record = engine.record;
     if (record.service != service.name) continue;
     slots = std::max(slots, record.slots);
-    const EngineKind kind = record.spot ? EngineKind::kSpot : EngineKind::kOnDemand;
+    const fleet::EngineKind kind =
+        record.spot ? fleet::EngineKind::kSpot : fleet::EngineKind::kOnDemand;
     observed_engines& seen = view.groups[{record.zone, kind}];
     ++(record.draining ? seen.draining : seen.serving);
     if (record.draining && record.leaves_in) ++seen.reclaimed;
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -54,7 +54,7 @@
   Task<void> handOver();
   const scaling_totals& totals() const { return this->totals_; }
   /** @return the last order for each group, by service; empty unless this daemon decides. */
-  std::map<ServiceName, group_counts> ordered() const;
+  std::map<ServiceName, fleet::group_counts> ordered() const;
 
  private:
   /** A service whose engines are counted. */
--- a/src/gateway/service/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -12,12 +12,12 @@
     if (!routes_ || record.draining) continue;
     const auto service = routes_->services.find(record.service);
     if (service == routes_->services.end() || !service->second.scaling) continue;
-    const auto kind = record.spot ? scaling::EngineKind::kSpot : scaling::EngineKind::kOnDemand;
-    ++state.engines_present[{record.service.str(), record.zone.str(), scaling::toText(kind)}];
+    const auto kind = record.spot ? fleet::EngineKind::kSpot : fleet::EngineKind::kOnDemand;
+    ++state.engines_present[{record.service.str(), record.zone.str(), fleet::toText(kind)}];
   }
   for (const auto& [service, counts] : scaling_.ordered()) {
     for (const auto& [group, count] : counts) {
-      state.engines_ordered[{service.str(), group.zone.str(), scaling::toText(group.kind)}] = count;
+      state.engines_ordered[{service.str(), group.zone.str(), fleet::toText(group.kind)}] = count;
     }
   }
   state.scaling_sent = scaling_.totals().sent;
--- a/src/gateway/forward/run_recorder.h
+++ b/src/gateway/usage/run_recorder.h
@@ -7,7 +7,7 @@
 #include "common/ids.h"
 #include "common/time.h"
 
-namespace linenpier::forward {
+namespace linenpier::usage {
 
 class run_recorder {
  public:
@@ -17,4 +17,4 @@
   virtual void onBegun(const TenantId& tenant, Instant at) = 0;
 };
 
-}  // namespace linenpier::forward
+}  // namespace linenpier::usage
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -16,9 +16,9 @@
 #include <functional>
 #include <optional>
 
-#include "gateway/forward/run_recorder.h"
 #include "gateway/lease/exclusive_right.h"
 #include "gateway/usage/duty_port.h"
+#include "gateway/usage/run_recorder.h"
 #include "gateway/usage/usage_counter.h"
 
 namespace linenpier::usage {
@@ -55,7 +55,7 @@
 };
 
 /** Loop thread only. */
-class usage_service : public forward::run_recorder {
+class usage_service : public run_recorder {
  public:
   /** Lets another daemon do a write. @return nothing if none did. */
   using write_by_peer = std::function<Task<std::optional<table::TransactionAnswer>>(table::Write)>;
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -6,12 +6,12 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
+using fleet::engine_group;
+using fleet::EngineKind;
+using fleet::scaling_bounds;
 using scaling::count_decision;
-using scaling::engine_group;
-using scaling::EngineKind;
 using scaling::observed_engines;
 using scaling::OrderReason;
-using scaling::scaling_bounds;
 using scaling::scaling_options;
 using scaling::scaling_policy;
 using scaling::scaling_record;
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -226,8 +226,8 @@
   cr_assert_eq(bounds->most, 32U);
   cr_assert(bounds->boot_time == std::chrono::seconds(4));
   cr_assert_eq(bounds->spot_price, 0.22);
-  cr_assert_eq(bounds->priceOf({ZoneName("b"), scaling::EngineKind::kOnDemand}), 0.8);
-  cr_assert_eq(bounds->priceOf({ZoneName("c"), scaling::EngineKind::kOnDemand}), 1.0);
+  cr_assert_eq(bounds->priceOf({ZoneName("b"), fleet::EngineKind::kOnDemand}), 0.8);
+  cr_assert_eq(bounds->priceOf({ZoneName("c"), fleet::EngineKind::kOnDemand}), 1.0);
   cr_assert_not(table->services.at(ServiceName("t")).scaling.has_value());
 }
 
