--- a/src/common/toml_reader.h
+++ b/src/common/toml_reader.h
@@ -8,13 +8,16 @@
 #include <memory>
 #include <set>
 #include <string>
+#include <vector>
 
 #include "common/address.h"
 #include "common/error.h"
-#include "daemon/settings/settings.h"
 
 namespace linenpier::settings {
 
+/// Values given on the command line, by dotted key such as "daemon.zone".
+using Overrides = std::map<std::string, std::string>;
+
 /// One settings file under reading. Keys that are never asked for are reported by `finish`.
 class TomlReader {
  public:
--- a/src/daemon/settings/settings.h
+++ b/src/daemon/settings/settings.h
@@ -13,6 +13,7 @@
 #include "common/ids.h"
 #include "common/read_file.h"
 #include "common/time.h"
+#include "common/toml_reader.h"
 
 namespace linenpier::settings {
 
@@ -34,9 +35,6 @@
   Duration drain_limit = std::chrono::seconds(30);  ///< A planned stop waits this long at most.
 };
 
-/// Values given on the command line, by dotted key such as "daemon.zone".
-using Overrides = std::map<std::string, std::string>;
-
 /// Parses and checks settings as a whole.
 /// @param file name for findings.
 /// @param text TOML text; may be empty if the overrides say everything.
