--- a/src/gateway/lease/exclusive_right.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -1,4 +1,4 @@
-#include "gateway/lease/exclusive_right.h"
+#include "gateway/lease/leader_lock.h"
 
 #include <algorithm>
 
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-std::string encodeRight(const right_value& value) {
+std::string encodeLockRow(const leader_lock_row& value) {
   return value.owner.str() + kSeparator + std::to_string(value.last_action_ms);
 }
 
-right_value decodeRight(const std::string& text) {
-  right_value value;
+leader_lock_row decodeLockRow(const std::string& text) {
+  leader_lock_row value;
   const std::size_t separator = text.find(kSeparator);
   value.owner = LeaseId(text.substr(0, separator));
   if (separator != std::string::npos) {
@@ -33,8 +33,8 @@
   return value;
 }
 
-exclusive_right::exclusive_right(const dependencies& deps, std::string name, std::string key,
-                                 handover_rules rules, on_change callback)
+leader_lock::leader_lock(const dependencies& deps, std::string name, std::string key,
+                         handover_rules rules, on_change callback)
     : deps_(deps),
       name_(std::move(name)),
       key_(std::move(key)),
@@ -42,22 +42,22 @@
       begun_at_(steadyNow()),
       on_change_(std::move(callback)) {}
 
-bool exclusive_right::held() const {
+bool leader_lock::held() const {
   return this->revision_ > 0 && this->owner_ == this->deps_.leases.own();
 }
 
-Instant exclusive_right::mayActUntil() const {
+Instant leader_lock::mayActUntil() const {
   return this->confirmed_at_ + this->deps_.leases.times().validity;
 }
 
-bool exclusive_right::mayAct(Instant now) const {
+bool leader_lock::mayAct(Instant now) const {
   return this->held() && !this->stopping_ && now >= this->may_act_at_ && now < this->mayActUntil();
 }
 
-void exclusive_right::onRow(const table::Row& row) {
+void leader_lock::onRow(const table::Row& row) {
   if (row.revision <= this->revision_) return;
   const bool was_held = this->held();
-  const right_value value = decodeRight(row.value);
+  const leader_lock_row value = decodeLockRow(row.value);
   this->revision_ = row.revision;
   this->owner_ = value.owner;
   this->last_action_ms_ = value.last_action_ms;
@@ -70,12 +70,12 @@
   this->on_change_(false);
 }
 
-void exclusive_right::onGone() {
+void leader_lock::onGone() {
   this->revision_ = 0;
   this->owner_ = LeaseId();
 }
 
-void exclusive_right::onTick(Instant now, bool row_known) {
+void leader_lock::onTick(Instant now, bool row_known) {
   const LeaseTimes& times = this->deps_.leases.times();
   if (this->held()) {
     if (now - this->confirmed_at_ < times.renewal - kProofLead || this->confirming_) return;
@@ -94,7 +94,7 @@
   spawn(this->deps_.loop, [this] { return this->acquire(); });
 }
 
-Task<void> exclusive_right::confirm() {
+Task<void> leader_lock::confirm() {
   const Revision token = this->revision_;
   const Instant sent_at = steadyNow();
   table::Write write;
@@ -117,12 +117,12 @@
   this->confirming_ = false;
 }
 
-Duration exclusive_right::pauseAfterOwnActions(Instant now) const {
+Duration leader_lock::pauseAfterOwnActions(Instant now) const {
   const Instant last = std::max(this->begun_at_, this->last_action_at_);
   return std::max<Duration>(last + this->rules_.pause - now, Duration::zero());
 }
 
-Duration exclusive_right::pauseAfter(const LeaseId& from, std::int64_t last_action_ms) const {
+Duration leader_lock::pauseAfter(const LeaseId& from, std::int64_t last_action_ms) const {
   if (this->rules_.tokens_checked) return this->pauseAfterOwnActions(steadyNow());
   if (!from.empty()) {
     // It could act until its lease ran out, some time before others may take over.
@@ -135,7 +135,7 @@
   return std::clamp(this->rules_.pause - since, Duration::zero(), this->rules_.pause);
 }
 
-Task<void> exclusive_right::acquire() {
+Task<void> leader_lock::acquire() {
   const LeaseId from = this->owner_;
   const bool confirmed = co_await this->deps_.keeper.confirmSilent(from);
   if (!confirmed || this->owner_ != from) {
@@ -149,7 +149,7 @@
   table::Write write;
   write.transaction.checks.push_back({this->key_, before});
   write.transaction.puts.push_back(
-      {this->key_, encodeRight({this->deps_.leases.own(), last_action_ms})});
+      {this->key_, encodeLockRow({this->deps_.leases.own(), last_action_ms})});
   write.transaction.puts.push_back(this->deps_.keeper.renewal());
   const Instant sent_at = steadyNow();
   const auto answer = co_await this->deps_.table.write(std::move(write));
@@ -177,7 +177,7 @@
   this->on_change_(true);
 }
 
-Task<void> exclusive_right::handOver() {
+Task<void> leader_lock::handOver() {
   this->stopping_ = true;
   if (!this->held()) co_return;
   table::Write write;
@@ -186,7 +186,7 @@
       this->last_action_at_ == Instant{}
           ? this->last_action_ms_
           : this->deps_.keeper.storeClock(this->last_action_at_) + kClockLagMs;
-  write.transaction.puts.push_back({this->key_, encodeRight({{}, last_action_ms})});
+  write.transaction.puts.push_back({this->key_, encodeLockRow({{}, last_action_ms})});
   this->owner_ = LeaseId();
   co_await this->deps_.table.write(std::move(write));
 }
--- a/src/gateway/lease/exclusive_right.h
+++ b/src/gateway/lease/leader_lock.h
@@ -29,15 +29,15 @@
 namespace linenpier::lease {
 
 /** What the row of a right says. */
-struct right_value {
+struct leader_lock_row {
   LeaseId owner;                    ///< Empty: given up.
   std::int64_t last_action_ms = 0;  ///< By the store's clock; 0: not known.
 
-  bool operator==(const right_value&) const = default;
+  bool operator==(const leader_lock_row&) const = default;
 };
 
-std::string encodeRight(const right_value& value);
-right_value decodeRight(const std::string& text);
+std::string encodeLockRow(const leader_lock_row& value);
+leader_lock_row decodeLockRow(const std::string& text);
 
 /** How one holder follows another. */
 struct handover_rules {
@@ -48,7 +48,7 @@
 };
 
 /** Loop thread only. */
-class exclusive_right {
+class leader_lock {
  public:
   struct dependencies {
     boost::asio::io_context& loop;
@@ -63,8 +63,8 @@
   /** @param name for the log, and for who takes it first.
    * @param key of the right's row.
    */
-  exclusive_right(const dependencies& deps, std::string name, std::string key, handover_rules rules,
-                  on_change callback);
+  leader_lock(const dependencies& deps, std::string name, std::string key, handover_rules rules,
+              on_change callback);
 
   /** The row, as the feed tells it. */
   void onRow(const table::Row& row);
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -27,7 +27,7 @@
   /** @return kFenced also where there are no such engines to be had now: the platform does not
    *     tell one from the other.
    */
-  virtual Task<usage::DutyAnswer> orderCount(count_order order, usage::duty_right right) = 0;
+  virtual Task<usage::DutyAnswer> orderCount(count_order order, usage::leader_proof right) = 0;
 };
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kLook = std::chrono::milliseconds(200);
 /// After a write without an answer, or rows that could not be read.
 constexpr Duration kRetryPause = std::chrono::milliseconds(300);
-constexpr char kRightName[] = "scaling";
+constexpr char kLockName[] = "scaling";
 
 std::int64_t number(std::size_t count) {
   return static_cast<std::int64_t>(count);
@@ -29,7 +29,7 @@
                                  const lease::handover_rules& handover)
     : deps_(std::move(deps)),
       options_(options),
-      right_(deps_.right, kRightName, table::rightKey(kRightName), handover, [this](bool) {
+      lock_(deps_.right, kLockName, table::lockKey(kLockName), handover, [this](bool) {
         this->rows_.reset();
         this->services_.clear();
       }) {}
@@ -50,21 +50,21 @@
 
 Task<void> scaling_service::rightLoop() {
   for (;;) {
-    co_await sleepFor(this->deps_.right.loop, this->right_.held() ? kTick : kIdleTick);
+    co_await sleepFor(this->deps_.right.loop, this->lock_.held() ? kTick : kIdleTick);
     const routing::RouteTablePtr routes = this->deps_.routes();
     bool any = false;
     if (routes) {
       for (const auto& [name, service] : routes->services) any = any || service.scaling.has_value();
     }
-    if (any || this->right_.held()) this->right_.onTick(steadyNow(), this->table_read_);
+    if (any || this->lock_.held()) this->lock_.onTick(steadyNow(), this->table_read_);
   }
 }
 
 Task<void> scaling_service::orderLoop() {
   for (;;) {
-    co_await sleepFor(this->deps_.right.loop, this->right_.held() ? kLook : kIdleTick);
+    co_await sleepFor(this->deps_.right.loop, this->lock_.held() ? kLook : kIdleTick);
     const bool settled = this->engineListSettled(steadyNow());
-    if (!settled || !this->right_.mayAct(steadyNow())) continue;
+    if (!settled || !this->lock_.mayAct(steadyNow())) continue;
     co_await this->orderNext();
   }
 }
@@ -99,7 +99,7 @@
 Task<bool> scaling_service::readRecords() {
   std::map<ServiceName, table::Row> rows;
   table::RowRange range{table::kScalingTable, "", "", 0, Duration::zero()};
-  const FencingToken token = this->right_.token();
+  const FencingToken token = this->lock_.token();
   for (;;) {
     const auto page = co_await this->deps_.right.table.read(range);
     if (!page) co_return false;
@@ -108,7 +108,7 @@
     }
     if (!table::moveBehind(*page, range)) break;
   }
-  if (!this->right_.held() || this->right_.token() != token) co_return false;
+  if (!this->lock_.held() || this->lock_.token() != token) co_return false;
   LogEvent("scaling", "records_read")
       .number("services", number(rows.size()))
       .number("token", static_cast<std::int64_t>(token));
@@ -180,15 +180,15 @@
 
 Task<bool> scaling_service::writeRecord(ServiceName name, scaling_record record) {
   const std::string key = table::scalingKey(name);
-  const FencingToken token = this->right_.token();
+  const FencingToken token = this->lock_.token();
   table::Write write;
-  write.transaction.checks.push_back(this->right_.condition());
+  write.transaction.checks.push_back(this->lock_.condition());
   write.transaction.checks.push_back({key, this->services_.at(name).revision});
   write.transaction.puts.push_back({key, encodeRecord(record)});
   const auto answer = co_await this->deps_.right.table.write(std::move(write));
   const bool done = answer && answer->committed;
   const auto at = this->services_.find(name);
-  const bool same = this->rows_ && at != this->services_.end() && this->right_.token() == token;
+  const bool same = this->rows_ && at != this->services_.end() && this->lock_.token() == token;
   if (!done) {
     LogEvent("scaling", "record_not_written")
         .text("service", name.str())
@@ -223,10 +223,10 @@
 }
 
 Task<void> scaling_service::carryOut(ServiceName name, count_decision decision) {
-  const FencingToken token = this->right_.token();
+  const FencingToken token = this->lock_.token();
   if (decision.takesAway()) {
     const bool calm = co_await this->quiet(name, decision.group.zone);
-    if (!this->rows_ || this->right_.token() != token) co_return;
+    if (!this->rows_ || this->lock_.token() != token) co_return;
     if (!calm) {
       this->services_.at(name).policy.onBusy(steadyNow(), decision);
       LogEvent("scaling", "not_quiet")
@@ -243,10 +243,10 @@
     if (!written) co_return;
   }
   const Instant sent_at = steadyNow();
-  if (!this->right_.mayAct(sent_at) || this->right_.token() != token) co_return;
-  const usage::duty_right right{this->deps_.holder, token, this->right_.mayActUntil()};
+  if (!this->lock_.mayAct(sent_at) || this->lock_.token() != token) co_return;
+  const usage::leader_proof right{this->deps_.holder, token, this->lock_.mayActUntil()};
   const count_order order{name, decision.group, decision.wanted};
-  this->right_.onActed(sent_at);
+  this->lock_.onActed(sent_at);
   ++this->totals_.sent;
   const DutyAnswer answer = co_await this->deps_.port.orderCount(order, right);
   if (answer == DutyAnswer::kUnknown) ++this->totals_.unanswered;
@@ -264,13 +264,13 @@
       .text("outcome", usage::toText(answer))
       .milliseconds("took_ms", steadyNow() - sent_at);
   const auto at = this->services_.find(name);
-  if (at == this->services_.end() || this->right_.token() != token) co_return;
+  if (at == this->services_.end() || this->lock_.token() != token) co_return;
   at->second.policy.onAnswer(steadyNow(), decision, answer);
 }
 
 Task<void> scaling_service::handOver() {
   if (this->options_.mode == ScalingMode::kFixed) co_return;
-  co_await this->right_.handOver();
+  co_await this->lock_.handOver();
 }
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -13,7 +13,7 @@
 #include <optional>
 
 #include "gateway/engines/engine_registry.h"
-#include "gateway/lease/exclusive_right.h"
+#include "gateway/lease/leader_lock.h"
 #include "gateway/scaling/scaling_policy.h"
 #include "gateway/scaling/scaling_port.h"
 #include "gateway/versions/load_demand.h"
@@ -33,7 +33,7 @@
   using ask_load = std::function<Task<std::optional<std::uint32_t>>(EngineId, Address)>;
 
   struct dependencies {
-    lease::exclusive_right::dependencies right;
+    lease::leader_lock::dependencies right;
     scaling_port& port;
     std::string holder;  ///< Name that orders carry.
     const engines::EngineRegistry& registry;
@@ -46,11 +46,11 @@
                   const lease::handover_rules& handover);
 
   void start();
-  void onRightRow(const table::Row& row) { this->right_.onRow(row); }
-  void onRightGone() { this->right_.onGone(); }
+  void onRightRow(const table::Row& row) { this->lock_.onRow(row); }
+  void onRightGone() { this->lock_.onGone(); }
   /** The table was read: unless told, there is no row of the right. */
   void onTableRead() { this->table_read_ = true; }
-  bool holdsRight() const { return this->right_.held(); }
+  bool holdsRight() const { return this->lock_.held(); }
   Task<void> handOver();
   const scaling_totals& totals() const { return this->totals_; }
   /** @return the last order for each group, by service; empty unless this daemon decides. */
@@ -81,7 +81,7 @@
 
   dependencies deps_;
   scaling_options options_;
-  lease::exclusive_right right_;
+  lease::leader_lock lock_;
   scaling_totals totals_;
   /** Empty while this holder has not read the rows. */
   std::optional<std::map<ServiceName, table::Row>> rows_;
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -319,9 +319,9 @@
     const suspects::request_key suspect(tail(table::kSuspectPrefix));
     change.gone ? suspects_.onRowGone(suspect, change.row.revision)
                 : suspects_.onRow(suspect, change.row);
-  } else if (key == table::kRightPrefix + "usage") {
+  } else if (key == table::kLockPrefix + "usage") {
     change.gone ? usage_.onRightGone() : usage_.onRightRow(change.row);
-  } else if (key == table::kRightPrefix + "scaling") {
+  } else if (key == table::kLockPrefix + "scaling") {
     change.gone ? scaling_.onRightGone() : scaling_.onRightRow(change.row);
   } else if (key == table::kClockName && !change.gone) {
     usage_.onClockRow(change.row);
--- a/src/gateway/table/store_keys.h
+++ b/src/gateway/table/store_keys.h
@@ -35,7 +35,7 @@
 inline std::string orderKey(const ServiceName& service) {
   return kCoordinationTable + "/" + kOrderPrefix + service.str();
 }
-inline const std::string kRightPrefix = "right/";  ///< Of rights to carry out duties.
+inline const std::string kLockPrefix = "right/";  ///< Of rights to carry out duties.
 inline const std::string kUsageTable = "usage";
 inline const std::string kClockTable = "clocks";
 /// A row a service: the last orders for a number of its engines.
@@ -52,8 +52,8 @@
 inline std::string suspectKey(const std::string& request) {
   return kCoordinationTable + "/" + kSuspectPrefix + request;
 }
-inline std::string rightKey(const std::string& duty) {
-  return kCoordinationTable + "/" + kRightPrefix + duty;
+inline std::string lockKey(const std::string& duty) {
+  return kCoordinationTable + "/" + kLockPrefix + duty;
 }
 inline std::string scalingKey(const ServiceName& service) {
   return kScalingTable + "/" + service.str();
--- a/src/gateway/usage/duty_port.h
+++ b/src/gateway/usage/duty_port.h
@@ -23,7 +23,7 @@
 const char* toText(DutyAnswer answer);
 
 /** Under which right a call is made. */
-struct duty_right {
+struct leader_proof {
   std::string holder;
   FencingToken token = 0;
   Instant send_by{};  ///< The call is sent until then or not at all.
@@ -41,7 +41,7 @@
  public:
   virtual ~duty_port() = default;
 
-  virtual Task<DutyAnswer> reportUsage(usage_report report, duty_right right) = 0;
+  virtual Task<DutyAnswer> reportUsage(usage_report report, leader_proof right) = 0;
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_service.cpp
+++ b/src/gateway/usage/usage_service.cpp
@@ -43,11 +43,11 @@
 usage_service::usage_service(dependencies deps, const usage_options& options)
     : deps_(std::move(deps)),
       options_(options),
-      right_(deps_.right, "usage", table::rightKey("usage"), options.handover,
-             [this](bool held) {
-               this->progress_.reset();
-               if (held) this->acquired_at_ = steadyNow();
-             }),
+      lock_(deps_.right, "usage", table::lockKey("usage"), options.handover,
+            [this](bool held) {
+              this->progress_.reset();
+              if (held) this->acquired_at_ = steadyNow();
+            }),
       counted_(deps_.right.loop) {}
 
 void usage_service::start() {
@@ -178,18 +178,18 @@
 
 Task<void> usage_service::rightLoop() {
   for (;;) {
-    co_await sleepFor(this->deps_.right.loop, this->right_.held() ? kTick : kIdleTick);
+    co_await sleepFor(this->deps_.right.loop, this->lock_.held() ? kTick : kIdleTick);
     const Instant now = steadyNow();
     if (!this->deps_.right.leases.storeHealthy()) this->store_back_at_ = now;
-    this->right_.onTick(now, this->table_read_);
+    this->lock_.onTick(now, this->table_read_);
   }
 }
 
 Task<void> usage_service::reportLoop() {
   for (;;) {
-    co_await sleepFor(this->deps_.right.loop, this->right_.held() ? kTick : kIdleTick);
+    co_await sleepFor(this->deps_.right.loop, this->lock_.held() ? kTick : kIdleTick);
     const Instant now = steadyNow();
-    const bool able = this->right_.mayAct(now);
+    const bool able = this->lock_.mayAct(now);
     // Whoever could not prove its right did not reach the store, and others may not have either.
     if (able && !this->was_able_) this->store_back_at_ = now;
     this->was_able_ = able;
@@ -273,7 +273,7 @@
                     std::abs(*median - *this->offset_ms_) < this->options_.worth_correcting_ms;
   if (good) co_return;
   table::Write write;
-  write.transaction.checks.push_back(this->right_.condition());
+  write.transaction.checks.push_back(this->lock_.condition());
   write.transaction.checks.push_back({table::clockKey(), this->clock_revision_});
   write.transaction.puts.push_back({table::clockKey(), std::to_string(*median)});
   const auto answer = co_await this->deps_.right.table.write(std::move(write));
@@ -308,13 +308,13 @@
     }
     if (!table::moveBehind(*page, range)) break;
   }
-  if (!this->progress_ || !this->right_.mayAct(steadyNow())) co_return;
+  if (!this->progress_ || !this->lock_.mayAct(steadyNow())) co_return;
   progress next;
   next.report = {window, std::move(sum)};
   const std::string value = std::to_string(window) + " " + encodeCounts(next.report.counts);
   const std::string key = table::kUsageTable + "/" + table::kUsageProgress;
   table::Write write;
-  write.transaction.checks.push_back(this->right_.condition());
+  write.transaction.checks.push_back(this->lock_.condition());
   write.transaction.checks.push_back({key, this->progress_->revision});
   write.transaction.puts.push_back({key, value});
   const auto answer = co_await this->deps_.right.table.write(std::move(write));
@@ -337,7 +337,7 @@
   spawn(this->deps_.right.loop, [this, obsolete] { return this->removeRows(obsolete); });
   next.revision = answer->revision;
   this->progress_ = std::move(next);
-  if (this->right_.mayAct(steadyNow())) {
+  if (this->lock_.mayAct(steadyNow())) {
     co_await this->send();
   }
 }
@@ -359,9 +359,9 @@
 
 Task<void> usage_service::send() {
   const usage_report report = this->progress_->report;
-  const duty_right right{this->deps_.holder, this->right_.token(), this->right_.mayActUntil()};
+  const leader_proof right{this->deps_.holder, this->lock_.token(), this->lock_.mayActUntil()};
   const Instant sent_at = steadyNow();
-  this->right_.onActed(sent_at);
+  this->lock_.onActed(sent_at);
   const DutyAnswer answer = co_await this->deps_.port.reportUsage(report, right);
   const Duration took = steadyNow() - sent_at;
   LogEvent("usage", "report_answered")
@@ -379,7 +379,7 @@
 }
 
 Task<void> usage_service::handOver() {
-  co_await this->right_.handOver();
+  co_await this->lock_.handOver();
 }
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -16,7 +16,7 @@
 #include <functional>
 #include <optional>
 
-#include "gateway/lease/exclusive_right.h"
+#include "gateway/lease/leader_lock.h"
 #include "gateway/usage/duty_port.h"
 #include "gateway/usage/run_recorder.h"
 #include "gateway/usage/usage_counter.h"
@@ -61,7 +61,7 @@
   using write_by_peer = std::function<Task<std::optional<table::TransactionAnswer>>(table::Write)>;
 
   struct dependencies {
-    lease::exclusive_right::dependencies right;
+    lease::leader_lock::dependencies right;
     duty_port& port;
     std::string holder;  ///< Name that reports carry.
     std::function<std::int64_t()> time_of_day_ms;
@@ -73,11 +73,11 @@
   void onBegun(const TenantId& tenant, Instant at) override;
   /** The row that says what true time is. */
   void onClockRow(const table::Row& row);
-  void onRightRow(const table::Row& row) { this->right_.onRow(row); }
-  void onRightGone() { this->right_.onGone(); }
+  void onRightRow(const table::Row& row) { this->lock_.onRow(row); }
+  void onRightGone() { this->lock_.onGone(); }
   /** The table was read: unless told, there is no row of the right. */
   void onTableRead() { this->table_read_ = true; }
-  bool holdsRight() const { return this->right_.held(); }
+  bool holdsRight() const { return this->lock_.held(); }
   /** Gives the right up; counts go on being written. */
   Task<void> handOver();
   /** @return whether counts wait to be written. */
@@ -119,7 +119,7 @@
   usage_options options_;
   usage_counter counter_;
   usage_totals totals_;
-  lease::exclusive_right right_;
+  lease::leader_lock lock_;
   Signal counted_;
   std::optional<std::int64_t> offset_ms_;  ///< True time less the store's clock, as agreed.
   Revision clock_revision_ = 0;
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -53,8 +53,8 @@
   spawn(deps_.loop, [this] { return tickLoop(); });
 }
 
-OrderService::Right::Right(const lease::exclusive_right::dependencies& deps,
-                           const ServiceName& service, const OrderOptions& options)
+OrderService::Right::Right(const lease::leader_lock::dependencies& deps, const ServiceName& service,
+                           const OrderOptions& options)
     : rollout(options.rollout),
       right(deps, "order/" + service.str(), table::orderKey(service), options.handover,
             [this](bool) { rollout.reset(); }) {}
@@ -62,8 +62,8 @@
 OrderService::Right& OrderService::rightOf(const ServiceName& service) {
   auto& right = rights_[service];
   if (!right) {
-    const lease::exclusive_right::dependencies deps{deps_.loop, deps_.table, deps_.leases,
-                                                    deps_.keeper, deps_.pool};
+    const lease::leader_lock::dependencies deps{deps_.loop, deps_.table, deps_.leases, deps_.keeper,
+                                                deps_.pool};
     right = std::make_unique<Right>(deps, service, options_);
     for (const auto& [model, version] : named_) right->rollout.onNamed(steadyNow(), model, version);
   }
--- a/src/gateway/versions/order_service.h
+++ b/src/gateway/versions/order_service.h
@@ -8,7 +8,7 @@
 #include <map>
 #include <memory>
 
-#include "gateway/lease/exclusive_right.h"
+#include "gateway/lease/leader_lock.h"
 #include "gateway/versions/version_rollout.h"
 
 namespace linenpier::versions {
@@ -74,11 +74,11 @@
  private:
   /// A service's right, and what its holder does.
   struct Right {
-    Right(const lease::exclusive_right::dependencies& deps, const ServiceName& service,
+    Right(const lease::leader_lock::dependencies& deps, const ServiceName& service,
           const OrderOptions& options);
 
     VersionRollout rollout;
-    lease::exclusive_right right;
+    lease::leader_lock right;
   };
   Right& rightOf(const ServiceName& service);
   Task<void> tickLoop();
--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -6,7 +6,7 @@
 #include "documents.h"
 #include "gateway/batch/checkpoint.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/lease/exclusive_right.h"
+#include "gateway/lease/leader_lock.h"
 #include "gateway/lease/lease_table.h"
 #include "gateway/service/peer_snapshot.h"
 #include "gateway/suspects/suspect_record.h"
@@ -59,10 +59,10 @@
 }
 
 Test(earlier_build, its_rights_are_read_and_written_alike) {
-  const lease::right_value right = lease::decodeRight(kRight);
+  const lease::leader_lock_row right = lease::decodeLockRow(kRight);
   cr_assert_eq(right.owner.str(), "d-1#0123456789abcdef");
   cr_assert_eq(right.last_action_ms, 98765);
-  cr_assert_eq(lease::encodeRight(right), kRight);
+  cr_assert_eq(lease::encodeLockRow(right), kRight);
 }
 
 Test(earlier_build, its_jobs_are_read_and_written_alike) {
