--- a/src/gateway/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -70,8 +70,9 @@
     const bool own = owner == deps_.leases.own();
     choice.previous_zone = own ? deps_.pool.zone() : deps_.leases.zoneOf(owner);
   }
-  const std::optional<fleet::home_regions> homes = homesOf(record);
-  if (homes) choice = atHome(std::move(choice), *homes, deps_.engines.registry.layout());
+  const std::optional<fleet::data_residency> residency = residencyOf(record);
+  if (residency)
+    choice = withinResidency(std::move(choice), *residency, deps_.engines.registry.layout());
   for (const auto& [id, job] : jobs_) {
     if (job.record.ended) continue;
     if (job.record.owner == choice.previous) choice.previous_items += job.record.total;
@@ -154,9 +155,9 @@
   if (!job->items.empty()) record.model = job->items.front().model;
   const routing::RouteTablePtr table = deps_.routes();
   record.other_routes = otherRoutes(*table, route, record.host, *job);
-  if (!servedAtHome(route, record)) {
+  if (!servedWithinResidency(route, record)) {
     ++counts_.refused;
-    ++counts_.refused_for_home;
+    ++counts_.refused_for_residency;
     logOutcome("no_engine_at_home", kUnavailable);
     co_await answer(writer, kUnavailable);
     co_return;
--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -104,7 +104,7 @@
   const routing::RouteTablePtr table = deps_.routes();
   engines::PickRequest wanted =
       pickRequestFor(active.run, item, route, *table, options_.requests_per_slot);
-  wanted.homes = homesOfItem(active, item, *table, route);
+  wanted.residency = residencyOfItem(active, item, *table, route);
   return wanted;
 }
 
--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -66,8 +66,8 @@
   std::uint64_t refused = 0;
   std::uint64_t taken_over = 0;
   std::uint64_t lost = 0;
-  std::uint64_t refused_for_home = 0;  ///< Of `refused`: no engine at home.
-  std::uint64_t given_to_home = 0;     ///< Jobs given up since this daemon is not at home.
+  std::uint64_t refused_for_residency = 0;   ///< Of `refused`: no engine at home.
+  std::uint64_t given_up_for_residency = 0;  ///< Jobs given up since this daemon is not at home.
   std::uint64_t ended = 0;
   std::uint64_t completed = 0;
   std::uint64_t terminated = 0;
--- a/src/gateway/batch/batch_homes.cpp
+++ b/src/gateway/batch/batch_residency.cpp
@@ -6,7 +6,7 @@
 #include "common/event_log.h"
 #include "gateway/batch/active_job.h"
 #include "gateway/batch/batch_service.h"
-#include "gateway/tenants/homes.h"
+#include "gateway/tenants/residency.h"
 
 namespace linenpier::batch {
 
@@ -16,7 +16,7 @@
 
 /// A job that is left alone for this long has nobody at home: those who are there take it within a
 /// second or two.
-constexpr Duration kHomeSilence = std::chrono::seconds(3);
+constexpr Duration kResidencySilence = std::chrono::seconds(3);
 constexpr Duration kWaitLinePeriod = std::chrono::seconds(10);
 
 std::string pathOf(const std::string& target) {
@@ -29,10 +29,11 @@
   return at == table.routes.end() ? nullptr : &*at;
 }
 
-std::string namesOf(const fleet::home_regions& homes) {
-  if (!homes.bound()) return "anywhere";
+std::string namesOf(const fleet::data_residency& residency) {
+  if (!residency.bound()) return "anywhere";
   std::string names;
-  for (const RegionName& each : homes.regions()) names += (names.empty() ? "" : ",") + each.str();
+  for (const RegionName& each : residency.regions())
+    names += (names.empty() ? "" : ",") + each.str();
   return names.empty() ? "nowhere" : names;
 }
 
@@ -52,25 +53,25 @@
   return others;
 }
 
-std::optional<fleet::home_regions> BatchService::homesOf(const JobRecord& record) const {
+std::optional<fleet::data_residency> BatchService::residencyOf(const JobRecord& record) const {
   routing::RouteTablePtr table;
   const routing::Route* route = routeOf(record, table);
   if (!table) return std::nullopt;
-  fleet::home_regions homes = tenants::homesOf(*table, route, record.tenant);
+  fleet::data_residency residency = tenants::residencyOf(*table, route, record.tenant);
   for (const RouteName& name : record.other_routes) {
     const routing::Route* other = routeNamed(*table, name);
-    if (other != nullptr) homes = homes.both(other->homes);
+    if (other != nullptr) residency = residency.both(other->residency);
   }
-  return homes;
+  return residency;
 }
 
-fleet::home_regions BatchService::homesOfItem(const Active& active, ItemIndex item,
-                                              const routing::RouteTable& table,
-                                              const routing::Route& route) const {
-  const fleet::home_regions homes = tenants::homesOf(table, &route, active.record.tenant);
+fleet::data_residency BatchService::residencyOfItem(const Active& active, ItemIndex item,
+                                                    const routing::RouteTable& table,
+                                                    const routing::Route& route) const {
+  const fleet::data_residency residency = tenants::residencyOf(table, &route, active.record.tenant);
   const std::string path = pathOf(active.run.job().items[item].path);
   const routing::Route* own = table.find(active.record.host, path);
-  return own == nullptr ? homes : homes.both(own->homes);
+  return own == nullptr ? residency : residency.both(own->residency);
 }
 
 RegionName BatchService::ownRegion() const {
@@ -78,40 +79,41 @@
 }
 
 bool BatchService::mayOwn(const JobRecord& record) const {
-  const std::optional<fleet::home_regions> homes = homesOf(record);
-  return homes && homes->allows(ownRegion());
+  const std::optional<fleet::data_residency> residency = residencyOf(record);
+  return residency && residency->allows(ownRegion());
 }
 
-bool BatchService::servedAtHome(const routing::Route& route, const JobRecord& record) const {
-  const std::optional<fleet::home_regions> owners = homesOf(record);
+bool BatchService::servedWithinResidency(const routing::Route& route,
+                                         const JobRecord& record) const {
+  const std::optional<fleet::data_residency> owners = residencyOf(record);
   if (!owners) return false;
   const bool owned_nowhere = owners->bound() && owners->regions().empty();
   const routing::RouteTablePtr table = deps_.routes();
   engines::PickRequest wanted;
   wanted.service = route.services.front().service;
-  wanted.homes = tenants::homesOf(*table, &route, record.tenant);
-  if (!wanted.homes.bound() && !owned_nowhere) return true;
+  wanted.residency = tenants::residencyOf(*table, &route, record.tenant);
+  if (!wanted.residency.bound() && !owned_nowhere) return true;
   const bool any = deps_.engines.registry.anyInPlace(wanted);
   if (any && !owned_nowhere) return true;
   LogEvent("batch", "no_engine_at_home")
       .text("batch", record.id.str())
       .text("service", wanted.service.str())
-      .text("homes", namesOf(wanted.homes))
+      .text("homes", namesOf(wanted.residency))
       .text("homes_of_owner", namesOf(*owners))
       .text("refusals", deps_.engines.registry.lastRefusals().describe());
   return false;
 }
 
-bool BatchService::settleHome(const JobId& id, Job& job) {
+bool BatchService::settleResidency(const JobId& id, Job& job) {
   const bool open = !job.record.ended && job.record.released < job.record.total;
   if (!open || job.activating || stopping_ || job.record.owner != deps_.leases.own()) return true;
-  const std::optional<fleet::home_regions> homes = homesOf(job.record);
-  if (!homes) return true;
-  const bool at_home = homes->allows(ownRegion());
-  if (at_home && !job.resumes_at_home) return true;
+  const std::optional<fleet::data_residency> residency = residencyOf(job.record);
+  if (!residency) return true;
+  const bool within_residency = residency->allows(ownRegion());
+  if (within_residency && !job.resumes_within_residency) return true;
   job.activating = true;
-  job.resumes_at_home = false;
-  if (at_home) {
+  job.resumes_within_residency = false;
+  if (within_residency) {
     spawn(deps_.loop, [this, id] { return resume(id); });
   } else {
     spawn(deps_.loop, [this, id] { return giveUp(id); });
@@ -122,34 +124,34 @@
 Task<void> BatchService::giveUp(JobId id) {
   const auto known = jobs_.find(id);
   if (known == jobs_.end()) co_return;
-  const std::optional<fleet::home_regions> homes = homesOf(known->second.record);
+  const std::optional<fleet::data_residency> residency = residencyOf(known->second.record);
   LogEvent("batch", "given_up")
       .text("batch", id.str())
       .text("reason", "not_at_home")
-      .text("homes", homes ? namesOf(*homes) : "not_known")
+      .text("homes", residency ? namesOf(*residency) : "not_known")
       .text("region", ownRegion().str());
-  ++counts_.given_to_home;
+  ++counts_.given_up_for_residency;
   co_await handOverJob(id);
   const auto at = jobs_.find(id);
   const bool still_owned = at != jobs_.end() && at->second.record.owner == deps_.leases.own();
   if (still_owned) {
     // The store did not take it. Homes may change back until it does.
-    at->second.resumes_at_home = true;
+    at->second.resumes_within_residency = true;
     co_await sleepFor(deps_.loop, options_.store_pause);
   }
   if (const auto job = jobs_.find(id); job != jobs_.end()) job->second.activating = false;
 }
 
-void BatchService::noteAwaitsHome(Instant now, const JobId& id, Job& job) {
+void BatchService::noteAwaitsResidency(Instant now, const JobId& id, Job& job) {
   const bool open = job.record.released < job.record.total;
-  if (!open || now - job.orphaned_at < kHomeSilence) return;
-  ++awaiting_home_;
+  if (!open || now - job.orphaned_at < kResidencySilence) return;
+  ++awaiting_residency_;
   if (now < next_wait_line_) return;
   next_wait_line_ = now + kWaitLinePeriod;
-  const std::optional<fleet::home_regions> homes = homesOf(job.record);
+  const std::optional<fleet::data_residency> residency = residencyOf(job.record);
   LogEvent("batch", "waits_for_home")
       .text("batch", id.str())
-      .text("homes", homes ? namesOf(*homes) : "not_known")
+      .text("homes", residency ? namesOf(*residency) : "not_known")
       .text("region", ownRegion().str())
       .text("owner", job.record.owner.str())
       .milliseconds("waits_ms", now - job.orphaned_at);
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -94,8 +94,8 @@
 
 void BatchService::resumeOwn(const JobId& id, Job& job) {
   // The next look settles whether this daemon is at home for it.
-  job.resumes_at_home = !mayOwn(job.record);
-  if (job.resumes_at_home) return;
+  job.resumes_within_residency = !mayOwn(job.record);
+  if (job.resumes_within_residency) return;
   job.activating = true;
   spawn(deps_.loop, [this, id] { return resume(id); });
 }
@@ -121,9 +121,9 @@
 void BatchService::checkOwners(Instant now) {
   // What may be removed from the store need not be kept in memory.
   const Duration keep = std::min(options_.keep_ended, options_.keep_jobs);
-  awaiting_home_ = 0;
+  awaiting_residency_ = 0;
   for (auto& [id, job] : jobs_) {
-    if (!settleHome(id, job)) continue;
+    if (!settleResidency(id, job)) continue;
     if (job.active && job.active->stopped && job.active->calls.empty() &&
         job.active->scorings.empty() && now - job.active->stopped_at > keep) {
       job.active.reset();
@@ -139,7 +139,7 @@
     if (!deps_.leases.storeHealthy() || !deps_.leases.expired(job.record.owner)) continue;
     if (job.orphaned_at == Instant{}) job.orphaned_at = now;
     if (!mayOwn(job.record)) {
-      noteAwaitsHome(now, id, job);
+      noteAwaitsResidency(now, id, job);
       continue;
     }
     const bool own = deps_.leases.isEarlierSelf(job.record.owner);
@@ -202,7 +202,7 @@
     if (known == jobs_.end()) break;
     const JobRecord record = known->second.record;
     if (!mayOwn(record)) {
-      known->second.resumes_at_home = true;
+      known->second.resumes_within_residency = true;
       break;
     }
     const auto bytes = co_await deps_.store.getJob(record);
@@ -315,7 +315,7 @@
 
 BatchService::Work BatchService::work() const {
   Work work;
-  work.awaiting_home = awaiting_home_;
+  work.awaiting_residency = awaiting_residency_;
   for (const auto& [id, job] : jobs_) {
     if (!job.active || job.active->stopped) continue;
     ++work.jobs;
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -25,7 +25,7 @@
 #include "gateway/batch/moves_planned.h"
 #include "gateway/batch/run_moves.h"
 #include "gateway/batch/runs_leaving.h"
-#include "gateway/fleet/home_regions.h"
+#include "gateway/fleet/data_residency.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/http/server.h"
@@ -106,8 +106,8 @@
     std::size_t waiting = 0;
     std::size_t running = 0;
     std::size_t unscored = 0;
-    std::size_t in_closed_zones = 0;  ///< Of those that run.
-    std::size_t awaiting_home = 0;    ///< Jobs of anybody that nobody at home takes up.
+    std::size_t in_closed_zones = 0;     ///< Of those that run.
+    std::size_t awaiting_residency = 0;  ///< Jobs of anybody that nobody at home takes up.
   };
   Work work() const;
   /// @return runs of owned jobs at engines of the zone.
@@ -124,7 +124,7 @@
     ActivePtr active;  ///< Set while this daemon owns and runs it.
     bool activating = false;
     /// It was given to this daemon, or kept by it, while it was not known to be at home.
-    bool resumes_at_home = false;
+    bool resumes_within_residency = false;
     Instant orphaned_at{};            ///< When its owner was first seen to be gone.
     std::shared_ptr<Signal> changed;  ///< The row has changed; set while readers wait.
   };
@@ -153,24 +153,24 @@
   std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
                                   const std::string& host, const BatchJob& job) const;
   /// @return where the job may be; nothing before there is a configuration.
-  std::optional<fleet::home_regions> homesOf(const JobRecord& record) const;
+  std::optional<fleet::data_residency> residencyOf(const JobRecord& record) const;
   /// @return where an item of the job may be served.
-  fleet::home_regions homesOfItem(const Active& active, ItemIndex item,
-                                  const routing::RouteTable& table,
-                                  const routing::Route& route) const;
+  fleet::data_residency residencyOfItem(const Active& active, ItemIndex item,
+                                        const routing::RouteTable& table,
+                                        const routing::Route& route) const;
   RegionName ownRegion() const;
   /// @return whether the job may be here.
   bool mayOwn(const JobRecord& record) const;
   /// @return whether the job may be owned somewhere, and an engine of the route's service is where
   ///     its items may be.
-  bool servedAtHome(const routing::Route& route, const JobRecord& record) const;
+  bool servedWithinResidency(const routing::Route& route, const JobRecord& record) const;
   /// Gives the job up if this daemon owns it and it must not be here; goes on with it where that
   /// was not known.
   /// @return whether it was left alone.
-  bool settleHome(const JobId& id, Job& job);
+  bool settleResidency(const JobId& id, Job& job);
   Task<void> giveUp(JobId id);
   /// Nobody owns the job, and this daemon must not.
-  void noteAwaitsHome(Instant now, const JobId& id, Job& job);
+  void noteAwaitsResidency(Instant now, const JobId& id, Job& job);
 
   /// @return who should run a job that is handed in here; nobody, if those who may are not known.
   LeaseId ownerFor(Instant now, const JobRecord& record) const;
@@ -289,8 +289,8 @@
   length_estimate lengths_;
   runs_leaving leaving_;
   std::size_t waiting_readers_ = 0;
-  std::size_t awaiting_home_ = 0;  ///< Jobs that nobody at home takes up, at the last look.
-  Instant next_wait_line_{};       ///< When the next line on them may be written.
+  std::size_t awaiting_residency_ = 0;  ///< Jobs that nobody at home takes up, at the last look.
+  Instant next_wait_line_{};            ///< When the next line on them may be written.
   bool stopping_ = false;
   logging::SuccessSampler sampler_{kFullLinesPerSecond, kThenOneIn};
   item_scorer scorer_;
--- a/src/gateway/batch/owner_choice.cpp
+++ b/src/gateway/batch/owner_choice.cpp
@@ -28,12 +28,12 @@
 
 }  // namespace
 
-OwnerChoice atHome(OwnerChoice choice, const fleet::home_regions& homes,
-                   const fleet::fleet_layout& layout) {
+OwnerChoice withinResidency(OwnerChoice choice, const fleet::data_residency& residency,
+                            const fleet::fleet_layout& layout) {
   std::erase_if(choice.candidates, [&](const lease::OwnerCandidate& each) {
-    return !homes.allows(layout.regionOf(each.zone));
+    return !residency.allows(layout.regionOf(each.zone));
   });
-  if (!homes.allows(layout.regionOf(choice.previous_zone))) choice.previous = LeaseId();
+  if (!residency.allows(layout.regionOf(choice.previous_zone))) choice.previous = LeaseId();
   return choice;
 }
 
--- a/src/gateway/batch/owner_choice.h
+++ b/src/gateway/batch/owner_choice.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "gateway/batch/batch_types.h"
+#include "gateway/fleet/data_residency.h"
 #include "gateway/fleet/fleet_layout.h"
-#include "gateway/fleet/home_regions.h"
 #include "gateway/lease/lease_table.h"
 
 namespace linenpier::batch {
@@ -28,8 +28,8 @@
 };
 
 /// @return the choice without those that are elsewhere, or that told no zone of the layout.
-OwnerChoice atHome(OwnerChoice choice, const fleet::home_regions& homes,
-                   const fleet::fleet_layout& layout);
+OwnerChoice withinResidency(OwnerChoice choice, const fleet::data_residency& residency,
+                            const fleet::fleet_layout& layout);
 
 /// @return the owner; `own` where nobody offers.
 LeaseId chooseOwner(const OwnerChoice& choice, const LeaseId& own);
--- a/src/gateway/engines/engine_admission.cpp
+++ b/src/gateway/engines/engine_admission.cpp
@@ -14,7 +14,7 @@
       return "draining";
     case EngineRefusal::kZoneClosed:
       return "zone_closed";
-    case EngineRefusal::kNotAtHome:
+    case EngineRefusal::kOutsideResidency:
       return "not_at_home";
     case EngineRefusal::kOlderVersion:
       return "older_version";
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -19,11 +19,11 @@
   kNone,          ///< It may be sent the request.
   kOtherService,  ///< It does not serve the service; not counted.
   kDraining,
-  kZoneClosed,    ///< The operator closed its zone.
-  kNotAtHome,     ///< It is in a region where the request must not be.
-  kOlderVersion,  ///< Its weights are not those that the request needs.
-  kCold,          ///< It started lately, or may have, and was sent its share of what it bears.
-  kLoading,       ///< It changes its weights.
+  kZoneClosed,        ///< The operator closed its zone.
+  kOutsideResidency,  ///< It is in a region where the request must not be.
+  kOlderVersion,      ///< Its weights are not those that the request needs.
+  kCold,              ///< It started lately, or may have, and was sent its share of what it bears.
+  kLoading,           ///< It changes its weights.
   kFull,
   kEjected,   ///< It failed lately.
   kExcluded,  ///< The request was there already.
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -361,8 +361,8 @@
   if (engine.record.service != request.service) return EngineRefusal::kOtherService;
   if (engine.record.draining) return EngineRefusal::kDraining;
   if (closed_.contains(engine.record.zone)) return EngineRefusal::kZoneClosed;
-  const bool at_home = request.homes.allows(layout_.regionOf(engine.record.zone));
-  return at_home ? EngineRefusal::kNone : EngineRefusal::kNotAtHome;
+  const bool within_residency = request.residency.allows(layout_.regionOf(engine.record.zone));
+  return within_residency ? EngineRefusal::kNone : EngineRefusal::kOutsideResidency;
 }
 
 EngineRefusal EngineRegistry::admitVersion(const EngineState& engine,
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -22,8 +22,8 @@
 #include "gateway/engines/engine_start.h"
 #include "gateway/engines/lasting_slowness.h"
 #include "gateway/fleet/closed_zones.h"
+#include "gateway/fleet/data_residency.h"
 #include "gateway/fleet/fleet_layout.h"
-#include "gateway/fleet/home_regions.h"
 #include "gateway/routing/route_table.h"
 
 namespace linenpier::engines {
@@ -128,7 +128,7 @@
   std::set<EngineId> excluded;
   ModelName model;  ///< Empty: any.
   WeightVersion minimum_version = 0;
-  fleet::home_regions homes;  ///< Only engines there.
+  fleet::data_residency residency;  ///< Only engines there.
   /// Only engines with this version: a text that one version must make goes on there.
   std::optional<WeightVersion> exact_version;
   /// Engines with the newest version keep it longest: a text that one version must make ends there.
--- a/src/gateway/fleet/home_regions.h
+++ b/src/gateway/fleet/data_residency.h
@@ -13,12 +13,12 @@
 
 namespace linenpier::fleet {
 
-class home_regions {
+class data_residency {
  public:
   /** Anywhere. */
-  home_regions() = default;
+  data_residency() = default;
   /** In these regions alone; nowhere if there are none. */
-  explicit home_regions(std::set<RegionName> regions) : regions_(std::move(regions)) {}
+  explicit data_residency(std::set<RegionName> regions) : regions_(std::move(regions)) {}
 
   /** @return whether there are regions in which it must not be. */
   bool bound() const { return this->regions_.has_value(); }
@@ -30,16 +30,16 @@
   std::set<RegionName> regions() const { return this->regions_.value_or(std::set<RegionName>{}); }
 
   /** @return where both allow it, such as a route's homes and those of its caller. */
-  home_regions both(const home_regions& other) const {
+  data_residency both(const data_residency& other) const {
     if (!this->bound()) return other;
     if (!other.bound()) return *this;
     std::set<RegionName> common;
     std::set_intersection(this->regions_->begin(), this->regions_->end(), other.regions_->begin(),
                           other.regions_->end(), std::inserter(common, common.end()));
-    return home_regions(std::move(common));
+    return data_residency(std::move(common));
   }
 
-  bool operator==(const home_regions&) const = default;
+  bool operator==(const data_residency&) const = default;
 
  private:
   std::optional<std::set<RegionName>> regions_;
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 
 #include "gateway/suspects/request_key.h"
-#include "gateway/tenants/homes.h"
+#include "gateway/tenants/residency.h"
 
 namespace linenpier::forward {
 
@@ -77,13 +77,13 @@
   }
 }
 
-fleet::home_regions Forwarder::homesOf(const ForwardedRequest& forwarded) const {
+fleet::data_residency Forwarder::residencyOf(const ForwardedRequest& forwarded) const {
   const routing::RouteTablePtr newest = newest_ ? newest_() : forwarded.table;
   const std::string target(forwarded.request->target());
   const std::string path = target.substr(0, target.find('?'));
   const routing::Route* route = newest->find(http::fieldText(*forwarded.request, "Host"), path);
   if (route == nullptr) route = forwarded.route;
-  return tenants::homesOf(*newest, route, forwarded.from.tenant);
+  return tenants::residencyOf(*newest, route, forwarded.from.tenant);
 }
 
 const engines::EngineState* Forwarder::pickEngine(ForwardedRequest& forwarded,
@@ -92,7 +92,7 @@
   wanted.excluded = tried;
   wanted.most_per_slot = forwarded.most_per_slot;
   wanted.model = ModelName(http::fieldText(*forwarded.request, context_.names.model));
-  wanted.homes = homesOf(forwarded);
+  wanted.residency = residencyOf(forwarded);
   const engines::EngineState* engine = pickFrom(forwarded, wanted);
   if (engine == nullptr) forwarded.refusals = context_.registry.lastRefusals();
   return engine;
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -68,7 +68,9 @@
 
   /// Homes are those of the newest table from now on, also for requests that came under an older
   /// one.
-  void followHomes(std::function<routing::RouteTablePtr()> newest) { newest_ = std::move(newest); }
+  void followResidency(std::function<routing::RouteTablePtr()> newest) {
+    newest_ = std::move(newest);
+  }
   /// Answers the request in every case, unless the client is gone.
   Task<void> serve(routing::RouteTablePtr table, const routing::Route& route, tenants::caller from,
                    const http::Request& request, Instant received, http::ResponseWriter& writer);
@@ -120,7 +122,7 @@
   const engines::EngineState* pickFrom(const ForwardedRequest& forwarded,
                                        engines::PickRequest& wanted);
   /// @return where the request may be served.
-  fleet::home_regions homesOf(const ForwardedRequest& forwarded) const;
+  fleet::data_residency residencyOf(const ForwardedRequest& forwarded) const;
   http::Request outgoing(const ForwardedRequest& forwarded, Instant now) const;
   Instant deadlineOf(const routing::Route& route, const http::Request& request,
                      Instant received) const;
--- a/src/gateway/routing/route_table.h
+++ b/src/gateway/routing/route_table.h
@@ -13,7 +13,7 @@
 
 #include "common/ids.h"
 #include "common/time.h"
-#include "gateway/fleet/home_regions.h"
+#include "gateway/fleet/data_residency.h"
 #include "gateway/fleet/scaling_bounds.h"
 #include "gateway/http/server.h"
 #include "gateway/routing/tenant_table.h"
@@ -44,9 +44,9 @@
   std::vector<WeightedService> services;  ///< At least one.
   Duration timeout = std::chrono::seconds(30);
   Duration target_latency = std::chrono::seconds(1);
-  Duration target_finish{};   ///< Batch: all results are due this long after the hand-in.
-  Duration queue_limit{};     ///< Batch: an item may be given up this long after the hand-in.
-  fleet::home_regions homes;  ///< Where its requests may be served, cached and stored.
+  Duration target_finish{};         ///< Batch: all results are due this long after the hand-in.
+  Duration queue_limit{};           ///< Batch: an item may be given up this long after the hand-in.
+  fleet::data_residency residency;  ///< Where its requests may be served, cached and stored.
   int priority = 5;
   int max_attempts = 1;
   bool sticky = false;
--- a/src/gateway/routing/tenant_table.cpp
+++ b/src/gateway/routing/tenant_table.cpp
@@ -87,9 +87,10 @@
   return at == this->by_name_.end() ? std::nullopt : this->tenants_[at->second].priority;
 }
 
-fleet::home_regions tenant_table::homesOf(const TenantId& name) const {
+fleet::data_residency tenant_table::residencyOf(const TenantId& name) const {
   const auto at = this->by_name_.find(name);
-  return at == this->by_name_.end() ? fleet::home_regions() : this->tenants_[at->second].homes;
+  return at == this->by_name_.end() ? fleet::data_residency()
+                                    : this->tenants_[at->second].residency;
 }
 
 }  // namespace linenpier::routing
--- a/src/gateway/routing/tenant_table.h
+++ b/src/gateway/routing/tenant_table.h
@@ -17,7 +17,7 @@
 
 #include "common/error.h"
 #include "common/ids.h"
-#include "gateway/fleet/home_regions.h"
+#include "gateway/fleet/data_residency.h"
 
 namespace linenpier::routing {
 
@@ -32,9 +32,9 @@
 /** One of those who share the service. It may have no key, for a while or for good. */
 struct tenant {
   TenantId name;
-  std::optional<int> priority;     ///< Goes before that of a route; 0 is the highest.
-  std::vector<key_digest> keys;    ///< Each of them opens the same.
-  fleet::home_regions homes = {};  ///< Bind beside those of a route.
+  std::optional<int> priority;           ///< Goes before that of a route; 0 is the highest.
+  std::vector<key_digest> keys;          ///< Each of them opens the same.
+  fleet::data_residency residency = {};  ///< Bind beside those of a route.
 
   bool operator==(const tenant&) const = default;
 };
@@ -58,7 +58,7 @@
   /** @return the tenant's own priority, if it has one. */
   std::optional<int> priorityOf(const TenantId& name) const;
   /** @return where the tenant's requests may be; anywhere if it is not known. */
-  fleet::home_regions homesOf(const TenantId& name) const;
+  fleet::data_residency residencyOf(const TenantId& name) const;
   const std::vector<tenant>& all() const { return this->tenants_; }
 
  private:
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -104,7 +104,7 @@
   registry_.cold().setRules(settings.cold);
   registry_.setHeartbeat(settings.engine_heartbeat);
   registry_.setLayout(settings.layout);
-  forwarder_.followHomes([this] { return routes_; });
+  forwarder_.followResidency([this] { return routes_; });
 }
 
 Findings Gateway::start() {
--- a/src/gateway/service/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -86,9 +86,9 @@
   state.jobs_accepted = counts.accepted;
   state.jobs_refused = counts.refused;
   state.jobs_taken_over = counts.taken_over;
-  state.jobs_waiting_for_home = work.awaiting_home;
-  state.jobs_refused_for_home = counts.refused_for_home;
-  state.jobs_given_to_home = counts.given_to_home;
+  state.jobs_waiting_for_home = work.awaiting_residency;
+  state.jobs_refused_for_home = counts.refused_for_residency;
+  state.jobs_given_to_home = counts.given_up_for_residency;
   return state;
 }
 
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -13,17 +13,18 @@
  */
 constexpr std::size_t kSpareOwners = 2;
 /** The same in each set of homes: one that can take over at once. */
-constexpr std::size_t kSpareAtHome = 1;
+constexpr std::size_t kSpareWithinResidency = 1;
 
 std::size_t modelsOf(const routing::RouteTable& table, const routing::Route& route) {
   const auto service = table.services.find(route.services.front().service);
   return service == table.services.end() ? 0 : service->second.models.size();
 }
 
-std::set<ZoneName> zonesIn(const fleet::fleet_layout& layout, const fleet::home_regions& homes) {
+std::set<ZoneName> zonesIn(const fleet::fleet_layout& layout,
+                           const fleet::data_residency& residency) {
   std::set<ZoneName> zones;
   for (const auto& [zone, region] : layout.zones()) {
-    if (homes.allows(region)) zones.insert(zone);
+    if (residency.allows(region)) zones.insert(zone);
   }
   return zones;
 }
@@ -51,12 +52,13 @@
   for (const auto& [name, service] : table.services) demand.owners += service.models.size();
   for (const routing::Route& route : table.routes) {
     if (route.kind != routing::RequestKind::kBatch) continue;
-    const std::size_t owners = modelsOf(table, route) + kSpareAtHome;
-    const auto add = [&](const fleet::home_regions& homes) {
-      if (homes.bound()) addPlace(demand.places, zonesIn(layout, homes), owners);
+    const std::size_t owners = modelsOf(table, route) + kSpareWithinResidency;
+    const auto add = [&](const fleet::data_residency& residency) {
+      if (residency.bound()) addPlace(demand.places, zonesIn(layout, residency), owners);
     };
-    add(route.homes);
-    for (const routing::tenant& each : table.tenants.all()) add(route.homes.both(each.homes));
+    add(route.residency);
+    for (const routing::tenant& each : table.tenants.all())
+      add(route.residency.both(each.residency));
   }
   return demand;
 }
--- /dev/null
+++ b/src/gateway/tenants/residency.cpp
@@ -0,0 +1,11 @@
+#include "gateway/tenants/residency.h"
+
+namespace linenpier::tenants {
+
+fleet::data_residency residencyOf(const routing::RouteTable& table, const routing::Route* route,
+                                  const TenantId& tenant) {
+  const fleet::data_residency of_tenant = table.tenants.residencyOf(tenant);
+  return route == nullptr ? of_tenant : route->residency.both(of_tenant);
+}
+
+}  // namespace linenpier::tenants
--- a/src/gateway/tenants/homes.h
+++ b/src/gateway/tenants/residency.h
@@ -4,7 +4,7 @@
  * Where requests may be served, cached and stored, by their route and their tenant. Pure.
  */
 
-#include "gateway/fleet/home_regions.h"
+#include "gateway/fleet/data_residency.h"
 #include "gateway/routing/route_table.h"
 
 namespace linenpier::tenants {
@@ -13,7 +13,7 @@
  * @param tenant empty, or not known: it binds nothing.
  * @return the regions that both allow.
  */
-fleet::home_regions homesOf(const routing::RouteTable& table, const routing::Route* route,
-                            const TenantId& tenant);
+fleet::data_residency residencyOf(const routing::RouteTable& table, const routing::Route* route,
+                                  const TenantId& tenant);
 
 }  // namespace linenpier::tenants
--- a/tests/gateway/batch/owner_choice_test.cpp
+++ b/tests/gateway/batch/owner_choice_test.cpp
@@ -55,22 +55,24 @@
 Test(owner_choice, daemons_elsewhere_are_left_out_before_the_choice) {
   const fleet::fleet_layout layout(
       {{ZoneName("a"), RegionName("near")}, {ZoneName("b"), RegionName("far")}});
-  const fleet::home_regions far({RegionName("far")});
+  const fleet::data_residency far({RegionName("far")});
   OwnerChoice choice =
       choiceOf({{kFast, 0.5, ZoneName("a")}, {kOther, 0.1, ZoneName("b")}, {kOwn, 0.4}});
   choice.previous = kFast;
   choice.previous_zone = ZoneName("a");
-  const OwnerChoice kept = batch::atHome(choice, far, layout);
+  const OwnerChoice kept = batch::withinResidency(choice, far, layout);
   cr_assert_eq(kept.candidates.size(), 1U, "one that told no zone is at home nowhere");
   cr_assert(kept.previous.empty());
   cr_assert_eq(chooseOwner(kept, kOwn), kOther);
-  cr_assert_eq(batch::atHome(choice, {}, layout).candidates.size(), 3U, "without homes all stay");
-  cr_assert_eq(batch::atHome(choice, {}, layout).previous, kFast);
+  cr_assert_eq(batch::withinResidency(choice, {}, layout).candidates.size(), 3U,
+               "without homes all stay");
+  cr_assert_eq(batch::withinResidency(choice, {}, layout).previous, kFast);
 }
 
 Test(owner_choice, where_nobody_at_home_is_known_and_the_daemon_is_not_nobody_is_named) {
   const OwnerChoice choice = choiceOf({{kFast, 0.5, ZoneName("a")}});
-  const OwnerChoice kept = batch::atHome(choice, fleet::home_regions({RegionName("far")}), {});
+  const OwnerChoice kept =
+      batch::withinResidency(choice, fleet::data_residency({RegionName("far")}), {});
   cr_assert(chooseOwner(kept, LeaseId()).empty());
 }
 
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -61,19 +61,19 @@
   registry.setLayout(fleet::fleet_layout({{kHere, RegionName("r")}, {kThere, RegionName("q")}}));
   registry.onList(kStart, {record("a", kHere), record("b", kThere)});
   PickRequest request = any();
-  request.homes = fleet::home_regions({RegionName("q")});
+  request.residency = fleet::data_residency({RegionName("q")});
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "b");
-  request.homes = fleet::home_regions({RegionName("elsewhere")});
+  request.residency = fleet::data_residency({RegionName("elsewhere")});
   request.desperate = true;
   cr_assert_null(registry.pick(kStart, request));
-  cr_assert_eq(registry.lastRefusals().of(EngineRefusal::kNotAtHome), 2U);
+  cr_assert_eq(registry.lastRefusals().of(EngineRefusal::kOutsideResidency), 2U);
 }
 
 Test(engine_admission, an_engine_in_an_unknown_region_is_at_home_nowhere) {
   EngineRegistry registry(kHere, {}, 1);
   registry.onList(kStart, {record("a", ZoneName("nowhere"))});
   PickRequest request = any();
-  request.homes = fleet::home_regions({RegionName("r")});
+  request.residency = fleet::data_residency({RegionName("r")});
   cr_assert_null(registry.pick(kStart, request));
 }
 
--- a/tests/gateway/fleet/home_regions_test.cpp
+++ b/tests/gateway/fleet/data_residency_test.cpp
@@ -1,9 +1,9 @@
-#include "gateway/fleet/home_regions.h"
+#include "gateway/fleet/data_residency.h"
 
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using fleet::home_regions;
+using fleet::data_residency;
 
 namespace {
 const RegionName kNorth("north");
@@ -11,24 +11,24 @@
 }  // namespace
 
 Test(home_regions, without_homes_everything_is_allowed) {
-  cr_assert(home_regions().allows(kNorth));
-  cr_assert(home_regions().allows(RegionName()));
-  cr_assert_not(home_regions().bound());
+  cr_assert(data_residency().allows(kNorth));
+  cr_assert(data_residency().allows(RegionName()));
+  cr_assert_not(data_residency().bound());
 }
 
 Test(home_regions, an_unknown_region_is_no_home) {
-  cr_assert_not(home_regions({kNorth}).allows(RegionName()));
+  cr_assert_not(data_residency({kNorth}).allows(RegionName()));
 }
 
 Test(home_regions, both_bind_where_there_are_two) {
-  const home_regions both = home_regions({kNorth, kSouth}).both(home_regions({kSouth}));
+  const data_residency both = data_residency({kNorth, kSouth}).both(data_residency({kSouth}));
   cr_assert(both.allows(kSouth));
   cr_assert_not(both.allows(kNorth));
-  cr_assert(home_regions().both(home_regions({kNorth})) == home_regions({kNorth}));
+  cr_assert(data_residency().both(data_residency({kNorth})) == data_residency({kNorth}));
 }
 
 Test(home_regions, two_without_a_common_region_leave_none) {
-  const home_regions none = home_regions({kNorth}).both(home_regions({kSouth}));
+  const data_residency none = data_residency({kNorth}).both(data_residency({kSouth}));
   cr_assert(none.bound());
   cr_assert_not(none.allows(kNorth));
   cr_assert_not(none.allows(kSouth));
--- a/tests/gateway/service/owner_demand_test.cpp
+++ b/tests/gateway/service/owner_demand_test.cpp
@@ -36,16 +36,16 @@
 
 Test(owner_demand, each_set_of_homes_wants_owners_of_its_own) {
   routing::RouteTable table = twoModels();
-  table.routes.front().homes = fleet::home_regions({RegionName("near")});
+  table.routes.front().residency = fleet::data_residency({RegionName("near")});
   const lease::pool_demand::place near{{ZoneName("a"), ZoneName("b")}, 3};
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}));
   routing::tenant far;
   far.name = TenantId("t");
-  far.homes = fleet::home_regions({RegionName("far")});
+  far.residency = fleet::data_residency({RegionName("far")});
   table.tenants = *routing::tenant_table::make({far});
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}),
             "the two have no region in common");
-  table.routes.front().homes = {};
+  table.routes.front().residency = {};
   const lease::pool_demand::place there{{ZoneName("c")}, 3};
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {there}));
 }
@@ -53,6 +53,6 @@
 Test(owner_demand, other_routes_want_no_owners) {
   routing::RouteTable table = twoModels();
   table.routes.front().kind = routing::RequestKind::kIdempotent;
-  table.routes.front().homes = fleet::home_regions({RegionName("near")});
+  table.routes.front().residency = fleet::data_residency({RegionName("near")});
   cr_assert(gateway::demandOf(table, kLayout).places.empty());
 }
--- a/tests/gateway/service/homes_test.cpp
+++ b/tests/gateway/service/residency_test.cpp
@@ -96,7 +96,8 @@
   cr_assert(fixture.lookup(0).arrivals().empty() && fixture.lookup(1).arrivals().empty());
 }
 
-GATEWAY_TEST(homes, an_owner_that_dies_is_followed_by_a_daemon_at_home, threeGateways(kFarOnly)) {
+GATEWAY_TEST(homes, an_owner_that_dies_is_followed_by_a_daemon_at_home,
+             threeGateways(kFarOnly)) {
   fixture.model(1).setEventGap(std::chrono::milliseconds(300));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
   const bool owned =
@@ -114,7 +115,8 @@
   cr_assert(fixture.model(0).arrivals().empty());
 }
 
-GATEWAY_TEST(homes, a_job_waits_while_nobody_at_home_lives_and_goes_on_then, twoRegions(kFarOnly)) {
+GATEWAY_TEST(homes, a_job_waits_while_nobody_at_home_lives_and_goes_on_then,
+             twoRegions(kFarOnly)) {
   fixture.model(1).setEventGap(std::chrono::milliseconds(400));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
   const bool owned =
@@ -136,7 +138,8 @@
   cr_assert(fixture.model(0).arrivals().empty());
 }
 
-GATEWAY_TEST(homes, an_owner_that_is_no_longer_at_home_gives_the_job_up, twoRegions(kNearOnly)) {
+GATEWAY_TEST(homes, an_owner_that_is_no_longer_at_home_gives_the_job_up,
+             twoRegions(kNearOnly)) {
   fixture.model(0).setEventGap(std::chrono::milliseconds(500));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
   const bool running =
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -1,7 +1,7 @@
 #include "documents.h"
 
 #include "base64.h"
-#include "gateway/tenants/homes.h"
+#include "gateway/tenants/residency.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
@@ -268,12 +268,12 @@
   cr_assert(table.has_value());
   const routing::Route* bound = table->find("h", "/b/1");
   const TenantId ada("ada");
-  cr_assert(bound->homes == fleet::home_regions({RegionName("r1"), RegionName("r2")}));
-  cr_assert_not(table->find("h", "/f/1")->homes.bound());
-  cr_assert_not(table->find("h", "/e/1")->homes.bound(), "no home is named");
-  cr_assert(tenants::homesOf(*table, bound, ada) == fleet::home_regions({RegionName("r2")}));
-  cr_assert(tenants::homesOf(*table, bound, TenantId("bob")) == bound->homes);
-  cr_assert_not(tenants::homesOf(*table, table->find("h", "/f/1"), TenantId()).bound());
+  cr_assert(bound->residency == fleet::data_residency({RegionName("r1"), RegionName("r2")}));
+  cr_assert_not(table->find("h", "/f/1")->residency.bound());
+  cr_assert_not(table->find("h", "/e/1")->residency.bound(), "no home is named");
+  cr_assert(tenants::residencyOf(*table, bound, ada) == fleet::data_residency({RegionName("r2")}));
+  cr_assert(tenants::residencyOf(*table, bound, TenantId("bob")) == bound->residency);
+  cr_assert_not(tenants::residencyOf(*table, table->find("h", "/f/1"), TenantId()).bound());
 }
 
 Test(documents, homes_of_the_wrong_type_are_reported) {
