--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -49,7 +49,7 @@
   return copy;
 }
 
-http::Response Forwarder::ownAnswer(unsigned status, const std::string& id) const {
+http::Response Forwarder::localReply(unsigned status, const std::string& id) const {
   http::Response response(static_cast<boost::beast::http::status>(status), 11);
   if (!id.empty()) response.set(context_.names.request_id, id);
   if (status == kRefusedStatus || status == 429) {
@@ -101,7 +101,7 @@
 const engines::EngineState* Forwarder::pickFrom(const ForwardedRequest& forwarded,
                                                 engines::PickRequest& wanted) {
   const Instant now = steadyNow();
-  wanted.service = dealer_.next(*forwarded.route);
+  wanted.service = round_robin_.next(*forwarded.route);
   if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
   for (const routing::WeightedService& each : forwarded.route->services) {
     wanted.service = each.service;
@@ -118,7 +118,7 @@
 
 Task<void> Forwarder::answerFinally(ForwardedRequest& forwarded, FinalAnswer answer,
                                     http::ResponseWriter& writer) {
-  http::Response response = ownAnswer(statusOf(answer), forwarded.id);
+  http::Response response = localReply(statusOf(answer), forwarded.id);
   const bool closed = forwarded.refusals.commonest() == engines::EngineRefusal::kZoneClosed;
   if (closed && answer == FinalAnswer::kRefused) {
     response.set(context_.names.retry_after, secondsText(options_.retry_after_closed));
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -55,12 +55,12 @@
 class Forwarder : public internal_requests {
  public:
   Forwarder(boost::asio::io_context& loop, EngineCallContext context,
-            routing::WeightedDealer& dealer, metrics::GatewayMetrics& metrics,
+            routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
             usage::run_recorder& recorder, suspects::suspect_gate& suspects,
             ForwarderOptions options)
       : loop_(loop),
         context_(context),
-        dealer_(dealer),
+        round_robin_(round_robin),
         metrics_(metrics),
         recorder_(recorder),
         suspects_(suspects),
@@ -76,7 +76,7 @@
                    const http::Request& request, Instant received, http::ResponseWriter& writer);
   Task<internal_outcome> send(internal_request request) override;
   /// @return an answer of this daemon's own.
-  http::Response ownAnswer(unsigned status, const std::string& id) const;
+  http::Response localReply(unsigned status, const std::string& id) const;
 
  private:
   struct Race;
@@ -139,7 +139,7 @@
 
   boost::asio::io_context& loop_;
   EngineCallContext context_;
-  routing::WeightedDealer& dealer_;
+  routing::weighted_round_robin& round_robin_;
   metrics::GatewayMetrics& metrics_;
   usage::run_recorder& recorder_;
   suspects::suspect_gate& suspects_;
--- a/src/gateway/routing/route_table.cpp
+++ b/src/gateway/routing/route_table.cpp
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-std::size_t WeightedDealer::deal(Balance& balance, double total) {
+std::size_t weighted_round_robin::pickService(Balance& balance, double total) {
   std::size_t best = 0;
   for (std::size_t i = 0; i < balance.services.size(); ++i) {
     balance.credits[i] += balance.services[i].weight;
@@ -54,7 +54,7 @@
   return best;
 }
 
-ServiceName WeightedDealer::next(const Route& route) {
+ServiceName weighted_round_robin::next(const Route& route) {
   if (route.services.size() == 1) return route.services.front().service;
   Balance& balance = balances_[route.name];
   double total = 0;
@@ -64,9 +64,9 @@
     balance.credits.assign(route.services.size(), 0);
     // Daemons that see few requests would otherwise all begin with the same service.
     const std::uint64_t skipped = hash64(route.name.str(), start_) % kMostSkipped;
-    for (std::uint64_t i = 0; i < skipped; ++i) deal(balance, total);
+    for (std::uint64_t i = 0; i < skipped; ++i) pickService(balance, total);
   }
-  return route.services[deal(balance, total)].service;
+  return route.services[pickService(balance, total)].service;
 }
 
 }  // namespace linenpier::routing
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -44,7 +44,7 @@
       engine_pool_(engine_pool),
       metrics_(metrics),
       registry_(settings.zone, {}, seed),
-      dealer_(seed),
+      round_robin_(seed),
       leases_(lease::makeLeaseId(settings.id.str(), Random(seed).hex16()), {}, steadyNow()),
       owner_pool_(leases_, settings.machine, settings.zone),
       keeper_(loop, platform.table(), leases_, owner_pool_),
@@ -58,8 +58,8 @@
              settings.usage),
       suspects_({loop, platform.table(), leases_, keeper_,
                  [this](table::Write write) { return writeByPeer(std::move(write)); }}),
-      forwarder_(loop, {engine_pool, registry_, platform.fieldNames()}, dealer_, metrics, usage_,
-                 suspects_, {}),
+      forwarder_(loop, {engine_pool, registry_, platform.fieldNames()}, round_robin_, metrics,
+                 usage_, suspects_, {}),
       batches_({loop,
                 {engine_pool, registry_, platform.fieldNames()},
                 job_store_,
@@ -189,7 +189,7 @@
       .text("key", tenants::toText(from.verdict))
       .number("config", routes_ ? static_cast<std::int64_t>(routes_->version) : 0)
       .number("status", status);
-  http::Response response = forwarder_.ownAnswer(status, id);
+  http::Response response = forwarder_.localReply(status, id);
   if (status == kUnauthorized) tenants::challenge(from.verdict, response);
   co_await writer.send(std::move(response));
 }
@@ -233,7 +233,7 @@
         .text("path", path)
         .number("config", routes ? static_cast<std::int64_t>(routes->version) : 0)
         .number("status", sure ? kNotFound : kUnavailable);
-    http::Response response = forwarder_.ownAnswer(sure ? kNotFound : kUnavailable, id);
+    http::Response response = forwarder_.localReply(sure ? kNotFound : kUnavailable, id);
     co_await writer.send(std::move(response));
     co_return;
   }
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -145,7 +145,7 @@
   fleet::zone_closings closings_;
   routing::RouteTablePtr routes_;  ///< The newest seen in this life; empty before the first.
   lease::pool_demand demand_ = demandWithoutModels();  ///< Of daemons that offer to own work.
-  routing::WeightedDealer dealer_;
+  routing::weighted_round_robin round_robin_;
   lease::LeaseTable leases_;
   lease::OwnerPool owner_pool_;
   lease::LeaseKeeper keeper_;
--- a/src/gateway/versions/engine_shares.cpp
+++ b/src/gateway/versions/engine_shares.cpp
@@ -29,7 +29,7 @@
   *this = EngineShares();
 }
 
-void EngineShares::deal(const engines::EngineState& engine, const ModelName& model) {
+void EngineShares::pickService(const engines::EngineState& engine, const ModelName& model) {
   const EngineId& id = engine.record.id;
   dealt_[id] = model;
   by_model_[model].insert(id);
@@ -106,7 +106,7 @@
       held = model;
       ++held_count;
     }
-    if (held_count == 1 && sizeOf(held) < wanted.at(held)) deal(*engine, held);
+    if (held_count == 1 && sizeOf(held) < wanted.at(held)) pickService(*engine, held);
   }
 }
 
@@ -123,7 +123,7 @@
     all_zones_.insert(engine.record.zone);
     const bool spread = looks < engines.size();
     if (spread && hasEnoughIn(engine.record.zone, model, wanted.at(model))) continue;
-    deal(engine, model);
+    pickService(engine, model);
     model = neediest(wanted);
   }
 }
@@ -135,7 +135,7 @@
     if (to.empty() || sizeOf(from) <= sizeOf(to) + 1) return;
     const engines::EngineState& moved = *engines.at(*enginesFor(from).begin());
     takeBack(moved.record.id);
-    deal(moved, to);
+    pickService(moved, to);
   }
 }
 
