--- a/src/common/success_sampler.cpp
+++ b/src/common/success_sampler.cpp
@@ -10,7 +10,7 @@
     in_window_ = 0;
   }
   ++in_window_;
-  if (in_window_ <= full_per_second_ || in_window_ % then_one_in_ == 0) return true;
+  if (in_window_ <= full_per_second_ || in_window_ % sample_one_in_ == 0) return true;
   ++skipped_;
   return false;
 }
--- a/src/common/success_sampler.h
+++ b/src/common/success_sampler.h
@@ -12,8 +12,8 @@
 /// Lets a number of lines a second through, and then one in many. Loop thread only.
 class SuccessSampler {
  public:
-  SuccessSampler(std::uint32_t full_per_second, std::uint32_t then_one_in)
-      : full_per_second_(full_per_second), then_one_in_(then_one_in) {}
+  SuccessSampler(std::uint32_t full_per_second, std::uint32_t sample_one_in)
+      : full_per_second_(full_per_second), sample_one_in_(sample_one_in) {}
 
   /// @return whether the line about a success at `now` is to be written.
   bool admit(Instant now);
@@ -22,7 +22,7 @@
 
  private:
   std::uint32_t full_per_second_;
-  std::uint32_t then_one_in_;
+  std::uint32_t sample_one_in_;
   Instant window_start_{};
   std::uint32_t in_window_ = 0;
   std::uint64_t skipped_ = 0;
--- a/src/daemon/api/caller_routes.cpp
+++ b/src/daemon/api/caller_routes.cpp
@@ -19,9 +19,9 @@
 constexpr char kEventStream[] = "text/event-stream";
 constexpr long kLowestPriority = -10;
 constexpr long kHighestPriority = 10;
-constexpr long kLongestDeadlineMs = 3600000;
-constexpr std::size_t kLongestKey = 256;
-constexpr std::uint32_t kUsualMaxTokens = 256;
+constexpr long kMaxDeadlineMs = 3600000;
+constexpr std::size_t kMaxKey = 256;
+constexpr std::uint32_t kDefaultMaxTokens = 256;
 
 }  // namespace
 
@@ -115,7 +115,7 @@
   const config::Template* rules = snapshot->templateFor(*tenant, completion->model);
   if (rules == nullptr) return tl::make_unexpected(notFound());
   if (completion->max_tokens == 0) {
-    completion->max_tokens = std::min(kUsualMaxTokens, rules->max_tokens);
+    completion->max_tokens = std::min(kDefaultMaxTokens, rules->max_tokens);
   }
   if (completion->max_tokens > rules->max_tokens) {
     return tl::make_unexpected(
@@ -145,7 +145,7 @@
     work.priority = std::min(work.priority, static_cast<int>(*priority));
   }
   if (request.has_header(kDeadlineHeader)) {
-    const auto limit = integerHeader(request, kDeadlineHeader, 1, kLongestDeadlineMs);
+    const auto limit = integerHeader(request, kDeadlineHeader, 1, kMaxDeadlineMs);
     if (!limit) return tl::make_unexpected(badRequest("X-Deadline-Ms must be from 1 to 3600000."));
     deadline_ms = *limit;
   }
@@ -158,7 +158,7 @@
     work.repeatable = false;
     admitted.idempotency_key = request.get_header_value(kIdempotencyHeader);
     const std::size_t length = admitted.idempotency_key.size();
-    if (length == 0 || length > kLongestKey) {
+    if (length == 0 || length > kMaxKey) {
       return tl::make_unexpected(
           badRequest("A not-repeatable request needs an Idempotency-Key of 1 to 256 characters."));
     }
--- a/src/daemon/api/completion_request.cpp
+++ b/src/daemon/api/completion_request.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMostTokens = 1000000;
+constexpr std::uint32_t kMaxTokens = 1000000;
 
 tl::unexpected<std::string> wrong(const std::string& problem) {
   return tl::make_unexpected(problem);
@@ -53,7 +53,7 @@
   request.prompt = *prompt;
   if (const auto tokens = object.find("max_tokens"); tokens != object.end()) {
     const bool valid = tokens->is_number_integer() && tokens->get<std::int64_t>() >= 1 &&
-                       tokens->get<std::int64_t>() <= kMostTokens;
+                       tokens->get<std::int64_t>() <= kMaxTokens;
     if (!valid) return wrong("\"max_tokens\" must be a whole number from 1 to 1000000.");
     request.max_tokens = tokens->get<std::uint32_t>();
   }
--- a/src/daemon/api/operator_routes.cpp
+++ b/src/daemon/api/operator_routes.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 const RequestId kNoRequest;
-constexpr auto kLongestWaitInForce = std::chrono::seconds(1);
+constexpr auto kMaxWaitInForce = std::chrono::seconds(1);
 constexpr auto kWaitInForceStep = std::chrono::milliseconds(2);
 
 json itemJson(const wire::ConfigItem& item) {
@@ -140,7 +140,7 @@
 }
 
 void OperatorRoutes::waitInForce(Revision revision) const {
-  const Instant deadline = steadyNow() + kLongestWaitInForce;
+  const Instant deadline = steadyNow() + kMaxWaitInForce;
   while (context_.config.get()->revision < revision && steadyNow() < deadline) {
     std::this_thread::sleep_for(kWaitInForceStep);
   }
--- a/src/daemon/api/trainer_routes.cpp
+++ b/src/daemon/api/trainer_routes.cpp
@@ -12,7 +12,7 @@
 
 constexpr auto kPullPause = std::chrono::milliseconds(25);
 constexpr Duration kPullAnswerLimit = std::chrono::milliseconds(300);
-constexpr int kLongestWaitMs = 20000;
+constexpr int kMaxWaitMs = 20000;
 
 const RequestId kNoRequest;
 
@@ -105,7 +105,7 @@
     return answerProblem(response, badRequest("\"version\" must be a number."), kNoRequest);
   }
   const auto version = body["version"].get<WeightVersion>();
-  const int wait_ms = std::clamp(body.value("wait_ms", 5000), 0, kLongestWaitMs);
+  const int wait_ms = std::clamp(body.value("wait_ms", 5000), 0, kMaxWaitMs);
   const Instant limit = steadyNow() + std::chrono::milliseconds(wait_ms);
   bool look = true;
   while (true) {
--- a/src/daemon/clients/server_sent_events.h
+++ b/src/daemon/clients/server_sent_events.h
@@ -16,7 +16,7 @@
   template <typename OnData>
   bool feed(std::string_view bytes, OnData on_data) {
     buffer_.append(bytes);
-    if (buffer_.size() > kLongestLine) return false;
+    if (buffer_.size() > kMaxLine) return false;
     std::size_t begin = 0;
     for (auto end = buffer_.find('\n'); end != std::string::npos; end = buffer_.find('\n', begin)) {
       std::string_view line(buffer_.data() + begin, end - begin);
@@ -31,7 +31,7 @@
 
  private:
   static constexpr std::string_view kDataPrefix = "data: ";
-  static constexpr std::size_t kLongestLine = 1 << 20;
+  static constexpr std::size_t kMaxLine = 1 << 20;
   std::string buffer_;  ///< The line that has not ended yet.
 };
 
--- a/src/daemon/settings/settings.cpp
+++ b/src/daemon/settings/settings.cpp
@@ -6,7 +6,7 @@
 namespace linenpier::settings {
 
 namespace {
-constexpr std::size_t kShortestSecret = 16;
+constexpr std::size_t kMinSecret = 16;
 }  // namespace
 
 tl::expected<DaemonSettings, Findings> parseDaemonSettings(const std::string& file,
@@ -36,7 +36,7 @@
   reader.readInteger("limits.max_streams", max_streams, 8, 20000);
   reader.readInteger("limits.max_body_kib", max_body_kib, 1, 65536);
   reader.readInteger("limits.drain_seconds", drain_seconds, 0, 3600);
-  if (!settings.secret.empty() && settings.secret.size() < kShortestSecret) {
+  if (!settings.secret.empty() && settings.secret.size() < kMinSecret) {
     reader.report("secrets.fleet", "must have at least 16 characters");
   }
   const Findings findings = reader.finish();
--- a/src/gateway/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -18,7 +18,7 @@
 constexpr int kPutTries = 2;
 /// For a question to a store that may be away, before a job is refused: many times its usual
 /// answer.
-constexpr Duration kAnswerPatience = std::chrono::milliseconds(150);
+constexpr Duration kAnswerTimeout = std::chrono::milliseconds(150);
 }  // namespace
 
 Task<void> BatchService::answer(http::ResponseWriter& writer, unsigned status,
@@ -62,7 +62,7 @@
   OwnerChoice choice;
   choice.candidates = deps_.pool.ranked(now);
   choice.items = record.total;
-  choice.most_open_items = options_.most_open_items;
+  choice.max_open_items = options_.max_open_items;
   const std::vector<JobId> earlier = earlierJobs(record);
   if (!earlier.empty()) {
     const LeaseId& owner = jobs_.at(earlier.front()).record.owner;
@@ -124,7 +124,7 @@
   // A feed that is lost says little: the store may be back, or turn its feeds away only.
   bool answers = deps_.leases.storeHealthy();
   if (!stopping_ && !answers) {
-    answers = co_await deps_.store.answers(id, kAnswerPatience);
+    answers = co_await deps_.store.answers(id, kAnswerTimeout);
   }
   if (stopping_ || !answers) {
     ++counts_.refused;
--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -182,14 +182,14 @@
                                                   RunTimes& times) {
   const Instant started = steadyNow();
   const Duration first_limit =
-      options_.patience.forFirstEvent(active.run.progress(item).late_starts);
+      options_.timeouts.forFirstEvent(active.run.progress(item).late_starts);
   forward::AttemptLimits limits{started + options_.connect_time, started + first_limit, false,
                                 engines::AttemptEnd::kRefused};
   AttemptVerdict verdict = co_await call.start(limits);
   if (verdict != AttemptVerdict::kAnswered) co_return verdict;
   if (call.status() >= 300) {
     std::string ignored;
-    co_return co_await call.readWhole(ignored, steadyNow() + options_.patience.longest_gap);
+    co_return co_await call.readWhole(ignored, steadyNow() + options_.timeouts.max_gap);
   }
   WeightVersion version = call.headVersion();
   if (!model.empty()) deps_.engines.registry.onVersionSeen(call.engine(), model, version);
@@ -199,7 +199,7 @@
   bool first = true;
   while (!call.finished()) {
     const double pace = deps_.engines.registry.measuredPace(steadyNow(), call.engine());
-    const Duration gap = first ? first_limit : options_.patience.forGap(pace);
+    const Duration gap = first ? first_limit : options_.timeouts.forGap(pace);
     verdict = co_await call.readEvents(parser, events, steadyNow() + gap);
     if (active.stopped) co_return AttemptVerdict::kAborted;
     const Instant now = steadyNow();
@@ -219,7 +219,7 @@
     if (!events.empty()) {
       if (first) times.to_first_event = now - started;
       if (!first) {
-        times.longest_gap = std::max(times.longest_gap, now - last);
+        times.max_gap = std::max(times.max_gap, now - last);
         deps_.engines.registry.onPace(now, call.engine(),
                                       (now - last) / static_cast<int>(events.size()));
       }
@@ -272,7 +272,7 @@
       .number("events", static_cast<std::int64_t>(events))
       .number("hint", static_cast<std::int64_t>(active.run.job().items[item].length_hint))
       .milliseconds("first_event_ms", times.to_first_event.value_or(Duration::zero()))
-      .milliseconds("longest_gap_ms", times.longest_gap)
+      .milliseconds("longest_gap_ms", times.max_gap)
       .milliseconds("took_ms", now - call.startedAt());
   if (verdict == AttemptVerdict::kBroken) {
     event.text("key", keyOf(active, item).str())
--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -9,14 +9,14 @@
 
 #include "common/time.h"
 #include "gateway/batch/listing_schedule.h"
-#include "gateway/batch/run_patience.h"
+#include "gateway/batch/run_timeouts.h"
 #include "gateway/batch/runs_leaving.h"
 
 namespace linenpier::batch {
 
 struct BatchOptions {
   Duration connect_time = std::chrono::milliseconds(200);
-  run_patience patience;
+  run_timeouts timeouts;
   Duration refused_pause = std::chrono::milliseconds(40);
   Duration broken_pause{};
   listing_times listing;
@@ -44,7 +44,7 @@
   std::size_t earlier_jobs = 3;
   /// Items of open jobs that one daemon is given: four steps of the largest deployments' trainers.
   /// Beyond that the events of all of them would take more than a small machine's processor.
-  std::size_t most_open_items = 1000;
+  std::size_t max_open_items = 1000;
   double requests_per_slot = 1.0;
   double move_gain = 1.15;  ///< An engine must be this much faster for a run to move there.
   /// A move must save more than this; reading a prompt and the text so far again costs less.
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -198,12 +198,12 @@
   finish(item, ResultState::kCompleted);
 }
 
-void BatchRun::onNotScored(Instant now, ItemIndex item, int failures, int most_failures,
+void BatchRun::onNotScored(Instant now, ItemIndex item, int failures, int max_failures,
                            Duration pause) {
   ItemProgress& progress = progress_[item];
   if (progress.state != ItemState::kScoring) return;
   progress.score_failures += failures;
-  if (most_failures > 0 && progress.score_failures >= most_failures) {
+  if (max_failures > 0 && progress.score_failures >= max_failures) {
     finish(item, ResultState::kTerminated);
     return;
   }
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -103,7 +103,7 @@
   /// No score came.
   /// @param failures answers to this request that said that scoring failed.
   /// @param most_failures of all its requests after which the item is given up; 0: never.
-  void onNotScored(Instant now, ItemIndex item, int failures, int most_failures, Duration pause);
+  void onNotScored(Instant now, ItemIndex item, int failures, int max_failures, Duration pause);
   std::size_t unscored() const;
 
   /// A run was left since it brought no event in time.
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -23,7 +23,7 @@
 /// which the way to the reader takes a part). A step that is whole by then is read in one piece.
 constexpr Duration kDueGrace = std::chrono::milliseconds(450);
 constexpr Duration kGiveUpSlack = std::chrono::milliseconds(1500);
-constexpr Duration kUsualQueueLimit = std::chrono::seconds(30);  ///< Without a route.
+constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< Without a route.
 
 }  // namespace
 
@@ -48,7 +48,7 @@
 
 RunRules BatchService::rulesFor(const routing::Route* route, Instant accepted_at) const {
   RunRules rules;
-  rules.give_up_at = accepted_at + kGiveUpSlack + kUsualQueueLimit;
+  rules.give_up_at = accepted_at + kGiveUpSlack + kDefaultQueueLimit;
   if (route != nullptr) {
     rules.give_up_at = accepted_at + kGiveUpSlack + route->queue_limit;
     rules.max_failures = std::max(1, route->max_attempts);
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -40,7 +40,7 @@
 
 /// Lines about finished items that a daemon writes in full each second, and one in how many then.
 inline constexpr std::uint32_t kFullLinesPerSecond = 60;
-inline constexpr std::uint32_t kThenOneIn = 10;
+inline constexpr std::uint32_t kSampleOneIn = 10;
 
 /// Loop thread only.
 class BatchService {
@@ -228,7 +228,7 @@
   /// How a run went, for the log.
   struct RunTimes {
     std::optional<Duration> to_first_event;
-    Duration longest_gap{};     ///< Between two of its events.
+    Duration max_gap{};         ///< Between two of its events.
     bool engine_ended = false;  ///< Its engine ended under it.
   };
   Task<forward::AttemptVerdict> readItemEvents(Active& active, ItemIndex item,
@@ -292,7 +292,7 @@
   std::size_t awaiting_residency_ = 0;  ///< Jobs that nobody at home takes up, at the last look.
   Instant next_wait_line_{};            ///< When the next line on them may be written.
   bool stopping_ = false;
-  logging::SuccessSampler sampler_{kFullLinesPerSecond, kThenOneIn};
+  logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
   item_scorer scorer_;
 };
 
--- a/src/gateway/batch/checkpoint_log.cpp
+++ b/src/gateway/batch/checkpoint_log.cpp
@@ -8,7 +8,7 @@
 constexpr std::uint64_t kFewestEventsKept = 5;
 /// A step of eight seconds writes as many at two a second: in the usual case it has one whole part
 /// at its begin, where texts are short.
-constexpr std::size_t kMostParts = 16;
+constexpr std::size_t kMaxParts = 16;
 
 bool isWhole(const ItemProgress& progress) {
   return progress.state == ItemState::kFinished || progress.state == ItemState::kWhole ||
@@ -53,7 +53,7 @@
 
 checkpoint_part checkpoint_log::next(const BatchRun& run) const {
   checkpoint_part part;
-  part.whole = !this->kept_ || this->parts_ >= kMostParts;
+  part.whole = !this->kept_ || this->parts_ >= kMaxParts;
   for (ItemIndex item = 0; item < run.job().items.size(); ++item) {
     auto added = this->addition(run, item, part.whole);
     if (!added) continue;
--- a/src/gateway/batch/item_placement.cpp
+++ b/src/gateway/batch/item_placement.cpp
@@ -15,13 +15,13 @@
 
 engines::PickRequest pickRequestFor(const BatchRun& run, ItemIndex item,
                                     const routing::Route& route, const routing::RouteTable& table,
-                                    double most_per_slot) {
+                                    double max_per_slot) {
   const BatchItem& each = run.job().items[item];
   engines::PickRequest wanted;
   wanted.service = route.services.front().service;
   wanted.model = each.model;
   wanted.minimum_version = run.job().minimum_version;
-  wanted.most_per_slot = most_per_slot;
+  wanted.max_per_slot = max_per_slot;
   wanted.tokens = expectedTokens(each);
   wanted.batching = !each.model.empty();
   wanted.prefer_newest = route.single_version && !each.model.empty();
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -18,7 +18,7 @@
  */
 engines::PickRequest pickRequestFor(const BatchRun& run, ItemIndex item,
                                     const routing::Route& route, const routing::RouteTable& table,
-                                    double most_per_slot);
+                                    double max_per_slot);
 
 struct item_placement {
   const engines::EngineState* engine = nullptr;  ///< None admits the item if it is not set.
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -10,15 +10,15 @@
 namespace {
 /// A reward request may be repeated: one that takes longer is better sent anew.
 constexpr Duration kRewardTime = std::chrono::milliseconds(1500);
-constexpr std::size_t kMostScorings = 64;  ///< That one daemon has under way.
+constexpr std::size_t kMaxScorings = 64;  ///< That one daemon has under way.
 /// Share of an engine's slots that reward requests may fill, so that callers find room …
-constexpr double kUsualShare = 0.67;
+constexpr double kDefaultShare = 0.67;
 /// … unless one has waited for this long.
-constexpr Duration kPatience = std::chrono::milliseconds(300);
+constexpr Duration kTimeout = std::chrono::milliseconds(300);
 constexpr double kWholeShare = 1.0;
 constexpr Duration kFullPause = std::chrono::milliseconds(20);  ///< No engine had room.
 /// Of a reward request under which engines ended: it is looked at again, as others may clear it.
-constexpr Duration kLongestPause = std::chrono::seconds(1);
+constexpr Duration kMaxPause = std::chrono::seconds(1);
 constexpr Duration kFailurePause = std::chrono::milliseconds(60);
 
 bool isSuccess(const forward::internal_outcome& outcome) {
@@ -28,7 +28,7 @@
 
 void item_scorer::start(const active_job_ptr& active) {
   const Instant now = steadyNow();
-  while (this->under_way_ < kMostScorings) {
+  while (this->under_way_ < kMaxScorings) {
     const auto item = active->run.nextToScore(now);
     if (!item) return;
     active->run.onScoringStarted(*item);
@@ -62,20 +62,20 @@
   request.message = this->rewardRequest(scorer);
   request.tenant = active->record.tenant;
   request.limit = kRewardTime;
-  const bool patient = begun - active->run.progress(item).last_progress < kPatience;
-  request.most_per_slot = patient ? kUsualShare : kWholeShare;
+  const bool patient = begun - active->run.progress(item).last_progress < kTimeout;
+  request.max_per_slot = patient ? kDefaultShare : kWholeShare;
   request.cancellation = cancellation;
   const bool routed = request.route != nullptr;
-  int most_failures = 0;
+  int max_failures = 0;
   forward::internal_outcome outcome;
   if (routed) {
-    most_failures = request.route->max_attempts;
+    max_failures = request.route->max_attempts;
     outcome = co_await this->deps_.rewards.send(std::move(request));
   }
   --this->under_way_;
   active->scorings.erase(item);
   if (active->stopped) co_return;
-  this->settleScoring(*active, item, outcome, most_failures);
+  this->settleScoring(*active, item, outcome, max_failures);
   const char* result = isSuccess(outcome)      ? "scored"
                        : !routed               ? "no_route"
                        : outcome.status > 0    ? "failed"
@@ -96,14 +96,14 @@
 }
 
 void item_scorer::settleScoring(active_job& active, ItemIndex item,
-                                const forward::internal_outcome& outcome, int most_failures) {
+                                const forward::internal_outcome& outcome, int max_failures) {
   if (isSuccess(outcome)) {
     active.run.onScored(item, outcome.signature);
     ++this->deps_.counts.scored;
   } else {
     const Duration usual = outcome.attempts == 0 ? kFullPause : kFailurePause;
-    const Duration pause = std::max(usual, std::min(outcome.wait, kLongestPause));
-    active.run.onNotScored(steadyNow(), item, outcome.failures, most_failures, pause);
+    const Duration pause = std::max(usual, std::min(outcome.wait, kMaxPause));
+    active.run.onNotScored(steadyNow(), item, outcome.failures, max_failures, pause);
     ++this->deps_.counts.scorings_failed;
   }
   if (active.run.progress(item).state == ItemState::kFinished) active.finished.notifyAll();
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -42,7 +42,7 @@
                        std::shared_ptr<http::Cancellation> cancellation);
   /** @param most_failures answers of 500 after which the item is given up. */
   void settleScoring(active_job& active, ItemIndex item, const forward::internal_outcome& outcome,
-                     int most_failures);
+                     int max_failures);
   http::Request rewardRequest(const reward_request& scorer) const;
 
   dependencies deps_;
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -20,11 +20,11 @@
 /// A result's row: the item's index, then the result itself or the name of the object it is in.
 constexpr char kInline = '=';
 constexpr char kObject = '@';
-constexpr std::size_t kMostRemovedAtOnce = 90;  ///< The store takes 100 entries a write.
+constexpr std::size_t kMaxRemovedAtOnce = 90;  ///< The store takes 100 entries a write.
 /// Removed beside a part of a checkpoint, which takes some twenty entries.
-constexpr std::size_t kMostRemovedWithPart = 60;
+constexpr std::size_t kMaxRemovedWithPart = 60;
 /// Of one write's rows: the store takes 1 MB, and they grow by a third on their way.
-constexpr std::size_t kMostWriteBytes = 600 * 1024;
+constexpr std::size_t kMaxWriteBytes = 600 * 1024;
 
 std::string resultRowKey(const JobId& id, std::size_t position) {
   return kResultTable + "/" + numberedKey(id, position);
@@ -96,7 +96,7 @@
 
 std::vector<table::Put> JobStore::bodyRows(const JobId& id, const std::string& bytes) const {
   std::vector<table::Put> rows;
-  if (bytes.size() > kMostWriteBytes) return rows;
+  if (bytes.size() > kMaxWriteBytes) return rows;
   for (std::size_t at = 0; at < bytes.size(); at += row_bytes_) {
     const std::string key = table::kBodyTable + "/" + numberedKey(id, rows.size());
     rows.push_back({key, bytes.substr(at, row_bytes_)});
@@ -168,9 +168,9 @@
 }
 }  // namespace
 
-Task<bool> JobStore::answers(JobId id, Duration patience) {
+Task<bool> JobStore::answers(JobId id, Duration timeout) {
   table::RowRange range = recordRange(id);
-  range.patience = patience;
+  range.timeout = timeout;
   const auto page = co_await table_.read(range);
   co_return page.has_value();
 }
@@ -215,7 +215,7 @@
   std::size_t bytes = 0;
   std::size_t number = part.first_row;
   for (std::string& row : part.rows) {
-    if (bytes > 0 && bytes + row.size() > kMostWriteBytes) {
+    if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
       // A part that is cut off counts for nothing until its last row is there.
       const auto begun = co_await table_.write(std::move(write));
       const FencedAnswer judged = judge(begun, job_key, fence);
@@ -229,7 +229,7 @@
     ++number;
   }
   for (std::size_t old = part.obsolete_from; old < part.first_row; ++old) {
-    if (write.removes.size() >= kMostRemovedWithPart) break;
+    if (write.removes.size() >= kMaxRemovedWithPart) break;
     write.removes.push_back(prefix + numberedKey(id, old));
   }
   const auto answer = co_await table_.write(std::move(write));
@@ -248,7 +248,7 @@
 
 Task<bool> JobStore::removeRows(std::string table, JobId id, Revision fence) {
   for (;;) {
-    table::RowRange range{table, numberedKey(id, 0), numberedEnd(id), kMostRemovedAtOnce};
+    table::RowRange range{table, numberedKey(id, 0), numberedEnd(id), kMaxRemovedAtOnce};
     const auto page = co_await table_.read(range);
     if (!page) co_return false;
     if (page->rows.empty()) co_return true;
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -84,7 +84,7 @@
   /// Writes the job's row if its revision is `fence` (0: absent), with `also` in one transaction.
   Task<FencedAnswer> putRecord(JobRecord record, Revision fence, std::vector<table::Put> also);
   /// @return whether the store answers a question about the job in time.
-  Task<bool> answers(JobId id, Duration patience);
+  Task<bool> answers(JobId id, Duration timeout);
   /// @return the row; revision 0 if there is none.
   Task<CallResult<table::Row>> getRecord(JobId id);
 
--- a/src/gateway/batch/owner_choice.cpp
+++ b/src/gateway/batch/owner_choice.cpp
@@ -20,7 +20,7 @@
 
 bool keepsPrevious(const OwnerChoice& choice) {
   if (choice.previous.empty()) return false;
-  if (choice.previous_items + choice.items > choice.most_open_items) return false;
+  if (choice.previous_items + choice.items > choice.max_open_items) return false;
   if (choice.candidates.empty()) return true;
   const double best = choice.candidates.front().capacity;
   return capacityOf(choice.candidates, choice.previous) >= kWorthKeeping * best;
--- a/src/gateway/batch/owner_choice.h
+++ b/src/gateway/batch/owner_choice.h
@@ -19,12 +19,12 @@
   /// Owner of the model's newest job, if it lives: it has connections to the engines, and knows
   /// what it runs there and what is kept. Empty: there is none.
   LeaseId previous;
-  ZoneName previous_zone;           ///< Empty: not told.
-  std::size_t previous_items = 0;   ///< Items of open jobs that `previous` owns.
-  std::size_t items = 0;            ///< Of the new job.
-  std::set<LeaseId> busy;           ///< Owners of open jobs of other models.
-  std::size_t model_index = 0;      ///< Position among the models that are trained.
-  std::size_t most_open_items = 0;  ///< That one daemon is given.
+  ZoneName previous_zone;          ///< Empty: not told.
+  std::size_t previous_items = 0;  ///< Items of open jobs that `previous` owns.
+  std::size_t items = 0;           ///< Of the new job.
+  std::set<LeaseId> busy;          ///< Owners of open jobs of other models.
+  std::size_t model_index = 0;     ///< Position among the models that are trained.
+  std::size_t max_open_items = 0;  ///< That one daemon is given.
 };
 
 /// @return the choice without those that are elsewhere, or that told no zone of the layout.
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -10,7 +10,7 @@
   const double median = registry.medianPace(now, service);
   std::vector<item_run> movable;
   for (const item_run& each : runs) {
-    if (now - each.started_at < rules.shortest_run) continue;
+    if (now - each.started_at < rules.min_run) continue;
     const engines::EngineState* engine = registry.find(each.engine);
     if (engine == nullptr || registry.slowness(now, *engine, median) < rules.gain) continue;
     movable.push_back(each);
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -15,9 +15,9 @@
 namespace linenpier::batch {
 
 struct run_move_rules {
-  double gain = 1.15;       ///< An engine must be this much faster for a run to move there.
-  Duration saving{};        ///< A move must save more than this.
-  Duration shortest_run{};  ///< Runs that began later stay.
+  double gain = 1.15;  ///< An engine must be this much faster for a run to move there.
+  Duration saving{};   ///< A move must save more than this.
+  Duration min_run{};  ///< Runs that began later stay.
 };
 
 /** An item's run on an engine. */
--- a/src/gateway/batch/run_patience.h
+++ b/src/gateway/batch/run_timeouts.h
@@ -12,32 +12,32 @@
 
 namespace linenpier::batch {
 
-struct run_patience {
+struct run_timeouts {
   /// For a run's first event. An engine with room answers within some 20 ms and the time of an
   /// event, so that this is several times what is usual.
   Duration first_event = std::chrono::milliseconds(600);
   /// For the first event of an item that was left before: then all engines are full, and whoever
   /// leaves a queue loses its place there.
-  Duration longest_first_event = std::chrono::milliseconds(2500);
+  Duration max_first_event = std::chrono::milliseconds(2500);
   /// Between two events, at the least: half of what an engine stands still to change its weights.
   Duration gap = std::chrono::milliseconds(450);
-  Duration longest_gap = std::chrono::milliseconds(1200);
+  Duration max_gap = std::chrono::milliseconds(1200);
   /// Between two events, in times of what the engine takes for one.
   double paces = 5;
 
-  bool operator==(const run_patience&) const = default;
+  bool operator==(const run_timeouts&) const = default;
 
   /** @param late_starts times in a row that the item was left without an event. */
   Duration forFirstEvent(int late_starts) const {
     Duration limit = this->first_event;
-    for (int i = 0; i < late_starts && limit < this->longest_first_event; ++i) limit *= 2;
-    return std::min(limit, this->longest_first_event);
+    for (int i = 0; i < late_starts && limit < this->max_first_event; ++i) limit *= 2;
+    return std::min(limit, this->max_first_event);
   }
 
   /** @param pace what the engine takes for an event, in seconds; 0: not known. */
   Duration forGap(double pace) const {
-    if (pace <= 0) return this->longest_gap;
-    return std::clamp(fromSeconds(this->paces * pace), this->gap, this->longest_gap);
+    if (pace <= 0) return this->max_gap;
+    return std::clamp(fromSeconds(this->paces * pace), this->gap, this->max_gap);
   }
 };
 
--- a/src/gateway/batch/runs_leaving.cpp
+++ b/src/gateway/batch/runs_leaving.cpp
@@ -29,11 +29,11 @@
 std::size_t runs_leaving::quota(Instant now, const zone_progress& progress) const {
   const double elapsed = toSeconds(now - progress.begun);
   const double within = toSeconds(this->options_.within);
-  if (elapsed >= within) return this->options_.most_at_once;
+  if (elapsed >= within) return this->options_.max_at_once;
   const double leavers = static_cast<double>(progress.leavers);
   const auto due_by_now = static_cast<std::size_t>(std::ceil(leavers * elapsed / within));
   const std::size_t behind = due_by_now - std::min(due_by_now, progress.left);
-  return std::min(behind, this->options_.most_at_once);
+  return std::min(behind, this->options_.max_at_once);
 }
 
 std::vector<std::size_t> runs_leaving::due(Instant now, const std::vector<placed_run>& runs) const {
--- a/src/gateway/batch/runs_leaving.h
+++ b/src/gateway/batch/runs_leaving.h
@@ -21,7 +21,7 @@
   Duration within = std::chrono::milliseconds(2500);
   /// A run that ends this soon stays in any case: to leave takes about as long.
   Duration ends_soon = std::chrono::milliseconds(250);
-  std::size_t most_at_once = 6;  ///< Of one zone that leave in one go.
+  std::size_t max_at_once = 6;  ///< Of one zone that leave in one go.
 };
 
 /** A run at an engine of a closed zone. */
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr double kLoadWeight = 0.5;   ///< Of a request already there, in units of its own.
 constexpr double kTightMemory = 0.7;  ///< Part of an engine's memory; beyond it requests cost more.
-constexpr double kMostMemoryFactor = 4;
+constexpr double kMaxMemoryFactor = 4;
 constexpr double kOlderVersionFactor = 1.5;
 constexpr double kBatchWeight = 0.12;  ///< Slowing of a batch that is full.
 constexpr double kSlowestFactor = 8;   ///< Slower engines count as this slow.
@@ -18,7 +18,7 @@
 /// must be opened first. More than the spread of equal choices (a twentieth), so that a daemon with
 /// a request now and then goes where it has a connection; less than one more request there costs.
 constexpr double kNewConnectionFactor = 1.06;
-constexpr int kLongestBackoffSteps = 4;
+constexpr int kMaxBackoffSteps = 4;
 constexpr std::uint64_t kTieBreak = 1000;
 
 /// What an engine that started again is not known by any more. Requests of this daemon that the
@@ -204,11 +204,10 @@
   ++engine->failures;
   // A single broken answer is common and says little; a silent or unreachable engine is left alone.
   if (end == AttemptEnd::kBroke && engine->failures < 2) return;
-  const int steps = std::min(engine->failures - 1, kLongestBackoffSteps);
-  const Duration ejection =
-      std::min(options_.first_ejection * (1 << steps), options_.longest_ejection);
+  const int steps = std::min(engine->failures - 1, kMaxBackoffSteps);
+  const Duration ejection = std::min(options_.first_ejection * (1 << steps), options_.max_ejection);
   engine->ejected_until =
-      now + (end == AttemptEnd::kMisdirected ? options_.longest_ejection : ejection);
+      now + (end == AttemptEnd::kMisdirected ? options_.max_ejection : ejection);
 }
 
 void EngineRegistry::onTokens(const EngineId& id, double tokens) {
@@ -338,7 +337,7 @@
   const double others = std::max(0.0, load(now, engine) - engine.in_flight) * all.typical_tokens;
   const double used = (engine.tokens + others + request.tokens) / request.memory_tokens;
   if (used <= kTightMemory) return 1;
-  return std::min(kMostMemoryFactor, 1 + (used - kTightMemory) / (1 - kTightMemory));
+  return std::min(kMaxMemoryFactor, 1 + (used - kTightMemory) / (1 - kTightMemory));
 }
 
 double EngineRegistry::expectedWait(Instant now, const EngineState& engine,
@@ -389,8 +388,8 @@
   if (version != EngineRefusal::kNone) return version;
   if (!cold_.hasRoom(now, request.service, engine.record.id)) return EngineRefusal::kCold;
   if (isLoading(now, engine, request.model)) return EngineRefusal::kLoading;
-  const double most = request.most_per_slot * std::max(1U, engine.record.slots);
-  if (request.most_per_slot > 0 && load(now, engine) >= most) return EngineRefusal::kFull;
+  const double most = request.max_per_slot * std::max(1U, engine.record.slots);
+  if (request.max_per_slot > 0 && load(now, engine) >= most) return EngineRefusal::kFull;
   if (request.desperate) return EngineRefusal::kNone;
   if (now < engine.ejected_until) return EngineRefusal::kEjected;
   const bool excluded = request.excluded.contains(engine.record.id);
@@ -415,7 +414,7 @@
 EngineRegistry::Comparison EngineRegistry::compareFor(Instant now, const PickRequest& request) {
   Comparison all;
   all.median_pace = medianPace(now, request.service);
-  all.many_engines = index_.ofService(request.service).size() > options_.most_compared;
+  all.many_engines = index_.ofService(request.service).size() > options_.max_compared;
   if (request.memory_tokens > 0) all.typical_tokens = typicalTokens();
   if (request.prefer_newest) all.newest = newestHeld(request.service, request.model);
   return all;
@@ -424,7 +423,7 @@
 void EngineRegistry::compare(Instant now, const PickRequest& request, const Comparison& all,
                              const engine_index::engine_order& engines, Choice& choice) {
   for (const engine_index::entry& each : engines) {
-    if (choice.compared == options_.most_compared) return;
+    if (choice.compared == options_.max_compared) return;
     ++looks_;
     const EngineState& engine = *each.engine;
     const EngineId& id = engine.record.id;
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -104,12 +104,12 @@
   Duration heartbeat = std::chrono::milliseconds(1200);
   /// Entries lapse after three silent heartbeats, the last of which may just have been due: a store
   /// that was away for fewer heartbeats than this took none of them away.
-  double shortest_lapse_beats = 2.5;
+  double min_lapse_beats = 2.5;
   Duration load_lifetime = std::chrono::milliseconds(1500);  ///< Until others' load is forgotten.
   /// Until an engine that was slow is taken to be as quick as it lastingly is, and tried again.
   Duration pace_lifetime = std::chrono::seconds(4);
   Duration first_ejection = std::chrono::milliseconds(700);
-  Duration longest_ejection = std::chrono::seconds(6);
+  Duration max_ejection = std::chrono::seconds(6);
   Duration failure_burst = std::chrono::milliseconds(500);  ///< Breaks within this count once.
   Duration refusal_pause = std::chrono::milliseconds(120);
   Duration loading_pause = std::chrono::milliseconds(350);
@@ -117,7 +117,7 @@
   /// Engines that a choice compares, of those that would take the request. Among so many that are
   /// less loaded than the rest by chance, more bring next to nothing; and the cost of a choice does
   /// not grow with the service.
-  std::size_t most_compared = 64;
+  std::size_t max_compared = 64;
   double pace_weight = 0.1;     ///< Of the newest measurement in the smoothed pace.
   double remote_factor = 1.15;  ///< Engines of other zones count as this much more loaded.
 };
@@ -138,7 +138,7 @@
   /// The engines work in batches: one more request slows the others by little.
   bool batching = false;
   /// No more than this many requests a slot, counting others'; 0: no limit.
-  double most_per_slot = 0;
+  double max_per_slot = 0;
   /// Excluded and ejected engines are taken rather than none.
   bool desperate = false;
 };
@@ -262,7 +262,7 @@
   EngineMap::iterator erase(EngineMap::iterator at);
   bool isOpen(const EngineState& engine) const;
   Duration shortestLapse() const {
-    return fromSeconds(options_.shortest_lapse_beats * toSeconds(options_.heartbeat));
+    return fromSeconds(options_.min_lapse_beats * toSeconds(options_.heartbeat));
   }
   /// The best of the engines that a choice has compared.
   struct Choice {
--- a/src/gateway/engines/lasting_slowness.cpp
+++ b/src/gateway/engines/lasting_slowness.cpp
@@ -9,10 +9,10 @@
 constexpr std::size_t kUnits = 16;
 /// A span takes at least this long, so that the spans kept outlast what slows an engine for some
 /// seconds.
-constexpr Duration kShortestSpan = std::chrono::seconds(1);
+constexpr Duration kMinSpan = std::chrono::seconds(1);
 constexpr std::size_t kSpans = 16;
 /// Engines of one service that are slower than this have a fault, which may pass at any time.
-constexpr double kMostByMake = 2;
+constexpr double kMaxByMake = 2;
 /// An engine that is avoided is not measured: it must be tried again some time.
 constexpr Duration kLifetime = std::chrono::seconds(60);
 }  // namespace
@@ -22,7 +22,7 @@
   this->seconds_ += seconds;
   ++this->units_;
   this->observed_at_ = now;
-  return this->units_ >= kUnits && now - this->opened_at_ >= kShortestSpan;
+  return this->units_ >= kUnits && now - this->opened_at_ >= kMinSpan;
 }
 
 void lasting_slowness::close(double median_pace) {
@@ -37,7 +37,7 @@
 double lasting_slowness::value(Instant now) const {
   if (this->spans_.empty() || now - this->observed_at_ > kLifetime) return 1;
   const double least = *std::min_element(this->spans_.begin(), this->spans_.end());
-  return least > kMostByMake ? 1 : least;
+  return least > kMaxByMake ? 1 : least;
 }
 
 }  // namespace linenpier::engines
--- a/src/gateway/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -3,9 +3,9 @@
 namespace linenpier::forward {
 
 namespace {
-constexpr int kMostUnreachable = 4;
+constexpr int kMaxUnreachable = 4;
 /// With less time left than this, an attempt has no chance.
-constexpr Duration kShortestAttempt = std::chrono::milliseconds(10);
+constexpr Duration kMinAttempt = std::chrono::milliseconds(10);
 constexpr unsigned kRefusedStatus = 503;
 constexpr unsigned kUnknownStatus = 502;
 constexpr unsigned kOutOfTimeStatus = 504;
@@ -39,11 +39,11 @@
 }
 
 bool AttemptPolicy::attemptsLeft() const {
-  return started_ < max_attempts_ && unreachable_ < kMostUnreachable;
+  return started_ < max_attempts_ && unreachable_ < kMaxUnreachable;
 }
 
 bool AttemptPolicy::mayStart(Instant now) const {
-  if (!attemptsLeft() || now + kShortestAttempt >= deadline_) return false;
+  if (!attemptsLeft() || now + kMinAttempt >= deadline_) return false;
   if (running_ == 0) return !may_have_run_ || repeatable_;
   return idempotent_ && now >= last_start_ + hedge_delay_;
 }
@@ -54,7 +54,7 @@
 }
 
 bool AttemptPolicy::retriesFailures(Instant now) const {
-  return repeatable_ && (running_ > 0 || (attemptsLeft() && now + kShortestAttempt < deadline_));
+  return repeatable_ && (running_ > 0 || (attemptsLeft() && now + kMinAttempt < deadline_));
 }
 
 FinalAnswer AttemptPolicy::finalAnswer(Instant now) const {
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -9,7 +9,7 @@
 using http::ExchangeStatus;
 
 namespace {
-constexpr std::size_t kMostAnswer = 64 * 1024 * 1024;
+constexpr std::size_t kMaxAnswer = 64 * 1024 * 1024;
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
 /// For the answer to a connection: many times what a host within reach takes.
@@ -88,7 +88,7 @@
   if (verdict != AttemptVerdict::kNotExecuted) co_return verdict;
   // Reading the refusal to its end keeps the connection.
   std::string ignored;
-  co_await exchange_->readAll(ignored, kMostAnswer, limits.deadline);
+  co_await exchange_->readAll(ignored, kMaxAnswer, limits.deadline);
   co_return verdict;
 }
 
@@ -145,7 +145,7 @@
 
 Task<AttemptVerdict> EngineCall::readWhole(std::string& body, Instant deadline) {
   const auto self = shared_from_this();
-  const ExchangeStatus status = co_await exchange_->readAll(body, kMostAnswer, deadline);
+  const ExchangeStatus status = co_await exchange_->readAll(body, kMaxAnswer, deadline);
   if (status != ExchangeStatus::kOk) co_return settle(status);
   end(exchange_->status() >= kServerError ? AttemptEnd::kBroke : AttemptEnd::kServed);
   co_return AttemptVerdict::kAnswered;
--- a/src/gateway/forward/forward_plain.cpp
+++ b/src/gateway/forward/forward_plain.cpp
@@ -144,7 +144,7 @@
   forwarded->received = steadyNow();
   forwarded->deadline =
       forwarded->received + std::min<Duration>(request.limit, request.route->timeout);
-  forwarded->most_per_slot = request.most_per_slot;
+  forwarded->max_per_slot = request.max_per_slot;
   forwarded->internal = true;
   AttemptPolicy policy(*request.route, forwarded->deadline);
   plain_outcome plain = co_await runAttempts(forwarded, policy, *request.cancellation);
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -90,7 +90,7 @@
                                                   const std::set<EngineId>& tried) {
   engines::PickRequest wanted;
   wanted.excluded = tried;
-  wanted.most_per_slot = forwarded.most_per_slot;
+  wanted.max_per_slot = forwarded.max_per_slot;
   wanted.model = ModelName(http::fieldText(*forwarded.request, context_.names.model));
   wanted.residency = residencyOf(forwarded);
   const engines::EngineState* engine = pickFrom(forwarded, wanted);
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -21,7 +21,7 @@
 /// Lines about answered requests that a daemon writes in full each second, and one in how many
 /// then.
 inline constexpr std::uint32_t kFullLinesPerSecond = 50;
-inline constexpr std::uint32_t kThenOneIn = 20;
+inline constexpr std::uint32_t kSampleOneIn = 20;
 
 struct ForwarderOptions {
   Duration connect_time = std::chrono::milliseconds(200);
@@ -42,9 +42,9 @@
   std::string id;
   Instant received{};
   Instant deadline{};
-  double most_per_slot = 0;  ///< Engines that are fuller are left alone; 0: no limit.
-  bool internal = false;     ///< The system itself sends it, not a client.
-  bool recorded = false;     ///< It was recorded that it began to run.
+  double max_per_slot = 0;  ///< Engines that are fuller are left alone; 0: no limit.
+  bool internal = false;    ///< The system itself sends it, not a client.
+  bool recorded = false;    ///< It was recorded that it began to run.
   /// Why there was no engine for it when one was last looked for in vain.
   engines::refusal_tally refusals;
   std::optional<suspects::request_key> key;  ///< Worked out when it is first needed.
@@ -145,7 +145,7 @@
   suspects::suspect_gate& suspects_;
   ForwarderOptions options_;
   std::function<routing::RouteTablePtr()> newest_;
-  logging::SuccessSampler sampler_{kFullLinesPerSecond, kThenOneIn};
+  logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -18,9 +18,9 @@
   routing::RouteTablePtr table;
   const routing::Route* route = nullptr;  ///< Of that table.
   http::Request message;
-  TenantId tenant;           ///< On whose behalf; empty: nobody's.
-  Duration limit{};          ///< Until it is given up; the route may set a shorter one.
-  double most_per_slot = 0;  ///< Engines that are fuller are left to clients; 0: no limit.
+  TenantId tenant;          ///< On whose behalf; empty: nobody's.
+  Duration limit{};         ///< Until it is given up; the route may set a shorter one.
+  double max_per_slot = 0;  ///< Engines that are fuller are left to clients; 0: no limit.
   std::shared_ptr<http::Cancellation> cancellation;  ///< Ends the request.
 };
 
--- a/src/gateway/http/client_exchange.cpp
+++ b/src/gateway/http/client_exchange.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr std::size_t kReadPiece = 16 * 1024;
-constexpr std::size_t kMostBody = 64 * 1024 * 1024;
-constexpr int kMostSurplusAnswers = 3;
+constexpr std::size_t kMaxBody = 64 * 1024 * 1024;
+constexpr int kMaxSurplusAnswers = 3;
 /// The two clocks are read one after the other; a shorter suspension is as a busy moment.
 constexpr Duration kUnnoticedSuspension = std::chrono::milliseconds(50);
 constexpr Duration kIdleSlack = std::chrono::milliseconds(600);
@@ -77,7 +77,7 @@
   }
   connection_->expireAt(deadline);
   beginWrite();
-  for (int surplus = 0; surplus <= kMostSurplusAnswers; ++surplus) {
+  for (int surplus = 0; surplus <= kMaxSurplusAnswers; ++surplus) {
     const ExchangeStatus status = co_await readHead(deadline);
     if (status != ExchangeStatus::kOk) co_return status;
     if (!echo || fieldText(head(), echo->field) == echo->value) {
@@ -103,7 +103,7 @@
 Task<ExchangeStatus> ClientExchange::readHead(Instant deadline) {
   do {
     parser_.emplace();
-    parser_->body_limit(kMostBody);
+    parser_->body_limit(kMaxBody);
     if (request_.method() == beast_http::verb::head) parser_->skip(true);
     const auto connection = connection_;
     connection->expireAt(deadline);
@@ -202,7 +202,7 @@
   outcome.status = co_await exchange->start(connect_deadline, deadline, std::nullopt, false);
   outcome.sent = exchange->sent();
   if (outcome.status != ExchangeStatus::kOk) co_return outcome;
-  outcome.status = co_await exchange->readAll(outcome.response.body(), kMostBody, deadline);
+  outcome.status = co_await exchange->readAll(outcome.response.body(), kMaxBody, deadline);
   outcome.response.base() = exchange->head();
   // An answer that lay here while the machine was suspended says nothing of now: whoever takes it
   // for a sign of being in touch would act on what others have long changed.
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -9,7 +9,7 @@
 /// Clocks of machines differ by at most a ms in so many seconds.
 constexpr std::int64_t kSecondsPerDriftMs = 10;
 /// No answer comes later than this: the store's clock began anew.
-constexpr std::int64_t kLongestLagMs = 5000;
+constexpr std::int64_t kMaxLagMs = 5000;
 }  // namespace
 
 void LeaseKeeper::start(std::function<bool()> needed) {
@@ -38,7 +38,7 @@
   const std::int64_t lag_ms = expected_ms - clock_ms;
   const auto since = std::chrono::duration_cast<std::chrono::seconds>(now - clock_read_at_);
   const std::int64_t drift_ms = since.count() / kSecondsPerDriftMs;
-  const bool later = clock_ms_ != 0 && lag_ms > drift_ms && lag_ms < kLongestLagMs;
+  const bool later = clock_ms_ != 0 && lag_ms > drift_ms && lag_ms < kMaxLagMs;
   if (later) return;
   clock_ms_ = clock_ms;
   clock_read_at_ = now;
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -107,7 +107,7 @@
   });
   read_at_ = std::max(read_at_, sent_at);
   const Duration excess = std::max(now - sent_at - times_.usual_delay, Duration::zero());
-  const Duration wanted = std::min(excess * times_.delays_allowed, times_.longest_allowance);
+  const Duration wanted = std::min(excess * times_.delays_allowed, times_.max_allowance);
   // One quick answer among slow ones does not make the store quick.
   allowance_ = std::max(wanted, allowance_ / 2);
 }
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -33,7 +33,7 @@
   /// … unless they take no longer than this …
   Duration usual_delay = std::chrono::milliseconds(20);
   /// … and by no more than this.
-  Duration longest_allowance = std::chrono::seconds(3);
+  Duration max_allowance = std::chrono::seconds(3);
   /// Silence that is unusual: a renewal or two were missed.
   Duration suspicion = std::chrono::milliseconds(700);
   /// Silence after which a row is of no use to anybody.
--- a/src/gateway/lease/lease_watch.cpp
+++ b/src/gateway/lease/lease_watch.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint64_t kSpreadSteps = 1000;
 /// Every daemon sees the rows that nobody needs; one in so many reads removes them.
 constexpr std::uint64_t kRemoveOneIn = 10;
-constexpr std::size_t kMostRemovedAtOnce = 50;
+constexpr std::size_t kMaxRemovedAtOnce = 50;
 }  // namespace
 
 void lease_watch::start(std::function<void(bool healthy)> on_health) {
@@ -64,7 +64,7 @@
 Task<void> lease_watch::removeForgotten() {
   std::vector<LeaseId> forgotten = this->leases_.forgotten(steadyNow());
   if (forgotten.empty()) co_return;
-  if (forgotten.size() > kMostRemovedAtOnce) forgotten.resize(kMostRemovedAtOnce);
+  if (forgotten.size() > kMaxRemovedAtOnce) forgotten.resize(kMaxRemovedAtOnce);
   table::Write write;
   for (const LeaseId& lease : forgotten) write.removes.push_back(table::leaseKey(lease));
   const auto answer = co_await this->table_.write(std::move(write));
--- a/src/gateway/lease/own_capacity.h
+++ b/src/gateway/lease/own_capacity.h
@@ -23,7 +23,7 @@
 
   /// A timer ran this long after it was due.
   void onTimer(Duration lateness) {
-    const double seconds = toSeconds(std::max(lateness - kUsualLateness, Duration::zero()));
+    const double seconds = toSeconds(std::max(lateness - kDefaultLateness, Duration::zero()));
     lateness_ += kNewestWeight * (seconds - lateness_);
   }
 
@@ -35,7 +35,7 @@
 
  private:
   /// Timers of an idle machine run up to this late.
-  static constexpr Duration kUsualLateness = std::chrono::milliseconds(5);
+  static constexpr Duration kDefaultLateness = std::chrono::milliseconds(5);
   /// A daemon whose timers run this late counts half: items that wait for each other's events by
   /// this much lose about as much as they would on a machine of half the speed.
   static constexpr Duration kHalvingLateness = std::chrono::milliseconds(20);
--- a/src/gateway/metrics/gateway_metrics.cpp
+++ b/src/gateway/metrics/gateway_metrics.cpp
@@ -119,7 +119,7 @@
         {{"service", service}});
     set("cold_requests_sent", "Requests of this daemon to cold engines, lately.", number(cold.sent),
         {{"service", service}});
-    set("cold_requests_sent_most", "The most of them to one engine.", number(cold.most_sent),
+    set("cold_requests_sent_most", "The most of them to one engine.", number(cold.max_sent),
         {{"service", service}});
   }
   set("cold_refusals", "Times an engine was left out as it was, or might be, cold, ever.",
--- a/src/gateway/metrics/gateway_metrics.h
+++ b/src/gateway/metrics/gateway_metrics.h
@@ -19,8 +19,8 @@
 /// Engines of a service that started lately.
 struct ColdEngines {
   std::size_t count = 0;
-  std::size_t sent = 0;       ///< Requests of this daemon to them within the last window.
-  std::size_t most_sent = 0;  ///< The most to one of them.
+  std::size_t sent = 0;      ///< Requests of this daemon to them within the last window.
+  std::size_t max_sent = 0;  ///< The most to one of them.
 };
 
 /// State at the moment of a scrape.
--- a/src/gateway/routing/route_table.cpp
+++ b/src/gateway/routing/route_table.cpp
@@ -40,7 +40,7 @@
                     });
 }
 
-constexpr std::uint64_t kMostSkipped = 97;
+constexpr std::uint64_t kMaxSkipped = 97;
 
 }  // namespace
 
@@ -63,7 +63,7 @@
     balance.services = route.services;
     balance.credits.assign(route.services.size(), 0);
     // Daemons that see few requests would otherwise all begin with the same service.
-    const std::uint64_t skipped = hash64(route.name.str(), start_) % kMostSkipped;
+    const std::uint64_t skipped = hash64(route.name.str(), start_) % kMaxSkipped;
     for (std::uint64_t i = 0; i < skipped; ++i) pickService(balance, total);
   }
   return route.services[pickService(balance, total)].service;
--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -247,11 +247,10 @@
   }
   if (change.have >= change.before) return std::nullopt;
   if (state.unconfirmed) return change;
-  const Duration patience = bounds.boot_time + this->options_.boot_slack;
-  const Duration after_order =
-      state.repeats > 0 ? this->backoff(state.repeats) + patience : patience;
+  const Duration timeout = bounds.boot_time + this->options_.boot_slack;
+  const Duration after_order = state.repeats > 0 ? this->backoff(state.repeats) + timeout : timeout;
   const bool waited =
-      lasts(now, state.missing_since, patience) && now - state.ordered_at >= after_order;
+      lasts(now, state.missing_since, timeout) && now - state.ordered_at >= after_order;
   if (!waited) return std::nullopt;
   return change;
 }
@@ -294,8 +293,8 @@
 
 Duration scaling_policy::backoff(int step) const {
   Duration pause = this->options_.first_backoff;
-  for (int i = 1; i < step && pause < this->options_.longest_backoff; ++i) pause *= 2;
-  return std::min(pause, this->options_.longest_backoff);
+  for (int i = 1; i < step && pause < this->options_.max_backoff; ++i) pause *= 2;
+  return std::min(pause, this->options_.max_backoff);
 }
 
 void scaling_policy::onAnswer(Instant now, const count_decision& decision, DutyAnswer answer) {
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -38,7 +38,7 @@
   Duration hold = std::chrono::seconds(10);
   Duration shrink_gap = std::chrono::seconds(3);  ///< Between two engines fewer in a zone.
   Duration first_backoff = std::chrono::seconds(2);
-  Duration longest_backoff = std::chrono::seconds(30);
+  Duration max_backoff = std::chrono::seconds(30);
   /// Spot engines of a zone are not to be had for some time after they were taken back.
   Duration reclaim_pause = std::chrono::seconds(10);
   Duration work_memory = std::chrono::seconds(10);  ///< What was open then will be open again.
--- a/src/gateway/scaling/scaling_record.cpp
+++ b/src/gateway/scaling/scaling_record.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr char kUsual[] = "usual";
+constexpr char kDefault[] = "usual";
 constexpr char kOrdered[] = "ordered";
 constexpr char kZone[] = "zone";
 constexpr char kKind[] = "kind";
@@ -43,7 +43,7 @@
 }
 
 std::string encodeRecord(const scaling_record& record) {
-  const json document = {{kUsual, encodeCounts(record.usual)},
+  const json document = {{kDefault, encodeCounts(record.usual)},
                          {kOrdered, encodeCounts(record.ordered)}};
   return document.dump();
 }
@@ -53,7 +53,7 @@
   if (!document.is_object()) return std::nullopt;
   try {
     scaling_record record;
-    record.usual = decodeCounts(document.at(kUsual));
+    record.usual = decodeCounts(document.at(kDefault));
     record.ordered = decodeCounts(document.at(kOrdered));
     return record;
   } catch (const json::exception&) {
--- a/src/gateway/service/gateway_cold.cpp
+++ b/src/gateway/service/gateway_cold.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 /// Lines a second about engines that were refused requests; the rest is only counted.
-constexpr std::size_t kMostRefusalLines = 5;
+constexpr std::size_t kMaxRefusalLines = 5;
 }  // namespace
 
 void Gateway::updateColdSenders() {
@@ -48,7 +48,7 @@
   std::sort(refusals.begin(), refusals.end(),
             [](const auto& one, const auto& other) { return one.refused > other.refused; });
   const std::size_t engines = refusals.size();
-  if (engines > kMostRefusalLines) refusals.resize(kMostRefusalLines);
+  if (engines > kMaxRefusalLines) refusals.resize(kMaxRefusalLines);
   for (const engines::cold_refusals& each : refusals) {
     LogEvent("engines", "cold_refused")
         .text("engine", each.engine.str())
@@ -72,7 +72,7 @@
     ++told.count;
     const std::size_t sent = cold.sent(now, id);
     told.sent += sent;
-    told.most_sent = std::max(told.most_sent, sent);
+    told.max_sent = std::max(told.max_sent, sent);
   }
 }
 
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -112,7 +112,7 @@
   reader.readChoice("log.format", format, {"json", "text"});
   reader.readChoice("log.output", output, {"on", "off"});
   std::string mode = "auto";
-  double patience_ms = toSeconds(settings.rollout.patience) * 1000;
+  double patience_ms = toSeconds(settings.rollout.busy_timeout) * 1000;
   reader.readChoice("versions.mode", mode, {"auto", "wait", "cancel", "retain"});
   reader.readNumber("versions.patience_ms", patience_ms, 0, 600000);
   reader.readNumber("versions.quiet_share", settings.rollout.quiet_share, 0, 1);
@@ -138,7 +138,7 @@
   settings.usage.handover = settings.handover;
   const bool autoscales = settings.duties && lists(duty_names, kAutoscaleDuty);
   if (autoscales) settings.scaling.mode = scalingModeFromName(scaling_mode);
-  settings.rollout.patience = fromSeconds(patience_ms / 1000);
+  settings.rollout.busy_timeout = fromSeconds(patience_ms / 1000);
   settings.rollout.mode = loadModeFromName(mode);
   settings.engine_heartbeat = fromSeconds(heartbeat_ms / 1000);
   settings.batch.keep_jobs = fromSeconds(keep_seconds) + kRemovalSlack;
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -24,13 +24,13 @@
 constexpr Duration kIdleJobChangesGap = std::chrono::milliseconds(80);
 /// Calls that wait for longer when the store is heard of again were sent while it was away. A store
 /// that is sixty times slower than usual takes 0.25 s.
-constexpr Duration kUsualAnswer = std::chrono::milliseconds(300);
+constexpr Duration kDefaultAnswer = std::chrono::milliseconds(300);
 constexpr int kAnswersAllowed = 3;  ///< A write takes longer than a question for one row.
 /// Between two questions whether the store is back, at a daemon that has results for it.
 constexpr Duration kProbeGap = std::chrono::milliseconds(100);
 /// Between two looks whether such questions are called for.
 constexpr Duration kProbeIdle = std::chrono::milliseconds(500);
-constexpr Duration kProbePatience = std::chrono::milliseconds(500);
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -51,7 +51,7 @@
     if (!change.gone) onOperatorRow(change.row);
   };
   operators.on_health = [this](bool healthy) {
-    if (healthy) onStoreHeard(kUsualAnswer);
+    if (healthy) onStoreHeard(kDefaultAnswer);
   };
   table::WatcherOptions operator_options;
   operator_options.seed = hash64(settings_.id.str(), 1);
@@ -71,7 +71,7 @@
     if (!healthy) return;
     registry_.onStoreRegained(steadyNow(), engine_watcher_->lastOutage());
     spawn(loop_, [this] { return dropLapsedEngines(); });
-    onStoreHeard(kUsualAnswer);
+    onStoreHeard(kDefaultAnswer);
   };
   table::WatcherOptions engine_options;
   engine_options.coalesce = [this] {
@@ -87,7 +87,7 @@
   };
   coordination.on_change = [this](const table::RowChange& change) { onCoordinationRow(change); };
   coordination.on_health = [this](bool healthy) {
-    if (healthy) onStoreHeard(kUsualAnswer);
+    if (healthy) onStoreHeard(kDefaultAnswer);
     updateLeaseHealth();
   };
   coordination.on_clock = [this](std::int64_t clock_ms) {
@@ -128,13 +128,13 @@
 
 Task<void> Gateway::probeStore() {
   table::RowRange range = table::onlyRow(table::kLeaseTable, leases_.own().str());
-  range.patience = kProbePatience;
+  range.timeout = kProbeTimeout;
   const Instant begun = steadyNow();
   const auto page = co_await platform_.table().read(range);
   if (!page || leases_.storeHealthy()) co_return;
   // A store that is slow must be given the time that it takes.
   const Duration answer = kAnswersAllowed * (steadyNow() - begun);
-  onStoreHeard(std::max(kUsualAnswer, answer));
+  onStoreHeard(std::max(kDefaultAnswer, answer));
 }
 
 void Gateway::updateLeaseHealth() {
@@ -279,7 +279,7 @@
 }
 
 void Gateway::onLeasesRead(bool answered) {
-  if (answered && !leases_answered_) onStoreHeard(kUsualAnswer);
+  if (answered && !leases_answered_) onStoreHeard(kDefaultAnswer);
   leases_answered_ = answered;
   updateLeaseHealth();
   updateColdSenders();
--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -36,7 +36,7 @@
 
 Duration suspect_book::barFor(int ends) const {
   if (ends < this->rules_.proof) return Duration::zero();
-  const int doublings = std::min(ends - this->rules_.proof, this->rules_.most_doublings);
+  const int doublings = std::min(ends - this->rules_.proof, this->rules_.max_doublings);
   return this->rules_.first_bar * (1 << doublings);
 }
 
@@ -130,7 +130,7 @@
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return;
   at->second.tried_by = self;
-  at->second.tried_until = now + this->rules_.longest_trial;
+  at->second.tried_until = now + this->rules_.max_trial;
 }
 
 void suspect_book::onTrialEnded(const request_key& key, const std::string& self) {
@@ -149,10 +149,10 @@
   each.ends = std::max(each.ends, record.ends);
   this->addEngines(each, record.engines);
   each.tried_by = record.tried_by;
-  each.tried_until = now + this->rules_.longest_trial;
+  each.tried_until = now + this->rules_.max_trial;
   if (clock_ms != 0) {
     const auto left = std::chrono::milliseconds(record.tried_until_ms - clock_ms);
-    each.tried_until = now + std::min<Duration>(left, this->rules_.longest_trial);
+    each.tried_until = now + std::min<Duration>(left, this->rules_.max_trial);
   }
   each.revision = revision;
   each.shared = true;
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_book.h
@@ -26,17 +26,17 @@
   /** An engine that ran a request for longer did not end of beginning it. Ends were seen 40 to 120
    * ms after the sending; an engine that is slow and full takes a second more.
    */
-  Duration longest_fatal_run = std::chrono::seconds(3);
+  Duration max_fatal_run = std::chrono::seconds(3);
   /** From the second end to the next trial: until engines that ended are back, so that one request
    * does not hold more than two at a time.
    */
   Duration trial_pause = std::chrono::seconds(5);
   /** A trial that takes longer keeps nobody else from trying. */
-  Duration longest_trial = std::chrono::seconds(3);
+  Duration max_trial = std::chrono::seconds(3);
   /** Suspicion is forgotten this long after the last end, or after the bar is over. */
   Duration memory = std::chrono::minutes(10);
   Duration first_bar = std::chrono::minutes(10);  ///< Doubled with each end after the proof.
-  int most_doublings = 6;
+  int max_doublings = 6;
   /** Items must not lie still: a job waits for them. One that is barred is tried so often more … */
   int item_trials = 2;
   /** … at such distances: less than the 5 s after which an item counts as lost. */
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -13,7 +13,7 @@
 /** For the store's word that nobody else tries a suspect: some twenty times its usual answer. A
  * store that is slower than that must not hold innocent requests up.
  */
-constexpr Duration kClaimPatience = std::chrono::milliseconds(100);
+constexpr Duration kClaimTimeout = std::chrono::milliseconds(100);
 constexpr int kClaimTries = 3;
 constexpr Duration kWriteIdle = std::chrono::seconds(1);
 /** Between two rows: 40 a second, a twentieth of what a small store takes of all daemons. */
@@ -81,7 +81,7 @@
     pending->settled.notifyAll();
   });
   if (!pending->outcome) {
-    co_await pending->settled.waitFor(kClaimPatience);
+    co_await pending->settled.waitFor(kClaimTimeout);
   }
   co_return pending->outcome.value_or(WriteOutcome::kNoAnswer);
 }
@@ -110,7 +110,7 @@
   const Instant now = steadyNow();
   const Duration ran = now - sent_at;
   if (attempt.trial) this->book_.onTrialEnded(key, this->self());
-  const bool counts = ran <= this->book_.rules().longest_fatal_run;
+  const bool counts = ran <= this->book_.rules().max_fatal_run;
   if (counts) {
     ++this->totals_.engines_ended;
     this->book_.onEnded(now, key, engine, attempt.ends);
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -27,7 +27,7 @@
 /** Lines about refused suspects that a daemon writes in full each second, and one in how many then.
  */
 inline constexpr std::uint32_t kRefusalLinesPerSecond = 20;
-inline constexpr std::uint32_t kThenOneIn = 50;
+inline constexpr std::uint32_t kSampleOneIn = 50;
 
 struct suspect_totals {
   std::uint64_t engines_ended = 0;  ///< Under attempts of this daemon.
@@ -95,7 +95,7 @@
   suspect_totals totals_;
   Signal changed_;  ///< Something is to be written.
   bool known_ = false;
-  logging::SuccessSampler refusal_lines_{kRefusalLinesPerSecond, kThenOneIn};
+  logging::SuccessSampler refusal_lines_{kRefusalLinesPerSecond, kSampleOneIn};
 };
 
 }  // namespace linenpier::suspects
--- a/src/gateway/table/async_table.h
+++ b/src/gateway/table/async_table.h
@@ -39,7 +39,7 @@
   std::string from;       ///< Key without its table; inclusive.
   std::string until;      ///< Exclusive; empty: to the table's end.
   std::size_t limit = 0;  ///< 0: as many as the store gives.
-  Duration patience{};    ///< For the answer; zero: as long as any call waits.
+  Duration timeout{};     ///< For the answer; zero: as long as any call waits.
 };
 
 /// @return the range that holds this row alone.
--- a/src/gateway/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -39,11 +39,11 @@
 
 Task<CallResult<RowPage>> TableWatcher::readPage(RowRange range) {
   // To begin a large table anew for one refused page would make many daemons refuse each other.
-  constexpr int kMostTries = 8;
+  constexpr int kMaxTries = 8;
   for (int tries = 1;; ++tries) {
     auto page = co_await table_.read(range);
     const bool refused = !page && page.error().failure == CallFailure::kRateLimited;
-    if (!refused || tries == kMostTries) co_return page;
+    if (!refused || tries == kMaxTries) co_return page;
     const Duration pause = backoff_.onFailure();
     co_await sleepFor(loop_, pause);
   }
--- a/src/gateway/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -23,7 +23,7 @@
   std::function<Duration()> coalesce = {};
   /// Before a call is made again that failed, and at most.
   Duration retry_pause = std::chrono::milliseconds(150);
-  Duration longest_retry_pause = std::chrono::milliseconds(600);
+  Duration max_retry_pause = std::chrono::milliseconds(600);
   std::uint64_t seed = 1;  ///< Of the spread of those pauses.
 };
 
@@ -48,7 +48,7 @@
         name_(std::move(name)),
         options_(std::move(options)),
         listener_(std::move(listener)),
-        backoff_(options_.retry_pause, options_.longest_retry_pause, options_.seed),
+        backoff_(options_.retry_pause, options_.max_retry_pause, options_.seed),
         retry_now_(loop) {}
 
   void start();
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -10,7 +10,7 @@
 namespace {
 /// Of requests whose window is not known since the store has not answered this life yet: some
 /// minutes of a daemon's share at the users' peak.
-constexpr std::size_t kMostWaiting = 20000;
+constexpr std::size_t kMaxWaiting = 20000;
 }  // namespace
 
 std::string encodeCounts(const tenant_counts& counts) {
@@ -35,7 +35,7 @@
 }
 
 bool usage_counter::onBegun(Instant at, const TenantId& tenant) {
-  if (this->waiting_.size() >= kMostWaiting) return false;
+  if (this->waiting_.size() >= kMaxWaiting) return false;
   this->waiting_.push_back({at, tenant});
   return true;
 }
--- a/src/gateway/usage/usage_service.cpp
+++ b/src/gateway/usage/usage_service.cpp
@@ -19,8 +19,8 @@
 constexpr Duration kClockPeriod = std::chrono::seconds(10);  ///< Between two looks at true time.
 constexpr Duration kRefusedPause = std::chrono::milliseconds(300);
 /// The store takes 100 entries a write: a condition and a value a window, or what is removed.
-constexpr std::size_t kMostWindowsAtOnce = 20;
-constexpr std::size_t kMostRemovedAtOnce = 90;
+constexpr std::size_t kMaxWindowsAtOnce = 20;
+constexpr std::size_t kMaxRemovedAtOnce = 90;
 /// Windows that stay in memory, for writes whose answer comes late.
 constexpr window_number kKeptWindows = 4;
 
@@ -114,7 +114,7 @@
   const Instant now = steadyNow();
   this->counter_.assign([this](Instant at) { return this->windowAt(at); });
   std::vector<window_number> unsaved = this->counter_.unsaved();
-  if (unsaved.size() > kMostWindowsAtOnce) unsaved.resize(kMostWindowsAtOnce);
+  if (unsaved.size() > kMaxWindowsAtOnce) unsaved.resize(kMaxWindowsAtOnce);
   table::Write write;
   std::vector<std::uint64_t> changes;
   for (const window_number window : unsaved) {
@@ -344,7 +344,7 @@
 
 Task<void> usage_service::removeRows(std::vector<std::string> keys) {
   while (!keys.empty()) {
-    const std::size_t first = keys.size() - std::min(keys.size(), kMostRemovedAtOnce);
+    const std::size_t first = keys.size() - std::min(keys.size(), kMaxRemovedAtOnce);
     table::Write write;
     write.removes.assign(keys.begin() + static_cast<std::ptrdiff_t>(first), keys.end());
     keys.resize(first);
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -47,7 +47,7 @@
 
 bool VersionRollout::isNew(Instant now, const ModelName& model) const {
   const auto named_at = named_at_.find(model);
-  return named_at != named_at_.end() && now - named_at->second < options_.patience;
+  return named_at != named_at_.end() && now - named_at->second < options_.busy_timeout;
 }
 
 bool VersionRollout::isBehind(Instant now, const engines::EngineState& engine,
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -65,7 +65,7 @@
   /// … or when its model's newest version was named this long ago. Versions that follow each other
   /// sooner are skipped by engines that are of use to the newest step: each load stops or moves all
   /// that an engine runs.
-  Duration patience = std::chrono::seconds(10);
+  Duration busy_timeout = std::chrono::seconds(10);
   /// A version that is this old is brought to engines beyond the demand, too.
   Duration settled = std::chrono::seconds(8);
   demand_options demand;
--- a/src/testbed/load/caller.cpp
+++ b/src/testbed/load/caller.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr Duration kLongestPause = std::chrono::milliseconds(300);
+constexpr Duration kMaxPause = std::chrono::milliseconds(300);
 /// A daemon that sends nothing for this long is taken for dead: another one is asked.
-constexpr Duration kLongestSilence = std::chrono::milliseconds(700);
+constexpr Duration kMaxSilence = std::chrono::milliseconds(700);
 
 /// Collects a streamed answer.
 class StreamedAnswer {
@@ -99,15 +99,14 @@
     }
     const Duration left_after = deadline - steadyNow();
     std::this_thread::sleep_for(
-        std::clamp(std::min(reply.retry_after, left_after), Duration::zero(), kLongestPause));
+        std::clamp(std::min(reply.retry_after, left_after), Duration::zero(), kMaxPause));
   }
   record(lookup, reply);
 }
 
 Caller::Reply Caller::ask(const Address& target, const Lookup& lookup, Duration left) {
-  auto client =
-      platform::makeClient(platform::serviceUrl(target),
-                           {std::chrono::milliseconds(300), std::min(left, kLongestSilence)});
+  auto client = platform::makeClient(platform::serviceUrl(target),
+                                     {std::chrono::milliseconds(300), std::min(left, kMaxSilence)});
   const bool once = !lookup.once_id.empty();
   const bool stream = plan_.stream && !once;
   const auto left_ms = std::max<long>(1, left / std::chrono::milliseconds(1));
--- a/src/testbed/load/trainer.cpp
+++ b/src/testbed/load/trainer.cpp
@@ -18,7 +18,7 @@
 constexpr int kPullWaitMs = 2000;
 constexpr int kPublishTries = 200;
 constexpr auto kRetryPause = std::chrono::milliseconds(50);
-constexpr Duration kLongestPull = std::chrono::minutes(3);
+constexpr Duration kMaxPull = std::chrono::minutes(3);
 /// A repeated pull is made after every so many steps.
 constexpr std::uint64_t kRepeatEvery = 3;
 
@@ -51,13 +51,13 @@
       }
     }
     const Instant asked = steadyNow();
-    const std::string batch = pull(step, asked + kLongestPull);
+    const std::string batch = pull(step, asked + kMaxPull);
     const Duration waited = steadyNow() - asked;
     result_.idle_s += toSeconds(waited);
     result_.waits_ms.push_back(toSeconds(waited) * 1000);
     if (batch.empty()) break;
     check(step, batch);
-    if (step % kRepeatEvery == 0 && pull(step, steadyNow() + kLongestPull) != batch) {
+    if (step % kRepeatEvery == 0 && pull(step, steadyNow() + kMaxPull) != batch) {
       ++result_.differing_repeats;
     }
     acknowledge(step);
--- a/src/testbed/standin/platform_server.cpp
+++ b/src/testbed/standin/platform_server.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kMostThreads = 4096;
+constexpr std::size_t kMaxThreads = 4096;
 constexpr auto kAdvancePeriod = std::chrono::milliseconds(20);
 constexpr auto kHang = std::chrono::milliseconds(3500);  ///< Longer than callers wait.
 constexpr auto kPieceWait = std::chrono::milliseconds(500);
@@ -67,7 +67,7 @@
           std::make_unique<EngineSim>(id, pool, topology_.limits, faults_, ++engine_seed);
     }
   }
-  server_.new_task_queue = [] { return new api::ElasticTaskQueue(kMostThreads); };
+  server_.new_task_queue = [] { return new api::ElasticTaskQueue(kMaxThreads); };
   server_.set_tcp_nodelay(true);
   server_.set_keep_alive_max_count(1);
   server_.set_payload_max_length(64 << 20);
--- a/src/testbed/standin/token_text.cpp
+++ b/src/testbed/standin/token_text.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint32_t kUsualLength = 32;
+constexpr std::uint32_t kDefaultLength = 32;
 
 /// @return the text between `name` and the next ';' or the end.
 std::string field(const std::string& prompt, const std::string& name) {
@@ -41,7 +41,7 @@
 
 std::uint32_t answerLength(const std::string& prompt, std::uint32_t max_tokens) {
   const std::string text = field(prompt, "len=");
-  std::uint32_t length = kUsualLength;
+  std::uint32_t length = kDefaultLength;
   std::from_chars(text.data(), text.data() + text.size(), length);
   return std::clamp(length, 1U, max_tokens);
 }
--- a/tests/gateway/batch/owner_choice_test.cpp
+++ b/tests/gateway/batch/owner_choice_test.cpp
@@ -16,7 +16,7 @@
   OwnerChoice choice;
   choice.candidates = std::move(candidates);
   choice.items = 200;
-  choice.most_open_items = 1000;
+  choice.max_open_items = 1000;
   return choice;
 }
 
--- a/tests/gateway/batch/runs_leaving_test.cpp
+++ b/tests/gateway/batch/runs_leaving_test.cpp
@@ -71,7 +71,7 @@
   leaving.onZones(kStart, kNorthClosed, runs);
   for (int seconds = 3; seconds < 6; ++seconds) {
     const Instant now = kStart + std::chrono::seconds(seconds);
-    cr_assert_eq(leaving.due(now, runs).size(), leaving.options().most_at_once);
+    cr_assert_eq(leaving.due(now, runs).size(), leaving.options().max_at_once);
   }
 }
 
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t kMost = 18;  ///< 9.3 x 1.5 + 5, whole requests.
 constexpr std::size_t kSenders = 5;
 /// Without a bound a daemon would send for ever: a test that fails must end.
-constexpr std::size_t kMostTried = 200;
+constexpr std::size_t kMaxTried = 200;
 
 std::map<ServiceName, routing::Service> services() {
   routing::Service service;
@@ -72,7 +72,7 @@
     engines::PickRequest wanted;
     wanted.service = kService;
     wanted.desperate = true;
-    for (std::size_t i = 0; i < kMostTried; ++i) {
+    for (std::size_t i = 0; i < kMaxTried; ++i) {
       const auto* engine = registry.pick(now, wanted);
       if (engine == nullptr) break;
       sent.push_back(engine->record.id);
@@ -344,7 +344,7 @@
   engines::PickRequest wanted;
   wanted.service = kService;
   wanted.batching = true;
-  wanted.most_per_slot = 1;
+  wanted.max_per_slot = 1;
   for (int i = 0; i < 4; ++i) {
     const auto* picked = daemon.registry.pick(kLater, wanted);
     cr_assert_eq(picked->record.id.str(), "w");
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -146,7 +146,7 @@
 Test(engine_registry, no_more_than_the_slots_where_that_is_asked_for) {
   EngineRegistry registry = registryOf({record("a")});
   PickRequest request = any();
-  request.most_per_slot = 1;
+  request.max_per_slot = 1;
   for (int i = 0; i < 4; ++i) {
     cr_assert_not_null(registry.pick(kStart, request));
     registry.onAttemptStarted(kStart, EngineId("a"));
@@ -266,12 +266,12 @@
 
 Test(engine_registry, a_choice_looks_at_as_many_engines_in_a_service_twice_as_large) {
   PickRequest item = any();
-  item.most_per_slot = 1;
+  item.max_per_slot = 1;
   EngineRegistry small = serviceOf(1000);
   EngineRegistry large = serviceOf(2000);
   const std::uint64_t looks = looksFor(small, item, 200);
   cr_assert_eq(looksFor(large, item, 200), looks);
-  cr_assert_leq(looks, 200U * 2 * engines::RegistryOptions{}.most_compared);
+  cr_assert_leq(looks, 200U * 2 * engines::RegistryOptions{}.max_compared);
 }
 
 Test(engine_registry, engines_with_other_weights_are_not_looked_at) {
--- a/tests/gateway/service/fatal_requests_test.cpp
+++ b/tests/gateway/service/fatal_requests_test.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 /// Engines that a request may end: the three that show what it does, and three more.
-constexpr int kMostEnded = 6;
+constexpr int kMaxEnded = 6;
 constexpr Duration kBetweenTries = std::chrono::milliseconds(150);
 
 test::FixtureOptions threeDaemons() {
@@ -58,7 +58,7 @@
 GATEWAY_TEST(fatal_requests, one_that_comes_again_anywhere_ends_few_engines, threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   co_await sendFatal(fixture, 60, 0, 3);
-  cr_assert_leq(fixture.samplersEnded(), kMostEnded, "%d engines ended", fixture.samplersEnded());
+  cr_assert_leq(fixture.samplersEnded(), kMaxEnded, "%d engines ended", fixture.samplersEnded());
 }
 
 GATEWAY_TEST(fatal_requests, one_is_known_after_all_daemons_have_started_anew, threeDaemons()) {
@@ -78,7 +78,7 @@
   const auto handed_in = co_await fixture.call(0, fixture.jobRequest("j1", 4));
   cr_assert_eq(handed_in.response.result_int(), 202U);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(12));
-  cr_assert_leq(fixture.samplersEnded(), kMostEnded, "%d engines ended", fixture.samplersEnded());
+  cr_assert_leq(fixture.samplersEnded(), kMaxEnded, "%d engines ended", fixture.samplersEnded());
   http::Request read(boost::beast::http::verb::get, "/linenpier/lots/j1?afterRev=0", 11);
   read.set("Host", "h.example");
   const auto listed = co_await fixture.call(1, std::move(read));
--- a/tests/gateway/service/settings_watch_test.cpp
+++ b/tests/gateway/service/settings_watch_test.cpp
@@ -17,7 +17,7 @@
 /// Tests run at the same time, each in a process of its own.
 const std::string kFile = "/tmp/linenpier-settings-" + std::to_string(getpid()) + ".toml";
 constexpr Duration kPeriod = std::chrono::milliseconds(20);
-constexpr Duration kPatience = std::chrono::milliseconds(200);
+constexpr Duration kTimeout = std::chrono::milliseconds(200);
 
 std::string settingsWith(const std::string& store) {
   return "[daemon]\nid = \"d\"\nzone = \"z\"\n[listen]\nrequests = \"127.0.0.1:1\"\n"
@@ -46,10 +46,10 @@
 Test(settings_watch, a_file_that_changes_without_a_signal_is_read_again) {
   Fixture fixture;
   fixture.watch.start();
-  fixture.loop.run_for(kPatience);
+  fixture.loop.run_for(kTimeout);
   cr_assert(fixture.told.empty(), "nothing has changed");
   write(settingsWith("127.0.0.1:4444"));
-  fixture.loop.run_for(kPatience);
+  fixture.loop.run_for(kTimeout);
   cr_assert_eq(fixture.told.size(), 1U);
   cr_assert_eq(fixture.told[0].store.port, 4444);
 }
@@ -67,11 +67,11 @@
   Fixture fixture;
   fixture.watch.start();
   write("[daemon]\nid = 7\n");
-  fixture.loop.run_for(kPatience);
+  fixture.loop.run_for(kTimeout);
   cr_assert(fixture.told.empty());
   cr_assert_eq(fixture.watch.refused(), 1U);
   write(settingsWith("127.0.0.1:55555"));
-  fixture.loop.run_for(kPatience);
+  fixture.loop.run_for(kTimeout);
   cr_assert_eq(fixture.told.size(), 1U);
 }
 
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -75,7 +75,7 @@
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.reportAll(kStart, 4);
   cr_assert(fixture.tick(kStart).empty());
-  const Instant later = kStart + versions::RolloutOptions{}.patience;
+  const Instant later = kStart + versions::RolloutOptions{}.busy_timeout;
   fixture.reportAll(later - kMoment, 4);
   cr_assert(fixture.tick(later - kMoment).empty(), "still new");
   fixture.reportAll(later, 4);
@@ -219,7 +219,7 @@
   const std::set<EngineId> awaited = {EngineId("e0")};
   Instant now = kStart;
   std::set<EngineId> changed;
-  for (; now < kStart + versions::RolloutOptions{}.patience; now += std::chrono::seconds(1)) {
+  for (; now < kStart + versions::RolloutOptions{}.busy_timeout; now += std::chrono::seconds(1)) {
     fixture.reportAll(now, 1);
     for (const VersionOrder& order : fixture.tick(now, {kModel}, 1000, false, awaited)) {
       fixture.rollout.onAnswer(now, order, OrderAnswer::kInForce);
--- a/tests/soak/soak_checker.cpp
+++ b/tests/soak/soak_checker.cpp
@@ -9,7 +9,7 @@
 /** What proves it, at each of three daemons that hear nothing of each other, and three more: under
  * faults all the time nobody is in touch for long.
  */
-constexpr std::size_t kMostEnded = 3 * 3 + 3;
+constexpr std::size_t kMaxEnded = 3 * 3 + 3;
 
 bool isRefusal(unsigned status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
@@ -130,7 +130,7 @@
 }
 
 void soak_checker::finish() {
-  if (this->ended_ > kMostEnded) {
+  if (this->ended_ > kMaxEnded) {
     this->report(Promise::kFewEnds, std::to_string(this->ended_) + " engines ended");
   }
   for (const auto& [id, sent] : this->requests_) {
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -23,12 +23,12 @@
 constexpr Duration kCallTime = std::chrono::milliseconds(1500);
 constexpr Duration kJobCallTime = std::chrono::milliseconds(4500);
 /// Of the longest fault. The last ones end by themselves before the time to settle begins.
-constexpr Duration kLongestFault = std::chrono::milliseconds(3500);
+constexpr Duration kMaxFault = std::chrono::milliseconds(3500);
 /// From the last fault until requests must be served again: a lease that ran out, an outage of the
 /// store that has to be noticed, and the longest time for which an engine is left alone.
 constexpr Duration kSettle = std::chrono::seconds(9);
 constexpr Duration kWatched = std::chrono::seconds(2);
-constexpr Duration kLongestJob = std::chrono::seconds(40);
+constexpr Duration kMaxJob = std::chrono::seconds(40);
 constexpr Duration kStartTime = std::chrono::seconds(15);
 /// After which a daemon must not deny an accepted job.
 constexpr Duration kKnownBy = std::chrono::seconds(1);
@@ -165,14 +165,14 @@
   spawn(this->loop_, [this] { return this->faultLoop(); });
   co_await sleepFor(this->loop_, this->options_.length);
   this->striking_ = false;
-  co_await sleepFor(this->loop_, kLongestFault);
+  co_await sleepFor(this->loop_, kMaxFault);
   co_await sleepFor(this->loop_, kSettle);
   this->served_ = 0;
   this->sent_ = 0;
   co_await sleepFor(this->loop_, kWatched);
   this->checker_.onSettled(this->served_, this->sent_);
   this->traffic_ = false;
-  const Instant latest = steadyNow() + kLongestJob;
+  const Instant latest = steadyNow() + kMaxJob;
   while (this->open_jobs_ > 0 && steadyNow() < latest) {
     co_await sleepFor(this->loop_, kCallGap);
   }
@@ -329,7 +329,7 @@
 }
 
 Task<void> soak_run::endJob(std::string id) {
-  const Instant latest = steadyNow() + kLongestJob;
+  const Instant latest = steadyNow() + kMaxJob;
   while (steadyNow() < latest) {
     http::Request request = makeRequest(boost::beast::http::verb::delete_, "/linenpier/lots/" + id);
     const std::size_t gateway = this->choice_.below(this->gateways_.size());
@@ -343,7 +343,7 @@
 }
 
 Task<bool> soak_run::readWhole(job each, std::size_t gateway) {
-  const Instant latest = steadyNow() + kLongestJob;
+  const Instant latest = steadyNow() + kMaxJob;
   std::size_t position = 0;
   while (position < each.items.size()) {
     if (steadyNow() >= latest) co_return false;
--- a/tests/support/gateway_fixture.cpp
+++ b/tests/support/gateway_fixture.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration kLongestTest = std::chrono::seconds(25);
+constexpr Duration kMaxTest = std::chrono::seconds(25);
 
 }  // namespace
 
@@ -155,7 +155,7 @@
     finished = true;
     loop_.stop();
   });
-  loop_.run_for(kLongestTest);
+  loop_.run_for(kMaxTest);
   cr_assert(finished, "the test did not end in time, or failed within a task");
 }
 
--- a/tests/support/standin_store.cpp
+++ b/tests/support/standin_store.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Duration kLate = std::chrono::milliseconds(400);
-constexpr std::size_t kMostEntries = 100;
+constexpr std::size_t kMaxEntries = 100;
 
 std::string parameter(const std::string& target, const std::string& name) {
   const std::size_t at = target.find(name + "=");
@@ -137,7 +137,7 @@
   const auto keyOf = [](const json& entry) { return Key{entry["table"], entry["key"]}; };
   const std::size_t entries =
       document["expected"].size() + document["put"].size() + document["remove"].size();
-  if (entries > kMostEntries) return {400, "{}"};
+  if (entries > kMaxEntries) return {400, "{}"};
   bool holds = true;
   std::string current;
   for (const json& entry : document["expected"]) {
