--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -36,7 +36,7 @@
   /// From a job's acceptance until it may be removed, if it has ended.
   Duration keep_jobs = std::chrono::seconds(120);
   /// Until daemons that did not own an ended job remove it.
-  Duration removal_courtesy = std::chrono::seconds(30);
+  Duration removal_delay = std::chrono::seconds(30);
   Duration removal_period = std::chrono::seconds(2);  ///< Between two looks for such jobs.
   /// What earlier jobs left is of little use to a job later.
   Duration carry_over_time = std::chrono::seconds(2);
--- a/src/gateway/batch/batch_removal.cpp
+++ b/src/gateway/batch/batch_removal.cpp
@@ -16,7 +16,7 @@
     if (!job.record.ended || job.active) continue;
     const Duration age = std::chrono::milliseconds(clock_ms - job.record.accepted_ms);
     const bool own = job.record.owner == deps_.leases.own();
-    if (age > options_.keep_jobs + (own ? Duration::zero() : options_.removal_courtesy)) return id;
+    if (age > options_.keep_jobs + (own ? Duration::zero() : options_.removal_delay)) return id;
   }
   return std::nullopt;
 }
@@ -24,8 +24,8 @@
 Task<void> BatchService::removalLoop() {
   while (!stopping_) {
     // Daemons that look at the same moment would do the same work.
-    const Duration courtesy = deps_.leases.courtesy(steadyNow(), "removal");
-    co_await sleepFor(deps_.loop, options_.removal_period + 5 * courtesy);
+    const Duration removal_delay = deps_.leases.takeoverDelay(steadyNow(), "removal");
+    co_await sleepFor(deps_.loop, options_.removal_period + 5 * removal_delay);
     const auto id = nextToRemove(steadyNow());
     if (!id) continue;
     const Revision revision = jobs_.at(*id).revision;
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -145,7 +145,7 @@
     const bool own = deps_.leases.isEarlierSelf(job.record.owner);
     // One daemon takes all jobs of a model.
     const std::string& what = job.record.model.empty() ? id.str() : job.record.model.str();
-    const Duration delay = own ? Duration::zero() : deps_.pool.courtesy(now, what);
+    const Duration delay = own ? Duration::zero() : deps_.pool.takeoverDelay(now, what);
     if (now - job.orphaned_at < delay) continue;
     job.activating = true;
     job.orphaned_at = Instant{};
--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -89,7 +89,7 @@
   if (!vacant) return;
   if (this->vacant_since_ == Instant{}) this->vacant_since_ = now;
   const bool own = this->deps_.leases.isEarlierSelf(this->owner_);
-  if (!own && now - this->vacant_since_ < this->deps_.pool.courtesy(now, this->name_)) return;
+  if (!own && now - this->vacant_since_ < this->deps_.pool.takeoverDelay(now, this->name_)) return;
   this->acquiring_ = true;
   spawn(this->deps_.loop, [this] { return this->acquire(); });
 }
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -76,7 +76,7 @@
   return lease.str().substr(0, lease.str().find(kSeparator));
 }
 
-Duration LeaseTable::courtesy(Instant now, const std::string& what) const {
+Duration LeaseTable::takeoverDelay(Instant now, const std::string& what) const {
   const Duration age = std::min(now - started_at_, kOldAge);
   const auto step = static_cast<std::int64_t>(hash64(own_.str(), hash64(what)) % kJitterSteps);
   return kAgeSpread * age.count() / kOldAge.count() + kJitterSpread * step / kJitterSteps;
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -97,7 +97,7 @@
 
   /// @return how long this daemon lets others go first for something that nobody owns. Daemons that
   ///     started last go first: in a rolling restart they are the ones that stay.
-  Duration courtesy(Instant now, const std::string& what) const;
+  Duration takeoverDelay(Instant now, const std::string& what) const;
 
   void onRow(Instant now, const LeaseId& lease, Revision revision);
   /// All rows were read: `rows`, as of a moment between `sent_at` and `now`. How long that took
--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -85,9 +85,9 @@
   return fromSeconds(toSeconds(kJoinSpread) * factor * static_cast<double>(turn) / kTurns);
 }
 
-Duration OwnerPool::courtesy(Instant now, const std::string& what) const {
+Duration OwnerPool::takeoverDelay(Instant now, const std::string& what) const {
   const bool first = offers_ || leases_.candidates(now).empty();
-  return leases_.courtesy(now, what) + (first ? Duration::zero() : kOutsiderDelay);
+  return leases_.takeoverDelay(now, what) + (first ? Duration::zero() : kOutsiderDelay);
 }
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -55,7 +55,7 @@
   /// @return the live daemons that told their capacity, best first; this one if it offers itself.
   std::vector<OwnerCandidate> ranked(Instant now) const;
   /// @return how long this daemon lets others go first for something that nobody owns.
-  Duration courtesy(Instant now, const std::string& what) const;
+  Duration takeoverDelay(Instant now, const std::string& what) const;
 
  private:
   const LeaseTable& leases_;
--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -260,7 +260,8 @@
   return rows;
 }
 
-std::vector<std::pair<request_key, Revision>> suspect_book::sweep(Instant now, Duration courtesy,
+std::vector<std::pair<request_key, Revision>> suspect_book::sweep(Instant now,
+                                                                  Duration removal_delay,
                                                                   std::size_t most) {
   std::vector<std::pair<request_key, Revision>> removable;
   for (auto at = this->entries_.begin(); at != this->entries_.end();) {
@@ -270,7 +271,7 @@
       at = this->entries_.erase(at);
       continue;
     }
-    const bool due = old && now >= this->forgottenAt(each) + courtesy;
+    const bool due = old && now >= this->forgottenAt(each) + removal_delay;
     if (due && removable.size() < most) removable.emplace_back(at->first, each.revision);
     ++at;
   }
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_book.h
@@ -122,9 +122,9 @@
   std::vector<table::Row> rows(Instant now, std::int64_t clock_ms, const std::string& prefix,
                                std::size_t most) const;
   /** Forgets what is too old. @return rows that may be removed now, at most `most`.
-   * @param courtesy how much longer this daemon leaves that to others.
+   * @param removal_delay how much longer this daemon leaves that to others.
    */
-  std::vector<std::pair<request_key, Revision>> sweep(Instant now, Duration courtesy,
+  std::vector<std::pair<request_key, Revision>> sweep(Instant now, Duration removal_delay,
                                                       std::size_t most);
 
  private:
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -26,7 +26,7 @@
 constexpr Duration kSweepPeriod = std::chrono::seconds(10);
 constexpr std::size_t kRemovedPerSweep = 20;
 /** Rows that are too old are left to other daemons for up to so long, so that one removes them. */
-constexpr std::uint64_t kCourtesySeconds = 60;
+constexpr std::uint64_t kRemovalSpreadSeconds = 60;
 
 }  // namespace
 
@@ -267,10 +267,10 @@
 }
 
 Task<void> suspect_service::sweepLoop() {
-  const Duration courtesy = std::chrono::seconds(hash64(this->self()) % kCourtesySeconds);
+  const Duration removal_delay = std::chrono::seconds(hash64(this->self()) % kRemovalSpreadSeconds);
   for (;;) {
     co_await sleepFor(this->deps_.loop, kSweepPeriod);
-    const auto removable = this->book_.sweep(steadyNow(), courtesy, kRemovedPerSweep);
+    const auto removable = this->book_.sweep(steadyNow(), removal_delay, kRemovedPerSweep);
     for (const auto& [key, revision] : removable) {
       co_await this->removeRow(key, revision);
     }
--- a/tests/gateway/lease/lease_table_test.cpp
+++ b/tests/gateway/lease/lease_table_test.cpp
@@ -90,7 +90,7 @@
   const LeaseTable old(kOwn, {}, kStart);
   const LeaseTable young(makeLeaseId("d4", "a"), {}, kStart + std::chrono::seconds(50));
   const Instant now = kStart + std::chrono::seconds(55);
-  cr_assert(young.courtesy(now, "job") < old.courtesy(now, "job"));
+  cr_assert(young.takeoverDelay(now, "job") < old.takeoverDelay(now, "job"));
 }
 
 Test(lease_table, an_owner_stops_before_others_may_start) {
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -100,10 +100,11 @@
   settle(outside, 1);
   OwnerPool inside(table, kLarge);
   settle(inside, 3);
-  cr_assert(outside.courtesy(kStart, "m") > inside.courtesy(kStart, "m"));
+  cr_assert(outside.takeoverDelay(kStart, "m") > inside.takeoverDelay(kStart, "m"));
   const LeaseTable empty = tableWith({});
   const OwnerPool alone(empty, kSmall);
-  cr_assert(alone.courtesy(kStart, "m") < outside.courtesy(kStart, "m"), "there is no pool");
+  cr_assert(alone.takeoverDelay(kStart, "m") < outside.takeoverDelay(kStart, "m"),
+            "there is no pool");
 }
 
 Test(owner_pool, what_is_told_of_a_capacity_is_understood) {
