--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -50,10 +50,11 @@
   const BatchItem& each = job.active->run.job().items[*item];
   const double events =
       lengths_.remainingEvents(each.length_hint, job.active->run.progress(*item).last_event);
-  const double pace = deps_.engines.registry.medianPace(now, job.route->services.front().service);
+  const double event_time =
+      deps_.engines.registry.medianEventTime(now, job.route->services.front().service);
   job.item = *item;
   job.latest_start =
-      job.active->accepted_at + job.route->target_finish - fromSeconds(events * pace);
+      job.active->accepted_at + job.route->target_finish - fromSeconds(events * event_time);
   return true;
 }
 
@@ -198,8 +199,8 @@
   Instant last = steadyNow();
   bool first = true;
   while (!call.finished()) {
-    const double pace = deps_.engines.registry.measuredPace(steadyNow(), call.engine());
-    const Duration gap = first ? first_limit : options_.timeouts.forGap(pace);
+    const double event_time = deps_.engines.registry.measuredEventTime(steadyNow(), call.engine());
+    const Duration gap = first ? first_limit : options_.timeouts.forGap(event_time);
     verdict = co_await call.readEvents(parser, events, steadyNow() + gap);
     if (active.stopped) co_return AttemptVerdict::kAborted;
     const Instant now = steadyNow();
@@ -220,8 +221,8 @@
       if (first) times.to_first_event = now - started;
       if (!first) {
         times.max_gap = std::max(times.max_gap, now - last);
-        deps_.engines.registry.onPace(now, call.engine(),
-                                      (now - last) / static_cast<int>(events.size()));
+        deps_.engines.registry.onEventTime(now, call.engine(),
+                                           (now - last) / static_cast<int>(events.size()));
       }
       first = false;
       last = now;
@@ -329,8 +330,8 @@
       .text("from", run.engine.str())
       .text("towards", move->target.str())
       .real("events_left", move->events_left)
-      .real("slowness", move->slowness)
-      .real("slowness_there", move->slowness_there);
+      .real("slowness", move->latency_ratio)
+      .real("slowness_there", move->latency_ratio_there);
   moves.onMove(move->target, registry.room(now, move->target));
   active.calls.at(run.item)->abort();
 }
--- a/src/gateway/batch/batch_leaving.cpp
+++ b/src/gateway/batch/batch_leaving.cpp
@@ -29,8 +29,9 @@
       if (engine == nullptr || !registry.closedZones().contains(engine->record.zone)) continue;
       const double events = lengths_.remainingEvents(job.active->run.job().items[item].length_hint,
                                                      job.active->run.progress(item).last_event);
-      const double pace = registry.expectedPace(now, call->engine());
-      const double seconds = pace > 0 ? events * pace : std::numeric_limits<double>::infinity();
+      const double event_time = registry.expectedEventTime(now, call->engine());
+      const double seconds =
+          event_time > 0 ? events * event_time : std::numeric_limits<double>::infinity();
       placed.push_back({engine->record.zone, seconds});
       there.push_back({job.active, item, events});
     }
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -7,12 +7,12 @@
 std::vector<item_run> movableRuns(Instant now, const engines::EngineRegistry& registry,
                                   const ServiceName& service, const BatchJob& job,
                                   const std::vector<item_run>& runs, const run_move_rules& rules) {
-  const double median = registry.medianPace(now, service);
+  const double median = registry.medianEventTime(now, service);
   std::vector<item_run> movable;
   for (const item_run& each : runs) {
     if (now - each.started_at < rules.min_run) continue;
     const engines::EngineState* engine = registry.find(each.engine);
-    if (engine == nullptr || registry.slowness(now, *engine, median) < rules.gain) continue;
+    if (engine == nullptr || registry.latencyRatio(now, *engine, median) < rules.gain) continue;
     movable.push_back(each);
   }
   std::sort(movable.begin(), movable.end(), [&job](const item_run& one, const item_run& other) {
@@ -29,13 +29,13 @@
   if (better == nullptr) return std::nullopt;
   run_move move;
   move.target = better->record.id;
-  move.slowness = registry.slowness(now, from.engine);
-  move.slowness_there = registry.slowness(now, move.target);
-  if (move.slowness < rules.gain * move.slowness_there) return std::nullopt;
+  move.latency_ratio = registry.latencyRatio(now, from.engine);
+  move.latency_ratio_there = registry.latencyRatio(now, move.target);
+  if (move.latency_ratio < rules.gain * move.latency_ratio_there) return std::nullopt;
   move.events_left = lengths.remainingEvents(run.job().items[from.item].length_hint,
                                              run.progress(from.item).last_event);
   const double seconds_an_event =
-      registry.expectedPace(now, from.engine) - registry.expectedPace(now, move.target);
+      registry.expectedEventTime(now, from.engine) - registry.expectedEventTime(now, move.target);
   if (move.events_left * seconds_an_event < toSeconds(rules.saving)) return std::nullopt;
   return move;
 }
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -31,8 +31,8 @@
 struct run_move {
   EngineId target;
   double events_left = 0;
-  double slowness = 1;  ///< Of the engine that it is at, over the median.
-  double slowness_there = 1;
+  double latency_ratio = 1;  ///< Of the engine that it is at, over the median.
+  double latency_ratio_there = 1;
 };
 
 /** @return the runs that may move, those that are expected to last longest first. */
--- a/src/gateway/batch/run_timeouts.h
+++ b/src/gateway/batch/run_timeouts.h
@@ -23,7 +23,7 @@
   Duration gap = std::chrono::milliseconds(450);
   Duration max_gap = std::chrono::milliseconds(1200);
   /// Between two events, in times of what the engine takes for one.
-  double paces = 5;
+  double event_times = 5;
 
   bool operator==(const run_timeouts&) const = default;
 
@@ -35,9 +35,9 @@
   }
 
   /** @param pace what the engine takes for an event, in seconds; 0: not known. */
-  Duration forGap(double pace) const {
-    if (pace <= 0) return this->max_gap;
-    return std::clamp(fromSeconds(this->paces * pace), this->gap, this->max_gap);
+  Duration forGap(double event_time) const {
+    if (event_time <= 0) return this->max_gap;
+    return std::clamp(fromSeconds(this->event_times * event_time), this->gap, this->max_gap);
   }
 };
 
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -241,16 +241,18 @@
   engine->load_at = now;
 }
 
-void EngineRegistry::onPace(Instant now, const EngineId& id, Duration duration) {
+void EngineRegistry::onEventTime(Instant now, const EngineId& id, Duration duration) {
   EngineState* engine = mutableFind(id);
   if (engine == nullptr) return;
   const double seconds = toSeconds(duration);
   const bool fresh = usedLately(now, *engine);
-  engine->pace = fresh ? engine->pace + options_.pace_weight * (seconds - engine->pace) : seconds;
-  engine->pace_at = now;
+  engine->event_time =
+      fresh ? engine->event_time + options_.event_time_weight * (seconds - engine->event_time)
+            : seconds;
+  engine->event_time_at = now;
   used_.insert(engine);
-  if (engine->lasting.onPace(now, seconds)) {
-    engine->lasting.close(medianPace(now, engine->record.service));
+  if (engine->history.onEventTime(now, seconds)) {
+    engine->history.close(medianEventTime(now, engine->record.service));
   }
 }
 
@@ -276,46 +278,48 @@
   return engine == nullptr ? 0 : engine->record.slots - load(now, *engine);
 }
 
-double EngineRegistry::medianPace(Instant now, const ServiceName& service) const {
-  std::vector<double> paces;
+double EngineRegistry::medianEventTime(Instant now, const ServiceName& service) const {
+  std::vector<double> event_times;
   for (const EngineState* engine : used_) {
     if (engine->record.service == service && usedLately(now, *engine)) {
-      paces.push_back(engine->pace);
+      event_times.push_back(engine->event_time);
     }
   }
-  if (paces.empty()) return 0;
-  const auto middle = paces.begin() + static_cast<std::ptrdiff_t>((paces.size() - 1) / 2);
-  std::nth_element(paces.begin(), middle, paces.end());
+  if (event_times.empty()) return 0;
+  const auto middle =
+      event_times.begin() + static_cast<std::ptrdiff_t>((event_times.size() - 1) / 2);
+  std::nth_element(event_times.begin(), middle, event_times.end());
   return *middle;
 }
 
 bool EngineRegistry::usedLately(Instant now, const EngineState& engine) const {
-  return engine.pace > 0 && now - engine.pace_at < options_.pace_lifetime;
+  return engine.event_time > 0 && now - engine.event_time_at < options_.event_time_lifetime;
 }
 
-double EngineRegistry::slowness(Instant now, const EngineState& engine, double median_pace) const {
+double EngineRegistry::latencyRatio(Instant now, const EngineState& engine,
+                                    double median_event_time) const {
   const bool known = usedLately(now, engine);
-  if (!known || median_pace <= 0) return engine.lasting.value(now);
-  return std::min(engine.pace / median_pace, kSlowestFactor);
+  if (!known || median_event_time <= 0) return engine.history.value(now);
+  return std::min(engine.event_time / median_event_time, kSlowestFactor);
 }
 
-double EngineRegistry::slowness(Instant now, const EngineId& id) const {
+double EngineRegistry::latencyRatio(Instant now, const EngineId& id) const {
   const EngineState* engine = find(id);
   if (engine == nullptr) return 1;
-  return slowness(now, *engine, medianPace(now, engine->record.service));
+  return latencyRatio(now, *engine, medianEventTime(now, engine->record.service));
 }
 
-double EngineRegistry::expectedPace(Instant now, const EngineId& id) const {
+double EngineRegistry::expectedEventTime(Instant now, const EngineId& id) const {
   const EngineState* engine = find(id);
   if (engine == nullptr) return 0;
-  const double median = medianPace(now, engine->record.service);
-  return slowness(now, *engine, median) * median;
+  const double median = medianEventTime(now, engine->record.service);
+  return latencyRatio(now, *engine, median) * median;
 }
 
-double EngineRegistry::measuredPace(Instant now, const EngineId& id) const {
+double EngineRegistry::measuredEventTime(Instant now, const EngineId& id) const {
   const EngineState* engine = find(id);
-  if (engine == nullptr || now - engine->pace_at >= options_.pace_lifetime) return 0;
-  return engine->pace;
+  if (engine == nullptr || now - engine->event_time_at >= options_.event_time_lifetime) return 0;
+  return engine->event_time;
 }
 
 double EngineRegistry::typicalTokens() const {
@@ -344,7 +348,7 @@
                                     const PickRequest& request, const Comparison& all) const {
   const double per_slot = load(now, engine) / std::max(1U, engine.record.slots);
   const double weight = request.batching ? kBatchWeight : kLoadWeight * engine.record.slots;
-  double wait = (1 + weight * per_slot) * slowness(now, engine, all.median_pace);
+  double wait = (1 + weight * per_slot) * latencyRatio(now, engine, all.median_event_time);
   wait *= memoryFactor(now, engine, request, all);
   if (per_slot >= 1) wait *= 1 + per_slot;
   if (engine.record.zone != zone_ && !request.batching) wait *= options_.remote_factor;
@@ -413,7 +417,7 @@
 
 EngineRegistry::Comparison EngineRegistry::compareFor(Instant now, const PickRequest& request) {
   Comparison all;
-  all.median_pace = medianPace(now, request.service);
+  all.median_event_time = medianEventTime(now, request.service);
   all.many_engines = index_.ofService(request.service).size() > options_.max_compared;
   if (request.memory_tokens > 0) all.typical_tokens = typicalTokens();
   if (request.prefer_newest) all.newest = newestHeld(request.service, request.model);
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -20,7 +20,7 @@
 #include "gateway/engines/engine_admission.h"
 #include "gateway/engines/engine_index.h"
 #include "gateway/engines/engine_start.h"
-#include "gateway/engines/lasting_slowness.h"
+#include "gateway/engines/latency_history.h"
 #include "gateway/fleet/closed_zones.h"
 #include "gateway/fleet/data_residency.h"
 #include "gateway/fleet/fleet_layout.h"
@@ -78,11 +78,11 @@
   std::uint32_t in_flight = 0;  ///< Attempts of this daemon under way.
   double others = 0;            ///< Requests of other daemons, as of `load_at`.
   Instant load_at{};
-  double pace = 0;  ///< Smoothed time per unit of work, in seconds; 0: unknown.
-  Instant pace_at{};
-  lasting_slowness lasting;  ///< What is known of it beyond the lifetime of its pace.
-  double tokens = 0;         ///< That those attempts are expected to fill its memory with.
-  int failures = 0;          ///< In a row; those that come together count once.
+  double event_time = 0;  ///< Smoothed time per unit of work, in seconds; 0: unknown.
+  Instant event_time_at{};
+  latency_history history;  ///< What is known of it beyond the lifetime of its pace.
+  double tokens = 0;        ///< That those attempts are expected to fill its memory with.
+  int failures = 0;         ///< In a row; those that come together count once.
   Instant failed_at{};
   Instant ejected_until{};
   std::map<ModelName, Instant> loading_until;        ///< It refused requests for the model lately.
@@ -107,7 +107,7 @@
   double min_lapse_beats = 2.5;
   Duration load_lifetime = std::chrono::milliseconds(1500);  ///< Until others' load is forgotten.
   /// Until an engine that was slow is taken to be as quick as it lastingly is, and tried again.
-  Duration pace_lifetime = std::chrono::seconds(4);
+  Duration event_time_lifetime = std::chrono::seconds(4);
   Duration first_ejection = std::chrono::milliseconds(700);
   Duration max_ejection = std::chrono::seconds(6);
   Duration failure_burst = std::chrono::milliseconds(500);  ///< Breaks within this count once.
@@ -118,8 +118,8 @@
   /// less loaded than the rest by chance, more bring next to nothing; and the cost of a choice does
   /// not grow with the service.
   std::size_t max_compared = 64;
-  double pace_weight = 0.1;     ///< Of the newest measurement in the smoothed pace.
-  double remote_factor = 1.15;  ///< Engines of other zones count as this much more loaded.
+  double event_time_weight = 0.1;  ///< Of the newest measurement in the smoothed pace.
+  double remote_factor = 1.15;     ///< Engines of other zones count as this much more loaded.
 };
 
 /// What a request needs of an engine.
@@ -192,7 +192,7 @@
   /// The engine reset a run of the model, as it does when it begins to load weights.
   void onModelReset(Instant now, const EngineId& id, const ModelName& model);
   /// A unit of work (an answer, an event) took `duration`.
-  void onPace(Instant now, const EngineId& id, Duration duration);
+  void onEventTime(Instant now, const EngineId& id, Duration duration);
   /// @param version 0: the answer named none.
   void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version);
 
@@ -232,25 +232,25 @@
   double room(Instant now, const EngineId& id) const;
   /// @return the smoothed pace of the engine over the median of its service; what is lastingly
   ///     known of it where that is old; 1 if nothing is.
-  double slowness(Instant now, const EngineId& id) const;
+  double latencyRatio(Instant now, const EngineId& id) const;
   /// The same where the median is known, as for many engines in a row.
-  double slowness(Instant now, const EngineState& engine, double median_pace) const;
+  double latencyRatio(Instant now, const EngineState& engine, double median_event_time) const;
   /// @return the time per unit of work that is expected of the engine, in seconds; 0 if nothing is
   ///     known of its service.
-  double expectedPace(Instant now, const EngineId& id) const;
+  double expectedEventTime(Instant now, const EngineId& id) const;
   /// @return the smoothed time per unit of work that was measured of the engine lately, in seconds;
   ///     0: none was.
-  double measuredPace(Instant now, const EngineId& id) const;
+  double measuredEventTime(Instant now, const EngineId& id) const;
   /// @return the median of the paces that are known of the service's engines; 0: none is.
-  double medianPace(Instant now, const ServiceName& service) const;
+  double medianEventTime(Instant now, const ServiceName& service) const;
 
  private:
   /// What is the same for all engines that a choice compares.
   struct Comparison {
-    double median_pace = 0;     ///< Of the service's engines; 0: none is known.
-    double typical_tokens = 0;  ///< See `typicalTokens`; 0 where memory does not matter.
-    bool many_engines = false;  ///< More than a choice compares.
-    WeightVersion newest = 0;   ///< That an engine holds; 0 where it does not matter.
+    double median_event_time = 0;  ///< Of the service's engines; 0: none is known.
+    double typical_tokens = 0;     ///< See `typicalTokens`; 0 where memory does not matter.
+    bool many_engines = false;     ///< More than a choice compares.
+    WeightVersion newest = 0;      ///< That an engine holds; 0 where it does not matter.
   };
 
   using EngineMap = std::map<EngineId, EngineState>;
--- a/src/gateway/engines/lasting_slowness.cpp
+++ b/src/gateway/engines/latency_history.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engines/lasting_slowness.h"
+#include "gateway/engines/latency_history.h"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 constexpr Duration kLifetime = std::chrono::seconds(60);
 }  // namespace
 
-bool lasting_slowness::onPace(Instant now, double seconds) {
+bool latency_history::onEventTime(Instant now, double seconds) {
   if (this->units_ == 0) this->opened_at_ = now;
   this->seconds_ += seconds;
   ++this->units_;
@@ -25,16 +25,16 @@
   return this->units_ >= kUnits && now - this->opened_at_ >= kMinSpan;
 }
 
-void lasting_slowness::close(double median_pace) {
+void latency_history::close(double median_event_time) {
   const double mean = this->seconds_ / static_cast<double>(this->units_);
   this->seconds_ = 0;
   this->units_ = 0;
-  if (median_pace <= 0) return;
-  this->spans_.push_back(mean / median_pace);
+  if (median_event_time <= 0) return;
+  this->spans_.push_back(mean / median_event_time);
   if (this->spans_.size() > kSpans) this->spans_.erase(this->spans_.begin());
 }
 
-double lasting_slowness::value(Instant now) const {
+double latency_history::value(Instant now) const {
   if (this->spans_.empty() || now - this->observed_at_ > kLifetime) return 1;
   const double least = *std::min_element(this->spans_.begin(), this->spans_.end());
   return least > kMaxByMake ? 1 : least;
--- a/src/gateway/engines/lasting_slowness.h
+++ b/src/gateway/engines/latency_history.h
@@ -12,14 +12,14 @@
 
 namespace linenpier::engines {
 
-class lasting_slowness {
+class latency_history {
  public:
   /** A unit of work took `seconds`.
    * @return whether enough was observed to be compared: `close` must be called.
    */
-  bool onPace(Instant now, double seconds);
+  bool onEventTime(Instant now, double seconds);
   /** @param median_pace of the service's engines, in seconds; 0: none is known. */
-  void close(double median_pace);
+  void close(double median_event_time);
   /** @return pace over the median; 1 as long as little was observed, or nothing lately. An engine
    *     that is slow by make was slow in every span; one that was so in some was slowed by
    * something that passed.
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -57,7 +57,7 @@
 
   /// Sends the request and reads the head of the answer.
   Task<AttemptVerdict> start(AttemptLimits limits);
-  /// Reads the rest of the answer's body. `pace` tells the registry how long an answer takes.
+  /// Reads the rest of the answer's body. `event_time` tells the registry how long an answer takes.
   Task<AttemptVerdict> readWhole(std::string& body, Instant deadline);
   /// Waits for more of an event stream.
   /// @return kAnswered with the events that became whole, perhaps none; `finished` tells the end.
--- a/src/gateway/forward/forward_plain.cpp
+++ b/src/gateway/forward/forward_plain.cpp
@@ -44,7 +44,7 @@
       result.response.result(call->status());
       result.response.reason(call->head().reason());
       http::copyEndToEndFields(call->head(), result.response);
-      context_.registry.onPace(steadyNow(), call->engine(), steadyNow() - call->startedAt());
+      context_.registry.onEventTime(steadyNow(), call->engine(), steadyNow() - call->startedAt());
     }
   }
   recordAttempt(*forwarded, *call, result.verdict);
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -29,9 +29,9 @@
 EngineRegistry registry() {
   EngineRegistry made(ZoneName("z"), {}, 1);
   made.onList(kStart, {record(kSlow), record(kQuick), record(EngineId("quick2"))});
-  made.onPace(kLater, kSlow, std::chrono::milliseconds(100));
-  made.onPace(kLater, kQuick, std::chrono::milliseconds(50));
-  made.onPace(kLater, EngineId("quick2"), std::chrono::milliseconds(50));
+  made.onEventTime(kLater, kSlow, std::chrono::milliseconds(100));
+  made.onEventTime(kLater, kQuick, std::chrono::milliseconds(50));
+  made.onEventTime(kLater, EngineId("quick2"), std::chrono::milliseconds(50));
   return made;
 }
 
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -72,13 +72,13 @@
 Test(engine_registry, a_slow_engine_is_left_alone_until_its_measurement_is_old) {
   EngineRegistry registry = registryOf({record("a"), record("b"), record("c")});
   for (int i = 0; i < 20; ++i) {
-    registry.onPace(kStart, EngineId("a"), std::chrono::milliseconds(120));
-    registry.onPace(kStart, EngineId("b"), std::chrono::milliseconds(30));
-    registry.onPace(kStart, EngineId("c"), std::chrono::milliseconds(30));
+    registry.onEventTime(kStart, EngineId("a"), std::chrono::milliseconds(120));
+    registry.onEventTime(kStart, EngineId("b"), std::chrono::milliseconds(30));
+    registry.onEventTime(kStart, EngineId("c"), std::chrono::milliseconds(30));
   }
-  cr_assert(registry.slowness(kStart, EngineId("a")) > 3);
+  cr_assert(registry.latencyRatio(kStart, EngineId("a")) > 3);
   for (int i = 0; i < 20; ++i) cr_assert_neq(registry.pick(kStart, any())->record.id.str(), "a");
-  cr_assert(registry.slowness(kStart + std::chrono::seconds(10), EngineId("a")) <= 1);
+  cr_assert(registry.latencyRatio(kStart + std::chrono::seconds(10), EngineId("a")) <= 1);
 }
 
 Test(engine_registry, one_broken_answer_ejects_nobody_but_repeated_ones_do) {
@@ -156,8 +156,8 @@
 
 Test(engine_registry, memory_that_others_fill_is_counted_too) {
   EngineRegistry registry = registryOf({record("slow"), record("full")});
-  registry.onPace(kStart, EngineId("slow"), std::chrono::milliseconds(120));
-  registry.onPace(kStart, EngineId("full"), std::chrono::milliseconds(100));
+  registry.onEventTime(kStart, EngineId("slow"), std::chrono::milliseconds(120));
+  registry.onEventTime(kStart, EngineId("full"), std::chrono::milliseconds(100));
   registry.onAttemptStarted(kStart, EngineId("slow"));
   registry.onTokens(EngineId("slow"), 100);
   PickRequest request = any();
@@ -226,12 +226,12 @@
   Instant now = kStart;
   for (int i = 0; i < 100; ++i) {
     now += std::chrono::milliseconds(50);
-    registry.onPace(now, EngineId("a"), std::chrono::milliseconds(65));
-    registry.onPace(now, EngineId("b"), std::chrono::milliseconds(50));
-    registry.onPace(now, EngineId("c"), std::chrono::milliseconds(50));
+    registry.onEventTime(now, EngineId("a"), std::chrono::milliseconds(65));
+    registry.onEventTime(now, EngineId("b"), std::chrono::milliseconds(50));
+    registry.onEventTime(now, EngineId("c"), std::chrono::milliseconds(50));
   }
   const Instant later = now + std::chrono::seconds(10);
-  cr_assert_float_eq(registry.slowness(later, EngineId("a")), 1.3, 0.01);
+  cr_assert_float_eq(registry.latencyRatio(later, EngineId("a")), 1.3, 0.01);
   for (int i = 0; i < 20; ++i) cr_assert_neq(registry.pick(later, any())->record.id.str(), "a");
 }
 
@@ -326,7 +326,7 @@
   for (int i = 0; i < 10; ++i, now += std::chrono::seconds(2)) {
     const EngineId id = registry.pick(now, any())->record.id;
     registry.onAttemptStarted(now, id);
-    registry.onPace(now, id, std::chrono::milliseconds(25));
+    registry.onEventTime(now, id, std::chrono::milliseconds(25));
     registry.onAttemptEnded(now, id, AttemptEnd::kServed);
     used.insert(id);
   }
--- a/tests/gateway/engines/lasting_slowness_test.cpp
+++ b/tests/gateway/engines/latency_history_test.cpp
@@ -1,9 +1,9 @@
-#include "gateway/engines/lasting_slowness.h"
+#include "gateway/engines/latency_history.h"
 
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using engines::lasting_slowness;
+using engines::latency_history;
 
 namespace {
 
@@ -11,31 +11,31 @@
 constexpr double kMedian = 0.05;
 
 /** Observes the engine for `span` with that pace. */
-void observe(lasting_slowness& engine, Instant& now, Duration span, double seconds) {
+void observe(latency_history& engine, Instant& now, Duration span, double seconds) {
   const Instant end = now + span;
   while (now < end) {
     now += std::chrono::milliseconds(20);
-    if (engine.onPace(now, seconds)) engine.close(kMedian);
+    if (engine.onEventTime(now, seconds)) engine.close(kMedian);
   }
 }
 
 }  // namespace
 
 Test(lasting_slowness, nothing_is_said_of_an_engine_that_made_little) {
-  lasting_slowness engine;
-  engine.onPace(kStart, 1);
+  latency_history engine;
+  engine.onEventTime(kStart, 1);
   cr_assert_eq(engine.value(kStart), 1);
 }
 
 Test(lasting_slowness, an_engine_that_is_always_slow_is_slow) {
-  lasting_slowness engine;
+  latency_history engine;
   Instant now = kStart;
   observe(engine, now, std::chrono::seconds(10), 0.065);
   cr_assert_float_eq(engine.value(now), 1.3, 0.01);
 }
 
 Test(lasting_slowness, what_passes_is_not_held_against_an_engine) {
-  lasting_slowness engine;
+  latency_history engine;
   Instant now = kStart;
   observe(engine, now, std::chrono::seconds(2), 0.05);
   observe(engine, now, std::chrono::seconds(8), 0.15);
@@ -43,7 +43,7 @@
 }
 
 Test(lasting_slowness, an_engine_that_becomes_slow_for_good_is_slow_in_the_end) {
-  lasting_slowness engine;
+  latency_history engine;
   Instant now = kStart;
   observe(engine, now, std::chrono::seconds(2), 0.05);
   observe(engine, now, std::chrono::seconds(40), 0.07);
@@ -51,14 +51,14 @@
 }
 
 Test(lasting_slowness, an_engine_that_is_many_times_slower_has_a_fault_that_may_pass) {
-  lasting_slowness engine;
+  latency_history engine;
   Instant now = kStart;
   observe(engine, now, std::chrono::seconds(10), 0.15);
   cr_assert_eq(engine.value(now), 1);
 }
 
 Test(lasting_slowness, an_engine_that_nobody_used_for_long_is_tried_again) {
-  lasting_slowness engine;
+  latency_history engine;
   Instant now = kStart;
   observe(engine, now, std::chrono::seconds(10), 0.07);
   cr_assert_float_eq(engine.value(now + std::chrono::seconds(50)), 1.4, 0.01);
@@ -66,7 +66,7 @@
 }
 
 Test(lasting_slowness, an_engine_that_was_first_met_slow_is_forgiven_once_it_is_quick) {
-  lasting_slowness engine;
+  latency_history engine;
   Instant now = kStart;
   observe(engine, now, std::chrono::seconds(5), 0.15);
   observe(engine, now, std::chrono::seconds(2), 0.05);
