--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -214,7 +214,8 @@
   const routing::RouteTablePtr routes = routes_;
   const std::string id = http::fieldText(request, platform_.fieldNames().request_id);
   const tenants::caller from = routes ? tenants::identify(*routes, request) : tenants::caller{};
-  if (call) {
+  // Without a configuration it isn't known whether a job needs a key: its calls are refused below.
+  if (call && (routes || batches_.isPublic(call->job))) {
     if (from.admitted() || batches_.isPublic(call->job)) {
       co_await handleBatchCall(*call, from, writer);
     } else {
--- a/tests/gateway/service/tenants_test.cpp
+++ b/tests/gateway/service/tenants_test.cpp
@@ -131,6 +131,21 @@
   cr_assert_eq(repeated, 200U);
 }
 
+GATEWAY_TEST(tenants, a_gateway_without_a_configuration_opens_no_job_without_a_key,
+             withTenants(1)) {
+  const unsigned taken =
+      co_await statusOf(fixture, 0, withKey(fixture.jobRequest("j1", 4), "key-a1"));
+  cr_assert_eq(taken, 202U);
+  fixture.store().remove("op", "config");
+  fixture.addGateway("late");
+  co_await sleepFor(fixture.loop(), std::chrono::milliseconds(500));
+  cr_assert_not(fixture.gateway(1).ready());
+  const unsigned nobody = co_await statusOf(fixture, 1, readRequest("j1"));
+  cr_assert_eq(nobody, 503U, "nobody knows yet whether a key is needed, %u", nobody);
+  const unsigned ended = co_await statusOf(fixture, 1, test::endRequest("j1"));
+  cr_assert_eq(ended, 503U, "%u", ended);
+}
+
 GATEWAY_TEST(tenants, a_key_that_is_taken_away_ends_no_job_and_opens_nothing, withTenants(2)) {
   fixture.model(0).setEventGap(std::chrono::milliseconds(80));
   fixture.model(1).setEventGap(std::chrono::milliseconds(80));
