--- a/src/gateway/service/gateway_cold.cpp
+++ b/src/gateway/service/cold_engines_monitor.cpp
@@ -1,49 +1,48 @@
-/// @file
-/// What the gateway tells the budget of cold engines, and what it logs of them.
+#include "gateway/service/cold_engines_monitor.h"
 
 #include <algorithm>
 
 #include "common/event_log.h"
-#include "gateway/service/gateway.h"
 
 namespace linenpier::gateway {
 
 using logging::LogEvent;
 
 namespace {
-/// Lines a second about engines that were refused requests; the rest is only counted.
+
+/** Lines a second about engines that requests were kept from; the rest is only counted. */
 constexpr std::size_t kMaxRefusalLines = 5;
+
 }  // namespace
 
-void Gateway::updateColdSenders() {
+void cold_engines_monitor::updateSenders(std::size_t owners_wanted, bool owns_work) {
+  const std::size_t others = this->leases_.candidates(steadyNow()).size();
   engines::cold_senders senders;
-  const std::size_t others = leases_.candidates(steadyNow()).size();
-  // The pool fills up to what is wanted: all of them may own work before their leases are seen.
-  senders.count = std::max(others + 1, demand_.owners);
-  senders.self = ownsWork();
-  if (senders == registry_.cold().senders()) return;
-  registry_.cold().setSenders(senders);
+  // The pool of owners fills up to what is wanted, and new owners send before their leases are
+  // read.
+  senders.count = std::max(others + 1, owners_wanted);
+  senders.self = owns_work;
+  if (senders == this->registry_.cold().senders()) return;
+  this->registry_.cold().setSenders(senders);
   LogEvent("engines", "cold_senders")
       .number("senders", static_cast<std::int64_t>(senders.count))
       .number("leases", static_cast<std::int64_t>(others))
       .text("self", senders.self ? "yes" : "no");
 }
 
-void Gateway::tendColdEngines() {
-  const Instant now = steadyNow();
-  engines::cold_budget& cold = registry_.cold();
-  if (engine_watcher_->read()) cold.onFeedAnswered(engine_watcher_->lastAnswer());
+void cold_engines_monitor::report(Instant now, const table::TableWatcher& feed) {
+  engines::cold_budget& cold = this->registry_.cold();
+  if (feed.read()) cold.onFeedAnswered(feed.lastAnswer());
   for (const engines::cold_change& change : cold.takeChanges(now)) {
     LogEvent("engines", change.cold ? "turned_cold" : "turned_warm")
         .text("engine", change.engine.str())
         .milliseconds("left_ms", change.left)
         .milliseconds("heard_age_ms", change.heard_age);
   }
-  logColdRefusals(cold.takeRefusals());
-  registry_.sweep(now);
+  this->logRefusals(cold.takeRefusals());
 }
 
-void Gateway::logColdRefusals(std::vector<engines::cold_refusals> refusals) {
+void cold_engines_monitor::logRefusals(std::vector<engines::cold_refusals> refusals) const {
   if (refusals.empty()) return;
   std::sort(refusals.begin(), refusals.end(),
             [](const auto& one, const auto& other) { return one.refused > other.refused; });
@@ -55,24 +54,24 @@
         .text("limit", engines::toText(each.allowance.limit))
         .number("sent", static_cast<std::int64_t>(each.sent))
         .number("allowed", static_cast<std::int64_t>(each.allowance.requests))
-        .number("senders", static_cast<std::int64_t>(registry_.cold().senders().count))
+        .number("senders", static_cast<std::int64_t>(this->registry_.cold().senders().count))
         .number("refused", static_cast<std::int64_t>(each.refused))
         .number("engines", static_cast<std::int64_t>(engines));
   }
 }
 
-void Gateway::addColdState(Instant now, metrics::GatewayState& state) const {
-  const engines::cold_budget& cold = registry_.cold();
+void cold_engines_monitor::addTo(metrics::GatewayState& state, Instant now) const {
+  const engines::cold_budget& cold = this->registry_.cold();
   state.cold_refusals = cold.refused();
-  for (const auto& [id, engine] : registry_.all()) {
+  for (const auto& [id, engine] : this->registry_.all()) {
     const ServiceName& service = engine.record.service;
     if (!cold.isBounded(service)) continue;
-    metrics::ColdEngines& told = state.cold_engines[service.str()];
+    metrics::ColdEngines& counted = state.cold_engines[service.str()];
     if (!cold.isCold(now, id)) continue;
-    ++told.count;
+    ++counted.count;
     const std::size_t sent = cold.sent(now, id);
-    told.sent += sent;
-    told.max_sent = std::max(told.max_sent, sent);
+    counted.sent += sent;
+    counted.max_sent = std::max(counted.max_sent, sent);
   }
 }
 
--- /dev/null
+++ b/src/gateway/service/coordination_feed.cpp
@@ -0,0 +1,86 @@
+#include "gateway/service/coordination_feed.h"
+
+#include "gateway/table/store_keys.h"
+
+namespace linenpier::gateway {
+
+namespace {
+
+/** Of one call of the feed. */
+constexpr Duration kWait = std::chrono::milliseconds(1500);
+/** Between two answers at a gateway that may be given a job, or where readers wait for results to
+ * be published.
+ */
+constexpr Duration kChangesInterval = std::chrono::milliseconds(20);
+/** Between two answers at any other. */
+constexpr Duration kIdleChangesInterval = std::chrono::milliseconds(80);
+
+}  // namespace
+
+coordination_feed::coordination_feed(boost::asio::io_context& loop, table::AsyncTable& table,
+                                     readers readers, listener listener, std::uint64_t seed)
+    : readers_(readers),
+      listener_(std::move(listener)),
+      watcher_(loop, table, table::kCoordinationTable, watcherOptions(*this, seed),
+               watcherListener(*this)) {}
+
+table::TableWatcher::Listener coordination_feed::watcherListener(coordination_feed& feed) {
+  table::TableWatcher::Listener listener;
+  listener.on_snapshot = [&feed](const std::vector<table::Row>& rows) { feed.onSnapshot(rows); };
+  listener.on_change = [&feed](const table::RowChange& change) { feed.onChange(change); };
+  listener.on_health = feed.listener_.on_health;
+  listener.on_clock = feed.listener_.on_store_clock;
+  return listener;
+}
+
+table::WatcherOptions coordination_feed::watcherOptions(const coordination_feed& feed,
+                                                        std::uint64_t seed) {
+  table::WatcherOptions options;
+  options.wait = kWait;
+  options.coalesce = [&feed] {
+    const bool awaited = feed.listener_.owns_work() || feed.readers_.batches.hasWaitingReaders();
+    return awaited ? kChangesInterval : kIdleChangesInterval;
+  };
+  options.seed = seed;
+  return options;
+}
+
+void coordination_feed::onSnapshot(const std::vector<table::Row>& rows) {
+  std::set<suspects::request_key> suspected;
+  for (const table::Row& row : rows) {
+    this->onChange({row, false});
+    const std::string key = table::keyWithoutTable(row);
+    if (key.starts_with(table::kSuspectPrefix)) {
+      suspected.emplace(key.substr(table::kSuspectPrefix.size()));
+    }
+  }
+  this->readers_.orders.onTableRead();
+  this->readers_.usage.onTableRead();
+  this->readers_.scaling.onTableRead();
+  this->readers_.suspects.onTableRead(suspected, this->watcher_.revision());
+}
+
+void coordination_feed::onChange(const table::RowChange& change) {
+  const std::string key = table::keyWithoutTable(change.row);
+  const auto tail = [&key](const std::string& prefix) { return key.substr(prefix.size()); };
+  auto& [batches, orders, usage, scaling, suspect_requests] = this->readers_;
+  if (key.starts_with(table::kJobPrefix)) {
+    const JobId id(tail(table::kJobPrefix));
+    change.gone ? batches.onRecordGone(id) : batches.onRecordRow(id, change.row);
+  } else if (key.starts_with(table::kOrderPrefix)) {
+    const ServiceName service(tail(table::kOrderPrefix));
+    change.gone ? orders.onRightGone(service) : orders.onRightRow(service, change.row);
+  } else if (key.starts_with(table::kSuspectPrefix)) {
+    const suspects::request_key suspect(tail(table::kSuspectPrefix));
+    change.gone ? suspect_requests.onRowGone(suspect, change.row.revision)
+                : suspect_requests.onRow(suspect, change.row);
+  } else if (key == table::kLockPrefix + "usage") {
+    change.gone ? usage.onRightGone() : usage.onRightRow(change.row);
+  } else if (key == table::kLockPrefix + "scaling") {
+    change.gone ? scaling.onRightGone() : scaling.onRightRow(change.row);
+  } else if (key == table::kClockName && !change.gone) {
+    usage.onClockRow(change.row);
+  }
+}
+
+}  // namespace linenpier::gateway
--- /dev/null
+++ b/src/gateway/service/coordination_feed.h
@@ -0,0 +1,54 @@
+#pragma once
+
+/** @file
+ * Follows the small table that all gateways watch whole: jobs, leader locks, suspect requests and
+ * the clock of usage windows. Hands each row to the part whose row it is. Owns the feed alone.
+ */
+
+#include <functional>
+
+#include "gateway/batch/batch_service.h"
+#include "gateway/scaling/scaling_service.h"
+#include "gateway/suspects/suspect_service.h"
+#include "gateway/table/table_watcher.h"
+#include "gateway/usage/usage_service.h"
+#include "gateway/versions/order_service.h"
+
+namespace linenpier::gateway {
+
+/** Loop thread only. */
+class coordination_feed {
+ public:
+  struct readers {
+    batch::BatchService& batches;
+    versions::OrderService& orders;
+    usage::usage_service& usage;
+    scaling::scaling_service& scaling;
+    suspects::suspect_service& suspects;
+  };
+  struct listener {
+    std::function<bool()> owns_work;  ///< Whether this gateway owns work or offers to.
+    std::function<void(bool healthy)> on_health;
+    std::function<void(std::int64_t clock_ms)> on_store_clock;
+  };
+
+  coordination_feed(boost::asio::io_context& loop, table::AsyncTable& table, readers readers,
+                    listener listener, std::uint64_t seed);
+
+  void start() { this->watcher_.start(); }
+  table::TableWatcher& watcher() { return this->watcher_; }
+  const table::TableWatcher& watcher() const { return this->watcher_; }
+
+ private:
+  static table::TableWatcher::Listener watcherListener(coordination_feed& feed);
+  static table::WatcherOptions watcherOptions(const coordination_feed& feed, std::uint64_t seed);
+
+  void onSnapshot(const std::vector<table::Row>& rows);
+  void onChange(const table::RowChange& change);
+
+  readers readers_;
+  listener listener_;
+  table::TableWatcher watcher_;
+};
+
+}  // namespace linenpier::gateway
--- /dev/null
+++ b/src/gateway/service/engine_feed.cpp
@@ -0,0 +1,203 @@
+#include "gateway/service/engine_feed.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+#include "gateway/table/store_keys.h"
+
+namespace linenpier::gateway {
+
+using logging::LogEvent;
+
+namespace {
+
+/** Between two answers of the feed at a gateway that runs items or orders engines. */
+constexpr Duration kChangesInterval = std::chrono::milliseconds(150);
+/** The same at one that only forwards requests. It must know within two seconds which engines are
+ * draining, not each change of weights.
+ */
+constexpr Duration kIdleChangesInterval = std::chrono::milliseconds(500);
+/** Lines a second about single engines; a release of a large fleet changes a hundred each second.
+ */
+constexpr std::uint32_t kLinesPerSecond = 10;
+constexpr std::uint32_t kSampleOneIn = 20;
+
+}  // namespace
+
+engine_feed::engine_feed(dependencies deps, std::uint64_t seed)
+    : deps_(std::move(deps)),
+      line_sampler_(kLinesPerSecond, kSampleOneIn),
+      watcher_(deps_.loop, deps_.platform.table(), deps_.platform.engineTable(),
+               watcherOptions(*this, seed), listener(*this)) {}
+
+table::TableWatcher::Listener engine_feed::listener(engine_feed& feed) {
+  table::TableWatcher::Listener listener;
+  listener.on_page = [&feed](const std::vector<table::Row>& rows, bool first_page) {
+    if (first_page) feed.listed_.clear();
+    for (const table::Row& row : rows) feed.onListedRow(row);
+  };
+  listener.on_snapshot = [&feed](const std::vector<table::Row>&) {
+    feed.onListed(feed.watcher_.revision());
+  };
+  listener.on_change = [&feed](const table::RowChange& change) { feed.onRow(change); };
+  listener.on_health = [&feed](bool healthy) {
+    if (!healthy) return;
+    feed.deps_.registry.onStoreRegained(steadyNow(), feed.watcher_.lastOutage());
+    spawn(feed.deps_.loop, [&feed] { return feed.dropLapsed(); });
+    feed.deps_.on_store_answered();
+  };
+  return listener;
+}
+
+table::WatcherOptions engine_feed::watcherOptions(const engine_feed& feed, std::uint64_t seed) {
+  table::WatcherOptions options;
+  options.coalesce = [&feed] {
+    return feed.deps_.owns_work() ? kChangesInterval : kIdleChangesInterval;
+  };
+  options.seed = seed;
+  return options;
+}
+
+Revision engine_feed::revision() const {
+  return std::max(this->peer_revision_, this->watcher_.revision());
+}
+
+void engine_feed::onListedRow(const table::Row& row) {
+  const auto record = this->parse(row);
+  if (!record) return;
+  this->listed_.insert(record->id);
+  this->update(*record, row.revision);
+}
+
+void engine_feed::onListed(Revision revision) {
+  this->known_ = true;
+  this->changes_.begin(revision);
+  LogEvent("engines", "listed")
+      .number("count", static_cast<std::int64_t>(this->listed_.size()))
+      .number("revision", static_cast<std::int64_t>(revision));
+  for (const Address& gone : this->deps_.registry.keepOnly(steadyNow(), this->listed_)) {
+    this->deps_.connections.forget(gone);
+  }
+  this->listed_.clear();
+}
+
+std::optional<engines::EngineRecord> engine_feed::parse(const table::Row& row) {
+  const std::string key = table::keyWithoutTable(row);
+  auto record = this->deps_.platform.parseEngine(key, row.value);
+  if (record) return std::move(*record);
+  const auto address = this->deps_.registry.onUnreadable(EngineId(key));
+  if (address) this->deps_.connections.forget(*address);
+  LogEvent("engines", "bad_record")
+      .text("engine", key)
+      .text("findings", describe(record.error()))
+      .number("revision", static_cast<std::int64_t>(row.revision))
+      .text("was_in_use", address ? "yes" : "no");
+  return std::nullopt;
+}
+
+void engine_feed::update(const engines::EngineRecord& record, Revision revision) {
+  const engines::EngineState* known = this->deps_.registry.find(record.id);
+  const bool was_draining = known != nullptr && known->record.draining;
+  const std::optional<Address> before =
+      known == nullptr ? std::nullopt : std::optional(known->record.address);
+  const engines::RecordEffect effect = this->deps_.registry.onRecord(steadyNow(), record);
+  if (effect == engines::RecordEffect::kRestarted) {
+    this->deps_.connections.forget(*before);
+    LogEvent("engines", "restarted").text("engine", record.id.str()).number("start", record.start);
+  }
+  // New engines and changes of weights have no line of their own: when a large fleet starts, each
+  // gateway reads of thousands.
+  const bool begins_draining = record.draining && !was_draining;
+  if (!begins_draining || !this->line_sampler_.admit(steadyNow())) {
+    ++this->unlogged_changes_;
+    return;
+  }
+  LogEvent("engines", "draining")
+      .text("engine", record.id.str())
+      .text("service", record.service.str())
+      .number("revision", static_cast<std::int64_t>(revision));
+}
+
+std::optional<Address> engine_feed::remove(const EngineId& id) {
+  const auto address = this->deps_.registry.onGone(steadyNow(), id);
+  if (address) this->deps_.connections.forget(*address);
+  return address;
+}
+
+void engine_feed::onRow(const table::RowChange& change) {
+  const EngineId id(table::keyWithoutTable(change.row));
+  this->changes_.onChange(id, change.row.revision);
+  if (!change.gone) {
+    if (const auto record = this->parse(change.row)) this->update(*record, change.row.revision);
+    return;
+  }
+  const auto address = this->remove(id);
+  if (this->line_sampler_.admit(steadyNow())) {
+    LogEvent("engines", address ? "gone" : "lapsed")
+        .text("engine", id.str())
+        .number("revision", static_cast<std::int64_t>(change.row.revision));
+  } else {
+    ++this->unlogged_changes_;
+  }
+}
+
+Task<void> engine_feed::dropLapsed() {
+  co_await sleepFor(this->deps_.loop, this->deps_.registry.options().lapse_grace);
+  for (const engines::EngineRecord& record : this->deps_.registry.dropLapsed(steadyNow())) {
+    this->deps_.connections.forget(record.address);
+    LogEvent("engines", "gone").text("engine", record.id.str()).text("reason", "lapsed");
+  }
+}
+
+void engine_feed::logSummary() {
+  if (this->unlogged_changes_ == 0) return;
+  LogEvent("engines", "updated")
+      .number("entries", static_cast<std::int64_t>(this->unlogged_changes_));
+  this->unlogged_changes_ = 0;
+}
+
+void engine_feed::addTo(PeerSnapshot& snapshot, Revision known) const {
+  snapshot.engines_revision = this->revision();
+  const auto toRow = [&](const engines::EngineRecord& record) {
+    return table::Row{this->deps_.platform.engineTable() + "/" + record.id.str(),
+                      snapshot.engines_revision, this->deps_.platform.encodeEngine(record)};
+  };
+  const auto changed = this->changes_.since(known);
+  if (!changed) {
+    for (const auto& [id, engine] : this->deps_.registry.all()) {
+      if (!engine.lapsed) snapshot.engines.push_back(toRow(engine.record));
+    }
+    return;
+  }
+  snapshot.engines_since = known;
+  for (const EngineId& id : *changed) {
+    const engines::EngineState* engine = this->deps_.registry.find(id);
+    if (engine == nullptr || engine->lapsed) {
+      snapshot.engines_gone.push_back(id.str());
+    } else {
+      snapshot.engines.push_back(toRow(engine->record));
+    }
+  }
+}
+
+void engine_feed::take(const PeerSnapshot& snapshot) {
+  // Changes since a revision that this gateway does not have yet would leave a gap.
+  if (snapshot.engines_since && *snapshot.engines_since > this->revision()) return;
+  if (!snapshot.engines_since) this->listed_.clear();
+  for (const table::Row& row : snapshot.engines) {
+    this->onListedRow(row);
+    this->changes_.onChange(EngineId(table::keyWithoutTable(row)), snapshot.engines_revision);
+  }
+  if (!snapshot.engines_since) {
+    this->onListed(snapshot.engines_revision);
+  } else {
+    for (const std::string& id : snapshot.engines_gone) {
+      this->changes_.onChange(EngineId(id), snapshot.engines_revision);
+      this->remove(EngineId(id));
+    }
+    this->listed_.clear();
+  }
+  this->peer_revision_ = snapshot.engines_revision;
+}
+
+}  // namespace linenpier::gateway
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -1,6 +1,7 @@
 #include "gateway/service/gateway.h"
 
 #include "common/event_log.h"
+#include "common/hash.h"
 #include "common/random.h"
 
 namespace linenpier::gateway {
@@ -9,15 +10,19 @@
 
 namespace {
 
-constexpr Duration kSweepPeriod = std::chrono::seconds(1);
-constexpr std::uint64_t kSweepsPerSummary = 10;  ///< A line on left out changes each ten seconds.
-/// Until the platform has seen that this daemon is not ready and sends nobody new.
+constexpr Duration kSweepInterval = std::chrono::seconds(1);
+/** A line on changes of engines that have none of their own, each ten seconds. */
+constexpr std::uint64_t kSweepsPerSummary = 10;
+/** From the begin of a stop until the platform has seen that this gateway is not ready, and sends
+ * no new clients.
+ */
 constexpr Duration kLeaveNotice = std::chrono::milliseconds(3200);
+/** Before the stop limit, for the end itself. */
 constexpr Duration kStopSlack = std::chrono::milliseconds(900);
-constexpr Duration kStopPoll = std::chrono::milliseconds(50);
-/// Part of a row that its key and encoding may take.
+constexpr Duration kStopInterval = std::chrono::milliseconds(50);
+/** Bytes of a row that its key and encoding may take. */
 constexpr std::size_t kRowOverhead = 1024;
-constexpr unsigned kUnauthorized = 401;
+constexpr unsigned kOk = 200;
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kUnavailable = 503;
 
@@ -33,6 +38,13 @@
   return options;
 }
 
+/** @return the seeds of the settings without this gateway. */
+std::vector<Address> otherSeeds(const GatewaySettings& settings) {
+  std::vector<Address> others = settings.seeds;
+  if (settings.peers) std::erase(others, *settings.peers);
+  return others;
+}
+
 }  // namespace
 
 Gateway::Gateway(boost::asio::io_context& loop, const GatewaySettings& settings,
@@ -42,7 +54,6 @@
       settings_(settings),
       platform_(platform),
       engine_pool_(engine_pool),
-      metrics_(metrics),
       registry_(settings.zone, {}, seed),
       round_robin_(seed),
       leases_(lease::makeLeaseId(settings.id.str(), Random(seed).hex16()), {}, steadyNow()),
@@ -54,10 +65,10 @@
               platform.duties(),
               settings.id.str(),
               timeOfDayMs,
-              [this](table::Write write) { return writeByPeer(std::move(write)); }},
+              [this](table::Write write) { return peers_.writeByPeer(std::move(write)); }},
              settings.usage),
       suspects_({loop, platform.table(), leases_, keeper_,
-                 [this](table::Write write) { return writeByPeer(std::move(write)); }}),
+                 [this](table::Write write) { return peers_.writeByPeer(std::move(write)); }}),
       forwarder_(loop, {engine_pool, registry_, platform.fieldNames()}, round_robin_, metrics,
                  usage_, suspects_, {}),
       batches_({loop,
@@ -69,10 +80,10 @@
                 platform.batchCodec(),
                 forwarder_,
                 suspects_,
-                [this] { return routes_; }},
+                [this] { return operators_.routes(); }},
                settings.batch),
       orders_({loop, registry_, platform.table(), leases_, keeper_, owner_pool_, platform.orders(),
-               [this] { return routes_; }, [this] { return batches_.openWork(); },
+               [this] { return operators_.routes(); }, [this] { return batches_.openWork(); },
                settings.id.str(), [this](Instant now) { return leases_.awaited(now); }},
               orderOptions(settings)),
       scaling_(
@@ -80,31 +91,64 @@
            platform.scaling(),
            settings.id.str(),
            registry_,
-           [this] { return routes_; },
+           [this] { return operators_.routes(); },
            [this] { return batches_.openWork(); },
-           [this] { return engines_known_ && engine_watcher_->healthy(); },
+           [this] { return engines_.known() && engines_.watcher().healthy(); },
            [this](EngineId engine, Address address) { return loadOf(std::move(engine), address); }},
           settings.scaling, settings.handover),
+      closed_zones_(registry_, [this](const ZoneName& zone) { return batches_.runsIn(zone); }),
+      cold_engines_(registry_, leases_),
+      operators_(
+          loop, platform, closed_zones_,
+          {[this](const routing::RouteTable& routes) { onConfiguration(routes); },
+           [this](const NamedVersion& named) { orders_.onNamed(named.model, named.version); },
+           [this] { store_.onStoreAnswered(); }},
+          hash64(settings.id.str(), 1)),
+      engines_({loop, platform, registry_, engine_pool, [this] { return ownsWork(); },
+                [this] { store_.onStoreAnswered(); }},
+               hash64(settings.id.str(), 2)),
+      coordination_(
+          loop, platform.table(), {batches_, orders_, usage_, scaling_, suspects_},
+          {[this] { return ownsWork(); },
+           [this](bool healthy) { store_.onCoordinationHealth(healthy); },
+           [this](std::int64_t clock_ms) { keeper_.onStoreClock(steadyNow(), clock_ms); }},
+          hash64(settings.id.str(), 3)),
+      store_({loop,
+              platform.table(),
+              leases_,
+              lease_watch_,
+              coordination_.watcher(),
+              {&operators_.watcher(), &engines_.watcher(), &coordination_.watcher()},
+              [this] { return ownsWork() && !stopping_; }}),
+      peers_({loop, engine_pool, platform.table(), leases_, operators_, engines_, closed_zones_,
+              suspects_, coordination_.watcher(), [this] { return otherSeeds(settings_); },
+              [this] { return stopping_; }},
+             seed + 2),
+      entry_({platform, operators_, forwarder_, batches_, metrics}),
       requests_(loop,
                 [this](http::Request& request, Instant received, http::ResponseWriter& writer) {
-                  return handle(request, received, writer);
+                  return entry_.handle(request, received, writer);
                 }),
       readiness_(loop,
                  [this](http::Request& request, Instant, http::ResponseWriter& writer) {
                    return handleReadiness(request, writer);
                  }),
-      metrics_server_(loop, [this](http::Request&, Instant,
-                                   http::ResponseWriter& writer) { return handleMetrics(writer); }),
+      metrics_server_(loop,
+                      [this](http::Request&, Instant, http::ResponseWriter& writer) {
+                        return metrics_page_.handle(writer);
+                      }),
       peer_server_(loop,
                    [this](http::Request& request, Instant, http::ResponseWriter& writer) {
-                     return handlePeer(request, writer);
+                     return peers_.handle(request, writer);
                    }),
-      random_(seed + 2) {
+      metrics_page_(metrics,
+                    {operators_, engines_, coordination_, registry_, cold_engines_, engine_pool,
+                     requests_, keeper_, batches_, orders_, scaling_, usage_, suspects_}) {
   registry_.cold().onStart(steadyNow());
   registry_.cold().setRules(settings.cold);
   registry_.setHeartbeat(settings.engine_heartbeat);
   registry_.setLayout(settings.layout);
-  forwarder_.followResidency([this] { return routes_; });
+  forwarder_.followResidency([this] { return operators_.routes(); });
 }
 
 Findings Gateway::start() {
@@ -112,21 +156,11 @@
   if (const auto finding = requests_.listen(settings_.requests)) findings.push_back(*finding);
   if (const auto finding = readiness_.listen(settings_.readiness)) findings.push_back(*finding);
   if (!findings.empty()) return findings;
-  if (settings_.metrics) {
-    // Metrics are worth less than service: without their address the daemon serves on.
-    if (const auto finding = metrics_server_.listen(*settings_.metrics)) {
-      LogEvent("gateway", "metrics_unavailable").text("findings", describe({*finding}));
-    }
-  }
-  if (settings_.peers) {
-    if (const auto finding = peer_server_.listen(*settings_.peers)) {
-      LogEvent("gateway", "peers_unavailable").text("findings", describe({*finding}));
-    } else {
-      keeper_.setPeerAddress(peer_server_.address());
-    }
-  }
-  watchTables();
-  spawn(loop_, [this] { return peerLoop(); });
+  listenForMetricsAndPeers();
+  operators_.start();
+  engines_.start();
+  coordination_.start();
+  peers_.start();
   lease_watch_.start([this](bool answered) { onLeasesRead(answered); });
   keeper_.setAwaited([this] { return batches_.awaitedEngines(); });
   keeper_.start([this] { return ownsWork(); });
@@ -136,7 +170,7 @@
   scaling_.start();
   suspects_.start();
   spawn(loop_, [this] { return sweepLoop(); });
-  spawn(loop_, [this] { return probeLoop(); });
+  store_.start();
   LogEvent("gateway", "started")
       .text("zone", settings_.zone.str())
       .text("lease", leases_.own().str())
@@ -145,6 +179,20 @@
   return {};
 }
 
+void Gateway::listenForMetricsAndPeers() {
+  if (settings_.metrics) {
+    if (const auto finding = metrics_server_.listen(*settings_.metrics)) {
+      LogEvent("gateway", "metrics_unavailable").text("findings", describe({*finding}));
+    }
+  }
+  if (!settings_.peers) return;
+  if (const auto finding = peer_server_.listen(*settings_.peers)) {
+    LogEvent("gateway", "peers_unavailable").text("findings", describe({*finding}));
+    return;
+  }
+  keeper_.setPeerAddress(peer_server_.address());
+}
+
 void Gateway::applySettings(const GatewaySettings& changed) {
   const bool restart_needed = changed.id != settings_.id || changed.zone != settings_.zone ||
                               changed.requests != settings_.requests ||
@@ -157,7 +205,7 @@
   registry_.setHeartbeat(changed.engine_heartbeat);
   settings_.layout = changed.layout;
   registry_.setLayout(changed.layout);
-  if (routes_) demand_ = demandOf(*routes_, settings_.layout);
+  if (operators_.routes()) demand_ = demandOf(*operators_.routes(), settings_.layout);
   batches_.setOptions(changed.batch);
   orders_.setOptions(orderOptions(changed));
   LogEvent("settings", "applied")
@@ -167,89 +215,44 @@
 }
 
 bool Gateway::ready() const {
-  // Without what earlier lives learned, the first requests could end engines that are known to end.
-  return routes_ && engines_known_ && suspects_.known() && !stopping_;
+  // The suspects: a gateway that does not know what earlier lives learned could crash engines with
+  // its first requests.
+  return operators_.routes() && engines_.known() && suspects_.known() && !stopping_;
 }
 
-// --- What clients ask ---------------------------------------------------------------------------
-
 Task<void> Gateway::handleReadiness(http::Request& request, http::ResponseWriter& writer) {
   const bool known = platform_.isReadinessCall(request);
   http::Response response;
-  response.result(!known ? kNotFound : ready() ? 200U : kUnavailable);
+  response.result(!known ? kNotFound : ready() ? kOk : kUnavailable);
   co_await writer.send(std::move(response));
 }
 
-Task<void> Gateway::refuseKey(const tenants::caller& from, const std::string& id,
-                              http::ResponseWriter& writer) {
-  const unsigned status = followsOperator() ? kUnauthorized : kUnavailable;
-  metrics_.onKeyRefused(tenants::toText(from.verdict));
-  LogEvent("tenants", "key_refused")
-      .text("request", id)
-      .text("key", tenants::toText(from.verdict))
-      .number("config", routes_ ? static_cast<std::int64_t>(routes_->version) : 0)
-      .number("status", status);
-  http::Response response = forwarder_.localReply(status, id);
-  if (status == kUnauthorized) tenants::challenge(from.verdict, response);
-  co_await writer.send(std::move(response));
+void Gateway::onConfiguration(const routing::RouteTable& routes) {
+  demand_ = demandOf(routes, settings_.layout);
+  requests_.setLimits(routes.limits);
+  registry_.setServices(routes.services);
 }
 
-Task<void> Gateway::handleBatchCall(const BatchCall& call, const tenants::caller& from,
-                                    http::ResponseWriter& writer) {
-  switch (call.kind) {
-    case BatchCall::Kind::kReadResults:
-      co_await batches_.readResults(call.job, from, call.position, call.wait, writer);
-      break;
-    case BatchCall::Kind::kReadItem:
-      co_await batches_.readItem(call.job, from, call.item, writer);
-      break;
-    case BatchCall::Kind::kEnd:
-      co_await batches_.end(call.job, from, writer);
-      break;
-  }
+void Gateway::onLeasesRead(bool answered) {
+  store_.onLeasesRead(answered);
+  updateColdSenders();
+  if (!answered || stopping_) return;
+  if (!owner_pool_.onLeasesRead(steadyNow(), demand_)) return;
+  LogEvent("lease", owner_pool_.offers() ? "offers_to_own" : "offers_no_more")
+      .real("capacity", owner_pool_.capacity())
+      .number("wanted", static_cast<std::int64_t>(demand_.owners))
+      .number("homes", static_cast<std::int64_t>(demand_.places.size()));
+  updateColdSenders();
 }
 
-Task<void> Gateway::handle(http::Request& request, Instant received, http::ResponseWriter& writer) {
-  const auto call = platform_.parseBatchCall(request);
-  const routing::RouteTablePtr routes = routes_;
-  const std::string id = http::fieldText(request, platform_.fieldNames().request_id);
-  const tenants::caller from = routes ? tenants::identify(*routes, request) : tenants::caller{};
-  // Without a configuration it isn't known whether a job needs a key: its calls are refused below.
-  if (call && (routes || batches_.isPublic(call->job))) {
-    if (from.admitted() || batches_.isPublic(call->job)) {
-      co_await handleBatchCall(*call, from, writer);
-    } else {
-      co_await refuseKey(from, id.empty() ? call->job.str() : id, writer);
-    }
-    co_return;
-  }
-  const std::string path(request.target().substr(0, request.target().find('?')));
-  const routing::Route* route =
-      routes ? routes->find(http::fieldText(request, "Host"), path) : nullptr;
-  if (route == nullptr) {
-    // Only a daemon that follows the store knows that there is no such route.
-    const bool sure = followsOperator();
-    LogEvent("forward", "no_route")
-        .text("request", id)
-        .text("path", path)
-        .number("config", routes ? static_cast<std::int64_t>(routes->version) : 0)
-        .number("status", sure ? kNotFound : kUnavailable);
-    http::Response response = forwarder_.localReply(sure ? kNotFound : kUnavailable, id);
-    co_await writer.send(std::move(response));
-    co_return;
-  }
-  if (!from.admitted() && !route->is_public) {
-    co_await refuseKey(from, id, writer);
-    co_return;
-  }
-  if (route->kind == routing::RequestKind::kBatch) {
-    co_await batches_.submit(*route, from, request, received, writer);
-  } else {
-    co_await forwarder_.serve(routes, *route, from, request, received, writer);
-  }
+void Gateway::updateColdSenders() {
+  cold_engines_.updateSenders(demand_.owners, ownsWork());
 }
 
-// --- Housekeeping -------------------------------------------------------------------------------
+bool Gateway::ownsWork() const {
+  return owner_pool_.offers() || batches_.ownsAny() || orders_.holdsAny() || usage_.holdsRight() ||
+         scaling_.holdsRight();
+}
 
 Task<std::optional<std::uint32_t>> Gateway::loadOf(EngineId engine, Address address) {
   const auto report = co_await platform_.orders().report(engine, address);
@@ -259,10 +262,12 @@
 
 Task<void> Gateway::sweepLoop() {
   for (std::uint64_t sweeps = 1;; ++sweeps) {
-    co_await sleepFor(loop_, kSweepPeriod);
-    engine_pool_.sweep(steadyNow());
-    tendColdEngines();
-    if (sweeps % kSweepsPerSummary == 0) summarizeEngineUpdates();
+    co_await sleepFor(loop_, kSweepInterval);
+    const Instant now = steadyNow();
+    engine_pool_.sweep(now);
+    cold_engines_.report(now, engines_.watcher());
+    registry_.sweep(now);
+    if (sweeps % kSweepsPerSummary == 0) engines_.logSummary();
   }
 }
 
@@ -283,12 +288,12 @@
   co_await scaling_.handOver();
   co_await keeper_.stop();
   while (steadyNow() < begun + kLeaveNotice) {
-    co_await sleepFor(loop_, kStopPoll);
+    co_await sleepFor(loop_, kStopInterval);
   }
   requests_.closeIdle();
   while ((requests_.busy() > 0 || usage_.unsaved()) &&
          steadyNow() < begun + settings_.stop_limit - kStopSlack) {
-    co_await sleepFor(loop_, kStopPoll);
+    co_await sleepFor(loop_, kStopInterval);
   }
   LogEvent("gateway", "stopped").number("cut_off", static_cast<std::int64_t>(requests_.busy()));
   loop_.stop();
--- /dev/null
+++ b/src/gateway/service/metrics_page.cpp
@@ -0,0 +1,118 @@
+#include "gateway/service/metrics_page.h"
+
+#include "common/event_log.h"
+
+namespace linenpier::gateway {
+
+void metrics_page::addEngineCounts(metrics::GatewayState& state) const {
+  const routing::RouteTablePtr routes = this->sources_.operators.routes();
+  for (const auto& [id, engine] : this->sources_.engines.all()) {
+    const engines::EngineRecord& record = engine.record;
+    if (!routes || record.draining) continue;
+    const auto service = routes->services.find(record.service);
+    if (service == routes->services.end() || !service->second.scaling) continue;
+    const auto kind = record.spot ? fleet::EngineKind::kSpot : fleet::EngineKind::kOnDemand;
+    ++state.engines_present[{record.service.str(), record.zone.str(), fleet::toText(kind)}];
+  }
+  for (const auto& [service, counts] : this->sources_.scaling.ordered()) {
+    for (const auto& [group, count] : counts) {
+      state.engines_ordered[{service.str(), group.zone.str(), fleet::toText(group.kind)}] = count;
+    }
+  }
+  state.scaling_sent = this->sources_.scaling.totals().sent;
+  state.scaling_refused = this->sources_.scaling.totals().refused;
+  state.scaling_unanswered = this->sources_.scaling.totals().unanswered;
+}
+
+void metrics_page::addSuspects(Instant now, metrics::GatewayState& state) const {
+  state.suspects_known = this->sources_.suspects.book().size();
+  state.suspects_barred = this->sources_.suspects.book().barred(now);
+  state.suspect_engines_ended = this->sources_.suspects.totals().engines_ended;
+  state.suspect_refusals = this->sources_.suspects.totals().refused;
+  state.suspects_cleared = this->sources_.suspects.totals().cleared;
+}
+
+void metrics_page::addFeeds(Instant now, metrics::GatewayState& state) const {
+  state.config_version = this->sources_.operators.configurationVersion();
+  const std::map<std::string, const table::TableWatcher*> watchers = {
+      {"operator", &this->sources_.operators.watcher()},
+      {"engines", &this->sources_.engine_feed.watcher()},
+      {"coordination", &this->sources_.coordination.watcher()}};
+  for (const auto& [name, watcher] : watchers) {
+    state.feeds_healthy[name] = watcher->healthy();
+    state.feed_ages[name] = watcher->read() ? toSeconds(now - watcher->lastAnswer()) : -1;
+  }
+}
+
+void metrics_page::addEngines(Instant now, metrics::GatewayState& state) const {
+  const engines::EngineRegistry& engines = this->sources_.engines;
+  for (const auto& [id, engine] : engines.all()) {
+    auto& states = state.engines[engine.record.service.str()];
+    const bool closed = engines.closedZones().contains(engine.record.zone);
+    const char* name = engine.record.draining       ? "draining"
+                       : closed                     ? "zone_closed"
+                       : now < engine.ejected_until ? "ejected"
+                                                    : "usable";
+    ++states[name];
+  }
+  this->sources_.cold_engines.addTo(state, now);
+  state.zones_closed = engines.closedZones().all().size();
+  state.engine_looks = engines.looks();
+  state.engine_connections_opened = this->sources_.engine_connections.opened();
+}
+
+void metrics_page::addJobs(metrics::GatewayState& state) const {
+  const batch::BatchService::Work work = this->sources_.batches.work();
+  state.jobs_known = this->sources_.batches.jobCount();
+  state.jobs_owned = work.jobs;
+  state.items_waiting = work.waiting;
+  state.items_running = work.running;
+  state.items_unscored = work.unscored;
+  state.runs_in_closed_zones = work.in_closed_zones;
+  state.jobs_waiting_for_home = work.awaiting_residency;
+  const batch::BatchCounts& counts = this->sources_.batches.counts();
+  state.items_completed = counts.completed;
+  state.items_terminated = counts.terminated;
+  state.item_attempts = counts.attempts;
+  state.items_scored = counts.scored;
+  state.scorings_failed = counts.scorings_failed;
+  state.jobs_accepted = counts.accepted;
+  state.jobs_refused = counts.refused;
+  state.jobs_taken_over = counts.taken_over;
+  state.jobs_refused_for_home = counts.refused_for_residency;
+  state.jobs_given_to_home = counts.given_up_for_residency;
+}
+
+void metrics_page::addLeadership(Instant now, metrics::GatewayState& state) const {
+  state.lease_valid = this->sources_.keeper.valid(now);
+  state.order_rights_held = this->sources_.orders.rightsHeld();
+  state.orders_sent = this->sources_.orders.counts().sent;
+  state.orders_unanswered = this->sources_.orders.counts().unanswered;
+  state.usage_requests_counted = this->sources_.usage.totals().counted;
+  state.usage_requests_late = this->sources_.usage.totals().late;
+  state.usage_windows_reported = this->sources_.usage.totals().reported;
+}
+
+metrics::GatewayState metrics_page::state() const {
+  metrics::GatewayState state;
+  const Instant now = steadyNow();
+  this->addFeeds(now, state);
+  this->addEngines(now, state);
+  this->addEngineCounts(state);
+  this->addSuspects(now, state);
+  this->addJobs(state);
+  this->addLeadership(now, state);
+  state.client_connections = this->sources_.requests.connections();
+  state.requests_in_progress = this->sources_.requests.busy();
+  state.log_lines_dropped = logging::droppedLines();
+  return state;
+}
+
+Task<void> metrics_page::handle(http::ResponseWriter& writer) {
+  http::Response response;
+  response.set(boost::beast::http::field::content_type, "text/plain; version=0.0.4");
+  response.body() = this->metrics_.render(this->state());
+  co_await writer.send(std::move(response));
+}
+
+}  // namespace linenpier::gateway
--- /dev/null
+++ b/src/gateway/service/metrics_page.h
@@ -0,0 +1,64 @@
+#pragma once
+
+/** @file
+ * The page of metrics: what the parts of the gateway count and hold at the moment of a scrape. Owns
+ * nothing; reads the parts.
+ */
+
+#include "gateway/batch/batch_service.h"
+#include "gateway/http/connection_pool.h"
+#include "gateway/http/server.h"
+#include "gateway/lease/lease_keeper.h"
+#include "gateway/metrics/gateway_metrics.h"
+#include "gateway/scaling/scaling_service.h"
+#include "gateway/service/cold_engines_monitor.h"
+#include "gateway/service/coordination_feed.h"
+#include "gateway/service/engine_feed.h"
+#include "gateway/service/operator_feed.h"
+#include "gateway/suspects/suspect_service.h"
+#include "gateway/usage/usage_service.h"
+#include "gateway/versions/order_service.h"
+
+namespace linenpier::gateway {
+
+/** Loop thread only. */
+class metrics_page {
+ public:
+  /** Whatever the page tells of. */
+  struct sources {
+    const operator_feed& operators;
+    const gateway::engine_feed& engine_feed;
+    const coordination_feed& coordination;
+    const engines::EngineRegistry& engines;
+    const cold_engines_monitor& cold_engines;
+    const http::ConnectionPool& engine_connections;
+    const http::Server& requests;
+    const lease::LeaseKeeper& keeper;
+    const batch::BatchService& batches;
+    const versions::OrderService& orders;
+    const scaling::scaling_service& scaling;
+    const usage::usage_service& usage;
+    const suspects::suspect_service& suspects;
+  };
+
+  metrics_page(metrics::GatewayMetrics& metrics, const sources& sources)
+      : metrics_(metrics), sources_(sources) {}
+
+  Task<void> handle(http::ResponseWriter& writer);
+
+ private:
+  metrics::GatewayState state() const;
+  void addFeeds(Instant now, metrics::GatewayState& state) const;
+  void addEngines(Instant now, metrics::GatewayState& state) const;
+  void addJobs(metrics::GatewayState& state) const;
+  /** What this gateway holds or does as a leader: its lease, orders to engines, usage. */
+  void addLeadership(Instant now, metrics::GatewayState& state) const;
+  /** How many engines there are and were ordered, of services that are scaled. */
+  void addEngineCounts(metrics::GatewayState& state) const;
+  void addSuspects(Instant now, metrics::GatewayState& state) const;
+
+  metrics::GatewayMetrics& metrics_;
+  sources sources_;
+};
+
+}  // namespace linenpier::gateway
--- /dev/null
+++ b/src/gateway/service/request_entry.cpp
@@ -0,0 +1,95 @@
+#include "gateway/service/request_entry.h"
+
+#include "common/event_log.h"
+
+namespace linenpier::gateway {
+
+using logging::LogEvent;
+
+namespace {
+
+constexpr unsigned kUnauthorized = 401;
+constexpr unsigned kNotFound = 404;
+constexpr unsigned kUnavailable = 503;
+
+}  // namespace
+
+Task<void> request_entry::handle(http::Request& request, Instant received,
+                                 http::ResponseWriter& writer) {
+  const auto call = this->deps_.platform.parseBatchCall(request);
+  const routing::RouteTablePtr routes = this->deps_.operators.routes();
+  const std::string id = http::fieldText(request, this->deps_.platform.fieldNames().request_id);
+  const tenants::caller from = routes ? tenants::identify(*routes, request) : tenants::caller{};
+  // Without a configuration it isn't known whether a job needs a key: its calls are refused below.
+  if (call && (routes || this->deps_.batches.isPublic(call->job))) {
+    co_await this->handleBatchCall(*call, from, id, writer);
+    co_return;
+  }
+  const std::string path(request.target().substr(0, request.target().find('?')));
+  const routing::Route* route =
+      routes ? routes->find(http::fieldText(request, "Host"), path) : nullptr;
+  if (route == nullptr) {
+    co_await this->refuseRoute(path, id, writer);
+    co_return;
+  }
+  if (!from.admitted() && !route->is_public) {
+    co_await this->refuseKey(from, id, writer);
+    co_return;
+  }
+  if (route->kind == routing::RequestKind::kBatch) {
+    co_await this->deps_.batches.submit(*route, from, request, received, writer);
+  } else {
+    co_await this->deps_.forwarder.serve(routes, *route, from, request, received, writer);
+  }
+}
+
+Task<void> request_entry::handleBatchCall(const BatchCall& call, const tenants::caller& from,
+                                          const std::string& id, http::ResponseWriter& writer) {
+  batch::BatchService& batches = this->deps_.batches;
+  if (!from.admitted() && !batches.isPublic(call.job)) {
+    const std::string& name = id.empty() ? call.job.str() : id;
+    co_await this->refuseKey(from, name, writer);
+    co_return;
+  }
+  switch (call.kind) {
+    case BatchCall::Kind::kReadResults:
+      co_await batches.readResults(call.job, from, call.position, call.wait, writer);
+      break;
+    case BatchCall::Kind::kReadItem:
+      co_await batches.readItem(call.job, from, call.item, writer);
+      break;
+    case BatchCall::Kind::kEnd:
+      co_await batches.end(call.job, from, writer);
+      break;
+  }
+}
+
+Task<void> request_entry::refuseKey(const tenants::caller& from, const std::string& id,
+                                    http::ResponseWriter& writer) {
+  const operator_feed& operators = this->deps_.operators;
+  const unsigned status = operators.authoritative() ? kUnauthorized : kUnavailable;
+  this->deps_.metrics.onKeyRefused(tenants::toText(from.verdict));
+  LogEvent("tenants", "key_refused")
+      .text("request", id)
+      .text("key", tenants::toText(from.verdict))
+      .number("config", static_cast<std::int64_t>(operators.configurationVersion()))
+      .number("status", status);
+  http::Response response = this->deps_.forwarder.localReply(status, id);
+  if (status == kUnauthorized) tenants::challenge(from.verdict, response);
+  co_await writer.send(std::move(response));
+}
+
+Task<void> request_entry::refuseRoute(const std::string& path, const std::string& id,
+                                      http::ResponseWriter& writer) {
+  const operator_feed& operators = this->deps_.operators;
+  const unsigned status = operators.authoritative() ? kNotFound : kUnavailable;
+  LogEvent("forward", "no_route")
+      .text("request", id)
+      .text("path", path)
+      .number("config", static_cast<std::int64_t>(operators.configurationVersion()))
+      .number("status", status);
+  http::Response response = this->deps_.forwarder.localReply(status, id);
+  co_await writer.send(std::move(response));
+}
+
+}  // namespace linenpier::gateway
