--- a/src/gateway/service/closed_zones_monitor.cpp
+++ b/src/gateway/service/closed_zones_monitor.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr char kFromStore[] = "store";
+const char* const kFromStore = "store";
 
 }  // namespace
 
