--- a/src/common/event_log.cpp
+++ b/src/common/event_log.cpp
@@ -135,10 +135,6 @@
   return real(field, toSeconds(value) * 1000);
 }
 
-LogEvent& LogEvent::message(std::string_view sentence) {
-  return text("message", sentence);
-}
-
 void startEventLog(const EventLogOptions& chosen) {
   options = chosen;
   const auto backend = boost::make_shared<sinks::text_ostream_backend>();
--- a/src/common/event_log.h
+++ b/src/common/event_log.h
@@ -26,8 +26,6 @@
   LogEvent& number(std::string_view field, std::int64_t value);
   LogEvent& real(std::string_view field, double value);
   LogEvent& milliseconds(std::string_view field, Duration value);
-  /// A short sentence for people.
-  LogEvent& message(std::string_view sentence);
 
  private:
   bool enabled_;
