--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -3,7 +3,7 @@
 
 #include "gateway/routing/tenant_table.h"
 
-#include "documents.h"
+#include "configuration_document.h"
 #include "gateway/tenants/caller.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -1,7 +1,8 @@
-#include "documents.h"
-
 #include "base64.h"
+#include "configuration_document.h"
+#include "engine_document.h"
 #include "gateway/tenants/residency.h"
+#include "job_documents.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
@@ -64,7 +65,7 @@
 }
 
 Test(documents, a_discovery_entry_becomes_an_engine) {
-  const auto engine = parseServer(
+  const auto engine = parseEngine(
       "i-1",
       R"({"service":"s","address":"10.128.0.9:8080","zone":"z","version":"v1","slots":16,
           "state":"draining","coldRemainingMs":1500,"models":[{"name":"m","version":4}],"seq":4})");
@@ -73,16 +74,16 @@
   cr_assert(engine->draining);
   cr_assert_eq(engine->models.at(ModelName("m")), 4U);
   cr_assert(engine->cold_for == std::chrono::milliseconds(1500));
-  cr_assert_not(parseServer("i-1", "{}").has_value());
-  cr_assert_not(parseServer("i-1", R"({"service":"s","address":"nowhere"})").has_value());
-  cr_assert_not(parseServer("i-1", "nonsense").has_value());
+  cr_assert_not(parseEngine("i-1", "{}").has_value());
+  cr_assert_not(parseEngine("i-1", R"({"service":"s","address":"nowhere"})").has_value());
+  cr_assert_not(parseEngine("i-1", "nonsense").has_value());
 }
 
 Test(documents, an_entry_of_another_writer_names_no_engine) {
   const std::string whole = R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,
       "state":"ready","born":1700000000123,"models":[{"name":"m","version":2}],"coldRemainingMs":0})";
-  cr_assert(parseServer("i-1", whole).has_value());
-  cr_assert_eq(parseServer("i-1", whole)->start, 1700000000123);
+  cr_assert(parseEngine("i-1", whole).has_value());
+  cr_assert_eq(parseEngine("i-1", whole)->start, 1700000000123);
   const std::vector<std::pair<std::string, std::string>> spoilt = {
       {R"("service":"s")", R"("service":7)"},
       {R"("service":"s")", R"("service":"")"},
@@ -106,19 +107,19 @@
   for (const auto& [part, other] : spoilt) {
     std::string text = whole;
     text.replace(text.find(part), part.size(), other);
-    cr_assert_not(parseServer("i-1", text).has_value(), "%s", text.c_str());
+    cr_assert_not(parseEngine("i-1", text).has_value(), "%s", text.c_str());
   }
   for (const char* text : {"", "[]", "7", "\"\"", "\xff\xfe", "{\"service\":\"s\""}) {
-    cr_assert_not(parseServer("i-1", text).has_value(), "%s", text);
+    cr_assert_not(parseEngine("i-1", text).has_value(), "%s", text);
   }
 }
 
 Test(documents, an_engine_is_told_to_other_daemons_as_its_entry_named_it) {
   const auto read =
-      parseServer("i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,
+      parseEngine("i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,
       "state":"draining","born":1700000000123,"models":[{"name":"m","version":2}],
       "coldRemainingMs":1500,"spot":true,"leaves_ms":2500})");
-  const auto again = parseServer("i-1", encodeServer(*read));
+  const auto again = parseEngine("i-1", encodeEngine(*read));
   cr_assert(again.has_value());
   cr_assert_eq(again->start, read->start);
   cr_assert(again->service == read->service);
@@ -140,7 +141,7 @@
 }
 
 Test(documents, a_batch_job_is_read_with_its_items) {
-  const BatchDocuments documents;
+  const job_documents documents;
   const auto job =
       documents.parseJob(JobId("j"),
                          R"({"step":7,"model":"m","minVersion":6,"desired":12,"requests":[
@@ -157,7 +158,7 @@
 }
 
 Test(documents, every_fault_of_a_batch_job_is_reported_with_its_place) {
-  const BatchDocuments documents;
+  const job_documents documents;
   const auto job = documents.parseJob(
       JobId("j"),
       R"({"minVersion":"x","requests":[{"id":"i1","path":"/y/3","body":"!!"},{"path":7}]})");
@@ -171,7 +172,7 @@
 }
 
 Test(documents, the_request_that_scores_an_item_is_read_with_it) {
-  const BatchDocuments documents;
+  const job_documents documents;
   const auto job = documents.parseJob(JobId("j"), R"({"requests":[
       {"id":"a","path":"/x/1","scorer":{"id":"s","host":"h","path":"/y/2","body":"aGk="}},
       {"id":"b","path":"/x/2"}]})");
@@ -182,7 +183,7 @@
 }
 
 Test(documents, every_fault_of_a_scorer_is_reported_with_its_place) {
-  const BatchDocuments documents;
+  const job_documents documents;
   const auto job = documents.parseJob(JobId("j"), R"({"requests":[
       {"id":"a","path":"/x/1","scorer":"s"},
       {"id":"b","path":"/x/2","scorer":{"id":7,"host":"h","body":"?"}}]})");
@@ -194,7 +195,7 @@
 }
 
 Test(documents, results_are_written_as_readers_expect_them) {
-  const BatchDocuments documents;
+  const job_documents documents;
   batch::BatchResult result;
   result.item = ItemId("i");
   result.text = "a\nb";
@@ -242,13 +243,13 @@
 
 Test(documents, an_engine_that_may_be_taken_away_says_so_and_when) {
   const auto spot =
-      parseServer("i-1", R"({"service":"s","address":"10.0.0.1:8080","zone":"a","state":"draining",
+      parseEngine("i-1", R"({"service":"s","address":"10.0.0.1:8080","zone":"a","state":"draining",
                  "slots":2,"spot":true,"leaves_ms":2500})");
   cr_assert(spot.has_value());
   cr_assert(spot->spot);
   cr_assert(spot->draining);
   cr_assert(*spot->leaves_in == std::chrono::milliseconds(2500));
-  const auto other = parseServer("i-2", R"({"service":"s","address":"10.0.0.2:8080","zone":"a",
+  const auto other = parseEngine("i-2", R"({"service":"s","address":"10.0.0.2:8080","zone":"a",
                  "slots":2,"state":"ready"})");
   cr_assert_not(other->spot);
   cr_assert_not(other->leaves_in.has_value());
