--- a/src/gateway/fleet/zone_closings.h
+++ b/src/gateway/fleet/zone_closings.h
@@ -9,7 +9,6 @@
 #include <map>
 #include <vector>
 
-#include "common/time.h"
 #include "gateway/fleet/closed_zones.h"
 
 namespace linenpier::fleet {
@@ -29,23 +28,20 @@
    * @param revision as of which the table was read; an older one than was told before changes
    *     nothing.
    */
-  zone_changes onTable(Instant now, Revision revision, const std::map<ZoneName, Revision>& closed);
+  zone_changes onTable(Revision revision, const std::map<ZoneName, Revision>& closed);
   /** One row of the table, in the order of their revisions. A row that another daemon's table held
    * already changes nothing.
    */
-  zone_changes onClosed(Instant now, const ZoneName& zone, Revision revision);
+  zone_changes onClosed(const ZoneName& zone, Revision revision);
   zone_changes onOpened(const ZoneName& zone, Revision revision);
 
   closed_zones zones() const { return closed_zones(this->closed_); }
   /** @return everything in the operator's table up to here is known; rows since then may be, too.
    */
   Revision revision() const { return this->revision_; }
-  /** @return when this daemon heard of the closing; the start of time if the zone is open. */
-  Instant closedAt(const ZoneName& zone) const;
 
  private:
   std::map<ZoneName, Revision> closed_;
-  std::map<ZoneName, Instant> closed_at_;
   Revision revision_ = 0;
 };
 
--- a/src/gateway/service/gateway_zones.cpp
+++ b/src/gateway/service/gateway_zones.cpp
@@ -13,14 +13,13 @@
 
 void Gateway::onZoneTable(Revision revision, const std::map<ZoneName, Revision>& closed,
                           const char* source) {
-  actOnZones(closings_.onTable(steadyNow(), revision, closed), source);
+  actOnZones(closings_.onTable(revision, closed), source);
 }
 
 void Gateway::onZoneRow(const ZoneName& zone, const table::RowChange& change) {
   // A change is newer than all that the feed has told, also where no revision comes with it.
   const Revision revision = std::max(change.row.revision, operator_watcher_->revision() + 1);
-  actOnZones(change.gone ? closings_.onOpened(zone, revision)
-                         : closings_.onClosed(steadyNow(), zone, revision),
+  actOnZones(change.gone ? closings_.onOpened(zone, revision) : closings_.onClosed(zone, revision),
              "store");
 }
 
