--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -89,15 +89,6 @@
   });
 }
 
-std::vector<Address> EngineRegistry::onList(Instant now, const std::vector<EngineRecord>& records) {
-  std::set<EngineId> present;
-  for (const EngineRecord& record : records) {
-    present.insert(record.id);
-    onRecord(now, record);
-  }
-  return keepOnly(now, present);
-}
-
 std::vector<Address> EngineRegistry::keepOnly(Instant now, const std::set<EngineId>& present) {
   std::vector<Address> gone;
   for (auto at = engines_.begin(); at != engines_.end();) {
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -160,8 +160,6 @@
   void setClosedZones(fleet::closed_zones closed);
   const fleet::closed_zones& closedZones() const { return closed_; }
 
-  /// Replaces the list. @return the addresses of engines that are gone.
-  std::vector<Address> onList(Instant now, const std::vector<EngineRecord>& records);
   /// The list was told engine by engine; these are all of it.
   /// @return the addresses of engines that are gone.
   std::vector<Address> keepOnly(Instant now, const std::set<EngineId>& present);
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -2,6 +2,8 @@
 
 #include <criterion/criterion.h>
 
+#include "support/engine_lists.h"
+
 using namespace linenpier;
 using batch::BatchRun;
 using engines::EngineRecord;
@@ -55,7 +57,7 @@
 
 Test(item_placement, an_engine_that_failed_the_item_is_taken_only_if_there_is_no_other) {
   EngineRegistry registry(ZoneName("z"), {}, 1);
-  registry.onList(kStart, {record("a", 2), record("b", 2)});
+  test::listEngines(registry, kStart, {record("a", 2), record("b", 2)});
   batch::ItemProgress progress;
   progress.failures = 1;
   progress.last_engine = EngineId("a");
@@ -67,7 +69,7 @@
 
 Test(item_placement, a_text_of_one_version_is_begun_anew_where_that_version_is_gone) {
   EngineRegistry registry(ZoneName("z"), {}, 1);
-  registry.onList(kStart, {record("a", 3)});
+  test::listEngines(registry, kStart, {record("a", 3)});
   BatchRun run = oneItem();
   run.onStarted(kStart, 0, EngineId("a"));
   run.onEvent(kStart, 0, 1, "text", 2);
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -2,6 +2,8 @@
 
 #include <criterion/criterion.h>
 
+#include "support/engine_lists.h"
+
 using namespace linenpier;
 using batch::BatchRun;
 using batch::item_run;
@@ -28,7 +30,7 @@
 /** One engine twice as slow as the two others. */
 EngineRegistry registry() {
   EngineRegistry made(ZoneName("z"), {}, 1);
-  made.onList(kStart, {record(kSlow), record(kQuick), record(EngineId("quick2"))});
+  test::listEngines(made, kStart, {record(kSlow), record(kQuick), record(EngineId("quick2"))});
   made.onEventTime(kLater, kSlow, std::chrono::milliseconds(100));
   made.onEventTime(kLater, kQuick, std::chrono::milliseconds(50));
   made.onEventTime(kLater, EngineId("quick2"), std::chrono::milliseconds(50));
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -4,6 +4,7 @@
 #include <vector>
 
 #include "gateway/engines/engine_registry.h"
+#include "support/engine_lists.h"
 
 // clang-format off
 #include <criterion/criterion.h>
@@ -340,7 +341,7 @@
   warm.slots = 4;
   EngineRecord cold = entry("c", kColdFor);
   cold.slots = 4;
-  daemon.registry.onList(kLater, {warm, cold});
+  test::listEngines(daemon.registry, kLater, {warm, cold});
   engines::PickRequest wanted;
   wanted.service = kService;
   wanted.batching = true;
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -1,4 +1,5 @@
 #include "gateway/engines/engine_registry.h"
+#include "support/engine_lists.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
@@ -38,7 +39,7 @@
 
 Test(engine_admission, an_engine_of_a_closed_zone_gets_nothing_not_even_in_despair) {
   EngineRegistry registry(kHere, {}, 1);
-  registry.onList(kStart, {record("a", kHere)});
+  test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
   PickRequest request = any();
   cr_assert_null(registry.pick(kStart, request));
@@ -50,7 +51,7 @@
 
 Test(engine_admission, a_zone_that_is_opened_again_is_used_at_once) {
   EngineRegistry registry(kHere, {}, 1);
-  registry.onList(kStart, {record("a", kHere)});
+  test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
   registry.setClosedZones({});
   cr_assert_not_null(registry.pick(kStart, any()));
@@ -59,7 +60,7 @@
 Test(engine_admission, a_request_with_homes_stays_there) {
   EngineRegistry registry(kHere, {}, 1);
   registry.setLayout(fleet::fleet_layout({{kHere, RegionName("r")}, {kThere, RegionName("q")}}));
-  registry.onList(kStart, {record("a", kHere), record("b", kThere)});
+  test::listEngines(registry, kStart, {record("a", kHere), record("b", kThere)});
   PickRequest request = any();
   request.residency = fleet::data_residency({RegionName("q")});
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "b");
@@ -71,7 +72,7 @@
 
 Test(engine_admission, an_engine_in_an_unknown_region_is_at_home_nowhere) {
   EngineRegistry registry(kHere, {}, 1);
-  registry.onList(kStart, {record("a", ZoneName("nowhere"))});
+  test::listEngines(registry, kStart, {record("a", ZoneName("nowhere"))});
   PickRequest request = any();
   request.residency = fleet::data_residency({RegionName("r")});
   cr_assert_null(registry.pick(kStart, request));
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "support/engine_lists.h"
+
 using namespace linenpier;
 using engines::AttemptEnd;
 using engines::EngineRecord;
@@ -30,7 +32,7 @@
 
 EngineRegistry registryOf(const std::vector<EngineRecord>& records) {
   EngineRegistry registry(kZone, {}, 1);
-  registry.onList(kStart, records);
+  test::listEngines(registry, kStart, records);
   return registry;
 }
 
@@ -53,7 +55,7 @@
 
 Test(engine_registry, a_list_replaces_what_is_not_on_it) {
   EngineRegistry registry = registryOf({record("a"), record("b")});
-  const auto gone = registry.onList(kStart, {record("b")});
+  const auto gone = test::listEngines(registry, kStart, {record("b")});
   cr_assert_eq(gone.size(), 1U);
   cr_assert_null(registry.find(EngineId("a")));
 }
@@ -203,7 +205,7 @@
 Test(engine_registry, an_entry_that_lapsed_and_stays_away_is_gone_within_two_seconds) {
   EngineRegistry registry = registryOf({record("a"), record("b")});
   registry.onStoreRegained(kStart, std::chrono::seconds(5));
-  registry.onList(kStart, {record("b")});
+  test::listEngines(registry, kStart, {record("b")});
   cr_assert_not_null(registry.find(EngineId("a")));
   const auto dropped = registry.dropLapsed(kStart + std::chrono::milliseconds(1950));
   cr_assert_eq(dropped.size(), 1U);
@@ -308,7 +310,7 @@
   constexpr int kDaemons = 50;
   for (int daemon = 0; daemon < kDaemons; ++daemon) {
     EngineRegistry registry(kZone, {}, static_cast<std::uint64_t>(daemon) + 1);
-    registry.onList(kStart, records);
+    test::listEngines(registry, kStart, records);
     std::set<EngineId> chosen;
     for (int i = 0; i < 200; ++i) chosen.insert(registry.pick(kStart, any())->record.id);
     for (const EngineId& id : chosen) ++chosen_by[id];
--- /dev/null
+++ b/tests/support/engine_lists.h
@@ -0,0 +1,26 @@
+#pragma once
+
+/** @file
+ * Gives a registry a complete list of engines, as the feed of the platform's table does at each
+ * read of it.
+ */
+
+#include <set>
+#include <vector>
+
+#include "gateway/engines/engine_registry.h"
+
+namespace linenpier::test {
+
+/** @return the addresses of the engines that are known no longer. */
+inline std::vector<Address> listEngines(engines::EngineRegistry& registry, Instant now,
+                                        const std::vector<engines::EngineRecord>& records) {
+  std::set<EngineId> present;
+  for (const engines::EngineRecord& record : records) {
+    present.insert(record.id);
+    registry.onRecord(now, record);
+  }
+  return registry.keepOnly(now, present);
+}
+
+}  // namespace linenpier::test
