--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -385,7 +385,7 @@
   if (isLoading(now, engine, request.model)) return EngineRefusal::kLoading;
   const double most = request.max_per_slot * std::max(1U, engine.record.slots);
   if (request.max_per_slot > 0 && load(now, engine) >= most) return EngineRefusal::kFull;
-  if (request.desperate) return EngineRefusal::kNone;
+  if (request.last_resort) return EngineRefusal::kNone;
   if (now < engine.ejected_until) return EngineRefusal::kEjected;
   const bool excluded = request.excluded.contains(engine.record.id);
   return excluded ? EngineRefusal::kExcluded : EngineRefusal::kNone;
@@ -432,8 +432,8 @@
     const double jitter = 1 + static_cast<double>(random_.below(kTieBreak)) / (20 * kTieBreak);
     double wait = expectedWait(now, engine, request, all) * jitter;
     if (engine.versionOf(request.model) < all.newest) wait *= kOlderVersionFactor;
-    if (request.desperate && request.excluded.contains(id)) wait *= kSlowestFactor;
-    if (request.desperate && now < engine.ejected_until) wait *= kSlowestFactor;
+    if (request.last_resort && request.excluded.contains(id)) wait *= kSlowestFactor;
+    if (request.last_resort && now < engine.ejected_until) wait *= kSlowestFactor;
     if (choice.engine == nullptr || wait < choice.wait) {
       choice.engine = &engine;
       choice.wait = wait;
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -140,7 +140,7 @@
   /// No more than this many requests a slot, counting others'; 0: no limit.
   double max_per_slot = 0;
   /// Excluded and ejected engines are taken rather than none.
-  bool desperate = false;
+  bool last_resort = false;
 };
 
 /// Pure state; one owner.
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -108,7 +108,7 @@
     if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
   }
   if (!wanted.excluded.empty()) return nullptr;
-  wanted.desperate = true;
+  wanted.last_resort = true;
   for (const routing::WeightedService& each : forwarded.route->services) {
     wanted.service = each.service;
     if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -72,7 +72,7 @@
     std::vector<EngineId> sent;
     engines::PickRequest wanted;
     wanted.service = kService;
-    wanted.desperate = true;
+    wanted.last_resort = true;
     for (std::size_t i = 0; i < kMaxTried; ++i) {
       const auto* engine = registry.pick(now, wanted);
       if (engine == nullptr) break;
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -43,7 +43,7 @@
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
   PickRequest request = any();
   cr_assert_null(registry.pick(kStart, request));
-  request.desperate = true;
+  request.last_resort = true;
   cr_assert_null(registry.pick(kStart, request));
   cr_assert_eq(registry.lastRefusals().commonest(), EngineRefusal::kZoneClosed);
   cr_assert(registry.ofService(kService).empty());
@@ -65,7 +65,7 @@
   request.residency = fleet::data_residency({RegionName("q")});
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "b");
   request.residency = fleet::data_residency({RegionName("elsewhere")});
-  request.desperate = true;
+  request.last_resort = true;
   cr_assert_null(registry.pick(kStart, request));
   cr_assert_eq(registry.lastRefusals().of(EngineRefusal::kOutsideResidency), 2U);
 }
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -90,9 +90,9 @@
   const Instant later = kStart + std::chrono::seconds(1);
   registry.onAttemptEnded(later, EngineId("a"), AttemptEnd::kBroke);
   cr_assert_null(registry.pick(later, any()));
-  PickRequest desperate = any();
-  desperate.desperate = true;
-  cr_assert_not_null(registry.pick(later, desperate), "rather an ejected engine than none");
+  PickRequest last_resort = any();
+  last_resort.last_resort = true;
+  cr_assert_not_null(registry.pick(later, last_resort), "rather an ejected engine than none");
 }
 
 Test(engine_registry, a_burst_of_resets_counts_as_one_failure) {
