--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -419,7 +419,7 @@
                              const engine_index::engine_order& engines, Choice& choice) {
   for (const engine_index::entry& each : engines) {
     if (choice.compared == options_.max_compared) return;
-    ++looks_;
+    ++examined_;
     const EngineState& engine = *each.engine;
     const EngineId& id = engine.record.id;
     const EngineRefusal refusal = admit(now, engine, request);
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -204,7 +204,7 @@
   /// @return why engines were refused when none was found at the last choice.
   const refusal_tally& lastRefusals() const { return last_refusals_; }
   /// @return engines that choices have looked at so far.
-  std::uint64_t looks() const { return looks_; }
+  std::uint64_t examined() const { return examined_; }
   /// What engines that started lately may be sent.
   cold_budget& cold() { return cold_; }
   const cold_budget& cold() const { return cold_; }
@@ -293,7 +293,7 @@
   engine_index index_;
   cold_budget cold_;
   refusal_tally last_refusals_;
-  std::uint64_t looks_ = 0;
+  std::uint64_t examined_ = 0;
   RegistryOptions options_;
   Random random_;
   EngineMap engines_;
--- a/src/gateway/service/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -66,7 +66,7 @@
   state.runs_in_closed_zones = work.in_closed_zones;
   state.client_connections = requests_.connections();
   state.requests_in_progress = requests_.busy();
-  state.engine_looks = registry_.looks();
+  state.engine_looks = registry_.examined();
   state.engine_connections_opened = engine_pool_.opened();
   state.log_lines_dropped = logging::droppedLines();
   state.lease_valid = keeper_.valid(now);
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -255,13 +255,13 @@
 
 /// @return engines that were looked at for one request after the other, all of which run on.
 std::uint64_t looksFor(EngineRegistry& registry, const PickRequest& request, int requests) {
-  const std::uint64_t before = registry.looks();
+  const std::uint64_t before = registry.examined();
   for (int i = 0; i < requests; ++i) {
     const auto* engine = registry.pick(kStart, request);
     cr_assert_not_null(engine);
     registry.onAttemptStarted(kStart, engine->record.id);
   }
-  return registry.looks() - before;
+  return registry.examined() - before;
 }
 
 }  // namespace
