--- a/src/gateway/engines/engine_admission.cpp
+++ b/src/gateway/engines/engine_refusal.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engines/engine_admission.h"
+#include "gateway/engines/engine_refusal.h"
 
 #include <algorithm>
 
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -17,7 +17,7 @@
 #include "common/random.h"
 #include "common/time.h"
 #include "gateway/engines/cold_budget.h"
-#include "gateway/engines/engine_admission.h"
+#include "gateway/engines/engine_refusal.h"
 #include "gateway/engines/engine_index.h"
 #include "gateway/engines/engine_start.h"
 #include "gateway/engines/latency_history.h"
