--- /dev/null
+++ b/src/gateway/engines/engine_choice.h
@@ -0,0 +1,82 @@
+#pragma once
+
+/** @file
+ * Which of the admitted engines gets a request: the one with the least expected wait among the
+ * first `max_compared` in this daemon's order. Owns the random source of the tie break and the
+ * refusals of the last choice. Pure.
+ */
+
+#include <cstddef>
+#include <cstdint>
+
+#include "common/ids.h"
+#include "common/random.h"
+#include "common/time.h"
+#include "gateway/engines/cold_budget.h"
+#include "gateway/engines/engine_admission.h"
+#include "gateway/engines/engine_index.h"
+#include "gateway/engines/engine_refusal.h"
+#include "gateway/engines/engine_request.h"
+#include "gateway/engines/engine_score.h"
+#include "gateway/engines/engine_table.h"
+
+namespace linenpier::engines {
+
+struct choice_options {
+  /** Admitted engines that a choice compares. Among so many some are little loaded by chance, and
+   * more gain next to nothing; the cost of a choice does not grow with the service.
+   */
+  std::size_t max_compared = 64;
+};
+
+class engine_choice {
+ public:
+  /** @param zone of this daemon. */
+  engine_choice(ZoneName zone, choice_options options, std::uint64_t seed)
+      : zone_(std::move(zone)), options_(options), random_(seed) {}
+
+  /** @return the engine that should answer soonest, or nullptr if none is admitted. */
+  const EngineState* pick(Instant now, const PickRequest& request, engine_table& engines,
+                          const engine_admission& admission, cold_budget& cold,
+                          const score_options& score);
+  /** @return whether an engine is where the request may be served; it may be full, or away for a
+   *     while.
+   */
+  bool anyInPlace(const PickRequest& request, const engine_table& engines,
+                  const engine_admission& admission);
+  /** @return why engines were refused at the last call of the above that found none. */
+  const refusal_tally& lastRefusals() const { return this->last_refusals_; }
+  /** @return engines that all choices so far have examined, refused ones among them. */
+  std::uint64_t examined() const { return this->examined_; }
+
+ private:
+  /** One choice under way: its rules, and the best engine so far. */
+  struct comparison {
+    Instant now;
+    const PickRequest& request;
+    const engine_admission& admission;
+    const engine_score& score;
+    cold_budget& cold;
+    const EngineState* best = nullptr;
+    double wait = 0;  ///< Of the best one.
+    std::size_t compared = 0;
+  };
+
+  score_context contextFor(Instant now, const PickRequest& request, engine_table& engines,
+                           const score_options& score) const;
+  /** Compares the engines in this daemon's order until there are enough. */
+  void compareAll(comparison& comparison, const engine_index::engine_order& engines);
+  /** Compares those that hold a version that the request takes, newest version first. */
+  void compareHolders(comparison& comparison, const engine_index::holders& holders);
+  bool isAdmitted(comparison& comparison, const EngineState& engine);
+  /** @return a factor between 1 and 1.05, which decides between equal engines. */
+  double jitter();
+
+  ZoneName zone_;
+  choice_options options_;
+  Random random_;
+  refusal_tally last_refusals_;
+  std::uint64_t examined_ = 0;
+};
+
+}  // namespace linenpier::engines
--- /dev/null
+++ b/src/gateway/engines/engine_table.cpp
@@ -0,0 +1,139 @@
+#include "gateway/engines/engine_table.h"
+
+#include <utility>
+
+namespace linenpier::engines {
+
+bool engine_table::isOpen(const EngineState& engine) const {
+  return !engine.record.draining && !this->closed_.contains(engine.record.zone);
+}
+
+void engine_table::removeFromIndexes(const EngineState& engine) {
+  this->index_.take(engine);
+  const auto open = this->open_.find(engine.record.service);
+  if (open != this->open_.end()) open->second.erase(engine.record.id);
+}
+
+void engine_table::addToIndexes(const EngineState& engine) {
+  this->index_.put(engine);
+  if (this->isOpen(engine)) this->open_[engine.record.service][engine.record.id] = &engine;
+}
+
+engine_table::engine_map::iterator engine_table::erase(engine_map::iterator at) {
+  this->removeFromIndexes(at->second);
+  this->in_use_.remove(at->second);
+  return this->engines_.erase(at);
+}
+
+void engine_table::setClosedZones(fleet::closed_zones closed) {
+  this->closed_ = std::move(closed);
+  this->open_.clear();
+  for (const auto& [id, engine] : this->engines_) {
+    if (this->isOpen(engine)) this->open_[engine.record.service][id] = &engine;
+  }
+}
+
+RecordEffect engine_table::onRecord(const EngineRecord& record) {
+  const auto [at, is_new] = this->engines_.try_emplace(record.id);
+  EngineState& engine = at->second;
+  if (is_new) {
+    engine.setRecord(record);
+    this->addToIndexes(engine);
+    return RecordEffect::kNew;
+  }
+  const EngineStart before = engine.record.start;
+  if (startedBefore(record.start, before)) return RecordEffect::kOutdated;
+  const bool restarted = startedBefore(before, record.start);
+  this->removeFromIndexes(engine);
+  if (restarted) engine.onRestarted();
+  engine.setRecord(record);
+  this->addToIndexes(engine);
+  return restarted ? RecordEffect::kRestarted : RecordEffect::kUpdated;
+}
+
+std::vector<Address> engine_table::keepOnly(Instant now, const std::set<EngineId>& present) {
+  std::vector<Address> removed;
+  for (auto at = this->engines_.begin(); at != this->engines_.end();) {
+    EngineState& engine = at->second;
+    if (present.contains(at->first)) {
+      ++at;
+    } else if (this->mayHaveLapsed(now, engine)) {
+      engine.lapsed = true;
+      ++at;
+    } else {
+      removed.push_back(engine.record.address);
+      at = this->erase(at);
+    }
+  }
+  return removed;
+}
+
+std::optional<Address> engine_table::onUnreadable(const EngineId& id) {
+  const auto at = this->engines_.find(id);
+  if (at == this->engines_.end()) return std::nullopt;
+  const Address address = at->second.record.address;
+  this->erase(at);
+  return address;
+}
+
+std::optional<Address> engine_table::onGone(Instant now, const EngineId& id) {
+  const auto at = this->engines_.find(id);
+  if (at == this->engines_.end()) return std::nullopt;
+  if (this->mayHaveLapsed(now, at->second)) {
+    at->second.lapsed = true;
+    return std::nullopt;
+  }
+  const Address address = at->second.record.address;
+  this->erase(at);
+  return address;
+}
+
+void engine_table::onStoreRegained(Instant now, Duration away) {
+  const Duration shortest_lapse =
+      fromSeconds(this->options_.min_lapse_beats * toSeconds(this->options_.heartbeat));
+  if (away >= shortest_lapse) this->lapse_ends_at_ = now + this->options_.lapse_grace;
+}
+
+std::vector<EngineRecord> engine_table::dropLapsed(Instant now) {
+  std::vector<EngineRecord> dropped;
+  if (now < this->lapse_ends_at_) return dropped;
+  for (auto at = this->engines_.begin(); at != this->engines_.end();) {
+    if (at->second.lapsed) {
+      dropped.push_back(at->second.record);
+      at = this->erase(at);
+    } else {
+      ++at;
+    }
+  }
+  return dropped;
+}
+
+void engine_table::onVersionSeen(const EngineId& id, const ModelName& model,
+                                 WeightVersion version) {
+  // A malformed answer may name no version. Taken for the oldest one, 0 would keep the engine out
+  // of use until its record tells of another load.
+  if (version == 0) return;
+  EngineState* engine = this->find(id);
+  if (engine == nullptr || engine->versionOf(model) == version) return;
+  this->index_.take(*engine);
+  engine->seen_versions[model] = version;
+  this->index_.put(*engine);
+}
+
+EngineState* engine_table::find(const EngineId& id) {
+  const auto at = this->engines_.find(id);
+  return at == this->engines_.end() ? nullptr : &at->second;
+}
+
+const EngineState* engine_table::find(const EngineId& id) const {
+  const auto at = this->engines_.find(id);
+  return at == this->engines_.end() ? nullptr : &at->second;
+}
+
+const EngineList& engine_table::ofService(const ServiceName& service) const {
+  static const EngineList kNone;
+  const auto at = this->open_.find(service);
+  return at == this->open_.end() ? kNone : at->second;
+}
+
+}  // namespace linenpier::engines
--- /dev/null
+++ b/src/gateway/engines/engine_table.h
@@ -0,0 +1,128 @@
+#pragma once
+
+/** @file
+ * Discovery: which engines there are, from the records of the platform's table, and the zones that
+ * the operator closed. Owns the state of each engine and the indexes over them. Pure.
+ */
+
+#include <map>
+#include <optional>
+#include <set>
+#include <vector>
+
+#include "common/address.h"
+#include "common/ids.h"
+#include "common/time.h"
+#include "gateway/engines/engine_index.h"
+#include "gateway/engines/engine_state.h"
+#include "gateway/engines/engines_in_use.h"
+#include "gateway/fleet/closed_zones.h"
+
+namespace linenpier::engines {
+
+/** What a record that was received changed. */
+enum class RecordEffect {
+  kNew,
+  kUpdated,
+  kRestarted,  ///< The engine started again under its id: nothing known of it before holds.
+  kOutdated,   ///< An earlier start of the engine wrote it: it was ignored.
+};
+
+/** Engines can't renew their records while the store is away: the records lapse and disappear just
+ * after the store is back, though their engines serve on.
+ */
+struct lapse_options {
+  /** After the store's return lapsed records are back within this time, or their engines are lost.
+   * A little less than the two seconds that the platform states.
+   */
+  Duration lapse_grace = std::chrono::milliseconds(1900);
+  /** Between two heartbeats of an engine, as the platform sets it. */
+  Duration heartbeat = std::chrono::milliseconds(1200);
+  /** An outage of fewer heartbeats lets no record lapse: that takes three missed heartbeats, the
+   * first of which may have been due just after the outage began.
+   */
+  double min_lapse_beats = 2.5;
+};
+
+class engine_table {
+ public:
+  /** @param seed of this daemon's order of engines. */
+  engine_table(lapse_options options, std::uint64_t seed) : options_(options), index_(seed) {}
+  /** The indexes know the engines by their places in memory, which a move keeps. */
+  engine_table(const engine_table&) = delete;
+  engine_table(engine_table&&) = default;
+  engine_table& operator=(engine_table&&) = default;
+  engine_table& operator=(const engine_table&) = delete;
+
+  /** Engines of these zones get nothing new from now on. */
+  void setClosedZones(fleet::closed_zones closed);
+  const fleet::closed_zones& closedZones() const { return this->closed_; }
+  /** The platform's settings may change while the daemon runs. */
+  void setHeartbeat(Duration heartbeat) { this->options_.heartbeat = heartbeat; }
+
+  /** One engine is new or has changed. */
+  RecordEffect onRecord(const EngineRecord& record);
+  /** The table was read completely; these are all its engines.
+   * @return the addresses of engines that were removed.
+   */
+  std::vector<Address> keepOnly(Instant now, const std::set<EngineId>& present);
+  /** What stands where an engine's record stood can't be read.
+   * @return the address of the engine that is out of use now, if one was known.
+   */
+  std::optional<Address> onUnreadable(const EngineId& id);
+  /** The record of an engine was removed. Just after the store's return it may have lapsed: then
+   * the engine serves on until `dropLapsed`.
+   * @return the address of the engine that was removed, if one was.
+   */
+  std::optional<Address> onGone(Instant now, const EngineId& id);
+  /** The store answers again after an outage of `away`. */
+  void onStoreRegained(Instant now, Duration away);
+  /** Removes the engines whose records did not come back in time. @return their records. */
+  std::vector<EngineRecord> dropLapsed(Instant now);
+  /** @param version that an answer of the engine named; 0: it named none. */
+  void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version);
+
+  const EngineState* find(const EngineId& id) const;
+  EngineState* find(const EngineId& id);
+  /** @return the service's engines that are not draining and in no closed zone. Kept up as engines
+   *     change; asking costs one look-up.
+   */
+  const EngineList& ofService(const ServiceName& service) const;
+  /** @return the service's engines, whatever their state, in this daemon's order. */
+  const engine_index::engine_order& known(const ServiceName& service) const {
+    return this->index_.ofService(service);
+  }
+  /** @return the service's engines by the version of the model that they hold, newest first. */
+  const engine_index::holders& holding(const ServiceName& service, const ModelName& model) {
+    return this->index_.holding(service, model);
+  }
+  const std::map<EngineId, EngineState>& all() const { return this->engines_; }
+  engines_in_use& inUse() { return this->in_use_; }
+  const engines_in_use& inUse() const { return this->in_use_; }
+
+ private:
+  using engine_map = std::map<EngineId, EngineState>;
+
+  /** Before and after a change of anything that an engine is found by. */
+  void removeFromIndexes(const EngineState& engine);
+  void addToIndexes(const EngineState& engine);
+  engine_map::iterator erase(engine_map::iterator at);
+  bool isOpen(const EngineState& engine) const;
+  /** @return whether a record that disappears now may have lapsed. An engine that was draining has
+   *     left, as it said it would.
+   */
+  bool mayHaveLapsed(Instant now, const EngineState& engine) const {
+    return now < this->lapse_ends_at_ && !engine.record.draining;
+  }
+
+  lapse_options options_;
+  fleet::closed_zones closed_;
+  engine_map engines_;
+  /** The members below point into `engines_`. */
+  engine_index index_;
+  std::map<ServiceName, EngineList> open_;  ///< Not draining and in no closed zone.
+  engines_in_use in_use_;
+  Instant lapse_ends_at_{};  ///< Records that disappear before this may have lapsed.
+};
+
+}  // namespace linenpier::engines
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -42,7 +42,7 @@
   batch::BatchOptions batch;
   engines::cold_rules cold;  ///< Of engines that started lately.
   /// Between two heartbeats of an engine, as the platform sets it.
-  Duration engine_heartbeat = engines::RegistryOptions{}.heartbeat;
+  Duration engine_heartbeat = engines::lapse_options{}.heartbeat;
   bool log_enabled = true;
   bool log_text = false;
 };
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -260,7 +260,7 @@
 }
 
 Task<void> Gateway::dropLapsedEngines() {
-  co_await sleepFor(loop_, registry_.options().lapse_grace);
+  co_await sleepFor(loop_, registry_.options().lapse.lapse_grace);
   for (const engines::EngineRecord& record : registry_.dropLapsed(steadyNow())) {
     engine_pool_.forget(record.address);
     LogEvent("engines", "gone").text("engine", record.id.str()).text("reason", "lapsed");
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -273,7 +273,7 @@
   EngineRegistry large = serviceOf(2000);
   const std::uint64_t looks = looksFor(small, item, 200);
   cr_assert_eq(looksFor(large, item, 200), looks);
-  cr_assert_leq(looks, 200U * 2 * engines::RegistryOptions{}.max_compared);
+  cr_assert_leq(looks, 200U * 2 * engines::choice_options{}.max_compared);
 }
 
 Test(engine_registry, engines_with_other_weights_are_not_looked_at) {
