--- a/src/gateway/engines/cold_budget.cpp
+++ b/src/gateway/engines/cold_budget.cpp
@@ -6,13 +6,12 @@
 namespace linenpier::engines {
 
 namespace {
-/// One daemon's share of the bound at an engine that seems warm: two daemons that both work there,
-/// as when a job changes its owner, are within the bound together.
+/// This daemon's part of the bound at an engine that seems warm: should it have turned cold, two
+/// daemons that both send there, as when a job changes its owner, are within the bound together.
 constexpr std::size_t kWarmShares = 2;
-/// The same where less is known: three are.
-constexpr std::size_t kUnheardShares = 3;
-/// Beside the senders that the leases tell: one that is not seen, as its lease is new or it does
-/// not reach the store.
+/// The same where records are stale: three daemons are within the bound.
+constexpr std::size_t kStaleShares = 3;
+/// Senders beside those whose leases are seen: a lease may be new, or its daemon cut off.
 constexpr std::size_t kUnseenSenders = 1;
 }  // namespace
 
@@ -22,11 +21,11 @@
       return "unbounded";
     case ColdLimit::kWarm:
       return "warm";
-    case ColdLimit::kUnheard:
+    case ColdLimit::kStale:
       return "unheard";
     case ColdLimit::kShared:
       return "shared";
-    case ColdLimit::kPause:
+    case ColdLimit::kJustTurned:
       return "pause";
     case ColdLimit::kRestart:
       return "restart";
@@ -43,32 +42,32 @@
   }
 }
 
-void cold_budget::onHeard(Instant now, const EngineId& engine, Duration cold_for) {
+void cold_budget::onRecord(Instant now, const EngineId& engine, Duration cold_for) {
   const bool remembered = this->boundsAny() || cold_for > Duration::zero();
   if (!remembered && !this->engines_.contains(engine)) {
     this->onFeedAnswered(now);
     return;
   }
   const auto [at, is_new] = this->engines_.try_emplace(engine);
-  engine_state& state = at->second;
+  known_engine& state = at->second;
   const bool cold = this->isCold(now, state);
-  // The same entry told once more is as old as before.
+  // The same record received again (from a peer, after an outage) is as old as before.
   const bool repeated = !is_new && cold && cold_for == state.last_cold_for;
   state.last_cold_for = cold_for;
-  state.heard_at = now;
+  state.recorded_at = now;
   this->onFeedAnswered(now);
   if (repeated || cold_for <= Duration::zero()) return;
   if (!cold) {
     state.turned_cold_at = now;
     state.was_warm = !is_new;
   }
-  // Entries lag: one that says less than was heard before does not shorten it.
+  // Records lag: one that says less than an earlier one does not shorten the time.
   state.cold_until = std::max(state.cold_until, now + cold_for);
 }
 
 void cold_budget::onSent(Instant now, const EngineId& engine) {
   if (this->per_second_.empty()) return;
-  engine_state& state = this->engines_[engine];
+  known_engine& state = this->engines_[engine];
   while (!state.sent.empty() && now - state.sent.front() >= this->times_.window) {
     state.sent.pop_front();
   }
@@ -91,71 +90,71 @@
   return taken;
 }
 
-const cold_budget::engine_state* cold_budget::find(const EngineId& engine) const {
+const cold_budget::known_engine* cold_budget::find(const EngineId& engine) const {
   const auto at = this->engines_.find(engine);
   return at == this->engines_.end() ? nullptr : &at->second;
 }
 
 bool cold_budget::isCold(Instant now, const EngineId& engine) const {
-  const engine_state* state = this->find(engine);
+  const known_engine* state = this->find(engine);
   return state != nullptr && this->isCold(now, *state);
 }
 
-std::size_t cold_budget::sent(Instant now, const engine_state& state) const {
+std::size_t cold_budget::sent(Instant now, const known_engine& state) const {
   const auto first = std::find_if(state.sent.begin(), state.sent.end(),
                                   [&](Instant at) { return now - at < this->times_.window; });
   return static_cast<std::size_t>(state.sent.end() - first);
 }
 
 std::size_t cold_budget::sent(Instant now, const EngineId& engine) const {
-  const engine_state* state = this->find(engine);
+  const known_engine* state = this->find(engine);
   return state == nullptr ? 0 : this->sent(now, *state);
 }
 
-std::size_t cold_budget::most(const ServiceName& service) const {
-  if (this->rules_.overshoot <= 0) return 0;
+std::size_t cold_budget::fleetBound(const ServiceName& service) const {
+  if (this->rules_.bound_factor <= 0) return 0;
   const auto at = this->per_second_.find(service);
   if (at == this->per_second_.end()) return 0;
-  const double bound = at->second * this->rules_.overshoot + this->rules_.slack;
+  const double bound = at->second * this->rules_.bound_factor + this->rules_.extra_per_second;
   return static_cast<std::size_t>(std::max(1.0, std::floor(bound)));
 }
 
-cold_allowance cold_budget::coldAllowance(Instant now, const engine_state& state,
-                                          std::size_t most) const {
+cold_allowance cold_budget::coldAllowance(Instant now, const known_engine& state,
+                                          std::size_t bound) const {
   const Duration window = this->times_.window;
   if (now - this->started_at_ < window) return {ColdLimit::kRestart, 0};
   if (!this->senders_.self || this->senders_.count == 0) return {ColdLimit::kNoSender, 0};
-  if (state.was_warm && now - state.turned_cold_at < window) return {ColdLimit::kPause, 0};
-  return {ColdLimit::kShared, most / (this->senders_.count + kUnseenSenders)};
+  if (state.was_warm && now - state.turned_cold_at < window) return {ColdLimit::kJustTurned, 0};
+  return {ColdLimit::kShared, bound / (this->senders_.count + kUnseenSenders)};
 }
 
-cold_allowance cold_budget::warmAllowance(Instant now, std::size_t most) const {
+cold_allowance cold_budget::warmAllowance(Instant now, std::size_t bound) const {
   const double beats = toSeconds(now - this->feed_at_) / toSeconds(this->times_.heartbeat);
-  const bool heard = beats < this->times_.unheard_after_beats;
+  const bool current = beats < this->times_.stale_after_beats;
   const bool settled = now - this->started_at_ >= this->times_.window;
-  const bool known = heard && settled;
-  const std::size_t shares = known ? kWarmShares : kUnheardShares;
-  const ColdLimit limit = known ? ColdLimit::kWarm : ColdLimit::kUnheard;
-  return {limit, std::max<std::size_t>(1, most / shares)};
+  const bool known = current && settled;
+  const std::size_t shares = known ? kWarmShares : kStaleShares;
+  const ColdLimit limit = known ? ColdLimit::kWarm : ColdLimit::kStale;
+  return {limit, std::max<std::size_t>(1, bound / shares)};
 }
 
 cold_allowance cold_budget::allowance(Instant now, const ServiceName& service,
                                       const EngineId& engine) const {
-  const std::size_t bound = this->most(service);
+  const std::size_t bound = this->fleetBound(service);
   return bound == 0 ? cold_allowance{} : this->allowance(now, this->find(engine), bound);
 }
 
-cold_allowance cold_budget::allowance(Instant now, const engine_state* state,
-                                      std::size_t most) const {
+cold_allowance cold_budget::allowance(Instant now, const known_engine* state,
+                                      std::size_t bound) const {
   const bool cold = state != nullptr && this->isCold(now, *state);
-  return cold ? this->coldAllowance(now, *state, most) : this->warmAllowance(now, most);
+  return cold ? this->coldAllowance(now, *state, bound) : this->warmAllowance(now, bound);
 }
 
 bool cold_budget::hasRoom(Instant now, const ServiceName& service, const EngineId& engine) const {
-  const std::size_t bound = this->most(service);
+  const std::size_t bound = this->fleetBound(service);
   if (bound == 0) return true;
-  // Asked of every engine at every choice: one look-up of its state.
-  const engine_state* state = this->find(engine);
+  // Asked for every engine that a choice examines: one look-up of its state.
+  const known_engine* state = this->find(engine);
   const std::size_t sent = state == nullptr ? 0 : this->sent(now, *state);
   return sent < this->allowance(now, state, bound).requests;
 }
@@ -164,18 +163,18 @@
   std::vector<cold_change> changes;
   for (auto& [id, state] : this->engines_) {
     const bool cold = this->isCold(now, state);
-    if (cold == state.told_cold) continue;
-    state.told_cold = cold;
+    if (cold == state.reported_cold) continue;
+    state.reported_cold = cold;
     const Duration left = cold ? state.cold_until - now : Duration::zero();
-    changes.push_back({id, cold, left, now - state.heard_at});
+    changes.push_back({id, cold, left, now - state.recorded_at});
   }
   return changes;
 }
 
 void cold_budget::sweep(Instant now, const std::function<bool(const EngineId&)>& listed) {
   std::erase_if(this->engines_, [&](const auto& each) {
-    const engine_state& state = each.second;
-    const bool silent = now - state.heard_at >= this->times_.forget_after;
+    const known_engine& state = each.second;
+    const bool silent = now - state.recorded_at >= this->times_.forget_after;
     const bool idle = !this->isCold(now, state) && this->sent(now, state) == 0;
     return silent && idle && !listed(each.first);
   });
--- a/src/gateway/engines/engine_record.h
+++ b/src/gateway/engines/engine_record.h
@@ -15,6 +15,9 @@
 
 namespace linenpier::engines {
 
+/** Between two heartbeats of an engine, until the platform's settings say otherwise. */
+inline constexpr Duration kDefaultEngineHeartbeat = std::chrono::milliseconds(1200);
+
 /** Weights by model. Flat, since a service may have ten thousand engines with a few models each. */
 using ModelVersions = boost::container::flat_map<ModelName, WeightVersion>;
 
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -18,7 +18,7 @@
 
 RecordEffect EngineRegistry::onRecord(Instant now, const EngineRecord& record) {
   const RecordEffect effect = this->table_.onRecord(record);
-  if (effect != RecordEffect::kOutdated) this->cold_.onHeard(now, record.id, record.cold_for);
+  if (effect != RecordEffect::kOutdated) this->cold_.onRecord(now, record.id, record.cold_for);
   return effect;
 }
 
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -37,7 +37,7 @@
    */
   Duration lapse_grace = std::chrono::milliseconds(1900);
   /** Between two heartbeats of an engine, as the platform sets it. */
-  Duration heartbeat = std::chrono::milliseconds(1200);
+  Duration heartbeat = kDefaultEngineHeartbeat;
   /** An outage of fewer heartbeats lets no record lapse: that takes three missed heartbeats, the
    * first of which may have been due just after the outage began.
    */
--- a/src/gateway/service/gateway_cold.cpp
+++ b/src/gateway/service/gateway_cold.cpp
@@ -37,7 +37,7 @@
     LogEvent("engines", change.cold ? "turned_cold" : "turned_warm")
         .text("engine", change.engine.str())
         .milliseconds("left_ms", change.left)
-        .milliseconds("heard_age_ms", change.heard_age);
+        .milliseconds("heard_age_ms", change.record_age);
   }
   logColdRefusals(cold.takeRefusals());
   registry_.sweep(now);
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -118,8 +118,8 @@
   reader.readNumber("versions.quiet_share", settings.rollout.quiet_share, 0, 1);
   reader.readNumber("batch.move_gain", settings.batch.move_gain, 1, 1000);
   reader.readNumber("batch.requests_per_slot", settings.batch.requests_per_slot, 0.1, 10);
-  reader.readNumber("engines.cold_overshoot", settings.cold.overshoot, 0, 1000);
-  reader.readNumber("engines.cold_slack", settings.cold.slack, 0, 1e6);
+  reader.readNumber("engines.cold_overshoot", settings.cold.bound_factor, 0, 1000);
+  reader.readNumber("engines.cold_slack", settings.cold.extra_per_second, 0, 1e6);
   double heartbeat_ms = toSeconds(settings.engine_heartbeat) * 1000;
   reader.readNumber("engines.heartbeat_ms", heartbeat_ms, 1, 600000);
   double keep_seconds = toSeconds(settings.batch.keep_jobs);
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -118,7 +118,7 @@
 Test(cold_budget, without_rules_nothing_is_bounded) {
   cold_budget budget;
   budget.setServices(services());
-  budget.onHeard(kLater, kEngine, kColdFor);
+  budget.onRecord(kLater, kEngine, kColdFor);
   cr_assert(budget.isCold(kLater, kEngine));
   cr_assert_eq(budget.allowance(kLater, kService, kEngine).limit, ColdLimit::kUnbounded);
   for (int i = 0; i < 100; ++i) budget.onSent(kLater, kEngine);
@@ -135,37 +135,37 @@
 Test(cold_budget, coldness_counts_from_when_its_entry_was_heard_and_comes_again) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  budget.onHeard(kLater, kEngine, 0s);
+  budget.onRecord(kLater, kEngine, 0s);
   cr_assert_not(budget.isCold(kLater, kEngine));
   const Instant turned = kLater + 20s;
-  budget.onHeard(turned, kEngine, kColdFor);
+  budget.onRecord(turned, kEngine, kColdFor);
   cr_assert(budget.isCold(turned + kColdFor - 1ms, kEngine));
   cr_assert_not(budget.isCold(turned + kColdFor, kEngine));
   const Instant again = turned + 30s;
-  budget.onHeard(again, kEngine, kColdFor);
+  budget.onRecord(again, kEngine, kColdFor);
   cr_assert(budget.isCold(again + 1s, kEngine), "the same figure is news once it ran out");
 }
 
 Test(cold_budget, an_entry_that_is_told_once_more_does_not_prolong_the_coldness) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  budget.onHeard(kLater, kEngine, kColdFor);
-  budget.onHeard(kLater + 2s, kEngine, kColdFor);
+  budget.onRecord(kLater, kEngine, kColdFor);
+  budget.onRecord(kLater + 2s, kEngine, kColdFor);
   cr_assert_not(budget.isCold(kLater + kColdFor, kEngine));
 }
 
 Test(cold_budget, an_entry_that_lags_does_not_end_the_coldness) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  budget.onHeard(kLater, kEngine, kColdFor);
-  budget.onHeard(kLater + 100ms, kEngine, 0s);
+  budget.onRecord(kLater, kEngine, kColdFor);
+  budget.onRecord(kLater + 100ms, kEngine, 0s);
   cr_assert(budget.isCold(kLater + 1s, kEngine));
 }
 
 Test(cold_budget, the_bound_is_shared_out_among_the_senders) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  budget.onHeard(kLater, kEngine, kColdFor);
+  budget.onRecord(kLater, kEngine, kColdFor);
   const auto allowed = budget.allowance(kLater, kService, kEngine);
   cr_assert_eq(allowed.limit, ColdLimit::kShared);
   cr_assert_eq(allowed.requests, 3U);
@@ -177,7 +177,7 @@
 Test(cold_budget, who_owns_no_work_sends_nothing_to_a_cold_engine) {
   cold_budget budget;
   bind(budget, {kSenders, false});
-  budget.onHeard(kLater, kEngine, kColdFor);
+  budget.onRecord(kLater, kEngine, kColdFor);
   cr_assert_eq(budget.allowance(kLater, kService, kEngine).limit, ColdLimit::kNoSender);
   cr_assert_not(budget.hasRoom(kLater, kService, kEngine));
 }
@@ -185,19 +185,19 @@
 Test(cold_budget, an_engine_that_was_warm_rests_for_a_window_once_it_is_heard_to_be_cold) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  budget.onHeard(kLater, kEngine, 0s);
-  budget.onHeard(kLater + 5s, kEngine, kColdFor);
-  cr_assert_eq(budget.allowance(kLater + 6s, kService, kEngine).limit, ColdLimit::kPause);
+  budget.onRecord(kLater, kEngine, 0s);
+  budget.onRecord(kLater + 5s, kEngine, kColdFor);
+  cr_assert_eq(budget.allowance(kLater + 6s, kService, kEngine).limit, ColdLimit::kJustTurned);
   cr_assert_eq(budget.allowance(kLater + 6300ms, kService, kEngine).limit, ColdLimit::kShared);
 }
 
 Test(cold_budget, engines_get_less_while_their_feed_is_silent) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  budget.onHeard(kLater, kEngine, 0s);
+  budget.onRecord(kLater, kEngine, 0s);
   cr_assert_eq(budget.allowance(kLater + 1s, kService, kEngine).requests, kMost / 2);
   const auto silent = budget.allowance(kLater + 4s, kService, kEngine);
-  cr_assert_eq(silent.limit, ColdLimit::kUnheard);
+  cr_assert_eq(silent.limit, ColdLimit::kStale);
   cr_assert_eq(silent.requests, kMost / 3);
   budget.onFeedAnswered(kLater + 3900ms);
   cr_assert_eq(budget.allowance(kLater + 4s, kService, kEngine).limit, ColdLimit::kWarm,
@@ -207,13 +207,13 @@
 Test(cold_budget, changes_and_refusals_are_told_once) {
   cold_budget budget;
   bind(budget, {kSenders, false});
-  budget.onHeard(kLater, kEngine, kColdFor);
+  budget.onRecord(kLater, kEngine, kColdFor);
   budget.onRefused(kLater, kService, kEngine);
   budget.onRefused(kLater, kService, kEngine);
   const auto changes = budget.takeChanges(kLater + 1s);
   cr_assert_eq(changes.size(), 1U);
   cr_assert(changes[0].cold);
-  cr_assert(changes[0].heard_age == 1s);
+  cr_assert(changes[0].record_age == 1s);
   const auto refusals = budget.takeRefusals();
   cr_assert_eq(refusals.size(), 1U);
   cr_assert_eq(refusals[0].refused, 2U);
@@ -227,9 +227,9 @@
 Test(cold_budget, engines_that_are_gone_are_forgotten) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  budget.onHeard(kLater, kEngine, kColdFor);
+  budget.onRecord(kLater, kEngine, kColdFor);
   budget.sweep(kLater + 61s, [](const EngineId&) { return false; });
-  budget.onHeard(kLater + 62s, kEngine, kColdFor);
+  budget.onRecord(kLater + 62s, kEngine, kColdFor);
   cr_assert_eq(budget.allowance(kLater + 62s, kService, kEngine).limit, ColdLimit::kShared,
                "as one never heard of");
 }
@@ -237,10 +237,10 @@
 Test(cold_budget, engines_that_are_listed_are_remembered_however_quiet_they_are) {
   cold_budget budget;
   bind(budget, {kSenders, true});
-  budget.onHeard(kLater, kEngine, 0s);
+  budget.onRecord(kLater, kEngine, 0s);
   budget.sweep(kLater + 61s, [](const EngineId&) { return true; });
-  budget.onHeard(kLater + 62s, kEngine, kColdFor);
-  cr_assert_eq(budget.allowance(kLater + 62s, kService, kEngine).limit, ColdLimit::kPause,
+  budget.onRecord(kLater + 62s, kEngine, kColdFor);
+  cr_assert_eq(budget.allowance(kLater + 62s, kService, kEngine).limit, ColdLimit::kJustTurned,
                "others may have sent to it");
 }
 
