--- a/src/gateway/fleet/closed_zones.h
+++ b/src/gateway/fleet/closed_zones.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Zones that the operator has closed: their engines are sent nothing until the closing is taken
- * back. A value, replaced whole.
+ * Zones that the operator has closed: their engines are sent nothing until they are opened again.
+ * An immutable value.
  */
 
 #include <map>
--- a/src/gateway/fleet/data_residency.h
+++ b/src/gateway/fleet/data_residency.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Where something may be served, cached and stored. A value.
+ * The regions in which a request and its data may be served, cached and stored. An immutable value.
  */
 
 #include <algorithm>
@@ -20,16 +20,16 @@
   /** In these regions alone; nowhere if there are none. */
   explicit data_residency(std::set<RegionName> regions) : regions_(std::move(regions)) {}
 
-  /** @return whether there are regions in which it must not be. */
+  /** @return whether it is bound to some regions. */
   bool bound() const { return this->regions_.has_value(); }
-  /** @param region empty: not known, which is no home. */
+  /** @param region empty: unknown, allowed only where residency is not bound. */
   bool allows(const RegionName& region) const {
     return !this->regions_ || this->regions_->contains(region);
   }
   /** @return the regions; none if it may be anywhere. */
   std::set<RegionName> regions() const { return this->regions_.value_or(std::set<RegionName>{}); }
 
-  /** @return where both allow it, such as a route's homes and those of its caller. */
+  /** @return what both allow, such as the residency of a route and that of its caller. */
   data_residency both(const data_residency& other) const {
     if (!this->bound()) return other;
     if (!other.bound()) return *this;
--- a/src/gateway/fleet/fleet_layout.h
+++ b/src/gateway/fleet/fleet_layout.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Which region each zone of the fleet lies in, as the settings tell. A value.
+ * Which region each zone of the fleet lies in, from the settings. An immutable value.
  */
 
 #include <map>
--- a/src/gateway/fleet/scaling_bounds.h
+++ b/src/gateway/fleet/scaling_bounds.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /** @file
- * What a service's configuration allows of the number of its engines. Values.
+ * The bounds that a service's configuration sets for the number of its engines, and their prices.
+ * Values.
  */
 
 #include <compare>
@@ -32,11 +33,11 @@
 using group_counts = std::map<engine_group, std::size_t>;
 
 struct scaling_bounds {
-  std::size_t least = 0;                   ///< Engines of a zone, both kinds together.
+  std::size_t least = 0;                   ///< Engines in a zone, both kinds together.
   std::size_t most = 0;                    ///< The same.
-  Duration boot_time{};                    ///< From an order until the engine serves.
-  double spot_price = 1;                   ///< Of a spot engine, for an on-demand engine's 1.
-  std::map<ZoneName, double> zone_prices;  ///< Of an engine's second; 1 where a zone is not named.
+  Duration boot_time{};                    ///< From the order for an engine until it serves.
+  double spot_price = 1;                   ///< Of a spot engine, where an on-demand one costs 1.
+  std::map<ZoneName, double> zone_prices;  ///< Factor of the price; 1 where a zone is not named.
 
   double priceOf(const engine_group& group) const {
     const auto at = this->zone_prices.find(group.zone);
--- a/src/gateway/fleet/zone_closings.h
+++ b/src/gateway/fleet/zone_closings.h
@@ -1,9 +1,8 @@
 #pragma once
 
 /** @file
- * What a daemon knows of closed zones, how new that is, and since when. Told by the feed of the
- * operator's table or by another daemon; takes only what is newer than what it knows, closings and
- * openings alike. Pure.
+ * What this daemon knows of closed zones, from the feed of the operator's table or from a peer.
+ * Takes in only what is newer than what it knows, closings and openings alike. Pure.
  */
 
 #include <map>
@@ -13,7 +12,7 @@
 
 namespace linenpier::fleet {
 
-/** Zones whose engines may be sent nothing any more, and those whose may again. */
+/** Zones that were open and are closed now, and the reverse. */
 struct zone_changes {
   std::vector<ZoneName> closed;
   std::vector<ZoneName> opened;
@@ -23,21 +22,20 @@
 
 class zone_closings {
  public:
-  /** The operator's table whole. Replaces the set: a zone that is missing was opened, perhaps while
-   * nobody told so.
-   * @param revision as of which the table was read; an older one than was told before changes
-   *     nothing.
+  /** The operator's table was read completely. Replaces the set: a zone that is missing was opened,
+   * perhaps while the feed was lost.
+   * @param closed zones with the revision of the row that closed each.
+   * @param revision at which the table was read; one older than what is known changes nothing.
    */
   zone_changes onTable(Revision revision, const std::map<ZoneName, Revision>& closed);
-  /** One row of the table, in the order of their revisions. A row that another daemon's table held
-   * already changes nothing.
+  /** One row of the table; rows come in the order of their revisions. A row that a table from a
+   * peer held already changes nothing.
    */
   zone_changes onClosed(const ZoneName& zone, Revision revision);
   zone_changes onOpened(const ZoneName& zone, Revision revision);
 
   closed_zones zones() const { return closed_zones(this->closed_); }
-  /** @return everything in the operator's table up to here is known; rows since then may be, too.
-   */
+  /** @return the revision up to which all rows are known; later ones may be known, too. */
   Revision revision() const { return this->revision_; }
 
  private:
