--- a/src/gateway/engines/engine_index.cpp
+++ b/src/gateway/engines/engine_index.cpp
@@ -14,7 +14,7 @@
   return {hash64(engine.record.id.str(), this->seed_), &engine};
 }
 
-void engine_index::put(const EngineState& engine) {
+void engine_index::add(const EngineState& engine) {
   const entry each = this->entryOf(engine);
   this->services_[engine.record.service].insert(each);
   const auto models = this->models_.find(engine.record.service);
@@ -22,7 +22,7 @@
   for (auto& [model, versions] : models->second) versions[engine.versionOf(model)].insert(each);
 }
 
-void engine_index::take(const EngineState& engine) {
+void engine_index::remove(const EngineState& engine) {
   const entry each = this->entryOf(engine);
   const auto service = this->services_.find(engine.record.service);
   if (service != this->services_.end()) service->second.erase(each);
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /** @file
- * The engines of each service, in an order of this daemon's own, and which of them hold a version
- * of a model. A choice goes through this order and ends when it has compared enough, so that it
- * touches as many engines in a service of ten thousand as in one of a hundred. Since the orders of
- * two daemons have nothing in common, each engine stands early in as many orders as any other, and
- * a daemon keeps to engines that it has connections to. Pure.
+ * The engines of each service in this daemon's order, and which of them hold a version of a model.
+ * A choice goes through this order and stops when it has compared enough, so that it examines as
+ * many engines in a service of ten thousand as in one of a hundred. The orders of two daemons are
+ * unrelated: over all daemons each engine comes early as often as any other, while one daemon keeps
+ * to the engines that it has connections to. Pure.
  */
 
 #include <cstdint>
@@ -19,8 +19,8 @@
 
 struct EngineState;
 
-/** Holds no engines of its own: whoever does takes an engine out before it changes what the engine
- * is found by, and puts it in again.
+/** Points to engines of an `engine_table`. Invariant: the table removes an engine here before it
+ * changes the service or a version of the engine, and adds it again afterwards.
  */
 class engine_index {
  public:
@@ -38,12 +38,12 @@
   /** @param seed of this daemon's order. */
   explicit engine_index(std::uint64_t seed) : seed_(seed) {}
 
-  void put(const EngineState& engine);
-  void take(const EngineState& engine);
+  void add(const EngineState& engine);
+  void remove(const EngineState& engine);
 
   const engine_order& ofService(const ServiceName& service) const;
-  /** @return the service's engines by the version of the model that they hold. The first question
-   *     for a model looks at each engine of the service; from then on the answer is kept up.
+  /** @return the service's engines by the version of the model that they hold. The first call for a
+   *     model goes over all engines of the service; from then on the index is kept up.
    */
   const holders& holding(const ServiceName& service, const ModelName& model);
 
@@ -54,7 +54,7 @@
 
   std::uint64_t seed_;
   std::map<ServiceName, engine_order> services_;
-  std::map<ServiceName, holders_by_model> models_;  ///< Of the models that were asked for.
+  std::map<ServiceName, holders_by_model> models_;  ///< Of the models asked for.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_start.h
+++ b/src/gateway/engines/engine_start.h
@@ -1,18 +1,18 @@
 #pragma once
 
 /** @file
- * When an engine started. An engine may start again under its id, holding and knowing nothing of
- * before: its id and its start together are its identity.
+ * When an engine started. An engine may start again under its id and then keeps nothing of before:
+ * its id and its start together identify it.
  */
 
 #include <cstdint>
 
 namespace linenpier::engines {
 
-/** Unix time in milliseconds, by the engine's own word; 0: not told. */
+/** Unix time in milliseconds, as the engine says; 0: unknown. */
 using EngineStart = std::int64_t;
 
-/** @return whether both are told, and `one` came first. */
+/** @return whether both are known and `one` came first. */
 inline bool startedBefore(EngineStart one, EngineStart other) {
   return one != 0 && other != 0 && one < other;
 }
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -9,13 +9,13 @@
 }
 
 void engine_table::removeFromIndexes(const EngineState& engine) {
-  this->index_.take(engine);
+  this->index_.remove(engine);
   const auto open = this->open_.find(engine.record.service);
   if (open != this->open_.end()) open->second.erase(engine.record.id);
 }
 
 void engine_table::addToIndexes(const EngineState& engine) {
-  this->index_.put(engine);
+  this->index_.add(engine);
   if (this->isOpen(engine)) this->open_[engine.record.service][engine.record.id] = &engine;
 }
 
@@ -115,9 +115,9 @@
   if (version == 0) return;
   EngineState* engine = this->find(id);
   if (engine == nullptr || engine->versionOf(model) == version) return;
-  this->index_.take(*engine);
+  this->index_.remove(*engine);
   engine->seen_versions[model] = version;
-  this->index_.put(*engine);
+  this->index_.add(*engine);
 }
 
 EngineState* engine_table::find(const EngineId& id) {
--- a/src/gateway/engines/latency_history.h
+++ b/src/gateway/engines/latency_history.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * How slow an engine is by its make, as against what slows it for a while: its pace over the median
- * of its service, as the best of what was observed lately. Pure.
+ * How slow an engine is for good, by its hardware class, as against what slows it for a while: the
+ * least ratio of its event time to the median of its service over the last spans. Pure.
  */
 
 #include <cstddef>
@@ -14,24 +14,25 @@
 
 class latency_history {
  public:
-  /** A unit of work took `seconds`.
-   * @return whether enough was observed to be compared: `close` must be called.
+  /** An event or an answer took `seconds`.
+   * @return whether the span is complete: `close` must be called.
    */
   bool onEventTime(Instant now, double seconds);
-  /** @param median_pace of the service's engines, in seconds; 0: none is known. */
+  /** Ends the span. @param median_event_time of the service's engines, in seconds; 0: none is
+   * known.
+   */
   void close(double median_event_time);
-  /** @return pace over the median; 1 as long as little was observed, or nothing lately. An engine
-   *     that is slow by make was slow in every span; one that was so in some was slowed by
-   * something that passed.
+  /** @return the least ratio of event time to median: an engine that is slow by its hardware was
+   *     slow in every span. 1 as long as no span is complete, or if nothing was measured lately.
    */
   double value(Instant now) const;
 
  private:
-  double seconds_ = 0;  ///< Of the span that is open.
-  std::size_t units_ = 0;
+  double seconds_ = 0;      ///< Sum over the open span.
+  std::size_t events_ = 0;  ///< In the open span.
   Instant opened_at_{};
-  Instant observed_at_{};
-  std::vector<double> spans_;  ///< Pace over the median, oldest first; few.
+  Instant measured_at_{};
+  std::vector<double> spans_;  ///< Ratios to the median, oldest first.
 };
 
 }  // namespace linenpier::engines
