--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -319,7 +319,7 @@
 
 void BatchService::moveRun(Instant now, Active& active, const item_run& run,
                            const routing::Route& route, moves_planned& moves) {
-  engines::EngineRegistry& registry = deps_.engines.registry;
+  engines::engine_registry& registry = deps_.engines.registry;
   engines::PickRequest wanted = pickFor(active, run.item, route);
   wanted.excluded = moves.full();
   wanted.excluded.insert(run.engine);
--- a/src/gateway/batch/batch_leaving.cpp
+++ b/src/gateway/batch/batch_leaving.cpp
@@ -20,7 +20,7 @@
 
 std::vector<placed_run> BatchService::runsInClosedZones(Instant now,
                                                         std::vector<run_there>& there) const {
-  const engines::EngineRegistry& registry = deps_.engines.registry;
+  const engines::engine_registry& registry = deps_.engines.registry;
   std::vector<placed_run> placed;
   for (const auto& [id, job] : jobs_) {
     if (!job.active || job.active->stopped) continue;
--- a/src/gateway/batch/item_placement.cpp
+++ b/src/gateway/batch/item_placement.cpp
@@ -34,7 +34,7 @@
   return wanted;
 }
 
-item_placement placeItem(Instant now, engines::EngineRegistry& registry,
+item_placement placeItem(Instant now, engines::engine_registry& registry,
                          const ItemProgress& progress, engines::PickRequest wanted) {
   item_placement placement;
   if (progress.failures > 0 && !progress.last_engine.empty()) {
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -28,7 +28,7 @@
 
 /** Chooses an engine for an item that waits. One that failed it is taken only if there is no other.
  */
-item_placement placeItem(Instant now, engines::EngineRegistry& registry,
+item_placement placeItem(Instant now, engines::engine_registry& registry,
                          const ItemProgress& progress, engines::PickRequest wanted);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -4,7 +4,7 @@
 
 namespace linenpier::batch {
 
-std::vector<item_run> movableRuns(Instant now, const engines::EngineRegistry& registry,
+std::vector<item_run> movableRuns(Instant now, const engines::engine_registry& registry,
                                   const ServiceName& service, const BatchJob& job,
                                   const std::vector<item_run>& runs, const run_move_rules& rules) {
   const double median = registry.medianEventTime(now, service);
@@ -21,7 +21,7 @@
   return movable;
 }
 
-std::optional<run_move> planMove(Instant now, engines::EngineRegistry& registry,
+std::optional<run_move> planMove(Instant now, engines::engine_registry& registry,
                                  const length_estimate& lengths, const BatchRun& run,
                                  const item_run& from, const engines::PickRequest& wanted,
                                  const run_move_rules& rules) {
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -2,7 +2,7 @@
 
 namespace linenpier::engines {
 
-void EngineRegistry::setServices(const std::map<ServiceName, routing::Service>& services) {
+void engine_registry::setServices(const std::map<ServiceName, routing::Service>& services) {
   const bool before = this->cold_.boundsAny();
   this->cold_.setServices(services);
   if (before || !this->cold_.boundsAny()) return;
@@ -10,19 +10,19 @@
   for (const auto& [id, engine] : this->table_.all()) this->cold_.keep(id);
 }
 
-void EngineRegistry::setHeartbeat(Duration heartbeat) {
+void engine_registry::setHeartbeat(Duration heartbeat) {
   this->options_.lapse.heartbeat = heartbeat;
   this->table_.setHeartbeat(heartbeat);
   this->cold_.setHeartbeat(heartbeat);
 }
 
-RecordEffect EngineRegistry::onRecord(Instant now, const EngineRecord& record) {
+RecordEffect engine_registry::onRecord(Instant now, const EngineRecord& record) {
   const RecordEffect effect = this->table_.onRecord(record);
   if (effect != RecordEffect::kOutdated) this->cold_.onRecord(now, record.id, record.cold_for);
   return effect;
 }
 
-void EngineRegistry::onAttemptStarted(Instant now, const EngineId& id) {
+void engine_registry::onAttemptStarted(Instant now, const EngineId& id) {
   this->cold_.onSent(now, id);
   EngineState* engine = this->table_.find(id);
   if (engine == nullptr) return;
@@ -30,21 +30,21 @@
   this->table_.inUse().add(*engine);
 }
 
-void EngineRegistry::onAttemptEnded(Instant now, const EngineId& id, AttemptEnd end) {
+void engine_registry::onAttemptEnded(Instant now, const EngineId& id, AttemptEnd end) {
   EngineState* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptEnded();
   engine->health.onAttemptEnded(now, end, this->options_.health);
 }
 
-void EngineRegistry::onTokens(const EngineId& id, double tokens) {
+void engine_registry::onTokens(const EngineId& id, double tokens) {
   EngineState* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.addTokens(tokens);
   if (engine->load.tokens() > 0) this->table_.inUse().add(*engine);
 }
 
-void EngineRegistry::onModelRefused(Instant now, const EngineId& id, const ModelName& model) {
+void engine_registry::onModelRefused(Instant now, const EngineId& id, const ModelName& model) {
   EngineState* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const double load = engine->load.total(now, this->options_.score.load);
@@ -52,19 +52,19 @@
   engine->loading.onRejected(now, model, full, this->options_.loading);
 }
 
-void EngineRegistry::onModelReset(Instant now, const EngineId& id, const ModelName& model) {
+void engine_registry::onModelReset(Instant now, const EngineId& id, const ModelName& model) {
   EngineState* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->loading.onReset(now, model, this->options_.loading);
 }
 
-void EngineRegistry::onLoad(Instant now, const EngineId& id, const LoadReport& report) {
+void engine_registry::onLoad(Instant now, const EngineId& id, const LoadReport& report) {
   EngineState* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onReport(now, report);
 }
 
-void EngineRegistry::onEventTime(Instant now, const EngineId& id, Duration duration) {
+void engine_registry::onEventTime(Instant now, const EngineId& id, Duration duration) {
   EngineState* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const bool complete = engine->latency.onEventTime(now, duration, this->options_.score.latency);
@@ -72,31 +72,31 @@
   if (complete) engine->latency.closeSpan(this->medianEventTime(now, engine->record.service));
 }
 
-double EngineRegistry::room(Instant now, const EngineId& id) const {
+double engine_registry::room(Instant now, const EngineId& id) const {
   const EngineState* engine = this->find(id);
   if (engine == nullptr) return 0;
   return engine->record.slots - engine->load.total(now, this->options_.score.load);
 }
 
-double EngineRegistry::latencyRatio(Instant now, const EngineId& id) const {
+double engine_registry::latencyRatio(Instant now, const EngineId& id) const {
   const EngineState* engine = this->find(id);
   if (engine == nullptr) return 1;
   return this->latencyRatio(now, *engine, this->medianEventTime(now, engine->record.service));
 }
 
-double EngineRegistry::expectedEventTime(Instant now, const EngineId& id) const {
+double engine_registry::expectedEventTime(Instant now, const EngineId& id) const {
   const EngineState* engine = this->find(id);
   if (engine == nullptr) return 0;
   const double median = this->medianEventTime(now, engine->record.service);
   return this->latencyRatio(now, *engine, median) * median;
 }
 
-double EngineRegistry::measuredEventTime(Instant now, const EngineId& id) const {
+double engine_registry::measuredEventTime(Instant now, const EngineId& id) const {
   const EngineState* engine = this->find(id);
   return engine == nullptr ? 0 : engine->latency.eventTime(now, this->options_.score.latency);
 }
 
-void EngineRegistry::sweep(Instant now) {
+void engine_registry::sweep(Instant now) {
   this->cold_.sweep(now, [this](const EngineId& id) { return this->table_.find(id) != nullptr; });
   this->table_.inUse().sweep(now, this->options_.score.latency);
 }
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -36,12 +36,12 @@
   choice_options choice;
 };
 
-class EngineRegistry {
+class engine_registry {
  public:
   /** @param zone of this daemon.
    * @param seed of its order of engines and of its tie breaks.
    */
-  EngineRegistry(ZoneName zone, RegistryOptions options, std::uint64_t seed)
+  engine_registry(ZoneName zone, RegistryOptions options, std::uint64_t seed)
       : options_(options),
         table_(options.lapse, seed),
         choice_(std::move(zone), options.choice, seed) {}
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -32,7 +32,7 @@
 
 struct EngineCallContext {
   http::ConnectionPool& pool;
-  engines::EngineRegistry& registry;
+  engines::engine_registry& registry;
   const FieldNames& names;
 };
 
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -36,7 +36,7 @@
     lease::leader_lock::dependencies right;
     scaling_port& port;
     std::string holder;  ///< Name that orders carry.
-    const engines::EngineRegistry& registry;
+    const engines::engine_registry& registry;
     std::function<routing::RouteTablePtr()> routes;
     std::function<versions::open_work_by_model()> open_work;  ///< Of jobs under way.
     std::function<bool()> engines_followed;  ///< Whether the list of engines is up to date.
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -141,7 +141,7 @@
   PlatformPort& platform_;
   http::ConnectionPool& engine_pool_;
   metrics::GatewayMetrics& metrics_;
-  engines::EngineRegistry registry_;
+  engines::engine_registry registry_;
   fleet::zone_closings closings_;
   routing::RouteTablePtr routes_;  ///< The newest seen in this life; empty before the first.
   lease::pool_demand demand_ = demandWithoutModels();  ///< Of daemons that offer to own work.
--- a/src/gateway/versions/order_service.h
+++ b/src/gateway/versions/order_service.h
@@ -41,7 +41,7 @@
  public:
   struct Dependencies {
     boost::asio::io_context& loop;
-    engines::EngineRegistry& registry;
+    engines::engine_registry& registry;
     table::AsyncTable& table;
     lease::LeaseTable& leases;
     lease::LeaseKeeper& keeper;
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -6,8 +6,8 @@
 
 using namespace linenpier;
 using batch::BatchRun;
+using engines::engine_registry;
 using engines::EngineRecord;
-using engines::EngineRegistry;
 
 namespace {
 
@@ -56,7 +56,7 @@
 }
 
 Test(item_placement, an_engine_that_failed_the_item_is_taken_only_if_there_is_no_other) {
-  EngineRegistry registry(ZoneName("z"), {}, 1);
+  engine_registry registry(ZoneName("z"), {}, 1);
   test::listEngines(registry, kStart, {record("a", 2), record("b", 2)});
   batch::ItemProgress progress;
   progress.failures = 1;
@@ -68,7 +68,7 @@
 }
 
 Test(item_placement, a_text_of_one_version_is_begun_anew_where_that_version_is_gone) {
-  EngineRegistry registry(ZoneName("z"), {}, 1);
+  engine_registry registry(ZoneName("z"), {}, 1);
   test::listEngines(registry, kStart, {record("a", 3)});
   BatchRun run = oneItem();
   run.onStarted(kStart, 0, EngineId("a"));
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -7,8 +7,8 @@
 using namespace linenpier;
 using batch::BatchRun;
 using batch::item_run;
+using engines::engine_registry;
 using engines::EngineRecord;
-using engines::EngineRegistry;
 
 namespace {
 
@@ -28,8 +28,8 @@
 }
 
 /** One engine twice as slow as the two others. */
-EngineRegistry registry() {
-  EngineRegistry made(ZoneName("z"), {}, 1);
+engine_registry registry() {
+  engine_registry made(ZoneName("z"), {}, 1);
   test::listEngines(made, kStart, {record(kSlow), record(kQuick), record(EngineId("quick2"))});
   made.onEventTime(kLater, kSlow, std::chrono::milliseconds(100));
   made.onEventTime(kLater, kQuick, std::chrono::milliseconds(50));
@@ -70,7 +70,7 @@
 }
 
 Test(run_moves, a_run_moves_only_for_more_than_it_costs) {
-  EngineRegistry engines = registry();
+  engine_registry engines = registry();
   batch::length_estimate lengths;
   lengths.onFinished(100, 10);
   const BatchRun run = twoItems();
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -15,8 +15,8 @@
 using engines::cold_budget;
 using engines::cold_senders;
 using engines::ColdLimit;
+using engines::engine_registry;
 using engines::EngineRecord;
-using engines::EngineRegistry;
 
 namespace {
 
@@ -83,7 +83,7 @@
     return sent;
   }
 
-  EngineRegistry registry;
+  engine_registry registry;
 };
 
 /** What one engine got, and when. */
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -7,9 +7,9 @@
 // clang-format on
 
 using namespace linenpier;
+using engines::engine_registry;
 using engines::EngineRecord;
 using engines::EngineRefusal;
-using engines::EngineRegistry;
 using engines::PickRequest;
 
 namespace {
@@ -38,7 +38,7 @@
 }  // namespace
 
 Test(engine_admission, an_engine_of_a_closed_zone_gets_nothing_not_even_in_despair) {
-  EngineRegistry registry(kHere, {}, 1);
+  engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
   PickRequest request = any();
@@ -50,7 +50,7 @@
 }
 
 Test(engine_admission, a_zone_that_is_opened_again_is_used_at_once) {
-  EngineRegistry registry(kHere, {}, 1);
+  engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
   registry.setClosedZones({});
@@ -58,7 +58,7 @@
 }
 
 Test(engine_admission, a_request_with_homes_stays_there) {
-  EngineRegistry registry(kHere, {}, 1);
+  engine_registry registry(kHere, {}, 1);
   registry.setLayout(fleet::fleet_layout({{kHere, RegionName("r")}, {kThere, RegionName("q")}}));
   test::listEngines(registry, kStart, {record("a", kHere), record("b", kThere)});
   PickRequest request = any();
@@ -71,7 +71,7 @@
 }
 
 Test(engine_admission, an_engine_in_an_unknown_region_is_at_home_nowhere) {
-  EngineRegistry registry(kHere, {}, 1);
+  engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", ZoneName("nowhere"))});
   PickRequest request = any();
   request.residency = fleet::data_residency({RegionName("r")});
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -8,8 +8,8 @@
 
 using namespace linenpier;
 using engines::AttemptEnd;
+using engines::engine_registry;
 using engines::EngineRecord;
-using engines::EngineRegistry;
 using engines::PickRequest;
 
 namespace {
@@ -30,8 +30,8 @@
   return made;
 }
 
-EngineRegistry registryOf(const std::vector<EngineRecord>& records) {
-  EngineRegistry registry(kZone, {}, 1);
+engine_registry registryOf(const std::vector<EngineRecord>& records) {
+  engine_registry registry(kZone, {}, 1);
   test::listEngines(registry, kStart, records);
   return registry;
 }
@@ -47,21 +47,21 @@
 Test(engine_registry, draining_and_gone_engines_get_nothing_new) {
   EngineRecord leaving = record("a");
   leaving.draining = true;
-  EngineRegistry registry = registryOf({leaving, record("b")});
+  engine_registry registry = registryOf({leaving, record("b")});
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
   cr_assert(registry.onGone(kStart, EngineId("b")).has_value());
   cr_assert_null(registry.pick(kStart, any()));
 }
 
 Test(engine_registry, a_list_replaces_what_is_not_on_it) {
-  EngineRegistry registry = registryOf({record("a"), record("b")});
+  engine_registry registry = registryOf({record("a"), record("b")});
   const auto gone = test::listEngines(registry, kStart, {record("b")});
   cr_assert_eq(gone.size(), 1U);
   cr_assert_null(registry.find(EngineId("a")));
 }
 
 Test(engine_registry, the_less_loaded_engine_is_taken_counting_our_own_requests) {
-  EngineRegistry registry = registryOf({record("a"), record("b")});
+  engine_registry registry = registryOf({record("a"), record("b")});
   registry.onAttemptStarted(kStart, EngineId("a"));
   registry.onAttemptStarted(kStart, EngineId("a"));
   cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
@@ -72,7 +72,7 @@
 }
 
 Test(engine_registry, a_slow_engine_is_left_alone_until_its_measurement_is_old) {
-  EngineRegistry registry = registryOf({record("a"), record("b"), record("c")});
+  engine_registry registry = registryOf({record("a"), record("b"), record("c")});
   for (int i = 0; i < 20; ++i) {
     registry.onEventTime(kStart, EngineId("a"), std::chrono::milliseconds(120));
     registry.onEventTime(kStart, EngineId("b"), std::chrono::milliseconds(30));
@@ -84,7 +84,7 @@
 }
 
 Test(engine_registry, one_broken_answer_ejects_nobody_but_repeated_ones_do) {
-  EngineRegistry registry = registryOf({record("a")});
+  engine_registry registry = registryOf({record("a")});
   registry.onAttemptEnded(kStart, EngineId("a"), AttemptEnd::kBroke);
   cr_assert_not_null(registry.pick(kStart, any()));
   const Instant later = kStart + std::chrono::seconds(1);
@@ -96,7 +96,7 @@
 }
 
 Test(engine_registry, a_burst_of_resets_counts_as_one_failure) {
-  EngineRegistry registry = registryOf({record("a")});
+  engine_registry registry = registryOf({record("a")});
   for (int i = 0; i < 12; ++i) {
     registry.onAttemptEnded(kStart, EngineId("a"), AttemptEnd::kBroke);
   }
@@ -105,13 +105,13 @@
 }
 
 Test(engine_registry, an_engine_at_anothers_address_is_ejected_for_long) {
-  EngineRegistry registry = registryOf({record("a")});
+  engine_registry registry = registryOf({record("a")});
   registry.onAttemptEnded(kStart, EngineId("a"), AttemptEnd::kMisdirected);
   cr_assert_null(registry.pick(kStart + std::chrono::seconds(3), any()));
 }
 
 Test(engine_registry, versions_seen_in_answers_are_newer_than_discovery) {
-  EngineRegistry registry = registryOf({record("a", 3)});
+  engine_registry registry = registryOf({record("a", 3)});
   PickRequest request = any();
   request.model = kModel;
   request.minimum_version = 4;
@@ -125,7 +125,7 @@
 }
 
 Test(engine_registry, an_answer_that_names_no_version_changes_none) {
-  EngineRegistry registry = registryOf({record("a", 3)});
+  engine_registry registry = registryOf({record("a", 3)});
   registry.onVersionSeen(EngineId("a"), kModel, 4);
   registry.onVersionSeen(EngineId("a"), kModel, 0);
   PickRequest request = any();
@@ -135,7 +135,7 @@
 }
 
 Test(engine_registry, an_engine_that_refuses_while_it_has_room_is_loading) {
-  EngineRegistry registry = registryOf({record("a")});
+  engine_registry registry = registryOf({record("a")});
   PickRequest request = any();
   request.model = kModel;
   registry.onModelRefused(kStart, EngineId("a"), kModel);
@@ -146,7 +146,7 @@
 }
 
 Test(engine_registry, no_more_than_the_slots_where_that_is_asked_for) {
-  EngineRegistry registry = registryOf({record("a")});
+  engine_registry registry = registryOf({record("a")});
   PickRequest request = any();
   request.max_per_slot = 1;
   for (int i = 0; i < 4; ++i) {
@@ -157,7 +157,7 @@
 }
 
 Test(engine_registry, memory_that_others_fill_is_counted_too) {
-  EngineRegistry registry = registryOf({record("slow"), record("full")});
+  engine_registry registry = registryOf({record("slow"), record("full")});
   registry.onEventTime(kStart, EngineId("slow"), std::chrono::milliseconds(120));
   registry.onEventTime(kStart, EngineId("full"), std::chrono::milliseconds(100));
   registry.onAttemptStarted(kStart, EngineId("slow"));
@@ -176,7 +176,7 @@
 }
 
 Test(engine_registry, a_text_of_one_version_goes_on_where_that_version_is) {
-  EngineRegistry registry = registryOf({record("old", 3), record("new", 4)});
+  engine_registry registry = registryOf({record("old", 3), record("new", 4)});
   PickRequest request = any();
   request.model = kModel;
   request.exact_version = 3;
@@ -191,7 +191,7 @@
 }
 
 Test(engine_registry, an_entry_that_lapsed_while_the_store_was_away_may_come_back) {
-  EngineRegistry registry = registryOf({record("a"), record("b")});
+  engine_registry registry = registryOf({record("a"), record("b")});
   registry.onStoreRegained(kStart, std::chrono::seconds(5));
   cr_assert_not(registry.onGone(kStart, EngineId("a")).has_value());
   const Instant soon = kStart + std::chrono::milliseconds(1500);
@@ -203,7 +203,7 @@
 }
 
 Test(engine_registry, an_entry_that_lapsed_and_stays_away_is_gone_within_two_seconds) {
-  EngineRegistry registry = registryOf({record("a"), record("b")});
+  engine_registry registry = registryOf({record("a"), record("b")});
   registry.onStoreRegained(kStart, std::chrono::seconds(5));
   test::listEngines(registry, kStart, {record("b")});
   cr_assert_not_null(registry.find(EngineId("a")));
@@ -215,7 +215,7 @@
 Test(engine_registry, an_engine_that_was_draining_or_goes_in_a_calm_time_is_gone_at_once) {
   EngineRecord leaving = record("a");
   leaving.draining = true;
-  EngineRegistry registry = registryOf({leaving, record("b"), record("c")});
+  engine_registry registry = registryOf({leaving, record("b"), record("c")});
   registry.onStoreRegained(kStart, std::chrono::seconds(5));
   cr_assert(registry.onGone(kStart, EngineId("a")).has_value());
   registry = registryOf({record("b"), record("c")});
@@ -224,7 +224,7 @@
 }
 
 Test(engine_registry, an_engine_that_is_slow_by_make_is_avoided_when_its_measurement_is_old) {
-  EngineRegistry registry = registryOf({record("a"), record("b"), record("c")});
+  engine_registry registry = registryOf({record("a"), record("b"), record("c")});
   Instant now = kStart;
   for (int i = 0; i < 100; ++i) {
     now += std::chrono::milliseconds(50);
@@ -247,14 +247,14 @@
   return made;
 }
 
-EngineRegistry serviceOf(std::size_t engines) {
+engine_registry serviceOf(std::size_t engines) {
   std::vector<EngineRecord> records;
   for (std::size_t i = 0; i < engines; ++i) records.push_back(numbered(i));
   return registryOf(records);
 }
 
 /// @return engines that were looked at for one request after the other, all of which run on.
-std::uint64_t looksFor(EngineRegistry& registry, const PickRequest& request, int requests) {
+std::uint64_t looksFor(engine_registry& registry, const PickRequest& request, int requests) {
   const std::uint64_t before = registry.examined();
   for (int i = 0; i < requests; ++i) {
     const auto* engine = registry.pick(kStart, request);
@@ -269,15 +269,15 @@
 Test(engine_registry, a_choice_looks_at_as_many_engines_in_a_service_twice_as_large) {
   PickRequest item = any();
   item.max_per_slot = 1;
-  EngineRegistry small = serviceOf(1000);
-  EngineRegistry large = serviceOf(2000);
+  engine_registry small = serviceOf(1000);
+  engine_registry large = serviceOf(2000);
   const std::uint64_t looks = looksFor(small, item, 200);
   cr_assert_eq(looksFor(large, item, 200), looks);
   cr_assert_leq(looks, 200U * 2 * engines::choice_options{}.max_compared);
 }
 
 Test(engine_registry, engines_with_other_weights_are_not_looked_at) {
-  EngineRegistry registry = serviceOf(2000);
+  engine_registry registry = serviceOf(2000);
   for (std::size_t i = 0; i < 40; ++i) registry.onRecord(kStart, numbered(i, 5));
   PickRequest item = any();
   item.model = kModel;
@@ -292,7 +292,7 @@
 }
 
 Test(engine_registry, one_that_takes_the_request_is_found_among_any_number_that_do_not) {
-  EngineRegistry registry = serviceOf(2000);
+  engine_registry registry = serviceOf(2000);
   for (std::size_t i = 0; i < 2000; ++i) {
     if (i == 1234) continue;
     EngineRecord leaving = numbered(i);
@@ -309,7 +309,7 @@
   std::map<EngineId, int> chosen_by;
   constexpr int kDaemons = 50;
   for (int daemon = 0; daemon < kDaemons; ++daemon) {
-    EngineRegistry registry(kZone, {}, static_cast<std::uint64_t>(daemon) + 1);
+    engine_registry registry(kZone, {}, static_cast<std::uint64_t>(daemon) + 1);
     test::listEngines(registry, kStart, records);
     std::set<EngineId> chosen;
     for (int i = 0; i < 200; ++i) chosen.insert(registry.pick(kStart, any())->record.id);
@@ -322,7 +322,7 @@
 }
 
 Test(engine_registry, requests_now_and_then_go_where_a_connection_is) {
-  EngineRegistry registry = serviceOf(300);
+  engine_registry registry = serviceOf(300);
   std::set<EngineId> used;
   Instant now = kStart;
   for (int i = 0; i < 10; ++i, now += std::chrono::seconds(2)) {
@@ -340,7 +340,7 @@
 Test(engine_registry, an_engine_that_started_again_under_its_id_is_another_one) {
   EngineRecord first = record("a", 7);
   first.start = 1000;
-  EngineRegistry registry = registryOf({first});
+  engine_registry registry = registryOf({first});
   const EngineId id("a");
   registry.onAttemptStarted(kStart, id);
   registry.onVersionSeen(id, kModel, 9);
@@ -358,7 +358,7 @@
 Test(engine_registry, what_an_earlier_start_says_later_is_not_believed) {
   EngineRecord newer = record("a", 3);
   newer.start = 2000;
-  EngineRegistry registry = registryOf({newer});
+  engine_registry registry = registryOf({newer});
   EngineRecord older = record("a", 9);
   older.start = 1000;
   older.draining = true;
@@ -368,7 +368,7 @@
 }
 
 Test(engine_registry, an_entry_that_names_no_engine_takes_the_one_that_stood_there_out_of_use) {
-  EngineRegistry registry = registryOf({record("a"), record("b")});
+  engine_registry registry = registryOf({record("a"), record("b")});
   registry.onStoreRegained(kStart, std::chrono::seconds(60));
   cr_assert(registry.onUnreadable(EngineId("a")).has_value());
   cr_assert_null(registry.find(EngineId("a")), "that is no lapse");
@@ -377,7 +377,7 @@
 }
 
 Test(engine_registry, how_long_the_store_was_away_is_judged_by_the_heartbeat) {
-  EngineRegistry registry = registryOf({record("a")});
+  engine_registry registry = registryOf({record("a")});
   registry.setHeartbeat(std::chrono::seconds(5));
   registry.onStoreRegained(kStart, std::chrono::seconds(12));
   cr_assert(registry.onGone(kStart, EngineId("a")).has_value(), "no entry lapsed in that time");
--- a/tests/support/engine_lists.h
+++ b/tests/support/engine_lists.h
@@ -13,7 +13,7 @@
 namespace linenpier::test {
 
 /** @return the addresses of the engines that are known no longer. */
-inline std::vector<Address> listEngines(engines::EngineRegistry& registry, Instant now,
+inline std::vector<Address> listEngines(engines::engine_registry& registry, Instant now,
                                         const std::vector<engines::EngineRecord>& records) {
   std::set<EngineId> present;
   for (const engines::EngineRecord& record : records) {
