--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -116,7 +116,7 @@
   const item_placement placement =
       placeItem(now, deps_.engines.registry, active->run.progress(item), wanted);
   if (placement.discard_text) active->run.discardText(item);
-  const engines::EngineState* engine = placement.engine;
+  const engines::engine_state* engine = placement.engine;
   if (engine == nullptr) return false;
   const auto leave = leaveToRun(*active, item);
   if (!leave) return true;  // It waits, and others may start.
--- a/src/gateway/batch/batch_leaving.cpp
+++ b/src/gateway/batch/batch_leaving.cpp
@@ -25,7 +25,7 @@
   for (const auto& [id, job] : jobs_) {
     if (!job.active || job.active->stopped) continue;
     for (const auto& [item, call] : job.active->calls) {
-      const engines::EngineState* engine = registry.find(call->engine());
+      const engines::engine_state* engine = registry.find(call->engine());
       if (engine == nullptr || !registry.closedZones().contains(engine->record.zone)) continue;
       const double events = lengths_.remainingEvents(job.active->run.job().items[item].length_hint,
                                                      job.active->run.progress(item).last_event);
@@ -44,7 +44,7 @@
   for (const auto& [id, job] : jobs_) {
     if (!job.active || job.active->stopped) continue;
     for (const auto& [item, call] : job.active->calls) {
-      const engines::EngineState* engine = deps_.engines.registry.find(call->engine());
+      const engines::engine_state* engine = deps_.engines.registry.find(call->engine());
       if (engine != nullptr && engine->record.zone == zone) ++runs;
     }
   }
@@ -57,7 +57,7 @@
   if (route == nullptr) return false;
   engines::PickRequest wanted = pickFor(*run.active, run.item, *route);
   wanted.excluded = moves.full();
-  const engines::EngineState* target = deps_.engines.registry.pick(now, wanted);
+  const engines::engine_state* target = deps_.engines.registry.pick(now, wanted);
   if (target == nullptr) return false;
   const EngineId towards = target->record.id;
   moves.onMove(towards, deps_.engines.registry.room(now, towards));
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -21,7 +21,7 @@
                                     double max_per_slot);
 
 struct item_placement {
-  const engines::EngineState* engine = nullptr;  ///< None admits the item if it is not set.
+  const engines::engine_state* engine = nullptr;  ///< None admits the item if it is not set.
   /// No engine can go on with the text so far: the item is begun anew.
   bool discard_text = false;
 };
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -11,7 +11,7 @@
   std::vector<item_run> movable;
   for (const item_run& each : runs) {
     if (now - each.started_at < rules.min_run) continue;
-    const engines::EngineState* engine = registry.find(each.engine);
+    const engines::engine_state* engine = registry.find(each.engine);
     if (engine == nullptr || registry.latencyRatio(now, *engine, median) < rules.gain) continue;
     movable.push_back(each);
   }
@@ -25,7 +25,7 @@
                                  const length_estimate& lengths, const BatchRun& run,
                                  const item_run& from, const engines::PickRequest& wanted,
                                  const run_move_rules& rules) {
-  const engines::EngineState* better = registry.pick(now, wanted);
+  const engines::engine_state* better = registry.pick(now, wanted);
   if (better == nullptr) return std::nullopt;
   run_move move;
   move.target = better->record.id;
--- a/src/gateway/engines/engine_admission.cpp
+++ b/src/gateway/engines/engine_admission.cpp
@@ -4,7 +4,7 @@
 
 namespace linenpier::engines {
 
-EngineRefusal engine_admission::admit(Instant now, const EngineState& engine,
+EngineRefusal engine_admission::admit(Instant now, const engine_state& engine,
                                       const PickRequest& request) const {
   const EngineRefusal place = this->admitPlace(engine, request);
   if (place != EngineRefusal::kNone) return place;
@@ -19,7 +19,7 @@
   return excluded ? EngineRefusal::kExcluded : EngineRefusal::kNone;
 }
 
-EngineRefusal engine_admission::admitPlace(const EngineState& engine,
+EngineRefusal engine_admission::admitPlace(const engine_state& engine,
                                            const PickRequest& request) const {
   if (engine.record.service != request.service) return EngineRefusal::kOtherService;
   if (engine.record.draining) return EngineRefusal::kDraining;
@@ -29,7 +29,7 @@
   return within_residency ? EngineRefusal::kNone : EngineRefusal::kOutsideResidency;
 }
 
-EngineRefusal engine_admission::admitVersion(const EngineState& engine,
+EngineRefusal engine_admission::admitVersion(const engine_state& engine,
                                              const PickRequest& request) {
   if (request.model.empty()) return EngineRefusal::kNone;
   const WeightVersion version = engine.versionOf(request.model);
@@ -38,7 +38,7 @@
   return fits ? EngineRefusal::kNone : EngineRefusal::kOlderVersion;
 }
 
-bool engine_admission::isFull(Instant now, const EngineState& engine,
+bool engine_admission::isFull(Instant now, const engine_state& engine,
                               const PickRequest& request) const {
   if (request.max_per_slot <= 0) return false;
   const double max_requests = request.max_per_slot * std::max(1U, engine.record.slots);
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -27,13 +27,13 @@
    * operator and the request forbid, what passes by itself within seconds, and what a last resort
    * passes over (ejected, excluded).
    */
-  EngineRefusal admit(Instant now, const EngineState& engine, const PickRequest& request) const;
+  EngineRefusal admit(Instant now, const engine_state& engine, const PickRequest& request) const;
   /** The checks that no waiting passes: service, draining, closed zone, residency. */
-  EngineRefusal admitPlace(const EngineState& engine, const PickRequest& request) const;
+  EngineRefusal admitPlace(const engine_state& engine, const PickRequest& request) const;
 
  private:
-  static EngineRefusal admitVersion(const EngineState& engine, const PickRequest& request);
-  bool isFull(Instant now, const EngineState& engine, const PickRequest& request) const;
+  static EngineRefusal admitVersion(const engine_state& engine, const PickRequest& request);
+  bool isFull(Instant now, const engine_state& engine, const PickRequest& request) const;
 
   const fleet::closed_zones& closed_;
   const fleet::fleet_layout& layout_;
--- a/src/gateway/engines/engine_choice.cpp
+++ b/src/gateway/engines/engine_choice.cpp
@@ -8,9 +8,9 @@
 constexpr std::uint64_t kJitterSteps = 1000;
 }  // namespace
 
-const EngineState* engine_choice::pick(Instant now, const PickRequest& request,
-                                       engine_table& engines, const engine_admission& admission,
-                                       cold_budget& cold, const score_options& score) {
+const engine_state* engine_choice::pick(Instant now, const PickRequest& request,
+                                        engine_table& engines, const engine_admission& admission,
+                                        cold_budget& cold, const score_options& score) {
   const score_context context = this->contextFor(now, request, engines, score);
   const engine_score scored(now, request, context, this->zone_, cold, score);
   comparison comparison{now, request, admission, scored, cold};
@@ -51,7 +51,7 @@
 void engine_choice::compareAll(comparison& comparison, const engine_index::engine_order& engines) {
   for (const engine_index::entry& each : engines) {
     if (comparison.compared == this->options_.max_compared) return;
-    const EngineState& engine = *each.engine;
+    const engine_state& engine = *each.engine;
     if (!this->isAdmitted(comparison, engine)) continue;
     ++comparison.compared;
     const double wait = comparison.score.expectedWait(engine) * this->jitter() *
@@ -62,7 +62,7 @@
   }
 }
 
-bool engine_choice::isAdmitted(comparison& comparison, const EngineState& engine) {
+bool engine_choice::isAdmitted(comparison& comparison, const engine_state& engine) {
   ++this->examined_;
   const EngineRefusal refusal =
       comparison.admission.admit(comparison.now, engine, comparison.request);
--- a/src/gateway/engines/engine_choice.h
+++ b/src/gateway/engines/engine_choice.h
@@ -36,9 +36,9 @@
       : zone_(std::move(zone)), options_(options), random_(seed) {}
 
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
-  const EngineState* pick(Instant now, const PickRequest& request, engine_table& engines,
-                          const engine_admission& admission, cold_budget& cold,
-                          const score_options& score);
+  const engine_state* pick(Instant now, const PickRequest& request, engine_table& engines,
+                           const engine_admission& admission, cold_budget& cold,
+                           const score_options& score);
   /** @return whether an engine is where the request may be served; it may be full, or away for a
    *     while.
    */
@@ -57,7 +57,7 @@
     const engine_admission& admission;
     const engine_score& score;
     cold_budget& cold;
-    const EngineState* best = nullptr;
+    const engine_state* best = nullptr;
     double wait = 0;  ///< Of the best one.
     std::size_t compared = 0;
   };
@@ -68,7 +68,7 @@
   void compareAll(comparison& comparison, const engine_index::engine_order& engines);
   /** Compares those that hold a version that the request takes, newest version first. */
   void compareHolders(comparison& comparison, const engine_index::holders& holders);
-  bool isAdmitted(comparison& comparison, const EngineState& engine);
+  bool isAdmitted(comparison& comparison, const engine_state& engine);
   /** @return a factor between 1 and 1.05, which decides between equal engines. */
   double jitter();
 
--- a/src/gateway/engines/engine_index.cpp
+++ b/src/gateway/engines/engine_index.cpp
@@ -10,11 +10,11 @@
   return one.engine->record.id < other.engine->record.id;
 }
 
-engine_index::entry engine_index::entryOf(const EngineState& engine) const {
+engine_index::entry engine_index::entryOf(const engine_state& engine) const {
   return {hash64(engine.record.id.str(), this->seed_), &engine};
 }
 
-void engine_index::add(const EngineState& engine) {
+void engine_index::add(const engine_state& engine) {
   const entry each = this->entryOf(engine);
   this->services_[engine.record.service].insert(each);
   const auto models = this->models_.find(engine.record.service);
@@ -22,7 +22,7 @@
   for (auto& [model, versions] : models->second) versions[engine.versionOf(model)].insert(each);
 }
 
-void engine_index::remove(const EngineState& engine) {
+void engine_index::remove(const engine_state& engine) {
   const entry each = this->entryOf(engine);
   const auto service = this->services_.find(engine.record.service);
   if (service != this->services_.end()) service->second.erase(each);
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -17,7 +17,7 @@
 
 namespace linenpier::engines {
 
-struct EngineState;
+struct engine_state;
 
 /** Points to engines of an `engine_table`. Invariant: the table removes an engine here before it
  * changes the service or a version of the engine, and adds it again afterwards.
@@ -26,7 +26,7 @@
  public:
   struct entry {
     std::uint64_t rank = 0;
-    const EngineState* engine = nullptr;
+    const engine_state* engine = nullptr;
   };
   struct by_rank {
     bool operator()(const entry& one, const entry& other) const;
@@ -38,8 +38,8 @@
   /** @param seed of this daemon's order. */
   explicit engine_index(std::uint64_t seed) : seed_(seed) {}
 
-  void add(const EngineState& engine);
-  void remove(const EngineState& engine);
+  void add(const engine_state& engine);
+  void remove(const engine_state& engine);
 
   const engine_order& ofService(const ServiceName& service) const;
   /** @return the service's engines by the version of the model that they hold. The first call for a
@@ -50,7 +50,7 @@
  private:
   using holders_by_model = std::map<ModelName, holders>;
 
-  entry entryOf(const EngineState& engine) const;
+  entry entryOf(const engine_state& engine) const;
 
   std::uint64_t seed_;
   std::map<ServiceName, engine_order> services_;
--- a/src/gateway/engines/engine_latency.h
+++ b/src/gateway/engines/engine_latency.h
@@ -2,7 +2,7 @@
 
 /** @file
  * How long one engine takes for an event or an answer: lately (the smoothed event time), and over
- * minutes (`latency_history`). Pure; owned by the engine's `EngineState`.
+ * minutes (`latency_history`). Pure; owned by the engine's `engine_state`.
  */
 
 #include "common/time.h"
--- a/src/gateway/engines/engine_load.h
+++ b/src/gateway/engines/engine_load.h
@@ -2,7 +2,7 @@
 
 /** @file
  * The load of one engine: what this daemon has in flight there, and what the engine last reported
- * of other daemons' requests. Pure; owned by the engine's `EngineState`.
+ * of other daemons' requests. Pure; owned by the engine's `engine_state`.
  */
 
 #include <cstdint>
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -24,28 +24,28 @@
 
 void engine_registry::onAttemptStarted(Instant now, const EngineId& id) {
   this->cold_.onSent(now, id);
-  EngineState* engine = this->table_.find(id);
+  engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptStarted();
   this->table_.inUse().add(*engine);
 }
 
 void engine_registry::onAttemptEnded(Instant now, const EngineId& id, AttemptEnd end) {
-  EngineState* engine = this->table_.find(id);
+  engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptEnded();
   engine->health.onAttemptEnded(now, end, this->options_.health);
 }
 
 void engine_registry::onTokens(const EngineId& id, double tokens) {
-  EngineState* engine = this->table_.find(id);
+  engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.addTokens(tokens);
   if (engine->load.tokens() > 0) this->table_.inUse().add(*engine);
 }
 
 void engine_registry::onModelRefused(Instant now, const EngineId& id, const ModelName& model) {
-  EngineState* engine = this->table_.find(id);
+  engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const double load = engine->load.total(now, this->options_.score.load);
   const bool full = load >= engine->record.slots;
@@ -53,19 +53,19 @@
 }
 
 void engine_registry::onModelReset(Instant now, const EngineId& id, const ModelName& model) {
-  EngineState* engine = this->table_.find(id);
+  engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->loading.onReset(now, model, this->options_.loading);
 }
 
 void engine_registry::onLoad(Instant now, const EngineId& id, const LoadReport& report) {
-  EngineState* engine = this->table_.find(id);
+  engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onReport(now, report);
 }
 
 void engine_registry::onEventTime(Instant now, const EngineId& id, Duration duration) {
-  EngineState* engine = this->table_.find(id);
+  engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const bool complete = engine->latency.onEventTime(now, duration, this->options_.score.latency);
   this->table_.inUse().add(*engine);
@@ -73,26 +73,26 @@
 }
 
 double engine_registry::room(Instant now, const EngineId& id) const {
-  const EngineState* engine = this->find(id);
+  const engine_state* engine = this->find(id);
   if (engine == nullptr) return 0;
   return engine->record.slots - engine->load.total(now, this->options_.score.load);
 }
 
 double engine_registry::latencyRatio(Instant now, const EngineId& id) const {
-  const EngineState* engine = this->find(id);
+  const engine_state* engine = this->find(id);
   if (engine == nullptr) return 1;
   return this->latencyRatio(now, *engine, this->medianEventTime(now, engine->record.service));
 }
 
 double engine_registry::expectedEventTime(Instant now, const EngineId& id) const {
-  const EngineState* engine = this->find(id);
+  const engine_state* engine = this->find(id);
   if (engine == nullptr) return 0;
   const double median = this->medianEventTime(now, engine->record.service);
   return this->latencyRatio(now, *engine, median) * median;
 }
 
 double engine_registry::measuredEventTime(Instant now, const EngineId& id) const {
-  const EngineState* engine = this->find(id);
+  const engine_state* engine = this->find(id);
   return engine == nullptr ? 0 : engine->latency.eventTime(now, this->options_.score.latency);
 }
 
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -73,14 +73,14 @@
   }
   void onStoreRegained(Instant now, Duration away) { this->table_.onStoreRegained(now, away); }
   std::vector<EngineRecord> dropLapsed(Instant now) { return this->table_.dropLapsed(now); }
-  const EngineState* find(const EngineId& id) const { return this->table_.find(id); }
+  const engine_state* find(const EngineId& id) const { return this->table_.find(id); }
   const EngineList& ofService(const ServiceName& service) const {
     return this->table_.ofService(service);
   }
   const engine_index::engine_order& known(const ServiceName& service) const {
     return this->table_.known(service);
   }
-  const std::map<EngineId, EngineState>& all() const { return this->table_.all(); }
+  const std::map<EngineId, engine_state>& all() const { return this->table_.all(); }
 
   // --- What attempts show ---
 
@@ -103,7 +103,7 @@
   // --- Admission and choice ---
 
   /** @return whether the engine may be sent the request, and if not, why. */
-  EngineRefusal admit(Instant now, const EngineState& engine, const PickRequest& request) const {
+  EngineRefusal admit(Instant now, const engine_state& engine, const PickRequest& request) const {
     return this->admission().admit(now, engine, request);
   }
   /** @return whether an engine is where the request may be served; it may be full, or away for a
@@ -113,7 +113,7 @@
     return this->choice_.anyInPlace(request, this->table_, this->admission());
   }
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
-  const EngineState* pick(Instant now, const PickRequest& request) {
+  const engine_state* pick(Instant now, const PickRequest& request) {
     return this->choice_.pick(now, request, this->table_, this->admission(), this->cold_,
                               this->options_.score);
   }
@@ -135,7 +135,7 @@
    */
   double latencyRatio(Instant now, const EngineId& id) const;
   /** The same where the median is known, as for many engines in a row. */
-  double latencyRatio(Instant now, const EngineState& engine, double median_event_time) const {
+  double latencyRatio(Instant now, const engine_state& engine, double median_event_time) const {
     return engine.latency.ratio(now, median_event_time, this->options_.score.latency);
   }
   /** @return seconds that an event or answer of the engine is expected to take; 0 if nothing is
--- a/src/gateway/engines/engine_score.cpp
+++ b/src/gateway/engines/engine_score.cpp
@@ -27,7 +27,7 @@
 constexpr double kNewConnectionFactor = 1.06;
 }  // namespace
 
-double engine_score::expectedWait(const EngineState& engine) const {
+double engine_score::expectedWait(const engine_state& engine) const {
   const std::uint32_t slots = engine.record.slots;
   const double per_slot = engine.load.total(this->now_, this->options_.load) / std::max(1U, slots);
   const double weight = this->request_.batching ? kBatchWeight : kLoadWeight * slots;
@@ -44,7 +44,7 @@
   return wait * this->coldFactor(engine);
 }
 
-double engine_score::reluctance(const EngineState& engine) const {
+double engine_score::reluctance(const engine_state& engine) const {
   double factor = 1;
   const WeightVersion newest = this->context_.newest;
   const bool older = newest > 0 && engine.versionOf(this->request_.model) < newest;
@@ -55,7 +55,7 @@
   return factor;
 }
 
-double engine_score::memoryFactor(const EngineState& engine) const {
+double engine_score::memoryFactor(const engine_state& engine) const {
   if (this->request_.memory_tokens <= 0) return 1;
   const engine_load& load = engine.load;
   // Engines do not report the memory of others' requests; those are likely to be of the same kind.
@@ -67,7 +67,7 @@
   return std::min(kMaxMemoryFactor, 1 + (used - kTightMemory) / (1 - kTightMemory));
 }
 
-double engine_score::coldFactor(const EngineState& engine) const {
+double engine_score::coldFactor(const engine_state& engine) const {
   if (!this->cold_.isCold(this->now_, engine.record.id)) return 1;
   return this->cold_.isBounded(this->request_.service) ? kBoundedColdFactor : kColdFactor;
 }
--- a/src/gateway/engines/engine_score.h
+++ b/src/gateway/engines/engine_score.h
@@ -46,16 +46,16 @@
   /** @return a number without unit that grows with the time until the engine answers: 1 for an
    *     idle engine of the median event time in this daemon's zone.
    */
-  double expectedWait(const EngineState& engine) const;
+  double expectedWait(const engine_state& engine) const;
   /** @return by how much the expected wait of an engine counts more because the request would
    *     rather not go there: it holds an older version, or is taken as a last resort only.
    */
-  double reluctance(const EngineState& engine) const;
+  double reluctance(const engine_state& engine) const;
 
  private:
   /** An engine whose memory runs out puts requests back, which then wait and are read anew. */
-  double memoryFactor(const EngineState& engine) const;
-  double coldFactor(const EngineState& engine) const;
+  double memoryFactor(const engine_state& engine) const;
+  double coldFactor(const engine_state& engine) const;
 
   Instant now_;
   const PickRequest& request_;
--- a/src/gateway/engines/engine_state.h
+++ b/src/gateway/engines/engine_state.h
@@ -15,7 +15,7 @@
 
 namespace linenpier::engines {
 
-struct EngineState {
+struct engine_state {
   EngineRecord record;
   engine_load load;
   engine_latency latency;
@@ -37,6 +37,6 @@
   void setRecord(const EngineRecord& newer);
 };
 
-using EngineList = std::map<EngineId, const EngineState*>;
+using EngineList = std::map<EngineId, const engine_state*>;
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -4,17 +4,17 @@
 
 namespace linenpier::engines {
 
-bool engine_table::isOpen(const EngineState& engine) const {
+bool engine_table::isOpen(const engine_state& engine) const {
   return !engine.record.draining && !this->closed_.contains(engine.record.zone);
 }
 
-void engine_table::removeFromIndexes(const EngineState& engine) {
+void engine_table::removeFromIndexes(const engine_state& engine) {
   this->index_.remove(engine);
   const auto open = this->open_.find(engine.record.service);
   if (open != this->open_.end()) open->second.erase(engine.record.id);
 }
 
-void engine_table::addToIndexes(const EngineState& engine) {
+void engine_table::addToIndexes(const engine_state& engine) {
   this->index_.add(engine);
   if (this->isOpen(engine)) this->open_[engine.record.service][engine.record.id] = &engine;
 }
@@ -35,7 +35,7 @@
 
 RecordEffect engine_table::onRecord(const EngineRecord& record) {
   const auto [at, is_new] = this->engines_.try_emplace(record.id);
-  EngineState& engine = at->second;
+  engine_state& engine = at->second;
   if (is_new) {
     engine.setRecord(record);
     this->addToIndexes(engine);
@@ -54,7 +54,7 @@
 std::vector<Address> engine_table::keepOnly(Instant now, const std::set<EngineId>& present) {
   std::vector<Address> removed;
   for (auto at = this->engines_.begin(); at != this->engines_.end();) {
-    EngineState& engine = at->second;
+    engine_state& engine = at->second;
     if (present.contains(at->first)) {
       ++at;
     } else if (this->mayHaveLapsed(now, engine)) {
@@ -113,19 +113,19 @@
   // A malformed answer may name no version. Taken for the oldest one, 0 would keep the engine out
   // of use until its record tells of another load.
   if (version == 0) return;
-  EngineState* engine = this->find(id);
+  engine_state* engine = this->find(id);
   if (engine == nullptr || engine->versionOf(model) == version) return;
   this->index_.remove(*engine);
   engine->seen_versions[model] = version;
   this->index_.add(*engine);
 }
 
-EngineState* engine_table::find(const EngineId& id) {
+engine_state* engine_table::find(const EngineId& id) {
   const auto at = this->engines_.find(id);
   return at == this->engines_.end() ? nullptr : &at->second;
 }
 
-const EngineState* engine_table::find(const EngineId& id) const {
+const engine_state* engine_table::find(const EngineId& id) const {
   const auto at = this->engines_.find(id);
   return at == this->engines_.end() ? nullptr : &at->second;
 }
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -82,8 +82,8 @@
   /** @param version that an answer of the engine named; 0: it named none. */
   void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version);
 
-  const EngineState* find(const EngineId& id) const;
-  EngineState* find(const EngineId& id);
+  const engine_state* find(const EngineId& id) const;
+  engine_state* find(const EngineId& id);
   /** @return the service's engines that are not draining and in no closed zone. Kept up as engines
    *     change; asking costs one look-up.
    */
@@ -96,22 +96,22 @@
   const engine_index::holders& holding(const ServiceName& service, const ModelName& model) {
     return this->index_.holding(service, model);
   }
-  const std::map<EngineId, EngineState>& all() const { return this->engines_; }
+  const std::map<EngineId, engine_state>& all() const { return this->engines_; }
   engines_in_use& inUse() { return this->in_use_; }
   const engines_in_use& inUse() const { return this->in_use_; }
 
  private:
-  using engine_map = std::map<EngineId, EngineState>;
+  using engine_map = std::map<EngineId, engine_state>;
 
   /** Before and after a change of anything that an engine is found by. */
-  void removeFromIndexes(const EngineState& engine);
-  void addToIndexes(const EngineState& engine);
+  void removeFromIndexes(const engine_state& engine);
+  void addToIndexes(const engine_state& engine);
   engine_map::iterator erase(engine_map::iterator at);
-  bool isOpen(const EngineState& engine) const;
+  bool isOpen(const engine_state& engine) const;
   /** @return whether a record that disappears now may have lapsed. An engine that was draining has
    *     left, as it said it would.
    */
-  bool mayHaveLapsed(Instant now, const EngineState& engine) const {
+  bool mayHaveLapsed(Instant now, const engine_state& engine) const {
     return now < this->lapse_ends_at_ && !engine.record.draining;
   }
 
--- a/src/gateway/engines/engines_in_use.cpp
+++ b/src/gateway/engines/engines_in_use.cpp
@@ -6,7 +6,7 @@
 namespace linenpier::engines {
 
 void engines_in_use::sweep(Instant now, const latency_options& options) {
-  std::erase_if(this->engines_, [&](const EngineState* engine) {
+  std::erase_if(this->engines_, [&](const engine_state* engine) {
     const engine_load& load = engine->load;
     return load.inFlight() == 0 && load.tokens() <= 0 && !engine->latency.isRecent(now, options);
   });
@@ -15,7 +15,7 @@
 double engines_in_use::medianEventTime(Instant now, const ServiceName& service,
                                        const latency_options& options) const {
   std::vector<double> event_times;
-  for (const EngineState* engine : this->engines_) {
+  for (const engine_state* engine : this->engines_) {
     if (engine->record.service != service) continue;
     const double event_time = engine->latency.eventTime(now, options);
     if (event_time > 0) event_times.push_back(event_time);
@@ -30,7 +30,7 @@
 double engines_in_use::meanTokens() const {
   double tokens = 0;
   double requests = 0;
-  for (const EngineState* engine : this->engines_) {
+  for (const engine_state* engine : this->engines_) {
     if (engine->load.tokens() <= 0) continue;
     tokens += engine->load.tokens();
     requests += engine->load.inFlight();
--- a/src/gateway/engines/engines_in_use.h
+++ b/src/gateway/engines/engines_in_use.h
@@ -19,8 +19,8 @@
  */
 class engines_in_use {
  public:
-  void add(const EngineState& engine) { this->engines_.insert(&engine); }
-  void remove(const EngineState& engine) { this->engines_.erase(&engine); }
+  void add(const engine_state& engine) { this->engines_.insert(&engine); }
+  void remove(const engine_state& engine) { this->engines_.erase(&engine); }
   /** Drops engines without requests and without a recent event time. */
   void sweep(Instant now, const latency_options& options);
 
@@ -35,7 +35,7 @@
   double meanTokens() const;
 
  private:
-  std::set<const EngineState*> engines_;
+  std::set<const engine_state*> engines_;
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/model_loading.h
+++ b/src/gateway/engines/model_loading.h
@@ -3,7 +3,7 @@
 /** @file
  * Models for which one engine is taken to be loading weights, concluded from its rejections and
  * resets. Requests for them wait; those for other models go on. Pure; owned by the engine's
- * `EngineState`.
+ * `engine_state`.
  */
 
 #include <map>
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -38,7 +38,7 @@
   return verdict != AttemptVerdict::kNotExecuted && verdict != AttemptVerdict::kUnreachable;
 }
 
-EngineCall::EngineCall(EngineCallContext context, const engines::EngineState& engine,
+EngineCall::EngineCall(EngineCallContext context, const engines::engine_state& engine,
                        http::Request request)
     : context_(context),
       engine_(engine.record.id),
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -50,7 +50,7 @@
 class EngineCall : public std::enable_shared_from_this<EngineCall> {
  public:
   /// @param request complete but for the engine's id, which is set here.
-  EngineCall(EngineCallContext context, const engines::EngineState& engine, http::Request request);
+  EngineCall(EngineCallContext context, const engines::engine_state& engine, http::Request request);
   ~EngineCall();
   EngineCall(const EngineCall&) = delete;
   EngineCall& operator=(const EngineCall&) = delete;
--- a/src/gateway/forward/forward_stream.cpp
+++ b/src/gateway/forward/forward_stream.cpp
@@ -29,7 +29,7 @@
   while (!writer.cancellation().requested()) {
     const Instant now = steadyNow();
     if (!policy.mayStart(now)) break;
-    const engines::EngineState* engine = pickEngine(forwarded, tried);
+    const engines::engine_state* engine = pickEngine(forwarded, tried);
     if (engine == nullptr && tried.size() > 1) {
       // Every engine has been asked: one that broke off may still go on, but not the last one.
       tried = {running->engine()};
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -86,20 +86,20 @@
   return tenants::residencyOf(*newest, route, forwarded.from.tenant);
 }
 
-const engines::EngineState* Forwarder::pickEngine(ForwardedRequest& forwarded,
-                                                  const std::set<EngineId>& tried) {
+const engines::engine_state* Forwarder::pickEngine(ForwardedRequest& forwarded,
+                                                   const std::set<EngineId>& tried) {
   engines::PickRequest wanted;
   wanted.excluded = tried;
   wanted.max_per_slot = forwarded.max_per_slot;
   wanted.model = ModelName(http::fieldText(*forwarded.request, context_.names.model));
   wanted.residency = residencyOf(forwarded);
-  const engines::EngineState* engine = pickFrom(forwarded, wanted);
+  const engines::engine_state* engine = pickFrom(forwarded, wanted);
   if (engine == nullptr) forwarded.refusals = context_.registry.lastRefusals();
   return engine;
 }
 
-const engines::EngineState* Forwarder::pickFrom(const ForwardedRequest& forwarded,
-                                                engines::PickRequest& wanted) {
+const engines::engine_state* Forwarder::pickFrom(const ForwardedRequest& forwarded,
+                                                 engines::PickRequest& wanted) {
   const Instant now = steadyNow();
   wanted.service = round_robin_.next(*forwarded.route);
   if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
@@ -171,7 +171,7 @@
 
 void Forwarder::logAttempt(ForwardedRequest& forwarded, EngineCall& call, AttemptVerdict verdict,
                            bool engine_ended) {
-  const engines::EngineState* engine = context_.registry.find(call.engine());
+  const engines::engine_state* engine = context_.registry.find(call.engine());
   const std::string service = engine == nullptr ? "gone" : engine->record.service.str();
   metrics_.onAttemptEnded(service, toText(verdict));
   // What went well stands in the request's own line.
@@ -207,7 +207,7 @@
   bool ran = verdict == AttemptVerdict::kAnswered || verdict == AttemptVerdict::kBroken;
   if (verdict == AttemptVerdict::kSilent || verdict == AttemptVerdict::kAborted) {
     // An engine that answered others meanwhile was not dark: it ran this one, too.
-    const engines::EngineState* engine = context_.registry.find(call.engine());
+    const engines::engine_state* engine = context_.registry.find(call.engine());
     ran = engine != nullptr && engine->load.reportedAt() > call.startedAt();
   }
   if (ran) recordRun(forwarded, call.startedAt());
@@ -221,7 +221,7 @@
   int cold = 0;
   for (const routing::WeightedService& part : route.services) {
     for (const engines::engine_index::entry& entry : context_.registry.known(part.service)) {
-      const engines::EngineState& engine = *entry.engine;
+      const engines::engine_state& engine = *entry.engine;
       ++known;
       draining += engine.record.draining ? 1 : 0;
       ejected += engine.health.isEjected(now) ? 1 : 0;
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -117,10 +117,10 @@
   Task<void> answerFinally(ForwardedRequest& forwarded, FinalAnswer answer,
                            http::ResponseWriter& writer);
 
-  const engines::EngineState* pickEngine(ForwardedRequest& forwarded,
-                                         const std::set<EngineId>& tried);
-  const engines::EngineState* pickFrom(const ForwardedRequest& forwarded,
-                                       engines::PickRequest& wanted);
+  const engines::engine_state* pickEngine(ForwardedRequest& forwarded,
+                                          const std::set<EngineId>& tried);
+  const engines::engine_state* pickFrom(const ForwardedRequest& forwarded,
+                                        engines::PickRequest& wanted);
   /// @return where the request may be served.
   fleet::data_residency residencyOf(const ForwardedRequest& forwarded) const;
   http::Request outgoing(const ForwardedRequest& forwarded, Instant now) const;
--- a/src/gateway/service/gateway_peers.cpp
+++ b/src/gateway/service/gateway_peers.cpp
@@ -115,7 +115,7 @@
   }
   told.engines_since = known;
   for (const EngineId& id : *changed) {
-    const engines::EngineState* engine = registry_.find(id);
+    const engines::engine_state* engine = registry_.find(id);
     if (engine == nullptr || engine->lapsed) {
       told.engines_gone.push_back(id.str());
     } else {
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -214,7 +214,7 @@
 }
 
 void Gateway::noteEngine(const engines::EngineRecord& record, Revision revision) {
-  const engines::EngineState* known = registry_.find(record.id);
+  const engines::engine_state* known = registry_.find(record.id);
   const bool was_draining = known != nullptr && known->record.draining;
   const std::optional<Address> before =
       known == nullptr ? std::nullopt : std::optional(known->record.address);
--- a/src/gateway/versions/engine_shares.cpp
+++ b/src/gateway/versions/engine_shares.cpp
@@ -29,7 +29,7 @@
   *this = EngineShares();
 }
 
-void EngineShares::pickService(const engines::EngineState& engine, const ModelName& model) {
+void EngineShares::pickService(const engines::engine_state& engine, const ModelName& model) {
   const EngineId& id = engine.record.id;
   dealt_[id] = model;
   by_model_[model].insert(id);
@@ -117,7 +117,7 @@
   for (std::size_t looks = 0; looks < 2 * engines.size() && !model.empty(); ++looks) {
     if (dealt_.size() == engines.size()) return;
     if (at == engines.end()) at = engines.begin();
-    const engines::EngineState& engine = *at->second;
+    const engines::engine_state& engine = *at->second;
     next_ = (at++)->first;
     if (dealt_.contains(engine.record.id)) continue;
     all_zones_.insert(engine.record.zone);
@@ -133,7 +133,7 @@
     const ModelName to = neediest(wanted);
     const ModelName from = largest(wanted);
     if (to.empty() || sizeOf(from) <= sizeOf(to) + 1) return;
-    const engines::EngineState& moved = *engines.at(*enginesFor(from).begin());
+    const engines::engine_state& moved = *engines.at(*enginesFor(from).begin());
     takeBack(moved.record.id);
     pickService(moved, to);
   }
--- a/src/gateway/versions/engine_shares.h
+++ b/src/gateway/versions/engine_shares.h
@@ -40,7 +40,7 @@
   void reset();
 
  private:
-  void pickService(const engines::EngineState& engine, const ModelName& model);
+  void pickService(const engines::engine_state& engine, const ModelName& model);
   void takeBack(const EngineId& engine);
   void takeBackGone(const engines::EngineList& engines, const EnginesWanted& wanted);
   void takeBackSpare(const engines::EngineList& engines, const EnginesWanted& wanted);
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -117,7 +117,7 @@
   for (VersionOrder& order : right.rollout.onTick(now, engines, work, awaited)) {
     spawn(deps_.loop, [this, service, order] { return sendOrder(service, order); });
   }
-  for (const engines::EngineState* engine : right.rollout.reportsWanted()) {
+  for (const engines::engine_state* engine : right.rollout.reportsWanted()) {
     right.rollout.onReportAsked(now, engine->record.id);
     const EngineId id = engine->record.id;
     const Address address = engine->record.address;
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -33,7 +33,7 @@
   if (report.busy) progress.not_before = std::max(progress.not_before, now + options_.busy_pause);
 }
 
-VersionRollout::Urgency VersionRollout::urgencyOf(Instant now, const engines::EngineState& engine,
+VersionRollout::Urgency VersionRollout::urgencyOf(Instant now, const engines::engine_state& engine,
                                                   const ModelName& model) const {
   const WeightVersion wanted = named(model);
   // The newest step takes weights one version old. Engines behind that are of no use to it.
@@ -50,7 +50,7 @@
   return named_at != named_at_.end() && now - named_at->second < options_.busy_timeout;
 }
 
-bool VersionRollout::isBehind(Instant now, const engines::EngineState& engine,
+bool VersionRollout::isBehind(Instant now, const engines::engine_state& engine,
                               const ModelName& model) const {
   const WeightVersion wanted = named(model);
   const auto at = progress_.find(engine.record.id);
@@ -66,7 +66,7 @@
   return engine.versionOf(model) < wanted;
 }
 
-VersionRollout::Progress& VersionRollout::progressOf(const engines::EngineState& engine) {
+VersionRollout::Progress& VersionRollout::progressOf(const engines::engine_state& engine) {
   Progress& progress = progress_[engine.record.id];
   if (engines::startedBefore(progress.start, engine.record.start)) progress = Progress{};
   if (progress.start == 0) progress.start = engine.record.start;
@@ -158,7 +158,7 @@
   return std::max(options_.at_once, static_cast<std::size_t>(std::lround(share)));
 }
 
-LoadMode VersionRollout::modeFor(Instant now, const engines::EngineState& engine,
+LoadMode VersionRollout::modeFor(Instant now, const engines::engine_state& engine,
                                  const ModelName& model, const engines::EngineList& engines) const {
   if (options_.mode) return *options_.mode;
   // A text that one version must make would be lost with its engine's version.
@@ -166,7 +166,7 @@
   double room = 0;
   double displaced = 0;
   for (const EngineId& id : shares_.enginesFor(model)) {
-    const engines::EngineState* each = engines.at(id);
+    const engines::engine_state* each = engines.at(id);
     const auto at = progress_.find(id);
     const std::uint32_t reported = at == progress_.end() ? 0 : at->second.load;
     const double load = std::max(reported, each->load.inFlight());
@@ -192,7 +192,7 @@
   std::vector<Candidate> candidates;
   std::map<ModelName, std::size_t> left_alone;
   for (const auto& [id, model] : shares_.dealt()) {
-    const engines::EngineState& engine = *engines.at(id);
+    const engines::engine_state& engine = *engines.at(id);
     const Progress& progress = progressOf(engine);
     if (progress.sending || now < progress.loading_until || now < progress.not_before) continue;
     if (!isBehind(now, engine, model)) continue;
@@ -214,7 +214,7 @@
     std::size_t up_to_date = 0;
     std::uint32_t slots = 0;
     for (const EngineId& id : shares_.enginesFor(model)) {
-      const engines::EngineState& engine = *engines.at(id);
+      const engines::engine_state& engine = *engines.at(id);
       slots = engine.record.slots;
       const auto progress = progress_.find(id);
       const bool sending = progress != progress_.end() && progress->second.sending;
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -96,7 +96,7 @@
                                    const std::set<EngineId>& awaited = {});
   void onAnswer(Instant now, const VersionOrder& order, OrderAnswer answer);
   /// @return the engines that must tell of themselves before they may be changed.
-  const std::vector<const engines::EngineState*>& reportsWanted() const { return reports_wanted_; }
+  const std::vector<const engines::engine_state*>& reportsWanted() const { return reports_wanted_; }
   void onReportAsked(Instant now, const EngineId& engine);
   void onReport(Instant now, const EngineId& engine, const OrderReport& report);
   /// The right to order is gone, or new: what engines have taken must be asked again.
@@ -127,7 +127,7 @@
     kLater,  ///< It has work that would have to go elsewhere.
   };
   struct Candidate {
-    const engines::EngineState* engine = nullptr;
+    const engines::engine_state* engine = nullptr;
     ModelName model;
     Urgency urgency = Urgency::kLater;
     std::uint32_t load = 0;
@@ -135,7 +135,7 @@
   std::vector<Candidate> findCandidates(Instant now, const engines::EngineList& engines,
                                         const std::set<EngineId>& awaited);
   /// @return what is known of the engine's present start.
-  Progress& progressOf(const engines::EngineState& engine);
+  Progress& progressOf(const engines::engine_state& engine);
   void dropIdleProgress(Instant now);
   EnginesWanted enginesWanted(Instant now, const engines::EngineList& engines,
                               const std::set<ModelName>& models) const;
@@ -144,15 +144,15 @@
   bool isNew(Instant now, const ModelName& model) const;
   /// Chooses whom to ask next: those that would be changed first.
   void findReportsWanted(Instant now, const std::vector<Candidate>& candidates);
-  Urgency urgencyOf(Instant now, const engines::EngineState& engine, const ModelName& model) const;
-  LoadMode modeFor(Instant now, const engines::EngineState& engine, const ModelName& model,
+  Urgency urgencyOf(Instant now, const engines::engine_state& engine, const ModelName& model) const;
+  LoadMode modeFor(Instant now, const engines::engine_state& engine, const ModelName& model,
                    const engines::EngineList& engines) const;
   std::map<ModelName, std::size_t> loadingByModel(Instant now) const;
   std::size_t atOnce(std::size_t engines) const;
   /// @return how many more engines each model's newest version should be brought to soon.
   std::map<ModelName, std::size_t> enginesMissing(Instant now,
                                                   const engines::EngineList& engines) const;
-  bool isBehind(Instant now, const engines::EngineState& engine, const ModelName& model) const;
+  bool isBehind(Instant now, const engines::engine_state& engine, const ModelName& model) const;
 
   RolloutOptions options_;
   EngineShares shares_;
@@ -161,7 +161,7 @@
   std::map<ModelName, WeightVersion> named_;
   std::map<ModelName, Instant> named_at_;
   std::map<EngineId, Progress> progress_;
-  std::vector<const engines::EngineState*> reports_wanted_;  ///< As of the last tick.
+  std::vector<const engines::engine_state*> reports_wanted_;  ///< As of the last tick.
 };
 
 }  // namespace linenpier::versions
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -349,7 +349,7 @@
   EngineRecord again = record("a", 3);
   again.start = 2000;
   cr_assert(registry.onRecord(kStart, again) == engines::RecordEffect::kRestarted);
-  const engines::EngineState* engine = registry.find(id);
+  const engines::engine_state* engine = registry.find(id);
   cr_assert_eq(engine->versionOf(kModel), 3U, "not what the earlier start answered");
   cr_assert_eq(engine->health.failures(), 0);
   cr_assert(registry.admit(kStart, *engine, any()) == engines::EngineRefusal::kNone);
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using engines::EngineState;
+using engines::engine_state;
 using versions::LoadMode;
 using versions::OrderAnswer;
 using versions::VersionOrder;
@@ -18,12 +18,12 @@
 
 /// Engines of one service as the holder of its right sees them.
 struct Fixture {
-  std::vector<EngineState> states;
+  std::vector<engine_state> states;
   VersionRollout rollout{{}};
 
   explicit Fixture(int count, WeightVersion version = 1) {
     for (int i = 0; i < count; ++i) {
-      EngineState state;
+      engine_state state;
       state.record.id = EngineId("e" + std::to_string(i));
       state.record.slots = 4;
       state.record.models[kModel] = version;
@@ -33,7 +33,7 @@
   }
   engines::EngineList list() const {
     engines::EngineList engines;
-    for (const EngineState& state : states) engines[state.record.id] = &state;
+    for (const engine_state& state : states) engines[state.record.id] = &state;
     return engines;
   }
   std::vector<VersionOrder> tick(Instant now, const std::set<ModelName>& models = {kModel},
@@ -44,7 +44,7 @@
     return rollout.onTick(now, list(), work, awaited);
   }
   void reportAll(Instant now, std::uint32_t load = 0) {
-    for (const EngineState& state : states)
+    for (const engine_state& state : states)
       rollout.onReport(now, state.record.id, {state.record.start, 0, false, load});
   }
 };
@@ -135,7 +135,7 @@
   cr_assert_eq(shares.sizeOf(kModel) + shares.sizeOf(kOtherModel), 9U);
   cr_assert(shares.sizeOf(kModel) >= 4 && shares.sizeOf(kModel) <= 5);
   std::vector<bool> before;
-  for (const EngineState& state : fixture.states)
+  for (const engine_state& state : fixture.states)
     before.push_back(shares.isFor(state.record.id, kModel));
   engines.erase(fixture.states.back().record.id);
   shares.update(engines, all, {});
@@ -171,7 +171,7 @@
   fixture.tick(kStart);
   const std::size_t asked = fixture.rollout.reportsWanted().size();
   cr_assert_eq(asked, 24U);
-  for (const EngineState* engine : fixture.rollout.reportsWanted()) {
+  for (const engine_state* engine : fixture.rollout.reportsWanted()) {
     fixture.rollout.onReportAsked(kStart, engine->record.id);
   }
   fixture.tick(kStart);
@@ -244,7 +244,7 @@
 
 Test(version_rollout, an_engine_with_one_run_left_is_not_quiet) {
   Fixture fixture(4);
-  for (EngineState& state : fixture.states) state.record.slots = 8;
+  for (engine_state& state : fixture.states) state.record.slots = 8;
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.reportAll(kStart, 1);
   cr_assert(fixture.tick(kStart).empty());
@@ -272,7 +272,7 @@
   versions::EngineShares shares;
   shares.update(fixture.list(), {{kModel, 60}}, {});
   std::map<ZoneName, int> zones;
-  for (const EngineState& state : fixture.states) {
+  for (const engine_state& state : fixture.states) {
     if (shares.isFor(state.record.id, kModel)) ++zones[state.record.zone];
   }
   for (const auto& [zone, count] : zones) cr_assert_eq(count, 20, "%s", zone.str().c_str());
@@ -306,7 +306,7 @@
         ++ordered;
         fixture.rollout.onAnswer(now, order, OrderAnswer::kUnderWay);
       }
-      for (const EngineState* engine : fixture.rollout.reportsWanted()) {
+      for (const engine_state* engine : fixture.rollout.reportsWanted()) {
         ++questions;
         fixture.rollout.onReportAsked(now, engine->record.id);
         fixture.rollout.onReport(now, engine->record.id, {0, 0, false, 0});
