--- a/src/gateway/engines/engine_record.h
+++ b/src/gateway/engines/engine_record.h
@@ -19,14 +19,14 @@
 inline constexpr Duration kDefaultEngineHeartbeat = std::chrono::milliseconds(1200);
 
 /** Weights by model. Flat, since a service may have ten thousand engines with a few models each. */
-using ModelVersions = boost::container::flat_map<ModelName, WeightVersion>;
+using model_versions = boost::container::flat_map<ModelName, WeightVersion>;
 
 /** The id and the start together identify an engine: what is known of an engine holds for one start
  * only.
  */
-struct EngineRecord {
+struct engine_record {
   EngineId id;
-  EngineStart start = 0;
+  engine_start start = 0;
   ServiceName service;
   Address address;
   ZoneName zone;
@@ -35,7 +35,7 @@
   bool spot = false;                  ///< The platform may reclaim it.
   std::optional<Duration> leaves_in;  ///< Until the platform reclaims it, from this record on.
   Duration cold_for{};                ///< It is still cold for this long, from this record on.
-  ModelVersions models;               ///< Weights that it holds; lags behind the engine's answers.
+  model_versions models;              ///< Weights that it holds; lags behind the engine's answers.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -16,7 +16,7 @@
   this->cold_.setHeartbeat(heartbeat);
 }
 
-RecordEffect engine_registry::onRecord(Instant now, const EngineRecord& record) {
+RecordEffect engine_registry::onRecord(Instant now, const engine_record& record) {
   const RecordEffect effect = this->table_.onRecord(record);
   if (effect != RecordEffect::kOutdated) this->cold_.onRecord(now, record.id, record.cold_for);
   return effect;
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -63,7 +63,7 @@
 
   // --- Discovery: see `engine_table` ---
 
-  RecordEffect onRecord(Instant now, const EngineRecord& record);
+  RecordEffect onRecord(Instant now, const engine_record& record);
   std::vector<Address> keepOnly(Instant now, const std::set<EngineId>& present) {
     return this->table_.keepOnly(now, present);
   }
@@ -72,7 +72,7 @@
     return this->table_.onGone(now, id);
   }
   void onStoreRegained(Instant now, Duration away) { this->table_.onStoreRegained(now, away); }
-  std::vector<EngineRecord> dropLapsed(Instant now) { return this->table_.dropLapsed(now); }
+  std::vector<engine_record> dropLapsed(Instant now) { return this->table_.dropLapsed(now); }
   const engine_state* find(const EngineId& id) const { return this->table_.find(id); }
   const EngineList& ofService(const ServiceName& service) const {
     return this->table_.ofService(service);
--- a/src/gateway/engines/engine_start.h
+++ b/src/gateway/engines/engine_start.h
@@ -10,10 +10,10 @@
 namespace linenpier::engines {
 
 /** Unix time in milliseconds, as the engine says; 0: unknown. */
-using EngineStart = std::int64_t;
+using engine_start = std::int64_t;
 
 /** @return whether both are known and `one` came first. */
-inline bool startedBefore(EngineStart one, EngineStart other) {
+inline bool startedBefore(engine_start one, engine_start other) {
   return one != 0 && other != 0 && one < other;
 }
 
--- a/src/gateway/engines/engine_state.cpp
+++ b/src/gateway/engines/engine_state.cpp
@@ -19,7 +19,7 @@
   *this = std::move(fresh);
 }
 
-void engine_state::setRecord(const EngineRecord& newer) {
+void engine_state::setRecord(const engine_record& newer) {
   for (const auto& [model, version] : newer.models) {
     const auto listed = this->record.models.find(model);
     const bool changed = listed == this->record.models.end() || listed->second != version;
--- a/src/gateway/engines/engine_state.h
+++ b/src/gateway/engines/engine_state.h
@@ -16,7 +16,7 @@
 namespace linenpier::engines {
 
 struct engine_state {
-  EngineRecord record;
+  engine_record record;
   engine_load load;
   engine_latency latency;
   engine_health health;
@@ -34,7 +34,7 @@
    */
   void onRestarted();
   /** Takes over a newer record. A version that it changes is newer than one seen in answers. */
-  void setRecord(const EngineRecord& newer);
+  void setRecord(const engine_record& newer);
 };
 
 using EngineList = std::map<EngineId, const engine_state*>;
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -33,7 +33,7 @@
   }
 }
 
-RecordEffect engine_table::onRecord(const EngineRecord& record) {
+RecordEffect engine_table::onRecord(const engine_record& record) {
   const auto [at, is_new] = this->engines_.try_emplace(record.id);
   engine_state& engine = at->second;
   if (is_new) {
@@ -41,7 +41,7 @@
     this->addToIndexes(engine);
     return RecordEffect::kNew;
   }
-  const EngineStart before = engine.record.start;
+  const engine_start before = engine.record.start;
   if (startedBefore(record.start, before)) return RecordEffect::kOutdated;
   const bool restarted = startedBefore(before, record.start);
   this->removeFromIndexes(engine);
@@ -94,8 +94,8 @@
   if (away >= shortest_lapse) this->lapse_ends_at_ = now + this->options_.lapse_grace;
 }
 
-std::vector<EngineRecord> engine_table::dropLapsed(Instant now) {
-  std::vector<EngineRecord> dropped;
+std::vector<engine_record> engine_table::dropLapsed(Instant now) {
+  std::vector<engine_record> dropped;
   if (now < this->lapse_ends_at_) return dropped;
   for (auto at = this->engines_.begin(); at != this->engines_.end();) {
     if (at->second.lapsed) {
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -61,7 +61,7 @@
   void setHeartbeat(Duration heartbeat) { this->options_.heartbeat = heartbeat; }
 
   /** One engine is new or has changed. */
-  RecordEffect onRecord(const EngineRecord& record);
+  RecordEffect onRecord(const engine_record& record);
   /** The table was read completely; these are all its engines.
    * @return the addresses of engines that were removed.
    */
@@ -78,7 +78,7 @@
   /** The store answers again after an outage of `away`. */
   void onStoreRegained(Instant now, Duration away);
   /** Removes the engines whose records did not come back in time. @return their records. */
-  std::vector<EngineRecord> dropLapsed(Instant now);
+  std::vector<engine_record> dropLapsed(Instant now);
   /** @param version that an answer of the engine named; 0: it named none. */
   void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version);
 
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -129,7 +129,7 @@
   scaling_view view;
   std::uint32_t slots = 1;
   for (const auto& [id, engine] : this->deps_.registry.all()) {
-    const engines::EngineRecord& record = engine.record;
+    const engines::engine_record& record = engine.record;
     if (record.service != service.name) continue;
     slots = std::max(slots, record.slots);
     const fleet::EngineKind kind =
@@ -208,7 +208,7 @@
   std::vector<std::pair<EngineId, Address>> engines;
   std::uint32_t slots = 0;
   for (const auto& [id, engine] : this->deps_.registry.all()) {
-    const engines::EngineRecord& record = engine.record;
+    const engines::engine_record& record = engine.record;
     if (record.service != name || record.zone != zone || record.draining) continue;
     engines.emplace_back(id, record.address);
     slots += record.slots;
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -127,8 +127,8 @@
   void onEngineListed(const table::Row& row);
   void onEnginesListed(Revision revision);
   /// @return nothing if the row names no engine; one that stood there is out of use then.
-  std::optional<engines::EngineRecord> readEngine(const table::Row& row);
-  void noteEngine(const engines::EngineRecord& record, Revision revision);
+  std::optional<engines::engine_record> readEngine(const table::Row& row);
+  void noteEngine(const engines::engine_record& record, Revision revision);
   /// The engine's entry went. @return its address, if it is out of use now.
   std::optional<Address> dropEngine(const EngineId& id);
   void onCoordinationRow(const table::RowChange& change);
--- a/src/gateway/service/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -8,7 +8,7 @@
 
 void Gateway::addEngineNumbers(metrics::GatewayState& state) const {
   for (const auto& [id, engine] : registry_.all()) {
-    const engines::EngineRecord& record = engine.record;
+    const engines::engine_record& record = engine.record;
     if (!routes_ || record.draining) continue;
     const auto service = routes_->services.find(record.service);
     if (service == routes_->services.end() || !service->second.scaling) continue;
--- a/src/gateway/service/gateway_peers.cpp
+++ b/src/gateway/service/gateway_peers.cpp
@@ -102,7 +102,7 @@
 
 void Gateway::tellEngines(Revision known, PeerSnapshot& told) const {
   told.engines_revision = enginesRevision();
-  const auto toRow = [&](const engines::EngineRecord& record) {
+  const auto toRow = [&](const engines::engine_record& record) {
     return table::Row{platform_.engineTable() + "/" + record.id.str(), told.engines_revision,
                       platform_.encodeEngine(record)};
   };
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -199,7 +199,7 @@
   listed_engines_.clear();
 }
 
-std::optional<engines::EngineRecord> Gateway::readEngine(const table::Row& row) {
+std::optional<engines::engine_record> Gateway::readEngine(const table::Row& row) {
   const std::string key = table::keyWithoutTable(row);
   auto record = platform_.parseEngine(key, row.value);
   if (record) return std::move(*record);
@@ -213,7 +213,7 @@
   return std::nullopt;
 }
 
-void Gateway::noteEngine(const engines::EngineRecord& record, Revision revision) {
+void Gateway::noteEngine(const engines::engine_record& record, Revision revision) {
   const engines::engine_state* known = registry_.find(record.id);
   const bool was_draining = known != nullptr && known->record.draining;
   const std::optional<Address> before =
@@ -261,7 +261,7 @@
 
 Task<void> Gateway::dropLapsedEngines() {
   co_await sleepFor(loop_, registry_.options().lapse.lapse_grace);
-  for (const engines::EngineRecord& record : registry_.dropLapsed(steadyNow())) {
+  for (const engines::engine_record& record : registry_.dropLapsed(steadyNow())) {
     engine_pool_.forget(record.address);
     LogEvent("engines", "gone").text("engine", record.id.str()).text("reason", "lapsed");
   }
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -65,11 +65,11 @@
   ///     the row is about something else.
   virtual std::optional<ZoneName> parseZoneClosing(const std::string& key) const = 0;
   /// @return why the row names no engine, if it does not.
-  virtual tl::expected<engines::EngineRecord, Findings> parseEngine(
+  virtual tl::expected<engines::engine_record, Findings> parseEngine(
       const std::string& key, const std::string& value) const = 0;
   /// @return the value of a row that names the same engine, for daemons that do not reach the
   /// store.
-  virtual std::string encodeEngine(const engines::EngineRecord& engine) const = 0;
+  virtual std::string encodeEngine(const engines::engine_record& engine) const = 0;
 
   virtual bool isReadinessCall(const http::Request& request) const = 0;
   /// @return nothing if the request is none of these calls.
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -23,7 +23,7 @@
 
 struct VersionOrder {
   EngineId engine;
-  engines::EngineStart start = 0;
+  engines::engine_start start = 0;
   Address address;
   ModelName model;
   WeightVersion version = 0;
@@ -43,7 +43,7 @@
 
 /// What an engine tells of itself; a little old when it arrives.
 struct OrderReport {
-  engines::EngineStart start = 0;
+  engines::engine_start start = 0;
   std::uint64_t taken = 0;  ///< Orders it has taken.
   bool busy = false;        ///< One of them is under way.
   std::uint32_t load = 0;   ///< Requests that run or wait.
@@ -108,7 +108,7 @@
  private:
   /// Of one start of an engine: a later one has taken no orders.
   struct Progress {
-    engines::EngineStart start = 0;
+    engines::engine_start start = 0;
     bool sending = false;
     ModelName model;          ///< Of the order sent last.
     Instant loading_until{};  ///< The engine is taken to load until then.
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -6,8 +6,8 @@
 
 using namespace linenpier;
 using batch::BatchRun;
+using engines::engine_record;
 using engines::engine_registry;
-using engines::EngineRecord;
 
 namespace {
 
@@ -15,8 +15,8 @@
 const ServiceName kService("s");
 constexpr Instant kStart{std::chrono::seconds(100)};
 
-EngineRecord record(const std::string& id, WeightVersion version) {
-  EngineRecord made;
+engine_record record(const std::string& id, WeightVersion version) {
+  engine_record made;
   made.id = EngineId(id);
   made.service = kService;
   made.slots = 4;
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -7,8 +7,8 @@
 using namespace linenpier;
 using batch::BatchRun;
 using batch::item_run;
+using engines::engine_record;
 using engines::engine_registry;
-using engines::EngineRecord;
 
 namespace {
 
@@ -19,8 +19,8 @@
 const EngineId kQuick("quick");
 const batch::run_move_rules kRules{1.15, std::chrono::milliseconds(250), std::chrono::seconds(1)};
 
-EngineRecord record(const EngineId& id) {
-  EngineRecord made;
+engine_record record(const EngineId& id) {
+  engine_record made;
   made.id = id;
   made.service = kService;
   made.slots = 4;
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -15,8 +15,8 @@
 using engines::cold_budget;
 using engines::cold_senders;
 using engines::ColdLimit;
+using engines::engine_record;
 using engines::engine_registry;
-using engines::EngineRecord;
 
 namespace {
 
@@ -44,8 +44,8 @@
   budget.setSenders(senders);
 }
 
-EngineRecord entry(const std::string& id, Duration cold_for) {
-  EngineRecord made;
+engine_record entry(const std::string& id, Duration cold_for) {
+  engine_record made;
   made.id = EngineId(id);
   made.service = kService;
   made.address = {0x7f000001, static_cast<std::uint16_t>(9000 + id.back())};
@@ -337,9 +337,9 @@
 
 Test(cold_engines, cold_engines_are_left_alone_while_others_have_room) {
   greedy_daemon daemon({kSenders, true});
-  EngineRecord warm = entry("w", 0s);
+  engine_record warm = entry("w", 0s);
   warm.slots = 4;
-  EngineRecord cold = entry("c", kColdFor);
+  engine_record cold = entry("c", kColdFor);
   cold.slots = 4;
   test::listEngines(daemon.registry, kLater, {warm, cold});
   engines::PickRequest wanted;
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -7,8 +7,8 @@
 // clang-format on
 
 using namespace linenpier;
+using engines::engine_record;
 using engines::engine_registry;
-using engines::EngineRecord;
 using engines::EngineRefusal;
 using engines::PickRequest;
 
@@ -19,8 +19,8 @@
 const ServiceName kService("s");
 constexpr Instant kStart{std::chrono::seconds(100)};
 
-EngineRecord record(const std::string& id, const ZoneName& zone) {
-  EngineRecord made;
+engine_record record(const std::string& id, const ZoneName& zone) {
+  engine_record made;
   made.id = EngineId(id);
   made.service = kService;
   made.address = {0x7f000001, static_cast<std::uint16_t>(9000 + id.back())};
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -8,8 +8,8 @@
 
 using namespace linenpier;
 using engines::AttemptEnd;
+using engines::engine_record;
 using engines::engine_registry;
-using engines::EngineRecord;
 using engines::PickRequest;
 
 namespace {
@@ -19,8 +19,8 @@
 const ServiceName kService("s");
 constexpr Instant kStart{std::chrono::seconds(100)};
 
-EngineRecord record(const std::string& id, WeightVersion version = 1) {
-  EngineRecord made;
+engine_record record(const std::string& id, WeightVersion version = 1) {
+  engine_record made;
   made.id = EngineId(id);
   made.service = kService;
   made.address = {0x7f000001, static_cast<std::uint16_t>(9000 + id.back())};
@@ -30,7 +30,7 @@
   return made;
 }
 
-engine_registry registryOf(const std::vector<EngineRecord>& records) {
+engine_registry registryOf(const std::vector<engine_record>& records) {
   engine_registry registry(kZone, {}, 1);
   test::listEngines(registry, kStart, records);
   return registry;
@@ -45,7 +45,7 @@
 }  // namespace
 
 Test(engine_registry, draining_and_gone_engines_get_nothing_new) {
-  EngineRecord leaving = record("a");
+  engine_record leaving = record("a");
   leaving.draining = true;
   engine_registry registry = registryOf({leaving, record("b")});
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
@@ -213,7 +213,7 @@
 }
 
 Test(engine_registry, an_engine_that_was_draining_or_goes_in_a_calm_time_is_gone_at_once) {
-  EngineRecord leaving = record("a");
+  engine_record leaving = record("a");
   leaving.draining = true;
   engine_registry registry = registryOf({leaving, record("b"), record("c")});
   registry.onStoreRegained(kStart, std::chrono::seconds(5));
@@ -241,14 +241,14 @@
 
 namespace {
 
-EngineRecord numbered(std::size_t number, WeightVersion version = 1) {
-  EngineRecord made = record("e" + std::to_string(number), version);
+engine_record numbered(std::size_t number, WeightVersion version = 1) {
+  engine_record made = record("e" + std::to_string(number), version);
   made.address.port = static_cast<std::uint16_t>(10000 + number);
   return made;
 }
 
 engine_registry serviceOf(std::size_t engines) {
-  std::vector<EngineRecord> records;
+  std::vector<engine_record> records;
   for (std::size_t i = 0; i < engines; ++i) records.push_back(numbered(i));
   return registryOf(records);
 }
@@ -295,7 +295,7 @@
   engine_registry registry = serviceOf(2000);
   for (std::size_t i = 0; i < 2000; ++i) {
     if (i == 1234) continue;
-    EngineRecord leaving = numbered(i);
+    engine_record leaving = numbered(i);
     leaving.draining = true;
     registry.onRecord(kStart, leaving);
   }
@@ -304,7 +304,7 @@
 }
 
 Test(engine_registry, daemons_keep_to_different_engines_of_a_large_service) {
-  std::vector<EngineRecord> records;
+  std::vector<engine_record> records;
   for (std::size_t i = 0; i < 2000; ++i) records.push_back(numbered(i));
   std::map<EngineId, int> chosen_by;
   constexpr int kDaemons = 50;
@@ -338,7 +338,7 @@
 // --- Engines that start again, and entries that name none ----------------------------------------
 
 Test(engine_registry, an_engine_that_started_again_under_its_id_is_another_one) {
-  EngineRecord first = record("a", 7);
+  engine_record first = record("a", 7);
   first.start = 1000;
   engine_registry registry = registryOf({first});
   const EngineId id("a");
@@ -346,7 +346,7 @@
   registry.onVersionSeen(id, kModel, 9);
   registry.onAttemptEnded(kStart, id, AttemptEnd::kSilent);
   cr_assert_eq(registry.find(id)->health.failures(), 1);
-  EngineRecord again = record("a", 3);
+  engine_record again = record("a", 3);
   again.start = 2000;
   cr_assert(registry.onRecord(kStart, again) == engines::RecordEffect::kRestarted);
   const engines::engine_state* engine = registry.find(id);
@@ -356,10 +356,10 @@
 }
 
 Test(engine_registry, what_an_earlier_start_says_later_is_not_believed) {
-  EngineRecord newer = record("a", 3);
+  engine_record newer = record("a", 3);
   newer.start = 2000;
   engine_registry registry = registryOf({newer});
-  EngineRecord older = record("a", 9);
+  engine_record older = record("a", 9);
   older.start = 1000;
   older.draining = true;
   cr_assert(registry.onRecord(kStart, older) == engines::RecordEffect::kOutdated);
--- a/tests/support/engine_lists.h
+++ b/tests/support/engine_lists.h
@@ -14,9 +14,9 @@
 
 /** @return the addresses of the engines that are known no longer. */
 inline std::vector<Address> listEngines(engines::engine_registry& registry, Instant now,
-                                        const std::vector<engines::EngineRecord>& records) {
+                                        const std::vector<engines::engine_record>& records) {
   std::set<EngineId> present;
-  for (const engines::EngineRecord& record : records) {
+  for (const engines::engine_record& record : records) {
     present.insert(record.id);
     registry.onRecord(now, record);
   }
