--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -100,10 +100,10 @@
   return suspects::keyOf(active.record.tenant, active.record.host, each.path, each.body);
 }
 
-engines::PickRequest BatchService::pickFor(const Active& active, ItemIndex item,
-                                           const routing::Route& route) const {
+engines::engine_request BatchService::pickFor(const Active& active, ItemIndex item,
+                                              const routing::Route& route) const {
   const routing::RouteTablePtr table = deps_.routes();
-  engines::PickRequest wanted =
+  engines::engine_request wanted =
       pickRequestFor(active.run, item, route, *table, options_.requests_per_slot);
   wanted.residency = residencyOfItem(active, item, *table, route);
   return wanted;
@@ -112,7 +112,7 @@
 bool BatchService::startItem(const ActivePtr& active, ItemIndex item, const routing::Route& route) {
   const Instant now = steadyNow();
   const BatchItem& each = active->run.job().items[item];
-  const engines::PickRequest wanted = pickFor(*active, item, route);
+  const engines::engine_request wanted = pickFor(*active, item, route);
   const item_placement placement =
       placeItem(now, deps_.engines.registry, active->run.progress(item), wanted);
   if (placement.discard_text) active->run.discardText(item);
@@ -320,7 +320,7 @@
 void BatchService::moveRun(Instant now, Active& active, const item_run& run,
                            const routing::Route& route, moves_planned& moves) {
   engines::engine_registry& registry = deps_.engines.registry;
-  engines::PickRequest wanted = pickFor(active, run.item, route);
+  engines::engine_request wanted = pickFor(active, run.item, route);
   wanted.excluded = moves.full();
   wanted.excluded.insert(run.engine);
   const auto move = planMove(now, registry, lengths_, active.run, run, wanted, moveRules());
--- a/src/gateway/batch/batch_leaving.cpp
+++ b/src/gateway/batch/batch_leaving.cpp
@@ -55,7 +55,7 @@
   routing::RouteTablePtr table;
   const routing::Route* route = routeOf(run.active->record, table);
   if (route == nullptr) return false;
-  engines::PickRequest wanted = pickFor(*run.active, run.item, *route);
+  engines::engine_request wanted = pickFor(*run.active, run.item, *route);
   wanted.excluded = moves.full();
   const engines::engine_state* target = deps_.engines.registry.pick(now, wanted);
   if (target == nullptr) return false;
--- a/src/gateway/batch/batch_residency.cpp
+++ b/src/gateway/batch/batch_residency.cpp
@@ -89,7 +89,7 @@
   if (!owners) return false;
   const bool owned_nowhere = owners->bound() && owners->regions().empty();
   const routing::RouteTablePtr table = deps_.routes();
-  engines::PickRequest wanted;
+  engines::engine_request wanted;
   wanted.service = route.services.front().service;
   wanted.residency = tenants::residencyOf(*table, &route, record.tenant);
   if (!wanted.residency.bound() && !owned_nowhere) return true;
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -214,8 +214,8 @@
                moves_planned& moves);
   run_move_rules moveRules() const;
   /// What an item asks of an engine.
-  engines::PickRequest pickFor(const Active& active, ItemIndex item,
-                               const routing::Route& route) const;
+  engines::engine_request pickFor(const Active& active, ItemIndex item,
+                                  const routing::Route& route) const;
   bool startItem(const ActivePtr& active, ItemIndex item, const routing::Route& route);
   /// @return nothing if the item must wait, since engines ended under it.
   std::optional<suspects::sent_attempt> leaveToRun(Active& active, ItemIndex item);
--- a/src/gateway/batch/item_placement.cpp
+++ b/src/gateway/batch/item_placement.cpp
@@ -13,11 +13,11 @@
   return std::min(item.tokens, static_cast<double>(item.length_hint) + kPromptTokens);
 }
 
-engines::PickRequest pickRequestFor(const BatchRun& run, ItemIndex item,
-                                    const routing::Route& route, const routing::RouteTable& table,
-                                    double max_per_slot) {
+engines::engine_request pickRequestFor(const BatchRun& run, ItemIndex item,
+                                       const routing::Route& route,
+                                       const routing::RouteTable& table, double max_per_slot) {
   const BatchItem& each = run.job().items[item];
-  engines::PickRequest wanted;
+  engines::engine_request wanted;
   wanted.service = route.services.front().service;
   wanted.model = each.model;
   wanted.minimum_version = run.job().minimum_version;
@@ -35,7 +35,7 @@
 }
 
 item_placement placeItem(Instant now, engines::engine_registry& registry,
-                         const ItemProgress& progress, engines::PickRequest wanted) {
+                         const ItemProgress& progress, engines::engine_request wanted) {
   item_placement placement;
   if (progress.failures > 0 && !progress.last_engine.empty()) {
     wanted.excluded.insert(progress.last_engine);
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -16,9 +16,9 @@
 /** What an item asks of an engine.
  * @param most_per_slot requests a slot that an engine may have, counting others'.
  */
-engines::PickRequest pickRequestFor(const BatchRun& run, ItemIndex item,
-                                    const routing::Route& route, const routing::RouteTable& table,
-                                    double max_per_slot);
+engines::engine_request pickRequestFor(const BatchRun& run, ItemIndex item,
+                                       const routing::Route& route,
+                                       const routing::RouteTable& table, double max_per_slot);
 
 struct item_placement {
   const engines::engine_state* engine = nullptr;  ///< None admits the item if it is not set.
@@ -29,6 +29,6 @@
 /** Chooses an engine for an item that waits. One that failed it is taken only if there is no other.
  */
 item_placement placeItem(Instant now, engines::engine_registry& registry,
-                         const ItemProgress& progress, engines::PickRequest wanted);
+                         const ItemProgress& progress, engines::engine_request wanted);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -23,7 +23,7 @@
 
 std::optional<run_move> planMove(Instant now, engines::engine_registry& registry,
                                  const length_estimate& lengths, const BatchRun& run,
-                                 const item_run& from, const engines::PickRequest& wanted,
+                                 const item_run& from, const engines::engine_request& wanted,
                                  const run_move_rules& rules) {
   const engines::engine_state* better = registry.pick(now, wanted);
   if (better == nullptr) return std::nullopt;
--- a/src/gateway/engines/engine_admission.cpp
+++ b/src/gateway/engines/engine_admission.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::engines {
 
 EngineRefusal engine_admission::admit(Instant now, const engine_state& engine,
-                                      const PickRequest& request) const {
+                                      const engine_request& request) const {
   const EngineRefusal place = this->admitPlace(engine, request);
   if (place != EngineRefusal::kNone) return place;
   const EngineRefusal version = admitVersion(engine, request);
@@ -20,7 +20,7 @@
 }
 
 EngineRefusal engine_admission::admitPlace(const engine_state& engine,
-                                           const PickRequest& request) const {
+                                           const engine_request& request) const {
   if (engine.record.service != request.service) return EngineRefusal::kOtherService;
   if (engine.record.draining) return EngineRefusal::kDraining;
   if (this->closed_.contains(engine.record.zone)) return EngineRefusal::kZoneClosed;
@@ -30,7 +30,7 @@
 }
 
 EngineRefusal engine_admission::admitVersion(const engine_state& engine,
-                                             const PickRequest& request) {
+                                             const engine_request& request) {
   if (request.model.empty()) return EngineRefusal::kNone;
   const WeightVersion version = engine.versionOf(request.model);
   const bool other = request.exact_version && version != *request.exact_version;
@@ -39,7 +39,7 @@
 }
 
 bool engine_admission::isFull(Instant now, const engine_state& engine,
-                              const PickRequest& request) const {
+                              const engine_request& request) const {
   if (request.max_per_slot <= 0) return false;
   const double max_requests = request.max_per_slot * std::max(1U, engine.record.slots);
   return engine.load.total(now, this->load_) >= max_requests;
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -27,13 +27,13 @@
    * operator and the request forbid, what passes by itself within seconds, and what a last resort
    * passes over (ejected, excluded).
    */
-  EngineRefusal admit(Instant now, const engine_state& engine, const PickRequest& request) const;
+  EngineRefusal admit(Instant now, const engine_state& engine, const engine_request& request) const;
   /** The checks that no waiting passes: service, draining, closed zone, residency. */
-  EngineRefusal admitPlace(const engine_state& engine, const PickRequest& request) const;
+  EngineRefusal admitPlace(const engine_state& engine, const engine_request& request) const;
 
  private:
-  static EngineRefusal admitVersion(const engine_state& engine, const PickRequest& request);
-  bool isFull(Instant now, const engine_state& engine, const PickRequest& request) const;
+  static EngineRefusal admitVersion(const engine_state& engine, const engine_request& request);
+  bool isFull(Instant now, const engine_state& engine, const engine_request& request) const;
 
   const fleet::closed_zones& closed_;
   const fleet::fleet_layout& layout_;
--- a/src/gateway/engines/engine_choice.cpp
+++ b/src/gateway/engines/engine_choice.cpp
@@ -8,7 +8,7 @@
 constexpr std::uint64_t kJitterSteps = 1000;
 }  // namespace
 
-const engine_state* engine_choice::pick(Instant now, const PickRequest& request,
+const engine_state* engine_choice::pick(Instant now, const engine_request& request,
                                         engine_table& engines, const engine_admission& admission,
                                         cold_budget& cold, const score_options& score) {
   const score_context context = this->contextFor(now, request, engines, score);
@@ -24,7 +24,7 @@
   return comparison.best;
 }
 
-score_context engine_choice::contextFor(Instant now, const PickRequest& request,
+score_context engine_choice::contextFor(Instant now, const engine_request& request,
                                         engine_table& engines, const score_options& score) const {
   score_context context;
   context.median_event_time = engines.inUse().medianEventTime(now, request.service, score.latency);
@@ -37,7 +37,7 @@
 }
 
 void engine_choice::compareHolders(comparison& comparison, const engine_index::holders& holders) {
-  const PickRequest& request = comparison.request;
+  const engine_request& request = comparison.request;
   const WeightVersion oldest = request.exact_version.value_or(request.minimum_version);
   for (const auto& [version, engines] : holders) {
     if (version < oldest) {
@@ -79,7 +79,7 @@
   return 1 + step / (kJitterDivisor * kJitterSteps);
 }
 
-bool engine_choice::anyInPlace(const PickRequest& request, const engine_table& engines,
+bool engine_choice::anyInPlace(const engine_request& request, const engine_table& engines,
                                const engine_admission& admission) {
   this->last_refusals_ = refusal_tally();
   for (const engine_index::entry& each : engines.known(request.service)) {
--- a/src/gateway/engines/engine_choice.h
+++ b/src/gateway/engines/engine_choice.h
@@ -36,13 +36,13 @@
       : zone_(std::move(zone)), options_(options), random_(seed) {}
 
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
-  const engine_state* pick(Instant now, const PickRequest& request, engine_table& engines,
+  const engine_state* pick(Instant now, const engine_request& request, engine_table& engines,
                            const engine_admission& admission, cold_budget& cold,
                            const score_options& score);
   /** @return whether an engine is where the request may be served; it may be full, or away for a
    *     while.
    */
-  bool anyInPlace(const PickRequest& request, const engine_table& engines,
+  bool anyInPlace(const engine_request& request, const engine_table& engines,
                   const engine_admission& admission);
   /** @return why engines were refused at the last call of the above that found none. */
   const refusal_tally& lastRefusals() const { return this->last_refusals_; }
@@ -53,7 +53,7 @@
   /** One choice under way: its rules, and the best engine so far. */
   struct comparison {
     Instant now;
-    const PickRequest& request;
+    const engine_request& request;
     const engine_admission& admission;
     const engine_score& score;
     cold_budget& cold;
@@ -62,7 +62,7 @@
     std::size_t compared = 0;
   };
 
-  score_context contextFor(Instant now, const PickRequest& request, engine_table& engines,
+  score_context contextFor(Instant now, const engine_request& request, engine_table& engines,
                            const score_options& score) const;
   /** Compares the engines in this daemon's order until there are enough. */
   void compareAll(comparison& comparison, const engine_index::engine_order& engines);
--- a/src/gateway/engines/engine_health.h
+++ b/src/gateway/engines/engine_health.h
@@ -3,7 +3,7 @@
 /** @file
  * Outlier detection: the failures in a row of one engine, and until when it is ejected because of
  * them. An ejected engine is chosen only by a request that accepts a last resort
- * (`PickRequest::last_resort`). Pure; owned by the engine's `engine_state`.
+ * (`engine_request::last_resort`). Pure; owned by the engine's `engine_state`.
  */
 
 #include "common/time.h"
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -103,17 +103,18 @@
   // --- Admission and choice ---
 
   /** @return whether the engine may be sent the request, and if not, why. */
-  EngineRefusal admit(Instant now, const engine_state& engine, const PickRequest& request) const {
+  EngineRefusal admit(Instant now, const engine_state& engine,
+                      const engine_request& request) const {
     return this->admission().admit(now, engine, request);
   }
   /** @return whether an engine is where the request may be served; it may be full, or away for a
    *     while. If none is, `lastRefusals` tells why.
    */
-  bool anyInPlace(const PickRequest& request) {
+  bool anyInPlace(const engine_request& request) {
     return this->choice_.anyInPlace(request, this->table_, this->admission());
   }
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
-  const engine_state* pick(Instant now, const PickRequest& request) {
+  const engine_state* pick(Instant now, const engine_request& request) {
     return this->choice_.pick(now, request, this->table_, this->admission(), this->cold_,
                               this->options_.score);
   }
--- a/src/gateway/engines/engine_request.h
+++ b/src/gateway/engines/engine_request.h
@@ -12,7 +12,7 @@
 
 namespace linenpier::engines {
 
-struct PickRequest {
+struct engine_request {
   ServiceName service;
   std::set<EngineId> excluded;  ///< Tried before, or not wanted.
   ModelName model;              ///< Empty: any.
--- a/src/gateway/engines/engine_score.h
+++ b/src/gateway/engines/engine_score.h
@@ -34,7 +34,7 @@
 class engine_score {
  public:
   /** @param zone of this daemon. */
-  engine_score(Instant now, const PickRequest& request, const score_context& context,
+  engine_score(Instant now, const engine_request& request, const score_context& context,
                const ZoneName& zone, const cold_budget& cold, const score_options& options)
       : now_(now),
         request_(request),
@@ -58,7 +58,7 @@
   double coldFactor(const engine_state& engine) const;
 
   Instant now_;
-  const PickRequest& request_;
+  const engine_request& request_;
   const score_context& context_;
   const ZoneName& zone_;
   const cold_budget& cold_;
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -88,7 +88,7 @@
 
 const engines::engine_state* Forwarder::pickEngine(ForwardedRequest& forwarded,
                                                    const std::set<EngineId>& tried) {
-  engines::PickRequest wanted;
+  engines::engine_request wanted;
   wanted.excluded = tried;
   wanted.max_per_slot = forwarded.max_per_slot;
   wanted.model = ModelName(http::fieldText(*forwarded.request, context_.names.model));
@@ -99,7 +99,7 @@
 }
 
 const engines::engine_state* Forwarder::pickFrom(const ForwardedRequest& forwarded,
-                                                 engines::PickRequest& wanted) {
+                                                 engines::engine_request& wanted) {
   const Instant now = steadyNow();
   wanted.service = round_robin_.next(*forwarded.route);
   if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -120,7 +120,7 @@
   const engines::engine_state* pickEngine(ForwardedRequest& forwarded,
                                           const std::set<EngineId>& tried);
   const engines::engine_state* pickFrom(const ForwardedRequest& forwarded,
-                                        engines::PickRequest& wanted);
+                                        engines::engine_request& wanted);
   /// @return where the request may be served.
   fleet::data_residency residencyOf(const ForwardedRequest& forwarded) const;
   http::Request outgoing(const ForwardedRequest& forwarded, Instant now) const;
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -45,8 +45,8 @@
   return BatchRun(job, {});
 }
 
-engines::PickRequest wanted() {
-  engines::PickRequest made;
+engines::engine_request wanted() {
+  engines::engine_request made;
   made.service = kService;
   made.excluded.insert(kSlow);
   return made;
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_budget_test.cpp
@@ -70,7 +70,7 @@
   /** @return the engines that one look sends to. */
   std::vector<EngineId> sendAll(Instant now) {
     std::vector<EngineId> sent;
-    engines::PickRequest wanted;
+    engines::engine_request wanted;
     wanted.service = kService;
     wanted.last_resort = true;
     for (std::size_t i = 0; i < kMaxTried; ++i) {
@@ -342,7 +342,7 @@
   engine_record cold = entry("c", kColdFor);
   cold.slots = 4;
   test::listEngines(daemon.registry, kLater, {warm, cold});
-  engines::PickRequest wanted;
+  engines::engine_request wanted;
   wanted.service = kService;
   wanted.batching = true;
   wanted.max_per_slot = 1;
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -9,8 +9,8 @@
 using namespace linenpier;
 using engines::engine_record;
 using engines::engine_registry;
+using engines::engine_request;
 using engines::EngineRefusal;
-using engines::PickRequest;
 
 namespace {
 
@@ -29,8 +29,8 @@
   return made;
 }
 
-PickRequest any() {
-  PickRequest request;
+engine_request any() {
+  engine_request request;
   request.service = kService;
   return request;
 }
@@ -41,7 +41,7 @@
   engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
-  PickRequest request = any();
+  engine_request request = any();
   cr_assert_null(registry.pick(kStart, request));
   request.last_resort = true;
   cr_assert_null(registry.pick(kStart, request));
@@ -61,7 +61,7 @@
   engine_registry registry(kHere, {}, 1);
   registry.setLayout(fleet::fleet_layout({{kHere, RegionName("r")}, {kThere, RegionName("q")}}));
   test::listEngines(registry, kStart, {record("a", kHere), record("b", kThere)});
-  PickRequest request = any();
+  engine_request request = any();
   request.residency = fleet::data_residency({RegionName("q")});
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "b");
   request.residency = fleet::data_residency({RegionName("elsewhere")});
@@ -73,7 +73,7 @@
 Test(engine_admission, an_engine_in_an_unknown_region_is_at_home_nowhere) {
   engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", ZoneName("nowhere"))});
-  PickRequest request = any();
+  engine_request request = any();
   request.residency = fleet::data_residency({RegionName("r")});
   cr_assert_null(registry.pick(kStart, request));
 }
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -10,7 +10,7 @@
 using engines::AttemptEnd;
 using engines::engine_record;
 using engines::engine_registry;
-using engines::PickRequest;
+using engines::engine_request;
 
 namespace {
 
@@ -36,8 +36,8 @@
   return registry;
 }
 
-PickRequest any() {
-  PickRequest request;
+engine_request any() {
+  engine_request request;
   request.service = kService;
   return request;
 }
@@ -90,7 +90,7 @@
   const Instant later = kStart + std::chrono::seconds(1);
   registry.onAttemptEnded(later, EngineId("a"), AttemptEnd::kBroke);
   cr_assert_null(registry.pick(later, any()));
-  PickRequest last_resort = any();
+  engine_request last_resort = any();
   last_resort.last_resort = true;
   cr_assert_not_null(registry.pick(later, last_resort), "rather an ejected engine than none");
 }
@@ -112,7 +112,7 @@
 
 Test(engine_registry, versions_seen_in_answers_are_newer_than_discovery) {
   engine_registry registry = registryOf({record("a", 3)});
-  PickRequest request = any();
+  engine_request request = any();
   request.model = kModel;
   request.minimum_version = 4;
   cr_assert_null(registry.pick(kStart, request));
@@ -128,7 +128,7 @@
   engine_registry registry = registryOf({record("a", 3)});
   registry.onVersionSeen(EngineId("a"), kModel, 4);
   registry.onVersionSeen(EngineId("a"), kModel, 0);
-  PickRequest request = any();
+  engine_request request = any();
   request.model = kModel;
   request.minimum_version = 4;
   cr_assert_not_null(registry.pick(kStart, request));
@@ -136,7 +136,7 @@
 
 Test(engine_registry, an_engine_that_refuses_while_it_has_room_is_loading) {
   engine_registry registry = registryOf({record("a")});
-  PickRequest request = any();
+  engine_request request = any();
   request.model = kModel;
   registry.onModelRefused(kStart, EngineId("a"), kModel);
   cr_assert_null(registry.pick(kStart + std::chrono::milliseconds(300), request));
@@ -147,7 +147,7 @@
 
 Test(engine_registry, no_more_than_the_slots_where_that_is_asked_for) {
   engine_registry registry = registryOf({record("a")});
-  PickRequest request = any();
+  engine_request request = any();
   request.max_per_slot = 1;
   for (int i = 0; i < 4; ++i) {
     cr_assert_not_null(registry.pick(kStart, request));
@@ -162,7 +162,7 @@
   registry.onEventTime(kStart, EngineId("full"), std::chrono::milliseconds(100));
   registry.onAttemptStarted(kStart, EngineId("slow"));
   registry.onTokens(EngineId("slow"), 100);
-  PickRequest request = any();
+  engine_request request = any();
   request.batching = true;
   request.tokens = 100;
   request.memory_tokens = 420;
@@ -177,7 +177,7 @@
 
 Test(engine_registry, a_text_of_one_version_goes_on_where_that_version_is) {
   engine_registry registry = registryOf({record("old", 3), record("new", 4)});
-  PickRequest request = any();
+  engine_request request = any();
   request.model = kModel;
   request.exact_version = 3;
   cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "old");
@@ -254,7 +254,7 @@
 }
 
 /// @return engines that were looked at for one request after the other, all of which run on.
-std::uint64_t looksFor(engine_registry& registry, const PickRequest& request, int requests) {
+std::uint64_t looksFor(engine_registry& registry, const engine_request& request, int requests) {
   const std::uint64_t before = registry.examined();
   for (int i = 0; i < requests; ++i) {
     const auto* engine = registry.pick(kStart, request);
@@ -267,7 +267,7 @@
 }  // namespace
 
 Test(engine_registry, a_choice_looks_at_as_many_engines_in_a_service_twice_as_large) {
-  PickRequest item = any();
+  engine_request item = any();
   item.max_per_slot = 1;
   engine_registry small = serviceOf(1000);
   engine_registry large = serviceOf(2000);
@@ -279,7 +279,7 @@
 Test(engine_registry, engines_with_other_weights_are_not_looked_at) {
   engine_registry registry = serviceOf(2000);
   for (std::size_t i = 0; i < 40; ++i) registry.onRecord(kStart, numbered(i, 5));
-  PickRequest item = any();
+  engine_request item = any();
   item.model = kModel;
   item.minimum_version = 5;
   cr_assert_leq(looksFor(registry, item, 10), 400U);
