--- a/src/gateway/engines/engine_load.cpp
+++ b/src/gateway/engines/engine_load.cpp
@@ -12,7 +12,7 @@
   this->tokens_ = std::max(0.0, this->tokens_ + tokens);
 }
 
-void engine_load::onReport(Instant now, const LoadReport& report) {
+void engine_load::onReport(Instant now, const load_report& report) {
   const double total = static_cast<double>(report.running) + report.waiting;
   this->others_ = std::max(0.0, total - this->in_flight_);
   this->reported_at_ = now;
--- a/src/gateway/engines/engine_load.h
+++ b/src/gateway/engines/engine_load.h
@@ -12,7 +12,7 @@
 namespace linenpier::engines {
 
 /** What an engine reports of itself with an answer, in requests. */
-struct LoadReport {
+struct load_report {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
@@ -28,7 +28,7 @@
   void onAttemptEnded();
   /** @param tokens memory that an attempt is expected to need; negative at its end. */
   void addTokens(double tokens);
-  void onReport(Instant now, const LoadReport& report);
+  void onReport(Instant now, const load_report& report);
   /** The engine started again. Attempts at its earlier start are still in flight until their
    * connections end; the report of the earlier start holds no more.
    */
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -58,7 +58,7 @@
   engine->loading.onReset(now, model, this->options_.loading);
 }
 
-void engine_registry::onLoad(Instant now, const EngineId& id, const LoadReport& report) {
+void engine_registry::onLoad(Instant now, const EngineId& id, const load_report& report) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onReport(now, report);
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -28,7 +28,7 @@
 
 namespace linenpier::engines {
 
-struct RegistryOptions {
+struct registry_options {
   lapse_options lapse;
   health_options health;
   loading_options loading;
@@ -41,7 +41,7 @@
   /** @param zone of this daemon.
    * @param seed of its order of engines and of its tie breaks.
    */
-  engine_registry(ZoneName zone, RegistryOptions options, std::uint64_t seed)
+  engine_registry(ZoneName zone, registry_options options, std::uint64_t seed)
       : options_(options),
         table_(options.lapse, seed),
         choice_(std::move(zone), options.choice, seed) {}
@@ -59,7 +59,7 @@
   void setServices(const std::map<ServiceName, routing::Service>& services);
   /** The platform's settings may change while the daemon runs. */
   void setHeartbeat(Duration heartbeat);
-  const RegistryOptions& options() const { return this->options_; }
+  const registry_options& options() const { return this->options_; }
 
   // --- Discovery: see `engine_table` ---
 
@@ -74,7 +74,7 @@
   void onStoreRegained(Instant now, Duration away) { this->table_.onStoreRegained(now, away); }
   std::vector<engine_record> dropLapsed(Instant now) { return this->table_.dropLapsed(now); }
   const engine_state* find(const EngineId& id) const { return this->table_.find(id); }
-  const EngineList& ofService(const ServiceName& service) const {
+  const engine_list& ofService(const ServiceName& service) const {
     return this->table_.ofService(service);
   }
   const engine_index::engine_order& known(const ServiceName& service) const {
@@ -92,7 +92,7 @@
   void onModelRefused(Instant now, const EngineId& id, const ModelName& model);
   /** The engine reset a run of the model, as it does when it begins to load weights. */
   void onModelReset(Instant now, const EngineId& id, const ModelName& model);
-  void onLoad(Instant now, const EngineId& id, const LoadReport& report);
+  void onLoad(Instant now, const EngineId& id, const load_report& report);
   /** An event or an answer took `duration`. */
   void onEventTime(Instant now, const EngineId& id, Duration duration);
   /** @param version that an answer named; 0: it named none. */
@@ -159,7 +159,7 @@
     return {this->table_.closedZones(), this->layout_, this->cold_, this->options_.score.load};
   }
 
-  RegistryOptions options_;
+  registry_options options_;
   fleet::fleet_layout layout_;
   engine_table table_;
   cold_budget cold_;
--- a/src/gateway/engines/engine_state.h
+++ b/src/gateway/engines/engine_state.h
@@ -37,6 +37,6 @@
   void setRecord(const engine_record& newer);
 };
 
-using EngineList = std::map<EngineId, const engine_state*>;
+using engine_list = std::map<EngineId, const engine_state*>;
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -87,7 +87,7 @@
   /** @return the service's engines that are not draining and in no closed zone. Kept up as engines
    *     change; asking costs one look-up.
    */
-  const EngineList& ofService(const ServiceName& service) const;
+  const engine_list& ofService(const ServiceName& service) const;
   /** @return the service's engines, whatever their state, in this daemon's order. */
   const engine_index::engine_order& known(const ServiceName& service) const {
     return this->index_.ofService(service);
@@ -120,7 +120,7 @@
   engine_map engines_;
   /** The members below point into `engines_`. */
   engine_index index_;
-  std::map<ServiceName, EngineList> open_;  ///< Not draining and in no closed zone.
+  std::map<ServiceName, engine_list> open_;  ///< Not draining and in no closed zone.
   engines_in_use in_use_;
   Instant lapse_ends_at_{};  ///< Records that disappear before this may have lapsed.
 };
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -112,7 +112,7 @@
 
 void EngineCall::readLoad() {
   const std::string text = http::fieldText(head(), context_.names.load);
-  engines::LoadReport load;
+  engines::load_report load;
   if (std::sscanf(text.c_str(), "%u,%u,%u", &load.running, &load.waiting, &load.slots) == 3) {
     context_.registry.onLoad(steadyNow(), engine_, load);
   }
--- a/src/gateway/versions/engine_shares.cpp
+++ b/src/gateway/versions/engine_shares.cpp
@@ -46,7 +46,7 @@
   dealt_.erase(at);
 }
 
-void EngineShares::takeBackGone(const engines::EngineList& engines, const EnginesWanted& wanted) {
+void EngineShares::takeBackGone(const engines::engine_list& engines, const EnginesWanted& wanted) {
   std::vector<EngineId> gone;
   for (const auto& [id, model] : dealt_) {
     if (!engines.contains(id) || !wanted.contains(model)) gone.push_back(id);
@@ -54,7 +54,7 @@
   for (const EngineId& id : gone) takeBack(id);
 }
 
-void EngineShares::takeBackSpare(const engines::EngineList& engines, const EnginesWanted& wanted) {
+void EngineShares::takeBackSpare(const engines::engine_list& engines, const EnginesWanted& wanted) {
   for (const auto& [model, most] : wanted) {
     if (sizeOf(model) <= kSpareFactor * most) continue;
     std::vector<std::pair<WeightVersion, EngineId>> held;
@@ -92,7 +92,7 @@
   return there != zones->second.end() && there->second * all_zones_.size() >= wanted;
 }
 
-void EngineShares::adopt(const engines::EngineList& engines, const EnginesWanted& wanted,
+void EngineShares::adopt(const engines::engine_list& engines, const EnginesWanted& wanted,
                          const std::map<ModelName, WeightVersion>& named) {
   if (adopted_) return;
   adopted_ = true;
@@ -110,7 +110,7 @@
   }
 }
 
-void EngineShares::dealFree(const engines::EngineList& engines, const EnginesWanted& wanted) {
+void EngineShares::dealFree(const engines::engine_list& engines, const EnginesWanted& wanted) {
   ModelName model = neediest(wanted);
   auto at = engines.lower_bound(next_);
   // The first time round each model's engines are spread over the zones, the second time any do.
@@ -128,7 +128,7 @@
   }
 }
 
-void EngineShares::evenOut(const engines::EngineList& engines, const EnginesWanted& wanted) {
+void EngineShares::evenOut(const engines::engine_list& engines, const EnginesWanted& wanted) {
   for (;;) {
     const ModelName to = neediest(wanted);
     const ModelName from = largest(wanted);
@@ -139,7 +139,7 @@
   }
 }
 
-void EngineShares::update(const engines::EngineList& engines, const EnginesWanted& wanted,
+void EngineShares::update(const engines::engine_list& engines, const EnginesWanted& wanted,
                           const std::map<ModelName, WeightVersion>& named) {
   takeBackGone(engines, wanted);
   if (wanted.empty()) return;
--- a/src/gateway/versions/engine_shares.h
+++ b/src/gateway/versions/engine_shares.h
@@ -26,7 +26,7 @@
   /// @param wanted of the models that need engines now; they get no more, and less in equal shares
   ///     where there are too few.
   /// @param named the newest version of each model.
-  void update(const engines::EngineList& engines, const EnginesWanted& wanted,
+  void update(const engines::engine_list& engines, const EnginesWanted& wanted,
               const std::map<ModelName, WeightVersion>& named);
 
   /// @return whether the engine should hold the newest weights of the model.
@@ -42,13 +42,13 @@
  private:
   void pickService(const engines::engine_state& engine, const ModelName& model);
   void takeBack(const EngineId& engine);
-  void takeBackGone(const engines::EngineList& engines, const EnginesWanted& wanted);
-  void takeBackSpare(const engines::EngineList& engines, const EnginesWanted& wanted);
+  void takeBackGone(const engines::engine_list& engines, const EnginesWanted& wanted);
+  void takeBackSpare(const engines::engine_list& engines, const EnginesWanted& wanted);
   /// A daemon that has just taken over goes on with what the engines hold.
-  void adopt(const engines::EngineList& engines, const EnginesWanted& wanted,
+  void adopt(const engines::engine_list& engines, const EnginesWanted& wanted,
              const std::map<ModelName, WeightVersion>& named);
-  void dealFree(const engines::EngineList& engines, const EnginesWanted& wanted);
-  void evenOut(const engines::EngineList& engines, const EnginesWanted& wanted);
+  void dealFree(const engines::engine_list& engines, const EnginesWanted& wanted);
+  void evenOut(const engines::engine_list& engines, const EnginesWanted& wanted);
   /// @return the model with the fewest engines of those that could use one more; empty: none could.
   ModelName neediest(const EnginesWanted& wanted) const;
   ModelName largest(const EnginesWanted& wanted) const;
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -110,7 +110,7 @@
   Right& right = rightOf(service);
   right.right.onTick(now, table_read_);
   if (!right.right.mayAct(now)) return;
-  const engines::EngineList& engines = deps_.registry.ofService(service);
+  const engines::engine_list& engines = deps_.registry.ofService(service);
   open_work_by_model work = deps_.open_work();
   for (const auto& [model, version] : named_) work.try_emplace(model);
   const std::set<EngineId> awaited = deps_.awaited ? deps_.awaited(now) : std::set<EngineId>();
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -86,7 +86,7 @@
   return named_at != named_at_.end() && now - named_at->second >= options_.settled;
 }
 
-EnginesWanted VersionRollout::enginesWanted(Instant now, const engines::EngineList& engines,
+EnginesWanted VersionRollout::enginesWanted(Instant now, const engines::engine_list& engines,
                                             const std::set<ModelName>& models) const {
   EnginesWanted wanted;
   const std::uint32_t slots = engines.empty() ? 1 : engines.begin()->second->record.slots;
@@ -96,7 +96,7 @@
   return wanted;
 }
 
-std::vector<VersionOrder> VersionRollout::onTick(Instant now, const engines::EngineList& engines,
+std::vector<VersionOrder> VersionRollout::onTick(Instant now, const engines::engine_list& engines,
                                                  const open_work_by_model& work,
                                                  const std::set<EngineId>& awaited) {
   std::set<ModelName> models;
@@ -159,7 +159,8 @@
 }
 
 LoadMode VersionRollout::modeFor(Instant now, const engines::engine_state& engine,
-                                 const ModelName& model, const engines::EngineList& engines) const {
+                                 const ModelName& model,
+                                 const engines::engine_list& engines) const {
   if (options_.mode) return *options_.mode;
   // A text that one version must make would be lost with its engine's version.
   if (single_version_.contains(model)) return LoadMode::kWait;
@@ -188,7 +189,7 @@
 }
 
 std::vector<VersionRollout::Candidate> VersionRollout::findCandidates(
-    Instant now, const engines::EngineList& engines, const std::set<EngineId>& awaited) {
+    Instant now, const engines::engine_list& engines, const std::set<EngineId>& awaited) {
   std::vector<Candidate> candidates;
   std::map<ModelName, std::size_t> left_alone;
   for (const auto& [id, model] : shares_.dealt()) {
@@ -208,7 +209,7 @@
 }
 
 std::map<ModelName, std::size_t> VersionRollout::enginesMissing(
-    Instant now, const engines::EngineList& engines) const {
+    Instant now, const engines::engine_list& engines) const {
   std::map<ModelName, std::size_t> missing;
   for (const auto& [model, named_at] : named_at_) {
     std::size_t up_to_date = 0;
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -91,7 +91,7 @@
   /// @param work of jobs under way, by each model that needs engines now.
   /// @param awaited engines with a run that a step waits for: they are left alone while the version
   ///     is new, a third of each model's engines at most.
-  std::vector<VersionOrder> onTick(Instant now, const engines::EngineList& engines,
+  std::vector<VersionOrder> onTick(Instant now, const engines::engine_list& engines,
                                    const open_work_by_model& work,
                                    const std::set<EngineId>& awaited = {});
   void onAnswer(Instant now, const VersionOrder& order, OrderAnswer answer);
@@ -132,12 +132,12 @@
     Urgency urgency = Urgency::kLater;
     std::uint32_t load = 0;
   };
-  std::vector<Candidate> findCandidates(Instant now, const engines::EngineList& engines,
+  std::vector<Candidate> findCandidates(Instant now, const engines::engine_list& engines,
                                         const std::set<EngineId>& awaited);
   /// @return what is known of the engine's present start.
   Progress& progressOf(const engines::engine_state& engine);
   void dropIdleProgress(Instant now);
-  EnginesWanted enginesWanted(Instant now, const engines::EngineList& engines,
+  EnginesWanted enginesWanted(Instant now, const engines::engine_list& engines,
                               const std::set<ModelName>& models) const;
   bool isSettled(Instant now, const ModelName& model) const;
   /// @return whether the model's newest version was named a short while ago.
@@ -146,12 +146,12 @@
   void findReportsWanted(Instant now, const std::vector<Candidate>& candidates);
   Urgency urgencyOf(Instant now, const engines::engine_state& engine, const ModelName& model) const;
   LoadMode modeFor(Instant now, const engines::engine_state& engine, const ModelName& model,
-                   const engines::EngineList& engines) const;
+                   const engines::engine_list& engines) const;
   std::map<ModelName, std::size_t> loadingByModel(Instant now) const;
   std::size_t atOnce(std::size_t engines) const;
   /// @return how many more engines each model's newest version should be brought to soon.
   std::map<ModelName, std::size_t> enginesMissing(Instant now,
-                                                  const engines::EngineList& engines) const;
+                                                  const engines::engine_list& engines) const;
   bool isBehind(Instant now, const engines::engine_state& engine, const ModelName& model) const;
 
   RolloutOptions options_;
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -31,8 +31,8 @@
       states.push_back(state);
     }
   }
-  engines::EngineList list() const {
-    engines::EngineList engines;
+  engines::engine_list list() const {
+    engines::engine_list engines;
     for (const engine_state& state : states) engines[state.record.id] = &state;
     return engines;
   }
@@ -129,7 +129,7 @@
   Fixture fixture(9);
   fixture.rollout.onNamed(kStart, kModel, 2);
   versions::EngineShares shares;
-  engines::EngineList engines = fixture.list();
+  engines::engine_list engines = fixture.list();
   const versions::EnginesWanted all = {{kModel, 9}, {kOtherModel, 9}};
   shares.update(engines, all, {});
   cr_assert_eq(shares.sizeOf(kModel) + shares.sizeOf(kOtherModel), 9U);
@@ -281,7 +281,7 @@
 Test(engine_shares, engines_that_are_lost_are_replaced_and_a_spare_is_given_back) {
   Fixture fixture(500);
   versions::EngineShares shares;
-  engines::EngineList engines = fixture.list();
+  engines::engine_list engines = fixture.list();
   shares.update(engines, {{kModel, 60}}, {});
   const std::set<EngineId> before = shares.enginesFor(kModel);
   for (const EngineId& id : before) engines.erase(id);
