--- /dev/null
+++ b/tests/gateway/engines/engine_health_test.cpp
@@ -0,0 +1,72 @@
+#include "gateway/engines/engine_health.h"
+
+#include <criterion/criterion.h>
+
+#include <initializer_list>
+#include <utility>
+
+using namespace linenpier;
+using namespace std::chrono_literals;
+using engines::AttemptEnd;
+using engines::engine_health;
+
+namespace {
+
+constexpr Instant kStart{std::chrono::seconds(100)};
+const engines::health_options kOptions;
+
+/** Ends attempts, a second after one another. @return the time of the last. */
+Instant endAttempts(engine_health& health, AttemptEnd end, int attempts) {
+  for (int i = 0; i < attempts; ++i) health.onAttemptEnded(kStart + i * 1s, end, kOptions);
+  return kStart + (attempts - 1) * 1s;
+}
+
+/** Checks that the engine is ejected until just before `ejection` has passed since `from`. */
+void expectEjection(const engine_health& health, Instant from, Duration ejection) {
+  cr_assert(health.isEjected(from + ejection - 1ms));
+  cr_assert_not(health.isEjected(from + ejection));
+}
+
+}  // namespace
+
+Test(engine_health, broken_answers_eject_from_the_second_on_for_twice_as_long_each) {
+  for (const auto& [failures, ejection] : std::initializer_list<std::pair<int, Duration>>{
+           {2, 1400ms}, {3, 2800ms}, {4, 5600ms}, {5, 6s}}) {
+    engine_health health;
+    const Instant last = endAttempts(health, AttemptEnd::kBroke, failures);
+    cr_assert_eq(health.failures(), failures);
+    expectEjection(health, last, ejection);
+  }
+  engine_health health;
+  cr_assert_not(health.isEjected(endAttempts(health, AttemptEnd::kBroke, 1)));
+}
+
+Test(engine_health, a_silent_or_unreachable_engine_is_ejected_at_once) {
+  for (const AttemptEnd end : {AttemptEnd::kSilent, AttemptEnd::kUnreachable}) {
+    engine_health health;
+    expectEjection(health, endAttempts(health, end, 1), 700ms);
+  }
+}
+
+Test(engine_health, rejections_neither_eject_nor_reset) {
+  engine_health health;
+  const Instant last = endAttempts(health, AttemptEnd::kSilent, 2);
+  health.onAttemptEnded(last + 1s, AttemptEnd::kRefused, kOptions);
+  cr_assert_eq(health.failures(), 2);
+  expectEjection(health, last, 1400ms);
+}
+
+Test(engine_health, a_success_resets_the_failures_but_does_not_end_the_ejection) {
+  engine_health health;
+  const Instant last = endAttempts(health, AttemptEnd::kBroke, 3);
+  health.onAttemptEnded(last + 1s, AttemptEnd::kServed, kOptions);
+  cr_assert_eq(health.failures(), 0);
+  expectEjection(health, last, 2800ms);
+}
+
+Test(engine_health, a_further_failure_sets_the_end_of_the_ejection_anew) {
+  engine_health health;
+  health.onAttemptEnded(kStart, AttemptEnd::kMisdirected, kOptions);
+  health.onAttemptEnded(kStart + 1s, AttemptEnd::kBroke, kOptions);
+  expectEjection(health, kStart + 1s, 1400ms);
+}
