--- a/src/gateway/forward/forward_plain.cpp
+++ b/src/gateway/forward/forward_plain.cpp
@@ -31,7 +31,7 @@
 };
 
 Task<void> Forwarder::runAttempt(std::shared_ptr<Race> race, std::shared_ptr<EngineCall> call,
-                                 std::shared_ptr<ForwardedRequest> forwarded,
+                                 std::shared_ptr<forwarded_request> forwarded,
                                  suspects::sent_attempt attempt) {
   const Instant deadline = forwarded->deadline;
   Race::Result result;
@@ -61,14 +61,14 @@
   race->changed.notifyAll();
 }
 
-bool Forwarder::startAttempt(const std::shared_ptr<ForwardedRequest>& forwarded,
+bool Forwarder::startAttempt(const std::shared_ptr<forwarded_request>& forwarded,
                              const std::shared_ptr<Race>& race,
                              const suspects::sent_attempt& attempt) {
   const engines::EngineState* engine = pickEngine(*forwarded, race->tried);
   if (engine == nullptr) return false;
   race->tried.insert(engine->record.id);
-  const auto call =
-      std::make_shared<EngineCall>(context_, *engine, outgoing(*forwarded, steadyNow()));
+  const auto call = std::make_shared<EngineCall>(
+      context_, *engine, engineMessage(context_.names, *forwarded, steadyNow()));
   race->running.push_back(call);
   spawn(loop_, [this, race, call, forwarded, attempt] {
     return runAttempt(race, call, forwarded, attempt);
@@ -76,7 +76,7 @@
   return true;
 }
 
-Task<Forwarder::plain_outcome> Forwarder::runAttempts(std::shared_ptr<ForwardedRequest> forwarded,
+Task<Forwarder::plain_outcome> Forwarder::runAttempts(std::shared_ptr<forwarded_request> forwarded,
                                                       AttemptPolicy& policy,
                                                       http::Cancellation& cancellation) {
   const auto race = std::make_shared<Race>(loop_);
@@ -116,7 +116,7 @@
   co_return outcome;
 }
 
-Task<void> Forwarder::servePlain(std::shared_ptr<ForwardedRequest> forwarded,
+Task<void> Forwarder::servePlain(std::shared_ptr<forwarded_request> forwarded,
                                  http::ResponseWriter& writer) {
   AttemptPolicy policy(*forwarded->route, forwarded->deadline);
   plain_outcome outcome = co_await runAttempts(forwarded, policy, writer.cancellation());
@@ -135,7 +135,7 @@
 }
 
 Task<internal_outcome> Forwarder::send(internal_request request) {
-  const auto forwarded = std::make_shared<ForwardedRequest>();
+  const auto forwarded = std::make_shared<forwarded_request>();
   forwarded->table = request.table;
   forwarded->route = request.route;
   forwarded->request = &request.message;
--- a/src/gateway/forward/forward_stream.cpp
+++ b/src/gateway/forward/forward_stream.cpp
@@ -15,7 +15,7 @@
   bool resumable = false;
 };
 
-Task<void> Forwarder::serveStream(ForwardedRequest& forwarded, http::ResponseWriter& writer) {
+Task<void> Forwarder::serveStream(forwarded_request& forwarded, http::ResponseWriter& writer) {
   AttemptPolicy policy(*forwarded.route, forwarded.deadline);
   StreamState state;
   state.resumable = forwarded.route->resumable;
@@ -46,7 +46,7 @@
       continue;
     }
     tried.insert(engine->record.id);
-    http::Request request = outgoing(forwarded, now);
+    http::Request request = engineMessage(context_.names, forwarded, now);
     if (state.last_event)
       request.set(context_.names.last_event_id, std::to_string(*state.last_event));
     running = std::make_shared<EngineCall>(context_, *engine, std::move(request));
@@ -90,7 +90,7 @@
   co_return co_await writer.beginStream(std::move(head));
 }
 
-Task<AttemptVerdict> Forwarder::relay(ForwardedRequest& forwarded, EngineCall& call,
+Task<AttemptVerdict> Forwarder::relay(forwarded_request& forwarded, EngineCall& call,
                                       StreamState& state, http::ResponseWriter& writer) {
   const auto stepDeadline = [this, &forwarded, &state] {
     const Instant silence = steadyNow() + options_.stream_silence;
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -1,11 +1,8 @@
 #include "gateway/forward/forwarder.h"
 
-#include <algorithm>
 #include <boost/beast/http/status.hpp>
 #include <cstdio>
-#include <cstdlib>
 
-#include "gateway/suspects/request_key.h"
 #include "gateway/tenants/residency.h"
 
 namespace linenpier::forward {
@@ -22,33 +19,6 @@
 
 }  // namespace
 
-Instant Forwarder::deadlineOf(const routing::Route& route, const http::Request& request,
-                              Instant received) const {
-  const std::string text = http::fieldText(request, context_.names.deadline_ms);
-  Duration limit = route.timeout;
-  if (!text.empty()) {
-    const auto named = std::chrono::milliseconds(std::strtoll(text.c_str(), nullptr, 10));
-    if (named > Duration::zero()) limit = std::min<Duration>(limit, named);
-  }
-  return received + limit;
-}
-
-http::Request Forwarder::outgoing(const ForwardedRequest& forwarded, Instant now) const {
-  const http::Request& request = *forwarded.request;
-  http::Request copy(request.method(), request.target(), 11);
-  copy.method_string(request.method_string());
-  http::copyEndToEndFields(request, copy);
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(forwarded.deadline - now);
-  copy.set(context_.names.deadline_ms, std::to_string(std::max<std::int64_t>(1, left.count())));
-  tenants::nameTenant(*forwarded.table, context_.names.tenant, forwarded.from.tenant, copy);
-  if (forwarded.from.priority) {
-    copy.set(context_.names.priority, std::to_string(*forwarded.from.priority));
-  }
-  copy.body() = request.body();
-  copy.prepare_payload();
-  return copy;
-}
-
 http::Response Forwarder::localReply(unsigned status, const std::string& id) const {
   http::Response response(static_cast<boost::beast::http::status>(status), 11);
   if (!id.empty()) response.set(context_.names.request_id, id);
@@ -61,15 +31,15 @@
 Task<void> Forwarder::serve(routing::RouteTablePtr table, const routing::Route& route,
                             tenants::caller from, const http::Request& request, Instant received,
                             http::ResponseWriter& writer) {
-  const auto shared = std::make_shared<ForwardedRequest>();
-  ForwardedRequest& forwarded = *shared;
+  const auto shared = std::make_shared<forwarded_request>();
+  forwarded_request& forwarded = *shared;
   forwarded.table = std::move(table);
   forwarded.route = &route;
   forwarded.request = &request;
   forwarded.from = std::move(from);
   forwarded.id = http::fieldText(request, context_.names.request_id);
   forwarded.received = received;
-  forwarded.deadline = deadlineOf(route, request, received);
+  forwarded.deadline = deadlineOf(context_.names, route, request, received);
   if (route.kind == routing::RequestKind::kStreaming) {
     co_await serveStream(forwarded, writer);
   } else {
@@ -77,7 +47,7 @@
   }
 }
 
-fleet::data_residency Forwarder::residencyOf(const ForwardedRequest& forwarded) const {
+fleet::data_residency Forwarder::residencyOf(const forwarded_request& forwarded) const {
   const routing::RouteTablePtr newest = newest_ ? newest_() : forwarded.table;
   const std::string target(forwarded.request->target());
   const std::string path = target.substr(0, target.find('?'));
@@ -86,7 +56,7 @@
   return tenants::residencyOf(*newest, route, forwarded.from.tenant);
 }
 
-const engines::EngineState* Forwarder::pickEngine(ForwardedRequest& forwarded,
+const engines::EngineState* Forwarder::pickEngine(forwarded_request& forwarded,
                                                   const std::set<EngineId>& tried) {
   engines::PickRequest wanted;
   wanted.excluded = tried;
@@ -98,7 +68,7 @@
   return engine;
 }
 
-const engines::EngineState* Forwarder::pickFrom(const ForwardedRequest& forwarded,
+const engines::EngineState* Forwarder::pickFrom(const forwarded_request& forwarded,
                                                 engines::PickRequest& wanted) {
   const Instant now = steadyNow();
   wanted.service = round_robin_.next(*forwarded.route);
@@ -116,7 +86,7 @@
   return nullptr;
 }
 
-Task<void> Forwarder::answerFinally(ForwardedRequest& forwarded, FinalAnswer answer,
+Task<void> Forwarder::answerFinally(forwarded_request& forwarded, FinalAnswer answer,
                                     http::ResponseWriter& writer) {
   http::Response response = localReply(statusOf(answer), forwarded.id);
   const bool closed = forwarded.refusals.commonest() == engines::EngineRefusal::kZoneClosed;
@@ -133,13 +103,7 @@
   co_await writer.send(std::move(response));
 }
 
-const suspects::request_key& Forwarder::keyOf(ForwardedRequest& forwarded,
-                                              const http::Request& message) const {
-  if (!forwarded.key) forwarded.key = suspects::keyOf(forwarded.from.tenant, message);
-  return *forwarded.key;
-}
-
-Task<std::optional<suspects::sent_attempt>> Forwarder::leaveToRun(ForwardedRequest& forwarded,
+Task<std::optional<suspects::sent_attempt>> Forwarder::leaveToRun(forwarded_request& forwarded,
                                                                   bool alone) {
   suspects::sent_attempt attempt;
   forwarded.held = {};
@@ -156,7 +120,7 @@
   co_return std::nullopt;
 }
 
-void Forwarder::settleSuspicion(ForwardedRequest& forwarded, const EngineCall& call,
+void Forwarder::settleSuspicion(forwarded_request& forwarded, const EngineCall& call,
                                 AttemptVerdict verdict, const suspects::sent_attempt& attempt,
                                 bool engine_ended) {
   if (engine_ended) {
@@ -169,7 +133,7 @@
   }
 }
 
-void Forwarder::logAttempt(ForwardedRequest& forwarded, EngineCall& call, AttemptVerdict verdict,
+void Forwarder::logAttempt(forwarded_request& forwarded, EngineCall& call, AttemptVerdict verdict,
                            bool engine_ended) {
   const engines::EngineState* engine = context_.registry.find(call.engine());
   const std::string service = engine == nullptr ? "gone" : engine->record.service.str();
@@ -195,13 +159,13 @@
   }
 }
 
-void Forwarder::recordRun(ForwardedRequest& forwarded, Instant at) {
+void Forwarder::recordRun(forwarded_request& forwarded, Instant at) {
   if (forwarded.recorded || forwarded.internal || forwarded.from.tenant.empty()) return;
   forwarded.recorded = true;
   recorder_.onBegun(forwarded.from.tenant, at);
 }
 
-void Forwarder::recordAttempt(ForwardedRequest& forwarded, const EngineCall& call,
+void Forwarder::recordAttempt(forwarded_request& forwarded, const EngineCall& call,
                               AttemptVerdict verdict) {
   bool ran = verdict == AttemptVerdict::kAnswered || verdict == AttemptVerdict::kBroken;
   if (verdict == AttemptVerdict::kSilent || verdict == AttemptVerdict::kAborted) {
@@ -233,7 +197,7 @@
       .number("cold", cold);
 }
 
-void Forwarder::logEnd(const ForwardedRequest& forwarded, const char* outcome, unsigned status,
+void Forwarder::logEnd(const forwarded_request& forwarded, const char* outcome, unsigned status,
                        const AttemptPolicy& policy) {
   const Instant now = steadyNow();
   const Duration took = now - forwarded.received;
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -8,12 +8,11 @@
 #include "common/event_log.h"
 #include "common/success_sampler.h"
 #include "gateway/forward/attempt_policy.h"
+#include "gateway/forward/forwarded_request.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/http/server.h"
 #include "gateway/metrics/gateway_metrics.h"
-#include "gateway/routing/route_table.h"
 #include "gateway/suspects/suspect_gate.h"
-#include "gateway/tenants/caller.h"
 #include "gateway/usage/run_recorder.h"
 
 namespace linenpier::forward {
@@ -33,24 +32,6 @@
   Duration retry_after_closed = std::chrono::seconds(1);
 };
 
-/// A request on its way. The route belongs to the table, which is kept with it.
-struct ForwardedRequest {
-  routing::RouteTablePtr table;
-  const routing::Route* route = nullptr;
-  const http::Request* request = nullptr;
-  tenants::caller from;
-  std::string id;
-  Instant received{};
-  Instant deadline{};
-  double max_per_slot = 0;  ///< Engines that are fuller are left alone; 0: no limit.
-  bool internal = false;    ///< The system itself sends it, not a client.
-  bool recorded = false;    ///< It was recorded that it began to run.
-  /// Why there was no engine for it when one was last looked for in vain.
-  engines::refusal_tally refusals;
-  std::optional<suspects::request_key> key;  ///< Worked out when it is first needed.
-  suspects::verdict held;                    ///< What it was told when it was last a suspect.
-};
-
 /// Loop thread only.
 class Forwarder : public internal_requests {
  public:
@@ -88,53 +69,45 @@
     int failures = 0;                      ///< Attempts that engines answered with 500.
   };
 
-  Task<void> servePlain(std::shared_ptr<ForwardedRequest> forwarded, http::ResponseWriter& writer);
-  Task<plain_outcome> runAttempts(std::shared_ptr<ForwardedRequest> forwarded,
+  Task<void> servePlain(std::shared_ptr<forwarded_request> forwarded, http::ResponseWriter& writer);
+  Task<plain_outcome> runAttempts(std::shared_ptr<forwarded_request> forwarded,
                                   AttemptPolicy& policy, http::Cancellation& cancellation);
   Task<void> runAttempt(std::shared_ptr<Race> race, std::shared_ptr<EngineCall> call,
-                        std::shared_ptr<ForwardedRequest> forwarded,
+                        std::shared_ptr<forwarded_request> forwarded,
                         suspects::sent_attempt attempt);
   /// @return whether there was an engine for it.
-  bool startAttempt(const std::shared_ptr<ForwardedRequest>& forwarded,
+  bool startAttempt(const std::shared_ptr<forwarded_request>& forwarded,
                     const std::shared_ptr<Race>& race, const suspects::sent_attempt& attempt);
-  /// @param message the request, or a copy that an attempt has sent: attempts may outlive the
-  ///     request itself.
-  /// @return its key, worked out once.
-  const suspects::request_key& keyOf(ForwardedRequest& forwarded,
-                                     const http::Request& message) const;
   /// Asks whether an attempt may be sent, of nearly all requests without a wait.
   /// @param alone whether no other attempt of the request runs.
   /// @return nothing if not: `held` then tells why.
-  Task<std::optional<suspects::sent_attempt>> leaveToRun(ForwardedRequest& forwarded, bool alone);
+  Task<std::optional<suspects::sent_attempt>> leaveToRun(forwarded_request& forwarded, bool alone);
   /// Tells what an attempt has shown of the request.
-  void settleSuspicion(ForwardedRequest& forwarded, const EngineCall& call, AttemptVerdict verdict,
+  void settleSuspicion(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict,
                        const suspects::sent_attempt& attempt, bool engine_ended);
-  Task<void> serveStream(ForwardedRequest& forwarded, http::ResponseWriter& writer);
-  Task<AttemptVerdict> relay(ForwardedRequest& forwarded, EngineCall& call, StreamState& state,
+  Task<void> serveStream(forwarded_request& forwarded, http::ResponseWriter& writer);
+  Task<AttemptVerdict> relay(forwarded_request& forwarded, EngineCall& call, StreamState& state,
                              http::ResponseWriter& writer);
   /// Passes on the head of an engine's stream.
   Task<bool> beginClientStream(EngineCall& call, http::ResponseWriter& writer);
-  Task<void> answerFinally(ForwardedRequest& forwarded, FinalAnswer answer,
+  Task<void> answerFinally(forwarded_request& forwarded, FinalAnswer answer,
                            http::ResponseWriter& writer);
 
-  const engines::EngineState* pickEngine(ForwardedRequest& forwarded,
+  const engines::EngineState* pickEngine(forwarded_request& forwarded,
                                          const std::set<EngineId>& tried);
-  const engines::EngineState* pickFrom(const ForwardedRequest& forwarded,
+  const engines::EngineState* pickFrom(const forwarded_request& forwarded,
                                        engines::PickRequest& wanted);
   /// @return where the request may be served.
-  fleet::data_residency residencyOf(const ForwardedRequest& forwarded) const;
-  http::Request outgoing(const ForwardedRequest& forwarded, Instant now) const;
-  Instant deadlineOf(const routing::Route& route, const http::Request& request,
-                     Instant received) const;
-  void logEnd(const ForwardedRequest& forwarded, const char* outcome, unsigned status,
+  fleet::data_residency residencyOf(const forwarded_request& forwarded) const;
+  void logEnd(const forwarded_request& forwarded, const char* outcome, unsigned status,
               const AttemptPolicy& policy);
   /// Adds how many engines there are for the route, and how many of them get nothing.
   void addEngineCounts(const routing::Route& route, Instant now, logging::LogEvent& event) const;
   /// An engine began to run the request.
-  void recordRun(ForwardedRequest& forwarded, Instant at);
+  void recordRun(forwarded_request& forwarded, Instant at);
   /// Records a run if this end of an attempt tells of one.
-  void recordAttempt(ForwardedRequest& forwarded, const EngineCall& call, AttemptVerdict verdict);
-  void logAttempt(ForwardedRequest& forwarded, EngineCall& call, AttemptVerdict verdict,
+  void recordAttempt(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict);
+  void logAttempt(forwarded_request& forwarded, EngineCall& call, AttemptVerdict verdict,
                   bool engine_ended);
 
   boost::asio::io_context& loop_;
