--- /dev/null
+++ b/src/gateway/forward/engine_choice.h
@@ -0,0 +1,50 @@
+#pragma once
+
+/** @file
+ * Chooses the engine for an attempt of a client's or an internal request.
+ *
+ * Decides only over the services of the route; which engine of a service is admitted, and which of
+ * those is best, is the registry's job. Loop thread only.
+ */
+
+#include <functional>
+#include <set>
+
+#include "gateway/engines/engine_registry.h"
+#include "gateway/forward/forwarded_request.h"
+
+namespace linenpier::forward {
+
+class engine_choice {
+ public:
+  engine_choice(engines::EngineRegistry& registry, const FieldNames& names,
+                routing::weighted_round_robin& round_robin)
+      : registry_(registry), names_(names), round_robin_(round_robin) {}
+
+  /** From now on the residency of the newest table binds, also for requests that came under an
+   * older one.
+   */
+  void followResidency(std::function<routing::RouteTablePtr()> newest) {
+    this->newest_ = std::move(newest);
+  }
+
+  /** Asks the service whose turn it is, then the route's other services, then, for a request that
+   * has tried no engine yet, all of them again with ejected engines admitted.
+   * @param tried engines that are not asked again.
+   * @return nullptr if no engine is admitted; `forwarded.refusals` then tells why.
+   */
+  const engines::EngineState* pick(forwarded_request& forwarded, const std::set<EngineId>& tried);
+
+ private:
+  const engines::EngineState* pickFrom(const routing::Route& route, engines::PickRequest& wanted);
+  const engines::EngineState* pickFromAny(Instant now, const routing::Route& route,
+                                          engines::PickRequest& wanted);
+  fleet::data_residency residencyOf(const forwarded_request& forwarded) const;
+
+  engines::EngineRegistry& registry_;
+  const FieldNames& names_;
+  routing::weighted_round_robin& round_robin_;
+  std::function<routing::RouteTablePtr()> newest_;
+};
+
+}  // namespace linenpier::forward
--- a/src/gateway/forward/forward_plain.cpp
+++ b/src/gateway/forward/forward_plain.cpp
@@ -64,7 +64,7 @@
 bool Forwarder::startAttempt(const std::shared_ptr<forwarded_request>& forwarded,
                              const std::shared_ptr<Race>& race,
                              const suspects::sent_attempt& attempt) {
-  const engines::EngineState* engine = pickEngine(*forwarded, race->tried);
+  const engines::EngineState* engine = engine_choice_.pick(*forwarded, race->tried);
   if (engine == nullptr) return false;
   race->tried.insert(engine->record.id);
   const auto call = std::make_shared<EngineCall>(
--- a/src/gateway/forward/forward_stream.cpp
+++ b/src/gateway/forward/forward_stream.cpp
@@ -29,11 +29,11 @@
   while (!writer.cancellation().requested()) {
     const Instant now = steadyNow();
     if (!policy.mayStart(now)) break;
-    const engines::EngineState* engine = pickEngine(forwarded, tried);
+    const engines::EngineState* engine = engine_choice_.pick(forwarded, tried);
     if (engine == nullptr && tried.size() > 1) {
       // Every engine has been asked: one that broke off may still go on, but not the last one.
       tried = {running->engine()};
-      engine = pickEngine(forwarded, tried);
+      engine = engine_choice_.pick(forwarded, tried);
     }
     if (engine == nullptr) break;
     const EngineId chosen = engine->record.id;
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -3,8 +3,6 @@
 #include <boost/beast/http/status.hpp>
 #include <cstdio>
 
-#include "gateway/tenants/residency.h"
-
 namespace linenpier::forward {
 
 namespace {
@@ -47,45 +45,6 @@
   }
 }
 
-fleet::data_residency Forwarder::residencyOf(const forwarded_request& forwarded) const {
-  const routing::RouteTablePtr newest = newest_ ? newest_() : forwarded.table;
-  const std::string target(forwarded.request->target());
-  const std::string path = target.substr(0, target.find('?'));
-  const routing::Route* route = newest->find(http::fieldText(*forwarded.request, "Host"), path);
-  if (route == nullptr) route = forwarded.route;
-  return tenants::residencyOf(*newest, route, forwarded.from.tenant);
-}
-
-const engines::EngineState* Forwarder::pickEngine(forwarded_request& forwarded,
-                                                  const std::set<EngineId>& tried) {
-  engines::PickRequest wanted;
-  wanted.excluded = tried;
-  wanted.max_per_slot = forwarded.max_per_slot;
-  wanted.model = ModelName(http::fieldText(*forwarded.request, context_.names.model));
-  wanted.residency = residencyOf(forwarded);
-  const engines::EngineState* engine = pickFrom(forwarded, wanted);
-  if (engine == nullptr) forwarded.refusals = context_.registry.lastRefusals();
-  return engine;
-}
-
-const engines::EngineState* Forwarder::pickFrom(const forwarded_request& forwarded,
-                                                engines::PickRequest& wanted) {
-  const Instant now = steadyNow();
-  wanted.service = round_robin_.next(*forwarded.route);
-  if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
-  for (const routing::WeightedService& each : forwarded.route->services) {
-    wanted.service = each.service;
-    if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
-  }
-  if (!wanted.excluded.empty()) return nullptr;
-  wanted.desperate = true;
-  for (const routing::WeightedService& each : forwarded.route->services) {
-    wanted.service = each.service;
-    if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
-  }
-  return nullptr;
-}
-
 Task<void> Forwarder::answerFinally(forwarded_request& forwarded, FinalAnswer answer,
                                     http::ResponseWriter& writer) {
   http::Response response = localReply(statusOf(answer), forwarded.id);
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -8,6 +8,7 @@
 #include "common/event_log.h"
 #include "common/success_sampler.h"
 #include "gateway/forward/attempt_policy.h"
+#include "gateway/forward/engine_choice.h"
 #include "gateway/forward/forwarded_request.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/http/server.h"
@@ -41,16 +42,15 @@
             ForwarderOptions options)
       : loop_(loop),
         context_(context),
-        round_robin_(round_robin),
+        engine_choice_(context.registry, context.names, round_robin),
         metrics_(metrics),
         recorder_(recorder),
         suspects_(suspects),
         options_(options) {}
 
-  /// Homes are those of the newest table from now on, also for requests that came under an older
-  /// one.
+  /// See engine_choice.
   void followResidency(std::function<routing::RouteTablePtr()> newest) {
-    newest_ = std::move(newest);
+    engine_choice_.followResidency(std::move(newest));
   }
   /// Answers the request in every case, unless the client is gone.
   Task<void> serve(routing::RouteTablePtr table, const routing::Route& route, tenants::caller from,
@@ -93,12 +93,6 @@
   Task<void> answerFinally(forwarded_request& forwarded, FinalAnswer answer,
                            http::ResponseWriter& writer);
 
-  const engines::EngineState* pickEngine(forwarded_request& forwarded,
-                                         const std::set<EngineId>& tried);
-  const engines::EngineState* pickFrom(const forwarded_request& forwarded,
-                                       engines::PickRequest& wanted);
-  /// @return where the request may be served.
-  fleet::data_residency residencyOf(const forwarded_request& forwarded) const;
   void logEnd(const forwarded_request& forwarded, const char* outcome, unsigned status,
               const AttemptPolicy& policy);
   /// Adds how many engines there are for the route, and how many of them get nothing.
@@ -112,12 +106,11 @@
 
   boost::asio::io_context& loop_;
   EngineCallContext context_;
-  routing::weighted_round_robin& round_robin_;
+  engine_choice engine_choice_;
   metrics::GatewayMetrics& metrics_;
   usage::run_recorder& recorder_;
   suspects::suspect_gate& suspects_;
   ForwarderOptions options_;
-  std::function<routing::RouteTablePtr()> newest_;
   logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
 };
 
