--- /dev/null
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -0,0 +1,40 @@
+#include "gateway/forward/attempt_admission.h"
+
+namespace linenpier::forward {
+
+Task<std::optional<suspects::sent_attempt>> attempt_admission::admit(forwarded_request& forwarded,
+                                                                     bool alone) {
+  suspects::sent_attempt attempt;
+  forwarded.held = {};
+  if (!this->suspects_.any()) co_return attempt;
+  const suspects::request_key key = keyOf(forwarded, *forwarded.request);
+  forwarded.held = this->suspects_.ask(key, suspects::Asker::kCaller);
+  if (forwarded.held.is == suspects::Standing::kClear) co_return attempt;
+  // A second engine beside the first could crash with it.
+  if (!alone) co_return std::nullopt;
+  forwarded.held = co_await this->suspects_.beginTrial(key, suspects::Asker::kCaller, forwarded.id);
+  attempt.ends = forwarded.held.ends;
+  attempt.trial = forwarded.held.is == suspects::Standing::kMayTry;
+  if (attempt.trial || forwarded.held.is == suspects::Standing::kClear) co_return attempt;
+  co_return std::nullopt;
+}
+
+void attempt_admission::onNotSent(const forwarded_request& forwarded,
+                                  const suspects::sent_attempt& attempt) {
+  if (attempt.trial) this->suspects_.onUnproved(*forwarded.key);
+}
+
+void attempt_admission::onEnded(forwarded_request& forwarded, const EngineCall& call,
+                                AttemptVerdict verdict, const suspects::sent_attempt& attempt,
+                                bool engine_ended) {
+  if (engine_ended) {
+    this->suspects_.onEngineEnded(attempt, keyOf(forwarded, call.request()), call.engine(),
+                                  call.startedAt(), suspects::Asker::kCaller, forwarded.id);
+  } else if (verdict != AttemptVerdict::kAnswered) {
+    if (attempt.trial) this->suspects_.onUnproved(keyOf(forwarded, call.request()));
+  } else if (this->suspects_.any()) {
+    this->suspects_.onAnswered(keyOf(forwarded, call.request()));
+  }
+}
+
+}  // namespace linenpier::forward
--- /dev/null
+++ b/src/gateway/forward/attempt_admission.h
@@ -0,0 +1,38 @@
+#pragma once
+
+/** @file
+ * Admits attempts of requests under which engines crashed (suspects), and reports how attempts
+ * ended to those who keep count. Loop thread only.
+ */
+
+#include <optional>
+
+#include "gateway/forward/engine_call.h"
+#include "gateway/forward/forwarded_request.h"
+
+namespace linenpier::forward {
+
+class attempt_admission {
+ public:
+  explicit attempt_admission(suspects::suspect_gate& suspects) : suspects_(suspects) {}
+
+  /** Asks whether an attempt may be sent. Waits only if the request is a suspect.
+   * @param alone whether no other attempt of the request runs: a suspect runs on one engine at a
+   *     time.
+   * @return nothing if not; `forwarded.held` then tells why. An attempt that is admitted must be
+   *     reported by `onEnded`, or by `onNotSent`.
+   */
+  Task<std::optional<suspects::sent_attempt>> admit(forwarded_request& forwarded, bool alone);
+
+  /** An attempt was admitted, but not sent after all. */
+  void onNotSent(const forwarded_request& forwarded, const suspects::sent_attempt& attempt);
+
+  /** @param engine_ended whether the engine's process has ended under the attempt. */
+  void onEnded(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict,
+               const suspects::sent_attempt& attempt, bool engine_ended);
+
+ private:
+  suspects::suspect_gate& suspects_;
+};
+
+}  // namespace linenpier::forward
--- a/src/gateway/forward/forward_plain.cpp
+++ b/src/gateway/forward/forward_plain.cpp
@@ -53,7 +53,7 @@
     ended = co_await call->engineHasEnded();
   }
   logAttempt(*forwarded, *call, result.verdict, ended);
-  settleSuspicion(*forwarded, *call, result.verdict, attempt, ended);
+  admission_.onEnded(*forwarded, *call, result.verdict, attempt, ended);
   // The other engines that run it would end as well.
   if (ended) race->abortAll();
   std::erase(race->running, call);
@@ -98,12 +98,12 @@
     if (now >= forwarded->deadline) break;
     bool exhausted = false;
     if (policy.mayStart(now)) {
-      const auto leave = co_await leaveToRun(*forwarded, policy.running() == 0);
+      const auto leave = co_await admission_.admit(*forwarded, policy.running() == 0);
       // Asking may have taken a moment.
       const bool over = cancellation.requested() || steadyNow() >= forwarded->deadline;
       exhausted = !leave || over || !startAttempt(forwarded, race, *leave);
       if (!exhausted) policy.onStarted(steadyNow());
-      if (exhausted && leave && leave->trial) suspects_.onUnproved(*forwarded->key);
+      if (exhausted && leave) admission_.onNotSent(*forwarded, *leave);
     }
     if (policy.running() == 0) break;
     const Instant look = exhausted ? forwarded->deadline : policy.nextLook();
--- a/src/gateway/forward/forward_stream.cpp
+++ b/src/gateway/forward/forward_stream.cpp
@@ -37,12 +37,12 @@
     }
     if (engine == nullptr) break;
     const EngineId chosen = engine->record.id;
-    const auto leave = co_await leaveToRun(forwarded, true);
+    const auto leave = co_await admission_.admit(forwarded, true);
     if (!leave) break;
     // Asking may have taken a moment.
     engine = context_.registry.find(chosen);
     if (engine == nullptr || writer.cancellation().requested()) {
-      if (leave->trial) suspects_.onUnproved(*forwarded.key);
+      admission_.onNotSent(forwarded, *leave);
       continue;
     }
     tried.insert(engine->record.id);
@@ -57,7 +57,7 @@
       ended = co_await running->engineHasEnded();
     }
     logAttempt(forwarded, *running, verdict, ended);
-    settleSuspicion(forwarded, *running, verdict, *leave, ended);
+    admission_.onEnded(forwarded, *running, verdict, *leave, ended);
     policy.onEnded(verdict);
     if (verdict == AttemptVerdict::kAnswered) {
       writer.cancellation().onRequest(nullptr);
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -21,36 +21,6 @@
   }
 }
 
-Task<std::optional<suspects::sent_attempt>> Forwarder::leaveToRun(forwarded_request& forwarded,
-                                                                  bool alone) {
-  suspects::sent_attempt attempt;
-  forwarded.held = {};
-  if (!suspects_.any()) co_return attempt;
-  const suspects::request_key key = keyOf(forwarded, *forwarded.request);
-  forwarded.held = suspects_.ask(key, suspects::Asker::kCaller);
-  if (forwarded.held.is == suspects::Standing::kClear) co_return attempt;
-  // A second engine beside the first would be lost with it.
-  if (!alone) co_return std::nullopt;
-  forwarded.held = co_await suspects_.beginTrial(key, suspects::Asker::kCaller, forwarded.id);
-  attempt.ends = forwarded.held.ends;
-  attempt.trial = forwarded.held.is == suspects::Standing::kMayTry;
-  if (attempt.trial || forwarded.held.is == suspects::Standing::kClear) co_return attempt;
-  co_return std::nullopt;
-}
-
-void Forwarder::settleSuspicion(forwarded_request& forwarded, const EngineCall& call,
-                                AttemptVerdict verdict, const suspects::sent_attempt& attempt,
-                                bool engine_ended) {
-  if (engine_ended) {
-    suspects_.onEngineEnded(attempt, keyOf(forwarded, call.request()), call.engine(),
-                            call.startedAt(), suspects::Asker::kCaller, forwarded.id);
-  } else if (verdict != AttemptVerdict::kAnswered) {
-    if (attempt.trial) suspects_.onUnproved(keyOf(forwarded, call.request()));
-  } else if (suspects_.any()) {
-    suspects_.onAnswered(keyOf(forwarded, call.request()));
-  }
-}
-
 void Forwarder::logAttempt(forwarded_request& forwarded, EngineCall& call, AttemptVerdict verdict,
                            bool engine_ended) {
   const engines::EngineState* engine = context_.registry.find(call.engine());
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -7,6 +7,7 @@
 
 #include "common/event_log.h"
 #include "common/success_sampler.h"
+#include "gateway/forward/attempt_admission.h"
 #include "gateway/forward/attempt_policy.h"
 #include "gateway/forward/engine_choice.h"
 #include "gateway/forward/forwarded_request.h"
@@ -14,7 +15,6 @@
 #include "gateway/forward/local_replies.h"
 #include "gateway/http/server.h"
 #include "gateway/metrics/gateway_metrics.h"
-#include "gateway/suspects/suspect_gate.h"
 #include "gateway/usage/run_recorder.h"
 
 namespace linenpier::forward {
@@ -43,7 +43,7 @@
         engine_choice_(context.registry, context.names, round_robin),
         metrics_(metrics),
         recorder_(recorder),
-        suspects_(suspects),
+        admission_(suspects),
         replies_(context.names, suspects, options.replies),
         options_(options) {}
 
@@ -79,13 +79,6 @@
   /// @return whether there was an engine for it.
   bool startAttempt(const std::shared_ptr<forwarded_request>& forwarded,
                     const std::shared_ptr<Race>& race, const suspects::sent_attempt& attempt);
-  /// Asks whether an attempt may be sent, of nearly all requests without a wait.
-  /// @param alone whether no other attempt of the request runs.
-  /// @return nothing if not: `held` then tells why.
-  Task<std::optional<suspects::sent_attempt>> leaveToRun(forwarded_request& forwarded, bool alone);
-  /// Tells what an attempt has shown of the request.
-  void settleSuspicion(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict,
-                       const suspects::sent_attempt& attempt, bool engine_ended);
   Task<void> serveStream(forwarded_request& forwarded, http::ResponseWriter& writer);
   Task<AttemptVerdict> relay(forwarded_request& forwarded, EngineCall& call, StreamState& state,
                              http::ResponseWriter& writer);
@@ -107,7 +100,7 @@
   engine_choice engine_choice_;
   metrics::GatewayMetrics& metrics_;
   usage::run_recorder& recorder_;
-  suspects::suspect_gate& suspects_;
+  attempt_admission admission_;
   local_replies replies_;
   ForwarderOptions options_;
   logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
