--- a/src/gateway/forward/forward_plain.cpp
+++ b/src/gateway/forward/forward_plain.cpp
@@ -47,7 +47,7 @@
       context_.registry.onEventTime(steadyNow(), call->engine(), steadyNow() - call->startedAt());
     }
   }
-  recordAttempt(*forwarded, *call, result.verdict);
+  runs_.onAttemptEnded(*forwarded, *call, result.verdict);
   bool ended = false;
   if (result.verdict == AttemptVerdict::kBroken) {
     ended = co_await call->engineHasEnded();
--- a/src/gateway/forward/forward_stream.cpp
+++ b/src/gateway/forward/forward_stream.cpp
@@ -111,7 +111,7 @@
     co_return AttemptVerdict::kAnswered;
   }
   // A stream begins to run with its first token, which its head comes with.
-  recordRun(forwarded, steadyNow());
+  runs_.onRun(forwarded, steadyNow());
   EventParser parser(context_.names.weight_versions);
   std::vector<StreamEvent> events;
   while (!call.finished()) {
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -47,23 +47,6 @@
   }
 }
 
-void Forwarder::recordRun(forwarded_request& forwarded, Instant at) {
-  if (forwarded.recorded || forwarded.internal || forwarded.from.tenant.empty()) return;
-  forwarded.recorded = true;
-  recorder_.onBegun(forwarded.from.tenant, at);
-}
-
-void Forwarder::recordAttempt(forwarded_request& forwarded, const EngineCall& call,
-                              AttemptVerdict verdict) {
-  bool ran = verdict == AttemptVerdict::kAnswered || verdict == AttemptVerdict::kBroken;
-  if (verdict == AttemptVerdict::kSilent || verdict == AttemptVerdict::kAborted) {
-    // An engine that answered others meanwhile was not dark: it ran this one, too.
-    const engines::EngineState* engine = context_.registry.find(call.engine());
-    ran = engine != nullptr && engine->load_at > call.startedAt();
-  }
-  if (ran) recordRun(forwarded, call.startedAt());
-}
-
 void Forwarder::addEngineCounts(const routing::Route& route, Instant now,
                                 logging::LogEvent& event) const {
   int known = 0;
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -13,9 +13,9 @@
 #include "gateway/forward/forwarded_request.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/forward/local_replies.h"
+#include "gateway/forward/run_reports.h"
 #include "gateway/http/server.h"
 #include "gateway/metrics/gateway_metrics.h"
-#include "gateway/usage/run_recorder.h"
 
 namespace linenpier::forward {
 
@@ -42,7 +42,7 @@
         context_(context),
         engine_choice_(context.registry, context.names, round_robin),
         metrics_(metrics),
-        recorder_(recorder),
+        runs_(context.registry, recorder),
         admission_(suspects),
         replies_(context.names, suspects, options.replies),
         options_(options) {}
@@ -88,10 +88,6 @@
               const AttemptPolicy& policy);
   /// Adds how many engines there are for the route, and how many of them get nothing.
   void addEngineCounts(const routing::Route& route, Instant now, logging::LogEvent& event) const;
-  /// An engine began to run the request.
-  void recordRun(forwarded_request& forwarded, Instant at);
-  /// Records a run if this end of an attempt tells of one.
-  void recordAttempt(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict);
   void logAttempt(forwarded_request& forwarded, EngineCall& call, AttemptVerdict verdict,
                   bool engine_ended);
 
@@ -99,7 +95,7 @@
   EngineCallContext context_;
   engine_choice engine_choice_;
   metrics::GatewayMetrics& metrics_;
-  usage::run_recorder& recorder_;
+  run_reports runs_;
   attempt_admission admission_;
   local_replies replies_;
   ForwarderOptions options_;
--- /dev/null
+++ b/src/gateway/forward/run_reports.cpp
@@ -0,0 +1,34 @@
+#include "gateway/forward/run_reports.h"
+
+namespace linenpier::forward {
+
+void run_reports::onRun(forwarded_request& forwarded, Instant at) {
+  if (forwarded.recorded || forwarded.internal || forwarded.from.tenant.empty()) return;
+  forwarded.recorded = true;
+  this->recorder_.onBegun(forwarded.from.tenant, at);
+}
+
+void run_reports::onAttemptEnded(forwarded_request& forwarded, const EngineCall& call,
+                                 AttemptVerdict verdict) {
+  if (this->hasRun(call, verdict)) this->onRun(forwarded, call.startedAt());
+}
+
+bool run_reports::hasRun(const EngineCall& call, AttemptVerdict verdict) const {
+  switch (verdict) {
+    case AttemptVerdict::kAnswered:
+    case AttemptVerdict::kBroken:
+      return true;
+    case AttemptVerdict::kSilent:
+    case AttemptVerdict::kAborted: {
+      // An engine that answered other requests meanwhile was reachable, so it ran this one, too.
+      const engines::EngineState* engine = this->registry_.find(call.engine());
+      return engine != nullptr && engine->load_at > call.startedAt();
+    }
+    case AttemptVerdict::kNotExecuted:
+    case AttemptVerdict::kUnreachable:
+      return false;
+  }
+  return false;
+}
+
+}  // namespace linenpier::forward
