--- a/src/gateway/forward/forward_plain.cpp
+++ b/src/gateway/forward/forward_plain.cpp
@@ -52,7 +52,7 @@
   if (result.verdict == AttemptVerdict::kBroken) {
     ended = co_await call->engineHasEnded();
   }
-  logAttempt(*forwarded, *call, result.verdict, ended);
+  log_.onAttemptEnded(*forwarded, *call, result.verdict, ended);
   admission_.onEnded(*forwarded, *call, result.verdict, attempt, ended);
   // The other engines that run it would end as well.
   if (ended) race->abortAll();
@@ -121,17 +121,17 @@
   AttemptPolicy policy(*forwarded->route, forwarded->deadline);
   plain_outcome outcome = co_await runAttempts(forwarded, policy, writer.cancellation());
   if (writer.cancellation().requested()) {
-    logEnd(*forwarded, "client_gone", 0, policy);
+    log_.onRequestEnded(*forwarded, "client_gone", 0, policy);
     co_return;
   }
   if (!outcome.answer) {
     const FinalAnswer final_answer = policy.finalAnswer(steadyNow());
-    logEnd(*forwarded, "own_answer", statusOf(final_answer), policy);
+    log_.onRequestEnded(*forwarded, "own_answer", statusOf(final_answer), policy);
     http::Response response = replies_.makeFinal(*forwarded, final_answer);
     co_await writer.send(std::move(response));
     co_return;
   }
-  logEnd(*forwarded, "answered", outcome.answer->result_int(), policy);
+  log_.onRequestEnded(*forwarded, "answered", outcome.answer->result_int(), policy);
   co_await writer.send(std::move(*outcome.answer));
 }
 
@@ -158,7 +158,8 @@
     outcome.signature = http::fieldText(*plain.answer, context_.names.signature);
   }
   if (!request.cancellation->requested()) {
-    logEnd(*forwarded, plain.answer ? "answered" : "no_answer", outcome.status, policy);
+    log_.onRequestEnded(*forwarded, plain.answer ? "answered" : "no_answer", outcome.status,
+                        policy);
   }
   co_return outcome;
 }
--- a/src/gateway/forward/forward_stream.cpp
+++ b/src/gateway/forward/forward_stream.cpp
@@ -56,12 +56,12 @@
     if (verdict == AttemptVerdict::kBroken) {
       ended = co_await running->engineHasEnded();
     }
-    logAttempt(forwarded, *running, verdict, ended);
+    log_.onAttemptEnded(forwarded, *running, verdict, ended);
     admission_.onEnded(forwarded, *running, verdict, *leave, ended);
     policy.onEnded(verdict);
     if (verdict == AttemptVerdict::kAnswered) {
       writer.cancellation().onRequest(nullptr);
-      logEnd(forwarded, "answered", running->status(), policy);
+      log_.onRequestEnded(forwarded, "answered", running->status(), policy);
       co_return;
     }
     // What a client holds of a stream can only go on where the route allows it.
@@ -70,16 +70,16 @@
   writer.cancellation().onRequest(nullptr);
   running.reset();
   if (writer.cancellation().requested()) {
-    logEnd(forwarded, "client_gone", 0, policy);
+    log_.onRequestEnded(forwarded, "client_gone", 0, policy);
     co_return;
   }
   if (state.head_sent) {
-    logEnd(forwarded, "broken_off", 0, policy);
+    log_.onRequestEnded(forwarded, "broken_off", 0, policy);
     writer.breakOff();
     co_return;
   }
   const FinalAnswer final_answer = policy.finalAnswer(steadyNow());
-  logEnd(forwarded, "own_answer", statusOf(final_answer), policy);
+  log_.onRequestEnded(forwarded, "own_answer", statusOf(final_answer), policy);
   http::Response response = replies_.makeFinal(forwarded, final_answer);
   co_await writer.send(std::move(response));
 }
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -5,25 +5,18 @@
 
 #include <functional>
 
-#include "common/event_log.h"
-#include "common/success_sampler.h"
 #include "gateway/forward/attempt_admission.h"
 #include "gateway/forward/attempt_policy.h"
 #include "gateway/forward/engine_choice.h"
 #include "gateway/forward/forwarded_request.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/forward/local_replies.h"
+#include "gateway/forward/request_log.h"
 #include "gateway/forward/run_reports.h"
 #include "gateway/http/server.h"
-#include "gateway/metrics/gateway_metrics.h"
 
 namespace linenpier::forward {
 
-/// Lines about answered requests that a daemon writes in full each second, and one in how many
-/// then.
-inline constexpr std::uint32_t kFullLinesPerSecond = 50;
-inline constexpr std::uint32_t kSampleOneIn = 20;
-
 struct ForwarderOptions {
   Duration connect_time = std::chrono::milliseconds(200);
   /// A resumable stream that says nothing for this long goes on elsewhere.
@@ -41,7 +34,7 @@
       : loop_(loop),
         context_(context),
         engine_choice_(context.registry, context.names, round_robin),
-        metrics_(metrics),
+        log_(context.registry, metrics),
         runs_(context.registry, recorder),
         admission_(suspects),
         replies_(context.names, suspects, options.replies),
@@ -84,22 +77,14 @@
                              http::ResponseWriter& writer);
   /// Passes on the head of an engine's stream.
   Task<bool> beginClientStream(EngineCall& call, http::ResponseWriter& writer);
-  void logEnd(const forwarded_request& forwarded, const char* outcome, unsigned status,
-              const AttemptPolicy& policy);
-  /// Adds how many engines there are for the route, and how many of them get nothing.
-  void addEngineCounts(const routing::Route& route, Instant now, logging::LogEvent& event) const;
-  void logAttempt(forwarded_request& forwarded, EngineCall& call, AttemptVerdict verdict,
-                  bool engine_ended);
-
   boost::asio::io_context& loop_;
   EngineCallContext context_;
   engine_choice engine_choice_;
-  metrics::GatewayMetrics& metrics_;
+  request_log log_;
   run_reports runs_;
   attempt_admission admission_;
   local_replies replies_;
   ForwarderOptions options_;
-  logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
 };
 
 }  // namespace linenpier::forward
--- /dev/null
+++ b/src/gateway/forward/request_log.h
@@ -0,0 +1,47 @@
+#pragma once
+
+/** @file
+ * Log lines and metrics of requests and of their attempts. Loop thread only.
+ */
+
+#include "common/event_log.h"
+#include "common/success_sampler.h"
+#include "gateway/engines/engine_registry.h"
+#include "gateway/forward/attempt_policy.h"
+#include "gateway/forward/forwarded_request.h"
+#include "gateway/metrics/gateway_metrics.h"
+
+namespace linenpier::forward {
+
+/** Lines about successes that are all written each second; of more, one in `kSampleOneIn` is. */
+inline constexpr std::uint32_t kFullLinesPerSecond = 50;
+inline constexpr std::uint32_t kSampleOneIn = 20;
+
+class request_log {
+ public:
+  request_log(const engines::EngineRegistry& registry, metrics::GatewayMetrics& metrics)
+      : registry_(registry), metrics_(metrics) {}
+
+  /** Writes a line unless the attempt went well: the request's own line tells that.
+   * @param engine_ended whether the engine's process has ended under the attempt.
+   */
+  void onAttemptEnded(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict,
+                      bool engine_ended);
+
+  /** Writes a line; of many successes, a sample.
+   * @param outcome such as "answered", "client_gone".
+   * @param status that the caller gets; 0: none.
+   */
+  void onRequestEnded(const forwarded_request& forwarded, const char* outcome, unsigned status,
+                      const AttemptPolicy& policy);
+
+ private:
+  /** Adds how many engines the route has, and how many of them are sent nothing or little. */
+  void addEngineCounts(const routing::Route& route, Instant now, logging::LogEvent& event) const;
+
+  const engines::EngineRegistry& registry_;
+  metrics::GatewayMetrics& metrics_;
+  logging::SuccessSampler successes_{kFullLinesPerSecond, kSampleOneIn};
+};
+
+}  // namespace linenpier::forward
