--- /dev/null
+++ b/src/gateway/forward/attempt_race.cpp
@@ -0,0 +1,65 @@
+#include "gateway/forward/attempt_race.h"
+
+namespace linenpier::forward {
+
+bool attempt_race::start(const suspects::sent_attempt& attempt) {
+  const engines::EngineState* engine = this->context_.choice.pick(*this->forwarded_, this->tried_);
+  if (engine == nullptr) return false;
+  this->tried_.insert(engine->record.id);
+  const EngineCallContext& engines = this->context_.engines;
+  const auto call = std::make_shared<EngineCall>(
+      engines, *engine, engineMessage(engines.names, *this->forwarded_, steadyNow()));
+  this->running_.push_back(call);
+  spawn(this->context_.loop,
+        [self = this->shared_from_this(), call, attempt] { return self->run(call, attempt); });
+  return true;
+}
+
+Task<void> attempt_race::run(std::shared_ptr<EngineCall> call, suspects::sent_attempt attempt) {
+  const auto self = this->shared_from_this();
+  result ended;
+  ended.verdict = co_await this->readAnswer(*call, ended.response);
+  this->context_.runs.onAttemptEnded(*this->forwarded_, *call, ended.verdict);
+  bool engine_ended = false;
+  if (ended.verdict == AttemptVerdict::kBroken) {
+    engine_ended = co_await call->engineHasEnded();
+  }
+  this->context_.log.onAttemptEnded(*this->forwarded_, *call, ended.verdict, engine_ended);
+  this->context_.admission.onEnded(*this->forwarded_, *call, ended.verdict, attempt, engine_ended);
+  // The other engines that run the request could crash as well.
+  if (engine_ended) this->abortAll();
+  std::erase(this->running_, call);
+  this->results_.push_back(std::move(ended));
+  this->changed_.notifyAll();
+}
+
+Task<AttemptVerdict> attempt_race::readAnswer(EngineCall& call, http::Response& response) {
+  const Instant deadline = this->forwarded_->deadline;
+  AttemptLimits limits{steadyNow() + this->context_.timeouts.connect, deadline};
+  const AttemptVerdict started = co_await call.start(limits);
+  if (started != AttemptVerdict::kAnswered) co_return started;
+  const AttemptVerdict read = co_await call.readWhole(response.body(), deadline);
+  if (read != AttemptVerdict::kAnswered) co_return read;
+  response.result(call.status());
+  response.reason(call.head().reason());
+  http::copyEndToEndFields(call.head(), response);
+  const Instant now = steadyNow();
+  this->context_.engines.registry.onEventTime(now, call.engine(), now - call.startedAt());
+  co_return read;
+}
+
+std::vector<attempt_race::result> attempt_race::takeResults() {
+  std::vector<result> taken = std::move(this->results_);
+  this->results_.clear();
+  return taken;
+}
+
+Task<void> attempt_race::waitForChange(Duration limit) {
+  if (this->results_.empty()) co_await this->changed_.waitFor(limit);
+}
+
+void attempt_race::abortAll() {
+  for (const auto& call : this->running_) call->abort();
+}
+
+}  // namespace linenpier::forward
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -1,24 +1,42 @@
 #include "gateway/forward/forwarder.h"
 
+#include "gateway/forward/stream_session.h"
+
 namespace linenpier::forward {
 
+Forwarder::Forwarder(boost::asio::io_context& loop, EngineCallContext engines,
+                     routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
+                     usage::run_recorder& recorder, suspects::suspect_gate& suspects)
+    : choice_(engines.registry, engines.names, round_robin),
+      admission_(suspects),
+      replies_(engines.names, suspects, {}),
+      log_(engines.registry, metrics),
+      runs_(engines.registry, recorder),
+      context_{loop, engines, choice_, admission_, replies_, log_, runs_, {}},
+      plain_(context_) {}
+
 Task<void> Forwarder::serve(routing::RouteTablePtr table, const routing::Route& route,
                             tenants::caller from, const http::Request& request, Instant received,
                             http::ResponseWriter& writer) {
-  const auto shared = std::make_shared<forwarded_request>();
-  forwarded_request& forwarded = *shared;
-  forwarded.table = std::move(table);
-  forwarded.route = &route;
-  forwarded.request = &request;
-  forwarded.from = std::move(from);
-  forwarded.id = http::fieldText(request, context_.names.request_id);
-  forwarded.received = received;
-  forwarded.deadline = deadlineOf(context_.names, route, request, received);
+  const FieldNames& names = this->context_.engines.names;
+  const auto forwarded = std::make_shared<forwarded_request>();
+  forwarded->table = std::move(table);
+  forwarded->route = &route;
+  forwarded->request = &request;
+  forwarded->from = std::move(from);
+  forwarded->id = http::fieldText(request, names.request_id);
+  forwarded->received = received;
+  forwarded->deadline = deadlineOf(names, route, request, received);
   if (route.kind == routing::RequestKind::kStreaming) {
-    co_await serveStream(forwarded, writer);
+    stream_session session(this->context_, *forwarded, writer);
+    co_await session.run();
   } else {
-    co_await servePlain(shared, writer);
+    co_await this->plain_.serve(forwarded, writer);
   }
 }
 
+Task<internal_outcome> Forwarder::send(internal_request request) {
+  return this->plain_.send(std::move(request));
+}
+
 }  // namespace linenpier::forward
--- /dev/null
+++ b/src/gateway/forward/forwarding_context.h
@@ -0,0 +1,32 @@
+#pragma once
+
+/** @file
+ * What requests are served with. The forwarder owns it; it outlives every attempt.
+ */
+
+#include "gateway/forward/attempt_admission.h"
+#include "gateway/forward/engine_choice.h"
+#include "gateway/forward/local_replies.h"
+#include "gateway/forward/request_log.h"
+#include "gateway/forward/run_reports.h"
+
+namespace linenpier::forward {
+
+struct attempt_timeouts {
+  Duration connect = std::chrono::milliseconds(200);
+  /** A resumable stream without an event for this long goes on at another engine. */
+  Duration stream_silence = std::chrono::milliseconds(1500);
+};
+
+struct forwarding_context {
+  boost::asio::io_context& loop;
+  EngineCallContext engines;
+  engine_choice& choice;
+  attempt_admission& admission;
+  local_replies& replies;
+  request_log& log;
+  run_reports& runs;
+  attempt_timeouts timeouts;
+};
+
+}  // namespace linenpier::forward
--- /dev/null
+++ b/src/gateway/forward/stream_session.cpp
@@ -0,0 +1,188 @@
+#include "gateway/forward/stream_session.h"
+
+#include <algorithm>
+#include <boost/beast/http/status.hpp>
+#include <cstdlib>
+
+namespace linenpier::forward {
+
+namespace {
+
+constexpr unsigned kFirstRedirection = 300;
+
+}  // namespace
+
+stream_session::stream_session(const forwarding_context& context, forwarded_request& forwarded,
+                               http::ResponseWriter& writer)
+    : context_(context),
+      forwarded_(forwarded),
+      writer_(writer),
+      policy_(*forwarded.route, forwarded.deadline),
+      resumable_(forwarded.route->resumable) {
+  const std::string resumed_at =
+      http::fieldText(*forwarded.request, context.engines.names.last_event_id);
+  if (!resumed_at.empty()) this->last_event_ = std::strtoull(resumed_at.c_str(), nullptr, 10);
+}
+
+Task<void> stream_session::run() {
+  this->writer_.cancellation().onRequest([this] {
+    if (this->running_) this->running_->abort();
+  });
+  const bool answered = co_await this->runAttempts();
+  this->writer_.cancellation().onRequest(nullptr);
+  if (answered) {
+    const unsigned status = this->running_->status();
+    this->context_.log.onRequestEnded(this->forwarded_, "answered", status, this->policy_);
+    co_return;
+  }
+  this->running_.reset();
+  co_await this->endWithoutAnswer();
+}
+
+Task<bool> stream_session::runAttempts() {
+  while (!this->cancelled()) {
+    const Instant now = steadyNow();
+    if (!this->policy_.mayStart(now)) break;
+    const engines::EngineState* engine = this->chooseEngine();
+    if (engine == nullptr) break;
+    const EngineId chosen = engine->record.id;
+    const auto attempt = co_await this->context_.admission.admit(this->forwarded_, true);
+    if (!attempt) break;
+    // The admission may have taken a moment, in which engines come and go.
+    engine = this->context_.engines.registry.find(chosen);
+    if (engine == nullptr || this->cancelled()) {
+      this->context_.admission.onNotSent(this->forwarded_, *attempt);
+      continue;
+    }
+    this->startCall(now, *engine);
+    const AttemptVerdict verdict = co_await this->finishCall(*attempt);
+    if (verdict == AttemptVerdict::kAnswered) co_return true;
+    // A stream that the client has a part of can only be continued where the route allows it.
+    if (this->head_sent_ && !this->resumable_) break;
+  }
+  co_return false;
+}
+
+const engines::EngineState* stream_session::chooseEngine() {
+  const engines::EngineState* engine = this->context_.choice.pick(this->forwarded_, this->tried_);
+  if (engine != nullptr || this->tried_.size() <= 1) return engine;
+  // Every engine was tried. One that broke off may serve again by now, but not the last one.
+  this->tried_ = {this->running_->engine()};
+  return this->context_.choice.pick(this->forwarded_, this->tried_);
+}
+
+void stream_session::startCall(Instant now, const engines::EngineState& engine) {
+  this->tried_.insert(engine.record.id);
+  const FieldNames& names = this->context_.engines.names;
+  http::Request request = engineMessage(names, this->forwarded_, now);
+  if (this->last_event_) request.set(names.last_event_id, std::to_string(*this->last_event_));
+  this->running_ = std::make_shared<EngineCall>(this->context_.engines, engine, std::move(request));
+  this->policy_.onStarted(now);
+}
+
+Task<AttemptVerdict> stream_session::finishCall(suspects::sent_attempt attempt) {
+  const AttemptVerdict verdict = co_await this->relay();
+  bool engine_ended = false;
+  if (verdict == AttemptVerdict::kBroken) {
+    engine_ended = co_await this->running_->engineHasEnded();
+  }
+  const EngineCall& call = *this->running_;
+  this->context_.log.onAttemptEnded(this->forwarded_, call, verdict, engine_ended);
+  this->context_.admission.onEnded(this->forwarded_, call, verdict, attempt, engine_ended);
+  this->policy_.onEnded(verdict);
+  co_return verdict;
+}
+
+Task<AttemptVerdict> stream_session::relay() {
+  EngineCall& call = *this->running_;
+  AttemptLimits limits{steadyNow() + this->context_.timeouts.connect, this->stepDeadline()};
+  const AttemptVerdict started = co_await call.start(limits);
+  if (started != AttemptVerdict::kAnswered) co_return started;
+  if (call.status() >= kFirstRedirection) {
+    const AttemptVerdict passed = co_await this->relayPlain(call);
+    co_return passed;
+  }
+  // An engine sends the head of a stream with its first token: by then it runs the request.
+  this->context_.runs.onRun(this->forwarded_, steadyNow());
+  const AttemptVerdict passed = co_await this->relayEvents(call);
+  co_return passed;
+}
+
+Task<AttemptVerdict> stream_session::relayPlain(EngineCall& call) {
+  if (this->head_sent_) co_return AttemptVerdict::kBroken;
+  http::Response response;
+  const AttemptVerdict read = co_await call.readWhole(response.body(), this->forwarded_.deadline);
+  if (read != AttemptVerdict::kAnswered) co_return read;
+  response.result(call.status());
+  http::copyEndToEndFields(call.head(), response);
+  co_await this->writer_.send(std::move(response));
+  co_return AttemptVerdict::kAnswered;
+}
+
+Task<AttemptVerdict> stream_session::relayEvents(EngineCall& call) {
+  EventParser parser(this->context_.engines.names.weight_versions);
+  std::vector<StreamEvent> events;
+  while (!call.finished()) {
+    const AttemptVerdict verdict = co_await call.readEvents(parser, events, this->stepDeadline());
+    std::string bytes;
+    if (!this->takeEvents(events, bytes)) co_return AttemptVerdict::kBroken;
+    if (!bytes.empty()) {
+      const bool begun = co_await this->beginStreamOnce(call);
+      if (!begun) co_return AttemptVerdict::kAborted;
+      const bool written = co_await this->writer_.writeChunk(std::move(bytes));
+      if (!written) co_return AttemptVerdict::kAborted;
+    }
+    if (verdict != AttemptVerdict::kAnswered) co_return verdict;
+  }
+  if (!parser.rest().empty()) co_return AttemptVerdict::kBroken;
+  const bool begun = co_await this->beginStreamOnce(call);
+  if (!begun) co_return AttemptVerdict::kAborted;
+  co_await this->writer_.endStream();
+  co_return AttemptVerdict::kAnswered;
+}
+
+bool stream_session::takeEvents(const std::vector<StreamEvent>& events, std::string& bytes) {
+  for (const StreamEvent& event : events) {
+    const bool out_of_order =
+        this->resumable_ && event.id && this->last_event_ && *event.id != *this->last_event_ + 1;
+    if (out_of_order) return false;
+    if (event.id) this->last_event_ = event.id;
+    bytes += event.raw;
+  }
+  return true;
+}
+
+Task<bool> stream_session::beginStreamOnce(EngineCall& call) {
+  if (this->head_sent_) co_return true;
+  this->head_sent_ = true;
+  http::ResponseHead head;
+  head.result(call.status());
+  http::copyEndToEndFields(call.head(), head);
+  const bool begun = co_await this->writer_.beginStream(std::move(head));
+  co_return begun;
+}
+
+Task<void> stream_session::endWithoutAnswer() {
+  if (this->cancelled()) {
+    this->context_.log.onRequestEnded(this->forwarded_, "client_gone", 0, this->policy_);
+    co_return;
+  }
+  if (this->head_sent_) {
+    this->context_.log.onRequestEnded(this->forwarded_, "broken_off", 0, this->policy_);
+    this->writer_.breakOff();
+    co_return;
+  }
+  const FinalAnswer final_answer = this->policy_.finalAnswer(steadyNow());
+  const unsigned status = statusOf(final_answer);
+  this->context_.log.onRequestEnded(this->forwarded_, "own_answer", status, this->policy_);
+  http::Response response = this->context_.replies.makeFinal(this->forwarded_, final_answer);
+  co_await this->writer_.send(std::move(response));
+}
+
+Instant stream_session::stepDeadline() const {
+  const Instant deadline = this->forwarded_.deadline;
+  if (!this->resumable_) return deadline;
+  return std::min<Instant>(steadyNow() + this->context_.timeouts.stream_silence, deadline);
+}
+
+}  // namespace linenpier::forward
