--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -137,12 +137,12 @@
   suspects::sent_attempt attempt;
   if (!deps_.suspects.any()) return attempt;
   const std::string id = active.run.job().items[item].id.str();
-  const suspects::verdict told =
-      deps_.suspects.beginOwnTrial(keyOf(active, item), suspects::Asker::kItem, id);
+  const suspects::suspect_admission told =
+      deps_.suspects.beginOwnTrial(keyOf(active, item), suspects::RequestSource::kItem, id);
   attempt.ends = told.ends;
-  attempt.trial = told.is == suspects::Standing::kMayTry;
-  if (attempt.trial || told.is == suspects::Standing::kClear) return attempt;
-  const bool tried = told.is == suspects::Standing::kTried;
+  attempt.trial = told.state == suspects::AdmissionState::kMayRunAlone;
+  if (attempt.trial || told.state == suspects::AdmissionState::kNotSuspect) return attempt;
+  const bool tried = told.state == suspects::AdmissionState::kRunning;
   const Duration wait = std::min(told.wait, tried ? kTriedPause : kHeldPause);
   active.run.onHeld(item, steadyNow() + wait);
   return std::nullopt;
@@ -153,7 +153,8 @@
                                    const suspects::sent_attempt& attempt, bool engine_ended) {
   if (engine_ended) {
     deps_.suspects.onEngineEnded(attempt, keyOf(active, item), call.engine(), call.startedAt(),
-                                 suspects::Asker::kItem, active.run.job().items[item].id.str());
+                                 suspects::RequestSource::kItem,
+                                 active.run.job().items[item].id.str());
   } else if (verdict != AttemptVerdict::kAnswered) {
     if (attempt.trial) deps_.suspects.onUnproved(keyOf(active, item));
   } else if (deps_.suspects.any()) {
--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -8,14 +8,16 @@
   forwarded.held = {};
   if (!this->suspects_.any()) co_return attempt;
   const suspects::request_key key = keyOf(forwarded, *forwarded.request);
-  forwarded.held = this->suspects_.ask(key, suspects::Asker::kCaller);
-  if (forwarded.held.is == suspects::Standing::kClear) co_return attempt;
+  forwarded.held = this->suspects_.ask(key, suspects::RequestSource::kCaller);
+  if (forwarded.held.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
   // A second engine beside the first could crash with it.
   if (!alone) co_return std::nullopt;
-  forwarded.held = co_await this->suspects_.beginTrial(key, suspects::Asker::kCaller, forwarded.id);
+  forwarded.held =
+      co_await this->suspects_.beginTrial(key, suspects::RequestSource::kCaller, forwarded.id);
   attempt.ends = forwarded.held.ends;
-  attempt.trial = forwarded.held.is == suspects::Standing::kMayTry;
-  if (attempt.trial || forwarded.held.is == suspects::Standing::kClear) co_return attempt;
+  attempt.trial = forwarded.held.state == suspects::AdmissionState::kMayRunAlone;
+  if (attempt.trial || forwarded.held.state == suspects::AdmissionState::kNotSuspect)
+    co_return attempt;
   co_return std::nullopt;
 }
 
@@ -29,7 +31,7 @@
                                 bool engine_ended) {
   if (engine_ended) {
     this->suspects_.onEngineEnded(attempt, keyOf(forwarded, call.request()), call.engine(),
-                                  call.startedAt(), suspects::Asker::kCaller, forwarded.id);
+                                  call.startedAt(), suspects::RequestSource::kCaller, forwarded.id);
   } else if (verdict != AttemptVerdict::kAnswered) {
     if (attempt.trial) this->suspects_.onUnproved(keyOf(forwarded, call.request()));
   } else if (this->suspects_.any()) {
--- a/src/gateway/forward/local_replies.cpp
+++ b/src/gateway/forward/local_replies.cpp
@@ -50,11 +50,11 @@
     response.set(this->names_.retry_after, secondsText(this->options_.retry_after_closed));
   }
   if (forwarded.key) {
-    forwarded.held = this->suspects_.ask(*forwarded.key, suspects::Asker::kCaller);
+    forwarded.held = this->suspects_.ask(*forwarded.key, suspects::RequestSource::kCaller);
   }
   // Also set on 502 and 504: an earlier retry could not run. A suspect that runs just now is
   // cleared soon if it is innocent, so its caller may retry as usual.
-  const bool tried = forwarded.held.is == suspects::Standing::kTried;
+  const bool tried = forwarded.held.state == suspects::AdmissionState::kRunning;
   if (!tried && forwarded.held.wait > this->options_.retry_after) {
     response.set(this->names_.retry_after, secondsText(forwarded.held.wait));
   }
--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -18,17 +18,17 @@
 
 }  // namespace
 
-const char* toText(Standing value) {
+const char* toText(AdmissionState value) {
   switch (value) {
-    case Standing::kClear:
+    case AdmissionState::kNotSuspect:
       return "clear";
-    case Standing::kMayTry:
+    case AdmissionState::kMayRunAlone:
       return "may_try";
-    case Standing::kTried:
+    case AdmissionState::kRunning:
       return "tried_now";
-    case Standing::kMustWait:
+    case AdmissionState::kMustWait:
       return "must_wait";
-    case Standing::kBarred:
+    case AdmissionState::kBarred:
       return "barred";
   }
   return "unknown";
@@ -56,8 +56,8 @@
   return at == this->entries_.end() ? 0 : at->second.ends;
 }
 
-verdict suspect_book::ask(Instant now, const request_key& key, Asker who) const {
-  verdict told;
+suspect_admission suspect_book::ask(Instant now, const request_key& key, RequestSource who) const {
+  suspect_admission told;
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || at->second.ends == 0) return told;
   const entry& known = at->second;
@@ -65,21 +65,21 @@
   told.ends = known.ends;
   told.evidence = now - known.last_at;
   Instant free_at = known.last_at + this->barFor(known.ends);
-  told.is = Standing::kBarred;
+  told.state = AdmissionState::kBarred;
   const bool more_trials = known.ends < this->rules_.proof + this->rules_.item_trials;
-  if (who == Asker::kItem && known.ends > 1 && more_trials) {
+  if (who == RequestSource::kItem && known.ends > 1 && more_trials) {
     free_at = known.last_at + this->rules_.item_pause;
-    told.is = Standing::kMustWait;
+    told.state = AdmissionState::kMustWait;
   } else if (known.ends > 1 && known.ends < this->rules_.proof) {
     free_at = known.last_at + this->rules_.trial_pause;
-    told.is = Standing::kMustWait;
+    told.state = AdmissionState::kMustWait;
   }
   if (now < free_at) {
     told.wait = free_at - now;
     return told;
   }
   const bool tried = !known.tried_by.empty() && now < known.tried_until;
-  told.is = tried ? Standing::kTried : Standing::kMayTry;
+  told.state = tried ? AdmissionState::kRunning : AdmissionState::kMayRunAlone;
   if (tried) told.wait = known.tried_until - now;
   return told;
 }
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_book.h
@@ -45,19 +45,19 @@
   std::size_t most = 4096;
 };
 
-enum class Standing {
-  kClear,     ///< Nothing is known against it.
-  kMayTry,    ///< It may run, alone.
-  kTried,     ///< It runs somewhere; its turn may come when that is over.
-  kMustWait,  ///< It ended two engines lately.
-  kBarred,    ///< It ended as many as prove what it does.
+enum class AdmissionState {
+  kNotSuspect,   ///< Nothing is known against it.
+  kMayRunAlone,  ///< It may run, alone.
+  kRunning,      ///< It runs somewhere; its turn may come when that is over.
+  kMustWait,     ///< It ended two engines lately.
+  kBarred,       ///< It ended as many as prove what it does.
 };
 
-const char* toText(Standing value);
+const char* toText(AdmissionState value);
 
 /** What a request that wants to run is told. */
-struct verdict {
-  Standing is = Standing::kClear;
+struct suspect_admission {
+  AdmissionState state = AdmissionState::kNotSuspect;
   int ends = 0;
   Duration wait{};      ///< Until asking again may help; zero if it may run.
   Duration evidence{};  ///< The age of the last end.
@@ -65,7 +65,7 @@
 
 /** Who asks. An item is asked for again by its owner until it is listed, a caller's request is not.
  */
-enum class Asker { kCaller, kItem };
+enum class RequestSource { kCaller, kItem };
 
 /** Loop thread only; times are passed in. */
 class suspect_book {
@@ -77,7 +77,7 @@
   std::size_t barred(Instant now) const;
   const suspect_rules& rules() const { return this->rules_; }
 
-  verdict ask(Instant now, const request_key& key, Asker who) const;
+  suspect_admission ask(Instant now, const request_key& key, RequestSource who) const;
   /** @return ends known of the request: what an attempt knows when it is sent. */
   int endsOf(const request_key& key) const;
 
--- a/src/gateway/suspects/suspect_gate.h
+++ b/src/gateway/suspects/suspect_gate.h
@@ -26,21 +26,23 @@
   /** @return whether any request is suspected. If not, no key need be worked out. */
   virtual bool any() const = 0;
   /** @return what is known of a request; kClear for nearly all. */
-  virtual verdict ask(const request_key& key, Asker who) const = 0;
+  virtual suspect_admission ask(const request_key& key, RequestSource who) const = 0;
   /** Takes the right to run a suspect alone, of all daemons. Asks the store, unless it is away.
    * @param id of the request, for the log.
    * @return kMayTry if it was given: the end of the trial must be told then. kClear if it is no
    *     suspect any more.
    */
-  virtual Task<verdict> beginTrial(request_key key, Asker who, std::string id) = 0;
+  virtual Task<suspect_admission> beginTrial(request_key key, RequestSource who,
+                                             std::string id) = 0;
   /** The same by what this daemon knows, for what no other daemon sends meanwhile. */
-  virtual verdict beginOwnTrial(const request_key& key, Asker who, const std::string& id) = 0;
+  virtual suspect_admission beginOwnTrial(const request_key& key, RequestSource who,
+                                          const std::string& id) = 0;
 
   /** An engine ended under an attempt.
    * @param id of the request, for the log.
    */
   virtual void onEngineEnded(const sent_attempt& attempt, const request_key& key,
-                             const EngineId& engine, Instant sent_at, Asker who,
+                             const EngineId& engine, Instant sent_at, RequestSource who,
                              const std::string& id) = 0;
   /** An engine answered it whole, whatever the status: it is none that ends its engines. */
   virtual void onAnswered(const request_key& key) = 0;
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -35,36 +35,39 @@
   spawn(this->deps_.loop, [this] { return this->sweepLoop(); });
 }
 
-verdict suspect_service::ask(const request_key& key, Asker who) const {
+suspect_admission suspect_service::ask(const request_key& key, RequestSource who) const {
   return this->book_.ask(steadyNow(), key, who);
 }
 
 // --- Trials --------------------------------------------------------------------------------------
 
-verdict suspect_service::beginOwnTrial(const request_key& key, Asker who, const std::string& id) {
+suspect_admission suspect_service::beginOwnTrial(const request_key& key, RequestSource who,
+                                                 const std::string& id) {
   const Instant now = steadyNow();
-  const verdict told = this->book_.ask(now, key, who);
-  if (told.is == Standing::kMayTry) {
+  const suspect_admission told = this->book_.ask(now, key, who);
+  if (told.state == AdmissionState::kMayRunAlone) {
     this->book_.onTrial(now, key, this->self());
-  } else if (told.is != Standing::kClear) {
+  } else if (told.state != AdmissionState::kNotSuspect) {
     this->onRefused(told, key, id);
   }
   return told;
 }
 
-Task<verdict> suspect_service::beginTrial(request_key key, Asker who, std::string id) {
-  verdict told;
+Task<suspect_admission> suspect_service::beginTrial(request_key key, RequestSource who,
+                                                    std::string id) {
+  suspect_admission told;
   for (int tries = 0; tries < kClaimTries; ++tries) {
     told = this->beginOwnTrial(key, who, id);
     // Without the store each daemon goes by what it knows: it can't hear of others.
-    if (told.is != Standing::kMayTry || !this->deps_.leases.storeHealthy()) co_return told;
+    if (told.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
+      co_return told;
     this->book_.setShared(key);
     const WriteOutcome outcome = co_await this->claim(key);
     const bool own = this->book_.triedBy(key) == this->self();
     if (outcome != WriteOutcome::kOvertaken || own) co_return told;
   }
   told = this->ask(key, who);
-  if (told.is == Standing::kMayTry) told.is = Standing::kTried;
+  if (told.state == AdmissionState::kMayRunAlone) told.state = AdmissionState::kRunning;
   this->onRefused(told, key, id);
   co_return told;
 }
@@ -86,14 +89,14 @@
   co_return pending->outcome.value_or(WriteOutcome::kNoAnswer);
 }
 
-void suspect_service::onRefused(const verdict& told, const request_key& key,
+void suspect_service::onRefused(const suspect_admission& told, const request_key& key,
                                 const std::string& id) {
   ++this->totals_.refused;
   if (!this->refusal_lines_.admit(steadyNow())) return;
   LogEvent event("suspects", "refused");
   event.text("request", id)
       .text("key", key.str())
-      .text("standing", toText(told.is))
+      .text("standing", toText(told.state))
       .number("ends", told.ends)
       .milliseconds("evidence_age_ms", told.evidence)
       .milliseconds("wait_ms", told.wait);
@@ -105,7 +108,7 @@
 // --- What attempts came to -----------------------------------------------------------------------
 
 void suspect_service::onEngineEnded(const sent_attempt& attempt, const request_key& key,
-                                    const EngineId& engine, Instant sent_at, Asker who,
+                                    const EngineId& engine, Instant sent_at, RequestSource who,
                                     const std::string& id) {
   const Instant now = steadyNow();
   const Duration ran = now - sent_at;
@@ -115,7 +118,7 @@
     ++this->totals_.engines_ended;
     this->book_.onEnded(now, key, engine, attempt.ends);
     // An item is run by its owner alone: its first end tells other daemons nothing.
-    if (who == Asker::kCaller || this->book_.endsOf(key) > 1) this->book_.setShared(key);
+    if (who == RequestSource::kCaller || this->book_.endsOf(key) > 1) this->book_.setShared(key);
   }
   this->changed_.notifyAll();
   LogEvent("suspects", "engine_ended")
@@ -126,7 +129,7 @@
       .text("counts", counts ? "yes" : "ran_too_long")
       .number("known_when_sent", attempt.ends)
       .number("ends", this->book_.endsOf(key))
-      .text("standing", toText(this->ask(key, who).is));
+      .text("standing", toText(this->ask(key, who).state));
 }
 
 void suspect_service::onAnswered(const request_key& key) {
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -52,11 +52,12 @@
   void start();
 
   bool any() const override { return !this->book_.empty(); }
-  verdict ask(const request_key& key, Asker who) const override;
-  Task<verdict> beginTrial(request_key key, Asker who, std::string id) override;
-  verdict beginOwnTrial(const request_key& key, Asker who, const std::string& id) override;
+  suspect_admission ask(const request_key& key, RequestSource who) const override;
+  Task<suspect_admission> beginTrial(request_key key, RequestSource who, std::string id) override;
+  suspect_admission beginOwnTrial(const request_key& key, RequestSource who,
+                                  const std::string& id) override;
   void onEngineEnded(const sent_attempt& attempt, const request_key& key, const EngineId& engine,
-                     Instant sent_at, Asker who, const std::string& id) override;
+                     Instant sent_at, RequestSource who, const std::string& id) override;
   void onAnswered(const request_key& key) override;
   void onUnproved(const request_key& key) override;
 
@@ -88,7 +89,7 @@
   void onConflict(const request_key& key, const std::vector<table::Row>& rows);
   std::int64_t clock() const { return this->deps_.keeper.storeClock(steadyNow()); }
   std::string self() const { return this->deps_.leases.own().str(); }
-  void onRefused(const verdict& told, const request_key& key, const std::string& id);
+  void onRefused(const suspect_admission& told, const request_key& key, const std::string& id);
 
   dependencies deps_;
   suspect_book book_;
--- a/tests/gateway/suspects/suspect_book_test.cpp
+++ b/tests/gateway/suspects/suspect_book_test.cpp
@@ -9,9 +9,9 @@
 // clang-format on
 
 using namespace linenpier;
-using suspects::Asker;
+using suspects::AdmissionState;
 using suspects::request_key;
-using suspects::Standing;
+using suspects::RequestSource;
 using suspects::suspect_book;
 using suspects::suspect_record;
 
@@ -35,8 +35,9 @@
   return book;
 }
 
-Standing standingAt(const suspect_book& book, double seconds, Asker who = Asker::kCaller) {
-  return book.ask(at(seconds), kKey, who).is;
+AdmissionState standingAt(const suspect_book& book, double seconds,
+                          RequestSource who = RequestSource::kCaller) {
+  return book.ask(at(seconds), kKey, who).state;
 }
 
 }  // namespace
@@ -44,54 +45,55 @@
 Test(suspect_book, a_request_under_which_no_engine_ended_is_clear) {
   const suspect_book book;
   cr_assert(book.empty());
-  cr_assert(standingAt(book, 0) == Standing::kClear);
+  cr_assert(standingAt(book, 0) == AdmissionState::kNotSuspect);
 }
 
 Test(suspect_book, the_first_end_makes_it_run_alone) {
   suspect_book book = bookAfter(1);
-  cr_assert(standingAt(book, 0.01) == Standing::kMayTry);
+  cr_assert(standingAt(book, 0.01) == AdmissionState::kMayRunAlone);
   book.onTrial(at(0.01), kKey, "a");
-  cr_assert(standingAt(book, 0.02) == Standing::kTried);
-  cr_assert(standingAt(book, 3.02) == Standing::kMayTry, "a trial that takes long keeps nobody");
+  cr_assert(standingAt(book, 0.02) == AdmissionState::kRunning);
+  cr_assert(standingAt(book, 3.02) == AdmissionState::kMayRunAlone,
+            "a trial that takes long keeps nobody");
   book.onTrialEnded(kKey, "b");
-  cr_assert(standingAt(book, 0.02) == Standing::kTried, "another daemon's trial");
+  cr_assert(standingAt(book, 0.02) == AdmissionState::kRunning, "another daemon's trial");
   book.onTrialEnded(kKey, "a");
-  cr_assert(standingAt(book, 0.02) == Standing::kMayTry);
+  cr_assert(standingAt(book, 0.02) == AdmissionState::kMayRunAlone);
 }
 
 Test(suspect_book, after_the_second_end_it_waits_until_engines_are_back) {
   const suspect_book book = bookAfter(2);
-  cr_assert(standingAt(book, 1.1) == Standing::kMustWait);
-  cr_assert(standingAt(book, 5.9) == Standing::kMustWait);
-  cr_assert(standingAt(book, 6.0) == Standing::kMayTry);
+  cr_assert(standingAt(book, 1.1) == AdmissionState::kMustWait);
+  cr_assert(standingAt(book, 5.9) == AdmissionState::kMustWait);
+  cr_assert(standingAt(book, 6.0) == AdmissionState::kMayRunAlone);
 }
 
 Test(suspect_book, the_third_bars_it_and_each_further_one_doubles_that) {
   suspect_book book = bookAfter(3);
-  const auto told = book.ask(at(2.5), kKey, Asker::kCaller);
-  cr_assert(told.is == Standing::kBarred);
+  const auto told = book.ask(at(2.5), kKey, RequestSource::kCaller);
+  cr_assert(told.state == AdmissionState::kBarred);
   cr_assert_eq(told.ends, 3);
   cr_assert(told.evidence == fromSeconds(0.5));
   cr_assert(told.wait == 10 * kMinute - fromSeconds(0.5));
-  cr_assert(standingAt(book, 2 + 599) == Standing::kBarred);
-  cr_assert(standingAt(book, 2 + 600) == Standing::kMayTry);
+  cr_assert(standingAt(book, 2 + 599) == AdmissionState::kBarred);
+  cr_assert(standingAt(book, 2 + 600) == AdmissionState::kMayRunAlone);
   book.onEnded(at(602), kKey, engine(9), 3);
-  cr_assert(standingAt(book, 602 + 1199) == Standing::kBarred);
-  cr_assert(standingAt(book, 602 + 1200) == Standing::kMayTry);
+  cr_assert(standingAt(book, 602 + 1199) == AdmissionState::kBarred);
+  cr_assert(standingAt(book, 602 + 1200) == AdmissionState::kMayRunAlone);
 }
 
 Test(suspect_book, suspicion_is_forgotten) {
-  cr_assert(standingAt(bookAfter(1), 599) == Standing::kMayTry);
-  cr_assert(standingAt(bookAfter(1), 600) == Standing::kClear);
-  cr_assert(standingAt(bookAfter(3), 2 + 1199) == Standing::kMayTry);
-  cr_assert(standingAt(bookAfter(3), 2 + 1200) == Standing::kClear);
+  cr_assert(standingAt(bookAfter(1), 599) == AdmissionState::kMayRunAlone);
+  cr_assert(standingAt(bookAfter(1), 600) == AdmissionState::kNotSuspect);
+  cr_assert(standingAt(bookAfter(3), 2 + 1199) == AdmissionState::kMayRunAlone);
+  cr_assert(standingAt(bookAfter(3), 2 + 1200) == AdmissionState::kNotSuspect);
 }
 
 Test(suspect_book, attempts_that_ran_side_by_side_count_once) {
   suspect_book book;
   for (int i = 0; i < 8; ++i) book.onEnded(at(0), kKey, engine(i), 0);
   cr_assert_eq(book.endsOf(kKey), 1, "a zone that loses power ends all its engines at once");
-  cr_assert(standingAt(book, 0.1) == Standing::kMayTry);
+  cr_assert(standingAt(book, 0.1) == AdmissionState::kMayRunAlone);
 }
 
 Test(suspect_book, an_answer_clears_whoever_stood_beside_and_what_was_sent_before_counts_anew) {
@@ -104,12 +106,12 @@
 
 Test(suspect_book, an_item_is_tried_twice_more_within_what_a_job_bears) {
   suspect_book book = bookAfter(3);
-  cr_assert(standingAt(book, 5.9, Asker::kItem) == Standing::kMustWait);
-  cr_assert(standingAt(book, 6, Asker::kItem) == Standing::kMayTry);
+  cr_assert(standingAt(book, 5.9, RequestSource::kItem) == AdmissionState::kMustWait);
+  cr_assert(standingAt(book, 6, RequestSource::kItem) == AdmissionState::kMayRunAlone);
   book.onEnded(at(6), kKey, engine(3), 3);
-  cr_assert(standingAt(book, 10, Asker::kItem) == Standing::kMayTry);
+  cr_assert(standingAt(book, 10, RequestSource::kItem) == AdmissionState::kMayRunAlone);
   book.onEnded(at(10), kKey, engine(4), 4);
-  cr_assert(standingAt(book, 60, Asker::kItem) == Standing::kBarred);
+  cr_assert(standingAt(book, 60, RequestSource::kItem) == AdmissionState::kBarred);
 }
 
 Test(suspect_book, rows_of_others_are_joined_with_what_was_seen_here) {
@@ -121,7 +123,7 @@
   book.onRow(at(1), 10000, kKey, 5, row);
   cr_assert_eq(book.endsOf(kKey), 2);
   cr_assert_eq(book.revisionOf(kKey), Revision{5});
-  cr_assert(book.ask(at(1), kKey, Asker::kCaller).evidence == fromSeconds(1));
+  cr_assert(book.ask(at(1), kKey, RequestSource::kCaller).evidence == fromSeconds(1));
   const suspect_record joined = book.record(at(1), 10000, kKey);
   cr_assert_eq(joined.engines.size(), 2U);
   cr_assert_eq(joined.last_ms, 9000);
@@ -177,7 +179,7 @@
   book.onRow(at(0), 10000, kKey, 5, row);
   row.ends = 3;
   book.onTold(at(0), 10000, kKey, 5, row);
-  cr_assert(standingAt(book, 1) == Standing::kBarred);
+  cr_assert(standingAt(book, 1) == AdmissionState::kBarred);
 }
 
 Test(suspect_book, a_flood_of_ever_new_requests_drops_those_with_least_against_them) {
