--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -138,10 +138,10 @@
   if (!deps_.suspects.any()) return attempt;
   const std::string id = active.run.job().items[item].id.str();
   const suspects::suspect_admission told =
-      deps_.suspects.beginOwnTrial(keyOf(active, item), suspects::RequestSource::kItem, id);
+      deps_.suspects.beginOwnIsolatedRun(keyOf(active, item), suspects::RequestSource::kItem, id);
   attempt.ends = told.ends;
-  attempt.trial = told.state == suspects::AdmissionState::kMayRunAlone;
-  if (attempt.trial || told.state == suspects::AdmissionState::kNotSuspect) return attempt;
+  attempt.isolated = told.state == suspects::AdmissionState::kMayRunAlone;
+  if (attempt.isolated || told.state == suspects::AdmissionState::kNotSuspect) return attempt;
   const bool tried = told.state == suspects::AdmissionState::kRunning;
   const Duration wait = std::min(told.wait, tried ? kTriedPause : kHeldPause);
   active.run.onHeld(item, steadyNow() + wait);
@@ -156,7 +156,7 @@
                                  suspects::RequestSource::kItem,
                                  active.run.job().items[item].id.str());
   } else if (verdict != AttemptVerdict::kAnswered) {
-    if (attempt.trial) deps_.suspects.onUnproved(keyOf(active, item));
+    if (attempt.isolated) deps_.suspects.onInconclusive(keyOf(active, item));
   } else if (deps_.suspects.any()) {
     deps_.suspects.onAnswered(keyOf(active, item));
   }
--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -8,22 +8,22 @@
   forwarded.held = {};
   if (!this->suspects_.any()) co_return attempt;
   const suspects::request_key key = keyOf(forwarded, *forwarded.request);
-  forwarded.held = this->suspects_.ask(key, suspects::RequestSource::kCaller);
+  forwarded.held = this->suspects_.admissionOf(key, suspects::RequestSource::kCaller);
   if (forwarded.held.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
   // A second engine beside the first could crash with it.
   if (!alone) co_return std::nullopt;
-  forwarded.held =
-      co_await this->suspects_.beginTrial(key, suspects::RequestSource::kCaller, forwarded.id);
+  forwarded.held = co_await this->suspects_.beginIsolatedRun(key, suspects::RequestSource::kCaller,
+                                                             forwarded.id);
   attempt.ends = forwarded.held.ends;
-  attempt.trial = forwarded.held.state == suspects::AdmissionState::kMayRunAlone;
-  if (attempt.trial || forwarded.held.state == suspects::AdmissionState::kNotSuspect)
+  attempt.isolated = forwarded.held.state == suspects::AdmissionState::kMayRunAlone;
+  if (attempt.isolated || forwarded.held.state == suspects::AdmissionState::kNotSuspect)
     co_return attempt;
   co_return std::nullopt;
 }
 
 void attempt_admission::onNotSent(const forwarded_request& forwarded,
                                   const suspects::sent_attempt& attempt) {
-  if (attempt.trial) this->suspects_.onUnproved(*forwarded.key);
+  if (attempt.isolated) this->suspects_.onInconclusive(*forwarded.key);
 }
 
 void attempt_admission::onEnded(forwarded_request& forwarded, const EngineCall& call,
@@ -33,7 +33,7 @@
     this->suspects_.onEngineEnded(attempt, keyOf(forwarded, call.request()), call.engine(),
                                   call.startedAt(), suspects::RequestSource::kCaller, forwarded.id);
   } else if (verdict != AttemptVerdict::kAnswered) {
-    if (attempt.trial) this->suspects_.onUnproved(keyOf(forwarded, call.request()));
+    if (attempt.isolated) this->suspects_.onInconclusive(keyOf(forwarded, call.request()));
   } else if (this->suspects_.any()) {
     this->suspects_.onAnswered(keyOf(forwarded, call.request()));
   }
--- a/src/gateway/forward/local_replies.cpp
+++ b/src/gateway/forward/local_replies.cpp
@@ -50,7 +50,7 @@
     response.set(this->names_.retry_after, secondsText(this->options_.retry_after_closed));
   }
   if (forwarded.key) {
-    forwarded.held = this->suspects_.ask(*forwarded.key, suspects::RequestSource::kCaller);
+    forwarded.held = this->suspects_.admissionOf(*forwarded.key, suspects::RequestSource::kCaller);
   }
   // Also set on 502 and 504: an earlier retry could not run. A suspect that runs just now is
   // cleared soon if it is innocent, so its caller may retry as usual.
--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -56,7 +56,8 @@
   return at == this->entries_.end() ? 0 : at->second.ends;
 }
 
-suspect_admission suspect_book::ask(Instant now, const request_key& key, RequestSource who) const {
+suspect_admission suspect_book::admissionOf(Instant now, const request_key& key,
+                                            RequestSource who) const {
   suspect_admission told;
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || at->second.ends == 0) return told;
@@ -71,7 +72,7 @@
     free_at = known.last_at + this->rules_.item_pause;
     told.state = AdmissionState::kMustWait;
   } else if (known.ends > 1 && known.ends < this->rules_.proof) {
-    free_at = known.last_at + this->rules_.trial_pause;
+    free_at = known.last_at + this->rules_.retry_backoff;
     told.state = AdmissionState::kMustWait;
   }
   if (now < free_at) {
@@ -126,14 +127,14 @@
   return revision;
 }
 
-void suspect_book::onTrial(Instant now, const request_key& key, const std::string& self) {
+void suspect_book::onIsolatedRun(Instant now, const request_key& key, const std::string& self) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return;
   at->second.tried_by = self;
-  at->second.tried_until = now + this->rules_.max_trial;
+  at->second.tried_until = now + this->rules_.isolated_run_timeout;
 }
 
-void suspect_book::onTrialEnded(const request_key& key, const std::string& self) {
+void suspect_book::onIsolatedRunEnded(const request_key& key, const std::string& self) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || at->second.tried_by != self) return;
   at->second.tried_by.clear();
@@ -149,10 +150,10 @@
   each.ends = std::max(each.ends, record.ends);
   this->addEngines(each, record.engines);
   each.tried_by = record.tried_by;
-  each.tried_until = now + this->rules_.max_trial;
+  each.tried_until = now + this->rules_.isolated_run_timeout;
   if (clock_ms != 0) {
     const auto left = std::chrono::milliseconds(record.tried_until_ms - clock_ms);
-    each.tried_until = now + std::min<Duration>(left, this->rules_.max_trial);
+    each.tried_until = now + std::min<Duration>(left, this->rules_.isolated_run_timeout);
   }
   each.revision = revision;
   each.shared = true;
@@ -199,7 +200,7 @@
   at->second.written = at->second.ends == written.ends && at->second.tried_by == written.tried_by;
 }
 
-std::string suspect_book::triedBy(const request_key& key) const {
+std::string suspect_book::isolatedBy(const request_key& key) const {
   const auto at = this->entries_.find(key);
   return at == this->entries_.end() ? std::string() : at->second.tried_by;
 }
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_book.h
@@ -30,9 +30,9 @@
   /** From the second end to the next trial: until engines that ended are back, so that one request
    * does not hold more than two at a time.
    */
-  Duration trial_pause = std::chrono::seconds(5);
+  Duration retry_backoff = std::chrono::seconds(5);
   /** A trial that takes longer keeps nobody else from trying. */
-  Duration max_trial = std::chrono::seconds(3);
+  Duration isolated_run_timeout = std::chrono::seconds(3);
   /** Suspicion is forgotten this long after the last end, or after the bar is over. */
   Duration memory = std::chrono::minutes(10);
   Duration first_bar = std::chrono::minutes(10);  ///< Doubled with each end after the proof.
@@ -77,7 +77,7 @@
   std::size_t barred(Instant now) const;
   const suspect_rules& rules() const { return this->rules_; }
 
-  suspect_admission ask(Instant now, const request_key& key, RequestSource who) const;
+  suspect_admission admissionOf(Instant now, const request_key& key, RequestSource who) const;
   /** @return ends known of the request: what an attempt knows when it is sent. */
   int endsOf(const request_key& key) const;
 
@@ -90,8 +90,8 @@
   /** An engine answered it whole. @return the revision of its row, 0 if it has none. */
   Revision onCleared(const request_key& key);
   /** This daemon begins to run it alone, or has ended doing so. */
-  void onTrial(Instant now, const request_key& key, const std::string& self);
-  void onTrialEnded(const request_key& key, const std::string& self);
+  void onIsolatedRun(Instant now, const request_key& key, const std::string& self);
+  void onIsolatedRunEnded(const request_key& key, const std::string& self);
 
   /** A row as the store has it.
    * @param clock_ms the store's clock now; 0: not known.
@@ -111,7 +111,7 @@
   suspect_record record(Instant now, std::int64_t clock_ms, const request_key& key) const;
   Revision revisionOf(const request_key& key) const;
   /** @return the daemon's life that runs it alone; empty: none. */
-  std::string triedBy(const request_key& key) const;
+  std::string isolatedBy(const request_key& key) const;
   /** @return requests whose rows must be written, those with most against them first. */
   std::vector<request_key> unwritten(std::size_t most) const;
   /** Other daemons are to know of it. */
--- a/src/gateway/suspects/suspect_gate.h
+++ b/src/gateway/suspects/suspect_gate.h
@@ -14,8 +14,8 @@
 
 /** An attempt as its sender knew the request when it sent it. */
 struct sent_attempt {
-  int ends = 0;        ///< Engines known then to have ended under the request.
-  bool trial = false;  ///< It runs alone, and what it comes to must be told.
+  int ends = 0;           ///< Engines known then to have ended under the request.
+  bool isolated = false;  ///< It runs alone, and what it comes to must be told.
 };
 
 /** Loop thread only. */
@@ -26,17 +26,17 @@
   /** @return whether any request is suspected. If not, no key need be worked out. */
   virtual bool any() const = 0;
   /** @return what is known of a request; kClear for nearly all. */
-  virtual suspect_admission ask(const request_key& key, RequestSource who) const = 0;
+  virtual suspect_admission admissionOf(const request_key& key, RequestSource who) const = 0;
   /** Takes the right to run a suspect alone, of all daemons. Asks the store, unless it is away.
    * @param id of the request, for the log.
    * @return kMayTry if it was given: the end of the trial must be told then. kClear if it is no
    *     suspect any more.
    */
-  virtual Task<suspect_admission> beginTrial(request_key key, RequestSource who,
-                                             std::string id) = 0;
+  virtual Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource who,
+                                                   std::string id) = 0;
   /** The same by what this daemon knows, for what no other daemon sends meanwhile. */
-  virtual suspect_admission beginOwnTrial(const request_key& key, RequestSource who,
-                                          const std::string& id) = 0;
+  virtual suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource who,
+                                                const std::string& id) = 0;
 
   /** An engine ended under an attempt.
    * @param id of the request, for the log.
@@ -47,7 +47,7 @@
   /** An engine answered it whole, whatever the status: it is none that ends its engines. */
   virtual void onAnswered(const request_key& key) = 0;
   /** A trial ended and says nothing: it was refused, stopped, or not answered. */
-  virtual void onUnproved(const request_key& key) = 0;
+  virtual void onInconclusive(const request_key& key) = 0;
 };
 
 }  // namespace linenpier::suspects
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -35,38 +35,38 @@
   spawn(this->deps_.loop, [this] { return this->sweepLoop(); });
 }
 
-suspect_admission suspect_service::ask(const request_key& key, RequestSource who) const {
-  return this->book_.ask(steadyNow(), key, who);
+suspect_admission suspect_service::admissionOf(const request_key& key, RequestSource who) const {
+  return this->book_.admissionOf(steadyNow(), key, who);
 }
 
 // --- Trials --------------------------------------------------------------------------------------
 
-suspect_admission suspect_service::beginOwnTrial(const request_key& key, RequestSource who,
-                                                 const std::string& id) {
+suspect_admission suspect_service::beginOwnIsolatedRun(const request_key& key, RequestSource who,
+                                                       const std::string& id) {
   const Instant now = steadyNow();
-  const suspect_admission told = this->book_.ask(now, key, who);
+  const suspect_admission told = this->book_.admissionOf(now, key, who);
   if (told.state == AdmissionState::kMayRunAlone) {
-    this->book_.onTrial(now, key, this->self());
+    this->book_.onIsolatedRun(now, key, this->self());
   } else if (told.state != AdmissionState::kNotSuspect) {
     this->onRefused(told, key, id);
   }
   return told;
 }
 
-Task<suspect_admission> suspect_service::beginTrial(request_key key, RequestSource who,
-                                                    std::string id) {
+Task<suspect_admission> suspect_service::beginIsolatedRun(request_key key, RequestSource who,
+                                                          std::string id) {
   suspect_admission told;
   for (int tries = 0; tries < kClaimTries; ++tries) {
-    told = this->beginOwnTrial(key, who, id);
+    told = this->beginOwnIsolatedRun(key, who, id);
     // Without the store each daemon goes by what it knows: it can't hear of others.
     if (told.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
       co_return told;
     this->book_.setShared(key);
     const WriteOutcome outcome = co_await this->claim(key);
-    const bool own = this->book_.triedBy(key) == this->self();
+    const bool own = this->book_.isolatedBy(key) == this->self();
     if (outcome != WriteOutcome::kOvertaken || own) co_return told;
   }
-  told = this->ask(key, who);
+  told = this->admissionOf(key, who);
   if (told.state == AdmissionState::kMayRunAlone) told.state = AdmissionState::kRunning;
   this->onRefused(told, key, id);
   co_return told;
@@ -112,7 +112,7 @@
                                     const std::string& id) {
   const Instant now = steadyNow();
   const Duration ran = now - sent_at;
-  if (attempt.trial) this->book_.onTrialEnded(key, this->self());
+  if (attempt.isolated) this->book_.onIsolatedRunEnded(key, this->self());
   const bool counts = ran <= this->book_.rules().max_fatal_run;
   if (counts) {
     ++this->totals_.engines_ended;
@@ -129,7 +129,7 @@
       .text("counts", counts ? "yes" : "ran_too_long")
       .number("known_when_sent", attempt.ends)
       .number("ends", this->book_.endsOf(key))
-      .text("standing", toText(this->ask(key, who).state));
+      .text("standing", toText(this->admissionOf(key, who).state));
 }
 
 void suspect_service::onAnswered(const request_key& key) {
@@ -142,8 +142,8 @@
   spawn(this->deps_.loop, [this, key, revision] { return this->removeRow(key, revision); });
 }
 
-void suspect_service::onUnproved(const request_key& key) {
-  this->book_.onTrialEnded(key, this->self());
+void suspect_service::onInconclusive(const request_key& key) {
+  this->book_.onIsolatedRunEnded(key, this->self());
   this->changed_.notifyAll();
 }
 
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -52,14 +52,15 @@
   void start();
 
   bool any() const override { return !this->book_.empty(); }
-  suspect_admission ask(const request_key& key, RequestSource who) const override;
-  Task<suspect_admission> beginTrial(request_key key, RequestSource who, std::string id) override;
-  suspect_admission beginOwnTrial(const request_key& key, RequestSource who,
-                                  const std::string& id) override;
+  suspect_admission admissionOf(const request_key& key, RequestSource who) const override;
+  Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource who,
+                                           std::string id) override;
+  suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource who,
+                                        const std::string& id) override;
   void onEngineEnded(const sent_attempt& attempt, const request_key& key, const EngineId& engine,
                      Instant sent_at, RequestSource who, const std::string& id) override;
   void onAnswered(const request_key& key) override;
-  void onUnproved(const request_key& key) override;
+  void onInconclusive(const request_key& key) override;
 
   /** Rows as the feed tells them. */
   void onRow(const request_key& key, const table::Row& row);
--- a/tests/gateway/suspects/suspect_book_test.cpp
+++ b/tests/gateway/suspects/suspect_book_test.cpp
@@ -37,7 +37,7 @@
 
 AdmissionState standingAt(const suspect_book& book, double seconds,
                           RequestSource who = RequestSource::kCaller) {
-  return book.ask(at(seconds), kKey, who).state;
+  return book.admissionOf(at(seconds), kKey, who).state;
 }
 
 }  // namespace
@@ -51,13 +51,13 @@
 Test(suspect_book, the_first_end_makes_it_run_alone) {
   suspect_book book = bookAfter(1);
   cr_assert(standingAt(book, 0.01) == AdmissionState::kMayRunAlone);
-  book.onTrial(at(0.01), kKey, "a");
+  book.onIsolatedRun(at(0.01), kKey, "a");
   cr_assert(standingAt(book, 0.02) == AdmissionState::kRunning);
   cr_assert(standingAt(book, 3.02) == AdmissionState::kMayRunAlone,
             "a trial that takes long keeps nobody");
-  book.onTrialEnded(kKey, "b");
+  book.onIsolatedRunEnded(kKey, "b");
   cr_assert(standingAt(book, 0.02) == AdmissionState::kRunning, "another daemon's trial");
-  book.onTrialEnded(kKey, "a");
+  book.onIsolatedRunEnded(kKey, "a");
   cr_assert(standingAt(book, 0.02) == AdmissionState::kMayRunAlone);
 }
 
@@ -70,7 +70,7 @@
 
 Test(suspect_book, the_third_bars_it_and_each_further_one_doubles_that) {
   suspect_book book = bookAfter(3);
-  const auto told = book.ask(at(2.5), kKey, RequestSource::kCaller);
+  const auto told = book.admissionOf(at(2.5), kKey, RequestSource::kCaller);
   cr_assert(told.state == AdmissionState::kBarred);
   cr_assert_eq(told.ends, 3);
   cr_assert(told.evidence == fromSeconds(0.5));
@@ -123,7 +123,7 @@
   book.onRow(at(1), 10000, kKey, 5, row);
   cr_assert_eq(book.endsOf(kKey), 2);
   cr_assert_eq(book.revisionOf(kKey), Revision{5});
-  cr_assert(book.ask(at(1), kKey, RequestSource::kCaller).evidence == fromSeconds(1));
+  cr_assert(book.admissionOf(at(1), kKey, RequestSource::kCaller).evidence == fromSeconds(1));
   const suspect_record joined = book.record(at(1), 10000, kKey);
   cr_assert_eq(joined.engines.size(), 2U);
   cr_assert_eq(joined.last_ms, 9000);
