--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -139,7 +139,7 @@
   const std::string id = active.run.job().items[item].id.str();
   const suspects::suspect_admission told =
       deps_.suspects.beginOwnIsolatedRun(keyOf(active, item), suspects::RequestSource::kItem, id);
-  attempt.ends = told.ends;
+  attempt.crashes = told.crashes;
   attempt.isolated = told.state == suspects::AdmissionState::kMayRunAlone;
   if (attempt.isolated || told.state == suspects::AdmissionState::kNotSuspect) return attempt;
   const bool tried = told.state == suspects::AdmissionState::kRunning;
@@ -152,9 +152,9 @@
                                    const forward::EngineCall& call, AttemptVerdict verdict,
                                    const suspects::sent_attempt& attempt, bool engine_ended) {
   if (engine_ended) {
-    deps_.suspects.onEngineEnded(attempt, keyOf(active, item), call.engine(), call.startedAt(),
-                                 suspects::RequestSource::kItem,
-                                 active.run.job().items[item].id.str());
+    deps_.suspects.onEngineCrashed(attempt, keyOf(active, item), call.engine(), call.startedAt(),
+                                   suspects::RequestSource::kItem,
+                                   active.run.job().items[item].id.str());
   } else if (verdict != AttemptVerdict::kAnswered) {
     if (attempt.isolated) deps_.suspects.onInconclusive(keyOf(active, item));
   } else if (deps_.suspects.any()) {
@@ -169,7 +169,7 @@
   RunTimes times;
   const AttemptVerdict verdict = co_await readItemEvents(*active, item, *call, model_name, times);
   if (verdict == AttemptVerdict::kBroken) {
-    times.engine_ended = co_await call->engineHasEnded();
+    times.engine_ended = co_await call->engineHasCrashed();
   }
   settleSuspicion(*active, item, *call, verdict, attempt, times.engine_ended);
   active->calls.erase(item);
--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -14,7 +14,7 @@
   if (!alone) co_return std::nullopt;
   forwarded.held = co_await this->suspects_.beginIsolatedRun(key, suspects::RequestSource::kCaller,
                                                              forwarded.id);
-  attempt.ends = forwarded.held.ends;
+  attempt.crashes = forwarded.held.crashes;
   attempt.isolated = forwarded.held.state == suspects::AdmissionState::kMayRunAlone;
   if (attempt.isolated || forwarded.held.state == suspects::AdmissionState::kNotSuspect)
     co_return attempt;
@@ -30,8 +30,9 @@
                                 AttemptVerdict verdict, const suspects::sent_attempt& attempt,
                                 bool engine_ended) {
   if (engine_ended) {
-    this->suspects_.onEngineEnded(attempt, keyOf(forwarded, call.request()), call.engine(),
-                                  call.startedAt(), suspects::RequestSource::kCaller, forwarded.id);
+    this->suspects_.onEngineCrashed(attempt, keyOf(forwarded, call.request()), call.engine(),
+                                    call.startedAt(), suspects::RequestSource::kCaller,
+                                    forwarded.id);
   } else if (verdict != AttemptVerdict::kAnswered) {
     if (attempt.isolated) this->suspects_.onInconclusive(keyOf(forwarded, call.request()));
   } else if (this->suspects_.any()) {
--- a/src/gateway/forward/attempt_race.cpp
+++ b/src/gateway/forward/attempt_race.cpp
@@ -22,7 +22,7 @@
   this->context_.runs.onAttemptEnded(*this->forwarded_, *call, ended.verdict);
   bool engine_ended = false;
   if (ended.verdict == AttemptVerdict::kBroken) {
-    engine_ended = co_await call->engineHasEnded();
+    engine_ended = co_await call->engineHasCrashed();
   }
   this->context_.log.onAttemptEnded(*this->forwarded_, *call, ended.verdict, engine_ended);
   this->context_.admission.onEnded(*this->forwarded_, *call, ended.verdict, attempt, engine_ended);
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -70,7 +70,7 @@
   exchange_->abort();
 }
 
-Task<bool> EngineCall::engineHasEnded() {
+Task<bool> EngineCall::engineHasCrashed() {
   const auto self = shared_from_this();
   const http::PeerState state =
       co_await context_.pool.probe(address_, steadyNow() + kEndedCheckTime);
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -66,7 +66,7 @@
   void abort();
   /// Asked after the attempt broke off: whether the engine's process has ended, which is so if its
   /// address refuses connections. One that says nothing may be cut off or stand still.
-  Task<bool> engineHasEnded();
+  Task<bool> engineHasCrashed();
 
   const EngineId& engine() const { return engine_; }
   /// As it was sent.
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -84,7 +84,7 @@
   const AttemptVerdict verdict = co_await this->relay();
   bool engine_ended = false;
   if (verdict == AttemptVerdict::kBroken) {
-    engine_ended = co_await this->running_->engineHasEnded();
+    engine_ended = co_await this->running_->engineHasCrashed();
   }
   const EngineCall& call = *this->running_;
   this->context_.log.onAttemptEnded(this->forwarded_, call, verdict, engine_ended);
--- a/src/gateway/service/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -28,7 +28,7 @@
 void Gateway::addSuspects(Instant now, metrics::GatewayState& state) const {
   state.suspects_known = suspects_.book().size();
   state.suspects_barred = suspects_.book().barred(now);
-  state.suspect_engines_ended = suspects_.totals().engines_ended;
+  state.suspect_engines_ended = suspects_.totals().engine_crashes;
   state.suspect_refusals = suspects_.totals().refused;
   state.suspects_cleared = suspects_.totals().cleared;
 }
--- a/src/gateway/service/gateway_peers.cpp
+++ b/src/gateway/service/gateway_peers.cpp
@@ -209,7 +209,7 @@
   // Zones first: whoever has routes and engines may be sent requests.
   const bool zones_newer = told->zones_revision > zonesRevision();
   if (zones_newer) onZoneTable(told->zones_revision, told->closed_zones, "peer");
-  if (!tells(*coordination_watcher_)) suspects_.onTold(told->suspects);
+  if (!tells(*coordination_watcher_)) suspects_.onPeerRows(told->suspects);
   const bool config_told = !told->configuration.empty();
   if (config_told && !tells(*operator_watcher_)) onConfiguration(told->configuration);
   const bool newer = told->engines_revision > enginesRevision();
--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -34,44 +34,45 @@
   return "unknown";
 }
 
-Duration suspect_book::barFor(int ends) const {
-  if (ends < this->rules_.proof) return Duration::zero();
-  const int doublings = std::min(ends - this->rules_.proof, this->rules_.max_doublings);
+Duration suspect_book::barFor(int crashes) const {
+  if (crashes < this->rules_.crash_threshold) return Duration::zero();
+  const int doublings =
+      std::min(crashes - this->rules_.crash_threshold, this->rules_.max_doublings);
   return this->rules_.first_bar * (1 << doublings);
 }
 
 Instant suspect_book::forgottenAt(const entry& each) const {
-  return each.last_at + this->barFor(each.ends) + this->rules_.memory;
+  return each.last_at + this->barFor(each.crashes) + this->rules_.memory;
 }
 
 std::size_t suspect_book::barred(Instant now) const {
   return static_cast<std::size_t>(
       std::count_if(this->entries_.begin(), this->entries_.end(), [&](const auto& each) {
-        return now < each.second.last_at + this->barFor(each.second.ends);
+        return now < each.second.last_at + this->barFor(each.second.crashes);
       }));
 }
 
-int suspect_book::endsOf(const request_key& key) const {
+int suspect_book::crashesOf(const request_key& key) const {
   const auto at = this->entries_.find(key);
-  return at == this->entries_.end() ? 0 : at->second.ends;
+  return at == this->entries_.end() ? 0 : at->second.crashes;
 }
 
 suspect_admission suspect_book::admissionOf(Instant now, const request_key& key,
                                             RequestSource who) const {
   suspect_admission told;
   const auto at = this->entries_.find(key);
-  if (at == this->entries_.end() || at->second.ends == 0) return told;
+  if (at == this->entries_.end() || at->second.crashes == 0) return told;
   const entry& known = at->second;
   if (now >= this->forgottenAt(known)) return told;
-  told.ends = known.ends;
+  told.crashes = known.crashes;
   told.evidence = now - known.last_at;
-  Instant free_at = known.last_at + this->barFor(known.ends);
+  Instant free_at = known.last_at + this->barFor(known.crashes);
   told.state = AdmissionState::kBarred;
-  const bool more_trials = known.ends < this->rules_.proof + this->rules_.item_trials;
-  if (who == RequestSource::kItem && known.ends > 1 && more_trials) {
+  const bool more_trials = known.crashes < this->rules_.crash_threshold + this->rules_.item_trials;
+  if (who == RequestSource::kItem && known.crashes > 1 && more_trials) {
     free_at = known.last_at + this->rules_.item_pause;
     told.state = AdmissionState::kMustWait;
-  } else if (known.ends > 1 && known.ends < this->rules_.proof) {
+  } else if (known.crashes > 1 && known.crashes < this->rules_.crash_threshold) {
     free_at = known.last_at + this->rules_.retry_backoff;
     told.state = AdmissionState::kMustWait;
   }
@@ -87,7 +88,7 @@
 
 void suspect_book::addEngines(entry& into, const std::vector<EngineId>& engines) const {
   for (const EngineId& each : engines) {
-    if (into.engines.size() >= kEnginesKept) return;
+    if (into.engines.size() >= kMaxEnginesKept) return;
     const bool known =
         std::find(into.engines.begin(), into.engines.end(), each) != into.engines.end();
     if (!known) into.engines.push_back(each);
@@ -95,22 +96,23 @@
 }
 
 void suspect_book::dropOne() {
-  const auto least = std::min_element(this->entries_.begin(), this->entries_.end(),
-                                      [](const auto& one, const auto& other) {
-                                        return std::pair(one.second.ends, one.second.last_at) <
-                                               std::pair(other.second.ends, other.second.last_at);
-                                      });
+  const auto least = std::min_element(
+      this->entries_.begin(), this->entries_.end(), [](const auto& one, const auto& other) {
+        return std::pair(one.second.crashes, one.second.last_at) <
+               std::pair(other.second.crashes, other.second.last_at);
+      });
   if (least != this->entries_.end()) this->entries_.erase(least);
 }
 
-bool suspect_book::onEnded(Instant now, const request_key& key, const EngineId& engine, int known) {
+bool suspect_book::onEngineCrashed(Instant now, const request_key& key, const EngineId& engine,
+                                   int known) {
   const bool is_new = !this->entries_.contains(key);
-  if (is_new && this->entries_.size() >= this->rules_.most) this->dropOne();
+  if (is_new && this->entries_.size() >= this->rules_.max_entries) this->dropOne();
   entry& each = this->entries_[key];
   // What was cleared since the attempt was sent does not count any more.
-  const int counted = std::min(known, each.ends) + 1;
-  const bool news = counted > each.ends;
-  each.ends = std::max(each.ends, counted);
+  const int counted = std::min(known, each.crashes) + 1;
+  const bool news = counted > each.crashes;
+  each.crashes = std::max(each.crashes, counted);
   this->addEngines(each, {engine});
   if (news) {
     each.last_at = now;
@@ -145,9 +147,9 @@
                          Revision revision, const suspect_record& record) {
   entry& each = this->entries_[key];
   if (revision <= each.revision) return;
-  const bool knew_more = each.ends > record.ends;
-  if (record.ends >= each.ends) each.last_at = pastInstant(now, clock_ms, record.last_ms);
-  each.ends = std::max(each.ends, record.ends);
+  const bool knew_more = each.crashes > record.ends;
+  if (record.ends >= each.crashes) each.last_at = pastInstant(now, clock_ms, record.last_ms);
+  each.crashes = std::max(each.crashes, record.ends);
   this->addEngines(each, record.engines);
   each.tried_by = record.tried_by;
   each.tried_until = now + this->rules_.isolated_run_timeout;
@@ -160,14 +162,14 @@
   each.written = !knew_more;
 }
 
-void suspect_book::onTold(Instant now, std::int64_t clock_ms, const request_key& key,
-                          Revision revision, const suspect_record& record) {
+void suspect_book::onPeerRow(Instant now, std::int64_t clock_ms, const request_key& key,
+                             Revision revision, const suspect_record& record) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || revision > at->second.revision) {
     this->onRow(now, clock_ms, key, revision, record);
     return;
   }
-  at->second.ends = std::max(at->second.ends, record.ends);
+  at->second.crashes = std::max(at->second.crashes, record.ends);
   this->addEngines(at->second, record.engines);
 }
 
@@ -188,7 +190,7 @@
     return;
   }
   // Cleared by another daemon's answer, but ended one more engine here: that stands for itself.
-  at->second.ends = 1;
+  at->second.crashes = 1;
   at->second.revision = 0;
 }
 
@@ -197,7 +199,8 @@
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || revision <= at->second.revision) return;
   at->second.revision = revision;
-  at->second.written = at->second.ends == written.ends && at->second.tried_by == written.tried_by;
+  at->second.written =
+      at->second.crashes == written.ends && at->second.tried_by == written.tried_by;
 }
 
 std::string suspect_book::isolatedBy(const request_key& key) const {
@@ -211,7 +214,7 @@
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return record;
   const entry& each = at->second;
-  record.ends = each.ends;
+  record.ends = each.crashes;
   record.engines = each.engines;
   record.last_ms = clock_ms - toMilliseconds(now - each.last_at);
   record.tried_by = each.tried_by;
@@ -230,13 +233,13 @@
 std::vector<request_key> suspect_book::worst(std::size_t most, Fits fits) const {
   std::vector<std::pair<int, request_key>> found;
   for (const auto& [key, each] : this->entries_) {
-    if (fits(each)) found.emplace_back(-each.ends, key);
+    if (fits(each)) found.emplace_back(-each.crashes, key);
   }
   std::sort(found.begin(), found.end());
   if (found.size() > most) found.resize(most);
   std::vector<request_key> keys;
   keys.reserve(found.size());
-  for (auto& [ends, key] : found) keys.push_back(std::move(key));
+  for (auto& [crashes, key] : found) keys.push_back(std::move(key));
   return keys;
 }
 
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_book.h
@@ -22,11 +22,11 @@
 
 struct suspect_rules {
   /** Ends in a row after which a request is barred: what the users take as proof. */
-  int proof = 3;
+  int crash_threshold = 3;
   /** An engine that ran a request for longer did not end of beginning it. Ends were seen 40 to 120
    * ms after the sending; an engine that is slow and full takes a second more.
    */
-  Duration max_fatal_run = std::chrono::seconds(3);
+  Duration max_run_before_crash = std::chrono::seconds(3);
   /** From the second end to the next trial: until engines that ended are back, so that one request
    * does not hold more than two at a time.
    */
@@ -42,7 +42,7 @@
   /** … at such distances: less than the 5 s after which an item counts as lost. */
   Duration item_pause = std::chrono::seconds(4);
   /** Requests that are remembered; 0.5 KB each. Those with least against them go first. */
-  std::size_t most = 4096;
+  std::size_t max_entries = 4096;
 };
 
 enum class AdmissionState {
@@ -58,7 +58,7 @@
 /** What a request that wants to run is told. */
 struct suspect_admission {
   AdmissionState state = AdmissionState::kNotSuspect;
-  int ends = 0;
+  int crashes = 0;
   Duration wait{};      ///< Until asking again may help; zero if it may run.
   Duration evidence{};  ///< The age of the last end.
 };
@@ -79,14 +79,14 @@
 
   suspect_admission admissionOf(Instant now, const request_key& key, RequestSource who) const;
   /** @return ends known of the request: what an attempt knows when it is sent. */
-  int endsOf(const request_key& key) const;
+  int crashesOf(const request_key& key) const;
 
   /** An engine ended under an attempt.
    * @param known ends known when the attempt was sent. Attempts that knew of the same ends ran side
    *     by side, wherever they were sent.
    * @return whether that was news.
    */
-  bool onEnded(Instant now, const request_key& key, const EngineId& engine, int known);
+  bool onEngineCrashed(Instant now, const request_key& key, const EngineId& engine, int known);
   /** An engine answered it whole. @return the revision of its row, 0 if it has none. */
   Revision onCleared(const request_key& key);
   /** This daemon begins to run it alone, or has ended doing so. */
@@ -102,8 +102,8 @@
   /** The whole table was read: what is not `present` was removed before `as_of`. */
   void onTableRead(const std::set<request_key>& present, Revision as_of);
   /** What another daemon knows, which may be more than its row. */
-  void onTold(Instant now, std::int64_t clock_ms, const request_key& key, Revision revision,
-              const suspect_record& record);
+  void onPeerRow(Instant now, std::int64_t clock_ms, const request_key& key, Revision revision,
+                 const suspect_record& record);
   /** A write of the record was done. @param written what was written. */
   void onWritten(const request_key& key, Revision revision, const suspect_record& written);
 
@@ -129,7 +129,7 @@
 
  private:
   struct entry {
-    int ends = 0;
+    int crashes = 0;
     std::vector<EngineId> engines;
     Instant last_at{};
     std::string tried_by;
@@ -139,7 +139,7 @@
     bool written = false;   ///< Its row has all of the above.
   };
 
-  Duration barFor(int ends) const;
+  Duration barFor(int crashes) const;
   Instant forgottenAt(const entry& each) const;
   void addEngines(entry& into, const std::vector<EngineId>& engines) const;
   /** Makes room for one more. */
--- a/src/gateway/suspects/suspect_gate.h
+++ b/src/gateway/suspects/suspect_gate.h
@@ -14,7 +14,7 @@
 
 /** An attempt as its sender knew the request when it sent it. */
 struct sent_attempt {
-  int ends = 0;           ///< Engines known then to have ended under the request.
+  int crashes = 0;        ///< Of engines under the request, as known when it was sent.
   bool isolated = false;  ///< It runs alone, and what it comes to must be told.
 };
 
@@ -41,9 +41,9 @@
   /** An engine ended under an attempt.
    * @param id of the request, for the log.
    */
-  virtual void onEngineEnded(const sent_attempt& attempt, const request_key& key,
-                             const EngineId& engine, Instant sent_at, RequestSource who,
-                             const std::string& id) = 0;
+  virtual void onEngineCrashed(const sent_attempt& attempt, const request_key& key,
+                               const EngineId& engine, Instant sent_at, RequestSource who,
+                               const std::string& id) = 0;
   /** An engine answered it whole, whatever the status: it is none that ends its engines. */
   virtual void onAnswered(const request_key& key) = 0;
   /** A trial ended and says nothing: it was refused, stopped, or not answered. */
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -22,7 +22,7 @@
 constexpr int kRemoveTries = 3;
 constexpr std::size_t kRowsAtOnce = 32;
 /** That a daemon without the store is told each 0.3 s: 80 KB. */
-constexpr std::size_t kRowsTold = 256;
+constexpr std::size_t kMaxRowsSent = 256;
 constexpr Duration kSweepPeriod = std::chrono::seconds(10);
 constexpr std::size_t kRemovedPerSweep = 20;
 /** Rows that are too old are left to other daemons for up to so long, so that one removes them. */
@@ -97,7 +97,7 @@
   event.text("request", id)
       .text("key", key.str())
       .text("standing", toText(told.state))
-      .number("ends", told.ends)
+      .number("ends", told.crashes)
       .milliseconds("evidence_age_ms", told.evidence)
       .milliseconds("wait_ms", told.wait);
   if (const auto skipped = this->refusal_lines_.takeSkipped()) {
@@ -107,18 +107,18 @@
 
 // --- What attempts came to -----------------------------------------------------------------------
 
-void suspect_service::onEngineEnded(const sent_attempt& attempt, const request_key& key,
-                                    const EngineId& engine, Instant sent_at, RequestSource who,
-                                    const std::string& id) {
+void suspect_service::onEngineCrashed(const sent_attempt& attempt, const request_key& key,
+                                      const EngineId& engine, Instant sent_at, RequestSource who,
+                                      const std::string& id) {
   const Instant now = steadyNow();
   const Duration ran = now - sent_at;
   if (attempt.isolated) this->book_.onIsolatedRunEnded(key, this->self());
-  const bool counts = ran <= this->book_.rules().max_fatal_run;
+  const bool counts = ran <= this->book_.rules().max_run_before_crash;
   if (counts) {
-    ++this->totals_.engines_ended;
-    this->book_.onEnded(now, key, engine, attempt.ends);
+    ++this->totals_.engine_crashes;
+    this->book_.onEngineCrashed(now, key, engine, attempt.crashes);
     // An item is run by its owner alone: its first end tells other daemons nothing.
-    if (who == RequestSource::kCaller || this->book_.endsOf(key) > 1) this->book_.setShared(key);
+    if (who == RequestSource::kCaller || this->book_.crashesOf(key) > 1) this->book_.setShared(key);
   }
   this->changed_.notifyAll();
   LogEvent("suspects", "engine_ended")
@@ -127,17 +127,17 @@
       .text("engine", engine.str())
       .milliseconds("ran_ms", ran)
       .text("counts", counts ? "yes" : "ran_too_long")
-      .number("known_when_sent", attempt.ends)
-      .number("ends", this->book_.endsOf(key))
+      .number("known_when_sent", attempt.crashes)
+      .number("ends", this->book_.crashesOf(key))
       .text("standing", toText(this->admissionOf(key, who).state));
 }
 
 void suspect_service::onAnswered(const request_key& key) {
-  const int ends = this->book_.endsOf(key);
-  if (ends == 0) return;
+  const int crashes = this->book_.crashesOf(key);
+  if (crashes == 0) return;
   const Revision revision = this->book_.onCleared(key);
   ++this->totals_.cleared;
-  LogEvent("suspects", "cleared").text("key", key.str()).number("ends", ends);
+  LogEvent("suspects", "cleared").text("key", key.str()).number("ends", crashes);
   if (revision == 0) return;
   spawn(this->deps_.loop, [this, key, revision] { return this->removeRow(key, revision); });
 }
@@ -155,10 +155,10 @@
     LogEvent("suspects", "bad_record").text("key", key.str());
     return;
   }
-  const int before = this->book_.endsOf(key);
+  const int before = this->book_.crashesOf(key);
   this->book_.onRow(steadyNow(), this->clock(), key, row.revision, *record);
-  const int proof = this->book_.rules().proof;
-  if (before >= proof || this->book_.endsOf(key) < proof) return;
+  const int crash_threshold = this->book_.rules().crash_threshold;
+  if (before >= crash_threshold || this->book_.crashesOf(key) < crash_threshold) return;
   LogEvent("suspects", "barred")
       .text("key", key.str())
       .number("ends", record->ends)
@@ -174,18 +174,18 @@
   this->known_ = true;
 }
 
-void suspect_service::onTold(const std::vector<table::Row>& rows) {
+void suspect_service::onPeerRows(const std::vector<table::Row>& rows) {
   for (const table::Row& row : rows) {
     const auto record = decodeSuspect(row.value);
     if (!record) continue;
     const request_key key(row.key.substr(table::suspectKey({}).size()));
-    this->book_.onTold(steadyNow(), this->clock(), key, row.revision, *record);
+    this->book_.onPeerRow(steadyNow(), this->clock(), key, row.revision, *record);
   }
   this->known_ = true;
 }
 
 std::vector<table::Row> suspect_service::rows() const {
-  return this->book_.rows(steadyNow(), this->clock(), table::suspectKey({}), kRowsTold);
+  return this->book_.rows(steadyNow(), this->clock(), table::suspectKey({}), kMaxRowsSent);
 }
 
 // --- The store -----------------------------------------------------------------------------------
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -30,9 +30,9 @@
 inline constexpr std::uint32_t kSampleOneIn = 50;
 
 struct suspect_totals {
-  std::uint64_t engines_ended = 0;  ///< Under attempts of this daemon.
-  std::uint64_t refused = 0;        ///< Times a request was not let run.
-  std::uint64_t cleared = 0;        ///< Suspects that an engine answered here.
+  std::uint64_t engine_crashes = 0;  ///< Under attempts of this daemon.
+  std::uint64_t refused = 0;         ///< Times a request was not let run.
+  std::uint64_t cleared = 0;         ///< Suspects that an engine answered here.
 };
 
 /** Loop thread only. */
@@ -57,8 +57,8 @@
                                            std::string id) override;
   suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource who,
                                         const std::string& id) override;
-  void onEngineEnded(const sent_attempt& attempt, const request_key& key, const EngineId& engine,
-                     Instant sent_at, RequestSource who, const std::string& id) override;
+  void onEngineCrashed(const sent_attempt& attempt, const request_key& key, const EngineId& engine,
+                       Instant sent_at, RequestSource who, const std::string& id) override;
   void onAnswered(const request_key& key) override;
   void onInconclusive(const request_key& key) override;
 
@@ -67,7 +67,7 @@
   void onRowGone(const request_key& key, Revision revision);
   void onTableRead(const std::set<request_key>& present, Revision as_of);
   /** What another daemon tells while this one does not reach the store. */
-  void onTold(const std::vector<table::Row>& rows);
+  void onPeerRows(const std::vector<table::Row>& rows);
   /** @return whether what earlier lives knew was read, from the store or a peer. */
   bool known() const { return this->known_; }
   std::vector<table::Row> rows() const;
--- a/tests/gateway/suspects/suspect_book_test.cpp
+++ b/tests/gateway/suspects/suspect_book_test.cpp
@@ -31,7 +31,7 @@
 /// Ends so many engines under the request, one after the other, a second apart from 0 s on.
 suspect_book bookAfter(int ends) {
   suspect_book book;
-  for (int i = 0; i < ends; ++i) book.onEnded(at(i), kKey, engine(i), i);
+  for (int i = 0; i < ends; ++i) book.onEngineCrashed(at(i), kKey, engine(i), i);
   return book;
 }
 
@@ -72,12 +72,12 @@
   suspect_book book = bookAfter(3);
   const auto told = book.admissionOf(at(2.5), kKey, RequestSource::kCaller);
   cr_assert(told.state == AdmissionState::kBarred);
-  cr_assert_eq(told.ends, 3);
+  cr_assert_eq(told.crashes, 3);
   cr_assert(told.evidence == fromSeconds(0.5));
   cr_assert(told.wait == 10 * kMinute - fromSeconds(0.5));
   cr_assert(standingAt(book, 2 + 599) == AdmissionState::kBarred);
   cr_assert(standingAt(book, 2 + 600) == AdmissionState::kMayRunAlone);
-  book.onEnded(at(602), kKey, engine(9), 3);
+  book.onEngineCrashed(at(602), kKey, engine(9), 3);
   cr_assert(standingAt(book, 602 + 1199) == AdmissionState::kBarred);
   cr_assert(standingAt(book, 602 + 1200) == AdmissionState::kMayRunAlone);
 }
@@ -91,8 +91,8 @@
 
 Test(suspect_book, attempts_that_ran_side_by_side_count_once) {
   suspect_book book;
-  for (int i = 0; i < 8; ++i) book.onEnded(at(0), kKey, engine(i), 0);
-  cr_assert_eq(book.endsOf(kKey), 1, "a zone that loses power ends all its engines at once");
+  for (int i = 0; i < 8; ++i) book.onEngineCrashed(at(0), kKey, engine(i), 0);
+  cr_assert_eq(book.crashesOf(kKey), 1, "a zone that loses power ends all its engines at once");
   cr_assert(standingAt(book, 0.1) == AdmissionState::kMayRunAlone);
 }
 
@@ -100,17 +100,17 @@
   suspect_book book = bookAfter(2);
   cr_assert_eq(book.onCleared(kKey), Revision{0}, "no row yet");
   cr_assert(book.empty());
-  book.onEnded(at(3), kKey, engine(5), 2);
-  cr_assert_eq(book.endsOf(kKey), 1);
+  book.onEngineCrashed(at(3), kKey, engine(5), 2);
+  cr_assert_eq(book.crashesOf(kKey), 1);
 }
 
 Test(suspect_book, an_item_is_tried_twice_more_within_what_a_job_bears) {
   suspect_book book = bookAfter(3);
   cr_assert(standingAt(book, 5.9, RequestSource::kItem) == AdmissionState::kMustWait);
   cr_assert(standingAt(book, 6, RequestSource::kItem) == AdmissionState::kMayRunAlone);
-  book.onEnded(at(6), kKey, engine(3), 3);
+  book.onEngineCrashed(at(6), kKey, engine(3), 3);
   cr_assert(standingAt(book, 10, RequestSource::kItem) == AdmissionState::kMayRunAlone);
-  book.onEnded(at(10), kKey, engine(4), 4);
+  book.onEngineCrashed(at(10), kKey, engine(4), 4);
   cr_assert(standingAt(book, 60, RequestSource::kItem) == AdmissionState::kBarred);
 }
 
@@ -121,7 +121,7 @@
   row.engines = {engine(7)};
   row.last_ms = 9000;
   book.onRow(at(1), 10000, kKey, 5, row);
-  cr_assert_eq(book.endsOf(kKey), 2);
+  cr_assert_eq(book.crashesOf(kKey), 2);
   cr_assert_eq(book.revisionOf(kKey), Revision{5});
   cr_assert(book.admissionOf(at(1), kKey, RequestSource::kCaller).evidence == fromSeconds(1));
   const suspect_record joined = book.record(at(1), 10000, kKey);
@@ -129,7 +129,7 @@
   cr_assert_eq(joined.last_ms, 9000);
   row.ends = 1;
   book.onRow(at(2), 11000, kKey, 4, row);
-  cr_assert_eq(book.endsOf(kKey), 2, "older than what is known");
+  cr_assert_eq(book.crashesOf(kKey), 2, "older than what is known");
 }
 
 Test(suspect_book, a_row_that_says_less_than_is_known_here_is_written_anew) {
@@ -154,7 +154,7 @@
   row.ends = 2;
   book.onRow(at(0), 10000, kKey, 5, row);
   book.onRowGone(kKey, 4);
-  cr_assert_eq(book.endsOf(kKey), 2, "an older removal");
+  cr_assert_eq(book.crashesOf(kKey), 2, "an older removal");
   book.onRowGone(kKey, 6);
   cr_assert(book.empty());
 }
@@ -165,11 +165,11 @@
   row.ends = 2;
   book.onRow(at(0), 10000, kKey, 5, row);
   book.onRow(at(0), 10000, request_key("newer"), 9, row);
-  book.onEnded(at(0), request_key("own"), engine(1), 0);
+  book.onEngineCrashed(at(0), request_key("own"), engine(1), 0);
   book.onTableRead({}, 8);
-  cr_assert_eq(book.endsOf(kKey), 0);
-  cr_assert_eq(book.endsOf(request_key("newer")), 2, "written after the read");
-  cr_assert_eq(book.endsOf(request_key("own")), 1, "never written");
+  cr_assert_eq(book.crashesOf(kKey), 0);
+  cr_assert_eq(book.crashesOf(request_key("newer")), 2, "written after the read");
+  cr_assert_eq(book.crashesOf(request_key("own")), 1, "never written");
 }
 
 Test(suspect_book, what_a_peer_tells_may_be_more_than_the_row) {
@@ -178,20 +178,20 @@
   row.ends = 1;
   book.onRow(at(0), 10000, kKey, 5, row);
   row.ends = 3;
-  book.onTold(at(0), 10000, kKey, 5, row);
+  book.onPeerRow(at(0), 10000, kKey, 5, row);
   cr_assert(standingAt(book, 1) == AdmissionState::kBarred);
 }
 
 Test(suspect_book, a_flood_of_ever_new_requests_drops_those_with_least_against_them) {
   suspects::suspect_rules rules;
-  rules.most = 10;
+  rules.max_entries = 10;
   suspect_book book(rules);
-  for (int i = 0; i < 3; ++i) book.onEnded(at(i), kKey, engine(i), i);
+  for (int i = 0; i < 3; ++i) book.onEngineCrashed(at(i), kKey, engine(i), i);
   for (int i = 0; i < 50; ++i) {
-    book.onEnded(at(3 + i), request_key("new" + std::to_string(i)), engine(i), 0);
+    book.onEngineCrashed(at(3 + i), request_key("new" + std::to_string(i)), engine(i), 0);
   }
   cr_assert_eq(book.size(), 10U);
-  cr_assert_eq(book.endsOf(kKey), 3);
+  cr_assert_eq(book.crashesOf(kKey), 3);
 }
 
 Test(suspect_book, old_rows_are_left_to_others_for_a_while_and_then_removed) {
