--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -18,20 +18,16 @@
 
 }  // namespace
 
-const char* toText(AdmissionState value) {
-  switch (value) {
-    case AdmissionState::kNotSuspect:
-      return "clear";
-    case AdmissionState::kMayRunAlone:
-      return "may_try";
-    case AdmissionState::kRunning:
-      return "tried_now";
-    case AdmissionState::kMustWait:
-      return "must_wait";
-    case AdmissionState::kBarred:
-      return "barred";
-  }
-  return "unknown";
+bool suspect_book::isBarred(int crashes, RequestSource source) const {
+  const bool item = source == RequestSource::kItem;
+  return crashes >= (item ? this->rules_.item_crash_threshold : this->rules_.crash_threshold);
+}
+
+Duration suspect_book::pauseAfter(int crashes, RequestSource source) const {
+  if (this->isBarred(crashes, source)) return this->barFor(crashes);
+  if (crashes <= 1) return Duration::zero();
+  const bool item = source == RequestSource::kItem;
+  return item ? this->rules_.item_retry_interval : this->rules_.retry_backoff;
 }
 
 Duration suspect_book::barFor(int crashes) const {
@@ -42,7 +38,7 @@
 }
 
 Instant suspect_book::forgottenAt(const entry& each) const {
-  return each.last_at + this->barFor(each.crashes) + this->rules_.memory;
+  return each.last_at + this->barFor(each.crashes) + this->rules_.retention;
 }
 
 std::size_t suspect_book::barred(Instant now) const {
@@ -58,32 +54,25 @@
 }
 
 suspect_admission suspect_book::admissionOf(Instant now, const request_key& key,
-                                            RequestSource who) const {
-  suspect_admission told;
+                                            RequestSource source) const {
+  suspect_admission admission;
   const auto at = this->entries_.find(key);
-  if (at == this->entries_.end() || at->second.crashes == 0) return told;
+  if (at == this->entries_.end() || at->second.crashes == 0) return admission;
   const entry& known = at->second;
-  if (now >= this->forgottenAt(known)) return told;
-  told.crashes = known.crashes;
-  told.evidence = now - known.last_at;
-  Instant free_at = known.last_at + this->barFor(known.crashes);
-  told.state = AdmissionState::kBarred;
-  const bool more_trials = known.crashes < this->rules_.crash_threshold + this->rules_.item_trials;
-  if (who == RequestSource::kItem && known.crashes > 1 && more_trials) {
-    free_at = known.last_at + this->rules_.item_pause;
-    told.state = AdmissionState::kMustWait;
-  } else if (known.crashes > 1 && known.crashes < this->rules_.crash_threshold) {
-    free_at = known.last_at + this->rules_.retry_backoff;
-    told.state = AdmissionState::kMustWait;
-  }
+  if (now >= this->forgottenAt(known)) return admission;
+  admission.crashes = known.crashes;
+  admission.evidence_age = now - known.last_at;
+  const Instant free_at = known.last_at + this->pauseAfter(known.crashes, source);
   if (now < free_at) {
-    told.wait = free_at - now;
-    return told;
+    const bool barred = this->isBarred(known.crashes, source);
+    admission.state = barred ? AdmissionState::kBarred : AdmissionState::kMustWait;
+    admission.wait = free_at - now;
+    return admission;
   }
-  const bool tried = !known.tried_by.empty() && now < known.tried_until;
-  told.state = tried ? AdmissionState::kRunning : AdmissionState::kMayRunAlone;
-  if (tried) told.wait = known.tried_until - now;
-  return told;
+  const bool running = !known.tried_by.empty() && now < known.tried_until;
+  admission.state = running ? AdmissionState::kRunning : AdmissionState::kMayRunAlone;
+  if (running) admission.wait = known.tried_until - now;
+  return admission;
 }
 
 void suspect_book::addEngines(entry& into, const std::vector<EngineId>& engines) const {
@@ -109,16 +98,16 @@
   const bool is_new = !this->entries_.contains(key);
   if (is_new && this->entries_.size() >= this->rules_.max_entries) this->dropOne();
   entry& each = this->entries_[key];
-  // What was cleared since the attempt was sent does not count any more.
+  // Crashes that an answer cleared since the attempt was sent do not count any more.
   const int counted = std::min(known, each.crashes) + 1;
-  const bool news = counted > each.crashes;
+  const bool grew = counted > each.crashes;
   each.crashes = std::max(each.crashes, counted);
   this->addEngines(each, {engine});
-  if (news) {
+  if (grew) {
     each.last_at = now;
     each.written = false;
   }
-  return news;
+  return grew;
 }
 
 Revision suspect_book::onCleared(const request_key& key) {
@@ -189,7 +178,7 @@
     this->entries_.erase(at);
     return;
   }
-  // Cleared by another daemon's answer, but ended one more engine here: that stands for itself.
+  // An answer at another daemon cleared it, but it crashed an engine here since: that one counts.
   at->second.crashes = 1;
   at->second.revision = 0;
 }
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_book.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /** @file
- * The requests under which engines ended, and what each of them is allowed. Pure.
+ * The suspects that one daemon knows of, and what each of them is allowed. Pure.
  *
- * An engine that ends takes everything with it that it ran: one guilty request and up to all its
- * slots of innocent ones. What tells them apart is what follows. All become suspects; a suspect
- * runs alone, on one engine at a time in the whole fleet; the first whole answer of an engine
- * clears it, and ended engines in a row bar it. Innocent requests pay one write to the store, once.
+ * An engine that crashes takes everything with it that it ran: the request that made it crash and
+ * up to all its slots of innocent ones. All of them become suspects. A suspect runs alone, on one
+ * engine at a time in the whole fleet; the first complete answer of an engine clears it, and
+ * crashes in a row bar it. An innocent request pays one write to the store, once.
  */
 
 #include <map>
@@ -16,57 +16,11 @@
 #include "common/table_row.h"
 #include "common/time.h"
 #include "gateway/suspects/request_key.h"
+#include "gateway/suspects/suspect_admission.h"
 #include "gateway/suspects/suspect_record.h"
 
 namespace linenpier::suspects {
 
-struct suspect_rules {
-  /** Ends in a row after which a request is barred: what the users take as proof. */
-  int crash_threshold = 3;
-  /** An engine that ran a request for longer did not end of beginning it. Ends were seen 40 to 120
-   * ms after the sending; an engine that is slow and full takes a second more.
-   */
-  Duration max_run_before_crash = std::chrono::seconds(3);
-  /** From the second end to the next trial: until engines that ended are back, so that one request
-   * does not hold more than two at a time.
-   */
-  Duration retry_backoff = std::chrono::seconds(5);
-  /** A trial that takes longer keeps nobody else from trying. */
-  Duration isolated_run_timeout = std::chrono::seconds(3);
-  /** Suspicion is forgotten this long after the last end, or after the bar is over. */
-  Duration memory = std::chrono::minutes(10);
-  Duration first_bar = std::chrono::minutes(10);  ///< Doubled with each end after the proof.
-  int max_doublings = 6;
-  /** Items must not lie still: a job waits for them. One that is barred is tried so often more … */
-  int item_trials = 2;
-  /** … at such distances: less than the 5 s after which an item counts as lost. */
-  Duration item_pause = std::chrono::seconds(4);
-  /** Requests that are remembered; 0.5 KB each. Those with least against them go first. */
-  std::size_t max_entries = 4096;
-};
-
-enum class AdmissionState {
-  kNotSuspect,   ///< Nothing is known against it.
-  kMayRunAlone,  ///< It may run, alone.
-  kRunning,      ///< It runs somewhere; its turn may come when that is over.
-  kMustWait,     ///< It ended two engines lately.
-  kBarred,       ///< It ended as many as prove what it does.
-};
-
-const char* toText(AdmissionState value);
-
-/** What a request that wants to run is told. */
-struct suspect_admission {
-  AdmissionState state = AdmissionState::kNotSuspect;
-  int crashes = 0;
-  Duration wait{};      ///< Until asking again may help; zero if it may run.
-  Duration evidence{};  ///< The age of the last end.
-};
-
-/** Who asks. An item is asked for again by its owner until it is listed, a caller's request is not.
- */
-enum class RequestSource { kCaller, kItem };
-
 /** Loop thread only; times are passed in. */
 class suspect_book {
  public:
@@ -74,22 +28,23 @@
 
   bool empty() const { return this->entries_.empty(); }
   std::size_t size() const { return this->entries_.size(); }
+  /** @return how many callers' requests are barred now. */
   std::size_t barred(Instant now) const;
   const suspect_rules& rules() const { return this->rules_; }
 
-  suspect_admission admissionOf(Instant now, const request_key& key, RequestSource who) const;
-  /** @return ends known of the request: what an attempt knows when it is sent. */
+  suspect_admission admissionOf(Instant now, const request_key& key, RequestSource source) const;
+  /** @return the crashes known of the request. A sender notes them with its attempt. */
   int crashesOf(const request_key& key) const;
 
-  /** An engine ended under an attempt.
-   * @param known ends known when the attempt was sent. Attempts that knew of the same ends ran side
-   *     by side, wherever they were sent.
-   * @return whether that was news.
+  /** An engine crashed under an attempt.
+   * @param known crashes known when the attempt was sent. Attempts that knew of the same crashes
+   * ran side by side, on whichever daemons, and count once.
+   * @return whether the count of crashes grew.
    */
   bool onEngineCrashed(Instant now, const request_key& key, const EngineId& engine, int known);
-  /** An engine answered it whole. @return the revision of its row, 0 if it has none. */
+  /** An engine answered it completely. @return the revision of its row, 0 if it has none. */
   Revision onCleared(const request_key& key);
-  /** This daemon begins to run it alone, or has ended doing so. */
+  /** The daemon `self` begins to run it alone, or has ended doing so. */
   void onIsolatedRun(Instant now, const request_key& key, const std::string& self);
   void onIsolatedRunEnded(const request_key& key, const std::string& self);
 
@@ -101,10 +56,10 @@
   void onRowGone(const request_key& key, Revision revision);
   /** The whole table was read: what is not `present` was removed before `as_of`. */
   void onTableRead(const std::set<request_key>& present, Revision as_of);
-  /** What another daemon knows, which may be more than its row. */
+  /** What another daemon knows, which may be more than the row has. */
   void onPeerRow(Instant now, std::int64_t clock_ms, const request_key& key, Revision revision,
                  const suspect_record& record);
-  /** A write of the record was done. @param written what was written. */
+  /** A write of the record was committed. @param written what was written. */
   void onWritten(const request_key& key, Revision revision, const suspect_record& written);
 
   /** @return the record as it should stand in the store. */
@@ -112,11 +67,11 @@
   Revision revisionOf(const request_key& key) const;
   /** @return the daemon's life that runs it alone; empty: none. */
   std::string isolatedBy(const request_key& key) const;
-  /** @return requests whose rows must be written, those with most against them first. */
+  /** @return requests whose rows must be written, those with most crashes first. */
   std::vector<request_key> unwritten(std::size_t most) const;
-  /** Other daemons are to know of it. */
+  /** From now on the store must have its row, for the other daemons. */
   void setShared(const request_key& key);
-  /** @return rows for a daemon that does not reach the store, those with most against them first.
+  /** @return rows for a daemon that does not reach the store, those with most crashes first.
    * @param prefix of their keys.
    */
   std::vector<table::Row> rows(Instant now, std::int64_t clock_ms, const std::string& prefix,
@@ -132,19 +87,22 @@
     int crashes = 0;
     std::vector<EngineId> engines;
     Instant last_at{};
-    std::string tried_by;
+    std::string tried_by;  ///< Daemon's life that runs it alone; empty: none.
     Instant tried_until{};
     Revision revision = 0;  ///< Of its row; 0: none is known.
-    bool shared = false;    ///< Other daemons are to know of it.
-    bool written = false;   ///< Its row has all of the above.
+    bool shared = false;    ///< The store must have its row.
+    bool written = false;   ///< The row has all of the above.
   };
 
+  bool isBarred(int crashes, RequestSource source) const;
+  /** @return how long after its last crash a request may not run. */
+  Duration pauseAfter(int crashes, RequestSource source) const;
   Duration barFor(int crashes) const;
   Instant forgottenAt(const entry& each) const;
   void addEngines(entry& into, const std::vector<EngineId>& engines) const;
   /** Makes room for one more. */
   void dropOne();
-  /** @return the requests that fit, those with most against them first. */
+  /** @return the requests that fit, those with most crashes first. */
   template <typename Fits>
   std::vector<request_key> worst(std::size_t most, Fits fits) const;
 
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -10,22 +10,26 @@
 
 namespace {
 
-/** For the store's word that nobody else tries a suspect: some twenty times its usual answer. A
- * store that is slower than that must not hold innocent requests up.
+/** How long a request waits for the store's answer that no other daemon runs it. A slower store
+ * must not hold innocent requests up.
  */
 constexpr Duration kClaimTimeout = std::chrono::milliseconds(100);
-constexpr int kClaimTries = 3;
+constexpr int kMaxClaimTries = 3;
+/** Between two looks for rows to write where nothing changes. */
 constexpr Duration kWriteIdle = std::chrono::seconds(1);
-/** Between two rows: 40 a second, a twentieth of what a small store takes of all daemons. */
-constexpr Duration kWriteGap = std::chrono::milliseconds(25);
-constexpr Duration kRetryPause = std::chrono::milliseconds(200);
-constexpr int kRemoveTries = 3;
-constexpr std::size_t kRowsAtOnce = 32;
-/** That a daemon without the store is told each 0.3 s: 80 KB. */
+/** Between two writes of rows: bounds what all daemons together send a small store. */
+constexpr Duration kWriteInterval = std::chrono::milliseconds(25);
+constexpr Duration kRetryBackoff = std::chrono::milliseconds(200);
+constexpr int kMaxRemoveTries = 3;
+/** Rows that are written before the worst suspects are chosen anew. */
+constexpr std::size_t kMaxRowsAtOnce = 32;
+/** In an answer to a daemon without the store: bounds its size, some 80 KB. */
 constexpr std::size_t kMaxRowsSent = 256;
-constexpr Duration kSweepPeriod = std::chrono::seconds(10);
-constexpr std::size_t kRemovedPerSweep = 20;
-/** Rows that are too old are left to other daemons for up to so long, so that one removes them. */
+constexpr Duration kSweepInterval = std::chrono::seconds(10);
+constexpr std::size_t kMaxRemovedPerSweep = 20;
+/** Each daemon leaves old rows to others for a time of its own, up to this, so that one of them
+ * removes a row.
+ */
 constexpr std::uint64_t kRemovalSpreadSeconds = 60;
 
 }  // namespace
@@ -35,41 +39,41 @@
   spawn(this->deps_.loop, [this] { return this->sweepLoop(); });
 }
 
-suspect_admission suspect_service::admissionOf(const request_key& key, RequestSource who) const {
-  return this->book_.admissionOf(steadyNow(), key, who);
+suspect_admission suspect_service::admissionOf(const request_key& key, RequestSource source) const {
+  return this->book_.admissionOf(steadyNow(), key, source);
 }
 
-// --- Trials --------------------------------------------------------------------------------------
+// --- Admission -----------------------------------------------------------------------------------
 
-suspect_admission suspect_service::beginOwnIsolatedRun(const request_key& key, RequestSource who,
+suspect_admission suspect_service::beginOwnIsolatedRun(const request_key& key, RequestSource source,
                                                        const std::string& id) {
   const Instant now = steadyNow();
-  const suspect_admission told = this->book_.admissionOf(now, key, who);
-  if (told.state == AdmissionState::kMayRunAlone) {
+  const suspect_admission admission = this->book_.admissionOf(now, key, source);
+  if (admission.state == AdmissionState::kMayRunAlone) {
     this->book_.onIsolatedRun(now, key, this->self());
-  } else if (told.state != AdmissionState::kNotSuspect) {
-    this->onRefused(told, key, id);
+  } else if (admission.state != AdmissionState::kNotSuspect) {
+    this->onRefused(admission, key, id);
   }
-  return told;
+  return admission;
 }
 
-Task<suspect_admission> suspect_service::beginIsolatedRun(request_key key, RequestSource who,
+Task<suspect_admission> suspect_service::beginIsolatedRun(request_key key, RequestSource source,
                                                           std::string id) {
-  suspect_admission told;
-  for (int tries = 0; tries < kClaimTries; ++tries) {
-    told = this->beginOwnIsolatedRun(key, who, id);
-    // Without the store each daemon goes by what it knows: it can't hear of others.
-    if (told.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
-      co_return told;
+  suspect_admission admission;
+  for (int tries = 0; tries < kMaxClaimTries; ++tries) {
+    admission = this->beginOwnIsolatedRun(key, source, id);
+    // Without the store each daemon goes by what it knows.
+    if (admission.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
+      co_return admission;
     this->book_.setShared(key);
     const WriteOutcome outcome = co_await this->claim(key);
     const bool own = this->book_.isolatedBy(key) == this->self();
-    if (outcome != WriteOutcome::kOvertaken || own) co_return told;
+    if (outcome != WriteOutcome::kOvertaken || own) co_return admission;
   }
-  told = this->admissionOf(key, who);
-  if (told.state == AdmissionState::kMayRunAlone) told.state = AdmissionState::kRunning;
-  this->onRefused(told, key, id);
-  co_return told;
+  admission = this->admissionOf(key, source);
+  if (admission.state == AdmissionState::kMayRunAlone) admission.state = AdmissionState::kRunning;
+  this->onRefused(admission, key, id);
+  co_return admission;
 }
 
 Task<suspect_service::WriteOutcome> suspect_service::claim(request_key key) {
@@ -89,26 +93,26 @@
   co_return pending->outcome.value_or(WriteOutcome::kNoAnswer);
 }
 
-void suspect_service::onRefused(const suspect_admission& told, const request_key& key,
+void suspect_service::onRefused(const suspect_admission& admission, const request_key& key,
                                 const std::string& id) {
   ++this->totals_.refused;
   if (!this->refusal_lines_.admit(steadyNow())) return;
   LogEvent event("suspects", "refused");
   event.text("request", id)
       .text("key", key.str())
-      .text("standing", toText(told.state))
-      .number("ends", told.crashes)
-      .milliseconds("evidence_age_ms", told.evidence)
-      .milliseconds("wait_ms", told.wait);
+      .text("standing", toText(admission.state))
+      .number("ends", admission.crashes)
+      .milliseconds("evidence_age_ms", admission.evidence_age)
+      .milliseconds("wait_ms", admission.wait);
   if (const auto skipped = this->refusal_lines_.takeSkipped()) {
     event.number("refusals_not_written", static_cast<std::int64_t>(skipped));
   }
 }
 
-// --- What attempts came to -----------------------------------------------------------------------
+// --- Ends of attempts ----------------------------------------------------------------------------
 
 void suspect_service::onEngineCrashed(const sent_attempt& attempt, const request_key& key,
-                                      const EngineId& engine, Instant sent_at, RequestSource who,
+                                      const EngineId& engine, Instant sent_at, RequestSource source,
                                       const std::string& id) {
   const Instant now = steadyNow();
   const Duration ran = now - sent_at;
@@ -117,8 +121,9 @@
   if (counts) {
     ++this->totals_.engine_crashes;
     this->book_.onEngineCrashed(now, key, engine, attempt.crashes);
-    // An item is run by its owner alone: its first end tells other daemons nothing.
-    if (who == RequestSource::kCaller || this->book_.crashesOf(key) > 1) this->book_.setShared(key);
+    // An item is run by its owner alone: other daemons need not know of its first crash.
+    if (source == RequestSource::kCaller || this->book_.crashesOf(key) > 1)
+      this->book_.setShared(key);
   }
   this->changed_.notifyAll();
   LogEvent("suspects", "engine_ended")
@@ -129,7 +134,7 @@
       .text("counts", counts ? "yes" : "ran_too_long")
       .number("known_when_sent", attempt.crashes)
       .number("ends", this->book_.crashesOf(key))
-      .text("standing", toText(this->admissionOf(key, who).state));
+      .text("standing", toText(this->admissionOf(key, source).state));
 }
 
 void suspect_service::onAnswered(const request_key& key) {
@@ -147,7 +152,7 @@
   this->changed_.notifyAll();
 }
 
-// --- What others know ----------------------------------------------------------------------------
+// --- Rows and peers ------------------------------------------------------------------------------
 
 void suspect_service::onRow(const request_key& key, const table::Row& row) {
   const auto record = decodeSuspect(row.value);
@@ -188,7 +193,7 @@
   return this->book_.rows(steadyNow(), this->clock(), table::suspectKey({}), kMaxRowsSent);
 }
 
-// --- The store -----------------------------------------------------------------------------------
+// --- Writes --------------------------------------------------------------------------------------
 
 void suspect_service::onConflict(const request_key& key, const std::vector<table::Row>& rows) {
   const std::string name = table::suspectKey(key.str());
@@ -197,7 +202,7 @@
     this->onRow(key, row);
     return;
   }
-  // It was removed. What this daemon knows beyond that is written anew.
+  // The row was removed. What this daemon knows beyond it is written as a new row.
   this->book_.onRowGone(key, this->book_.revisionOf(key) + 1);
 }
 
@@ -217,8 +222,8 @@
     if (direct) answer = std::move(*direct);
   }
   if (!answer) {
-    // Also before the store counts as lost, which takes it 2 s longer: others must hear of an ended
-    // engine while this daemon is still in touch. More may have ended meanwhile.
+    // Goes by a peer as soon as one write got no answer, seconds before the store counts as lost:
+    // until then others could send the request on. Reads the record anew, with crashes since.
     record = this->book_.record(steadyNow(), this->clock(), key);
     answer = co_await this->deps_.write_by_peer(this->writeOf(key, record));
   }
@@ -233,38 +238,38 @@
 
 Task<void> suspect_service::writeLoop() {
   for (;;) {
-    const std::vector<request_key> keys = this->book_.unwritten(kRowsAtOnce);
+    const std::vector<request_key> keys = this->book_.unwritten(kMaxRowsAtOnce);
     if (keys.empty()) {
       co_await this->changed_.waitFor(kWriteIdle);
       continue;
     }
-    // Ages are told by the store's clock.
+    // Rows hold times of the store's clock: without it none can be written.
     bool answered = this->clock() != 0;
     for (const request_key& key : keys) {
       if (!answered) break;
       const WriteOutcome outcome = co_await this->writeRow(key);
       answered = outcome != WriteOutcome::kNoAnswer;
-      co_await sleepFor(this->deps_.loop, kWriteGap);
+      co_await sleepFor(this->deps_.loop, kWriteInterval);
     }
     if (answered) continue;
     LogEvent("suspects", "not_stored").number("rows", static_cast<std::int64_t>(keys.size()));
-    co_await sleepFor(this->deps_.loop, kRetryPause);
+    co_await sleepFor(this->deps_.loop, kRetryBackoff);
   }
 }
 
 Task<void> suspect_service::removeRow(request_key key, Revision revision) {
   const std::string name = table::suspectKey(key.str());
-  for (int tries = 0; tries < kRemoveTries && revision != 0; ++tries) {
+  for (int tries = 0; tries < kMaxRemoveTries && revision != 0; ++tries) {
     table::Write write;
     write.transaction.checks.push_back({name, revision});
     write.removes.push_back(name);
     const auto answer = co_await this->deps_.table.write(std::move(write));
     if (answer && answer->committed) co_return;
     if (!answer) {
-      co_await sleepFor(this->deps_.loop, kRetryPause);
+      co_await sleepFor(this->deps_.loop, kRetryBackoff);
       continue;
     }
-    // Whatever was written meanwhile: an answer outweighs it.
+    // An answer of an engine outweighs whatever was written meanwhile.
     revision = answer->conflicts.empty() ? 0 : answer->conflicts.front().revision;
   }
 }
@@ -272,8 +277,8 @@
 Task<void> suspect_service::sweepLoop() {
   const Duration removal_delay = std::chrono::seconds(hash64(this->self()) % kRemovalSpreadSeconds);
   for (;;) {
-    co_await sleepFor(this->deps_.loop, kSweepPeriod);
-    const auto removable = this->book_.sweep(steadyNow(), removal_delay, kRemovedPerSweep);
+    co_await sleepFor(this->deps_.loop, kSweepInterval);
+    const auto removable = this->book_.sweep(steadyNow(), removal_delay, kMaxRemovedPerSweep);
     for (const auto& [key, revision] : removable) {
       co_await this->removeRow(key, revision);
     }
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -1,14 +1,14 @@
 #pragma once
 
 /** @file
- * Suspects as the whole fleet knows them: rows in the store, one a request, that every daemon
- * follows, and the right to try a suspect, which one daemon has at a time.
+ * Suspects as the whole fleet knows them: one row each in the store, which every daemon follows,
+ * and the right to run a suspect, which one daemon has at a time.
  *
- * What may be relied on:
- * - whoever reaches the store knows of an ended engine within a write and a feed's answer, also
- *   after all daemons have started anew;
- * - a daemon that does not reach it tells its peers, and asks them;
- * - while nobody reaches anybody, each daemon still keeps to the rules by what it saw itself.
+ * Guarantees:
+ * - A daemon that reaches the store knows of a crash within a write and an answer of the feed, also
+ *   after all daemons were restarted.
+ * - A daemon that does not reach the store exchanges suspects with its peers.
+ * - A daemon that reaches nobody keeps to the rules by what it saw itself.
  */
 
 #include <functional>
@@ -24,13 +24,12 @@
 
 namespace linenpier::suspects {
 
-/** Lines about refused suspects that a daemon writes in full each second, and one in how many then.
- */
+/** Lines about refusals that are all written each second; of more, one in `kSampleOneIn` is. */
 inline constexpr std::uint32_t kRefusalLinesPerSecond = 20;
 inline constexpr std::uint32_t kSampleOneIn = 50;
 
 struct suspect_totals {
-  std::uint64_t engine_crashes = 0;  ///< Under attempts of this daemon.
+  std::uint64_t engine_crashes = 0;  ///< Under attempts of this daemon; those that count.
   std::uint64_t refused = 0;         ///< Times a request was not let run.
   std::uint64_t cleared = 0;         ///< Suspects that an engine answered here.
 };
@@ -43,7 +42,7 @@
     table::AsyncTable& table;
     lease::LeaseTable& leases;
     lease::LeaseKeeper& keeper;
-    /** Lets other daemons do a write. */
+    /** Has a peer do a write. */
     std::function<Task<std::optional<table::TransactionAnswer>>(table::Write)> write_by_peer;
   };
 
@@ -52,24 +51,27 @@
   void start();
 
   bool any() const override { return !this->book_.empty(); }
-  suspect_admission admissionOf(const request_key& key, RequestSource who) const override;
-  Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource who,
+  suspect_admission admissionOf(const request_key& key, RequestSource source) const override;
+  Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource source,
                                            std::string id) override;
-  suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource who,
+  suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource source,
                                         const std::string& id) override;
   void onEngineCrashed(const sent_attempt& attempt, const request_key& key, const EngineId& engine,
-                       Instant sent_at, RequestSource who, const std::string& id) override;
+                       Instant sent_at, RequestSource source, const std::string& id) override;
   void onAnswered(const request_key& key) override;
   void onInconclusive(const request_key& key) override;
 
-  /** Rows as the feed tells them. */
+  /** Rows as the feed of the store has them. */
   void onRow(const request_key& key, const table::Row& row);
   void onRowGone(const request_key& key, Revision revision);
   void onTableRead(const std::set<request_key>& present, Revision as_of);
-  /** What another daemon tells while this one does not reach the store. */
+  /** What a peer knows, while this daemon does not reach the store. */
   void onPeerRows(const std::vector<table::Row>& rows);
-  /** @return whether what earlier lives knew was read, from the store or a peer. */
+  /** @return whether the suspects of earlier lives were read, from the store or a peer. The daemon
+   * is not ready before: its first requests could crash engines that are known to crash.
+   */
   bool known() const { return this->known_; }
+  /** @return the worst suspects, for a peer that does not reach the store. */
   std::vector<table::Row> rows() const;
 
   const suspect_book& book() const { return this->book_; }
@@ -81,21 +83,21 @@
   Task<void> writeLoop();
   Task<void> sweepLoop();
   table::Write writeOf(const request_key& key, const suspect_record& record) const;
-  /** Writes one row as the book has it, by a peer where the store does not answer this daemon. */
+  /** Writes one row as the book has it; by a peer if the store does not answer this daemon. */
   Task<WriteOutcome> writeRow(request_key key);
-  /** The same, waiting for a moment only. */
+  /** The same, waiting for at most `kClaimTimeout`; the write goes on. */
   Task<WriteOutcome> claim(request_key key);
   Task<void> removeRow(request_key key, Revision revision);
-  /** Takes over what the store said in place of a write. */
+  /** Takes over what the store has, after it rejected a write. */
   void onConflict(const request_key& key, const std::vector<table::Row>& rows);
   std::int64_t clock() const { return this->deps_.keeper.storeClock(steadyNow()); }
   std::string self() const { return this->deps_.leases.own().str(); }
-  void onRefused(const suspect_admission& told, const request_key& key, const std::string& id);
+  void onRefused(const suspect_admission& admission, const request_key& key, const std::string& id);
 
   dependencies deps_;
   suspect_book book_;
   suspect_totals totals_;
-  Signal changed_;  ///< Something is to be written.
+  Signal changed_;  ///< There may be a row to write.
   bool known_ = false;
   logging::SuccessSampler refusal_lines_{kRefusalLinesPerSecond, kSampleOneIn};
 };
--- a/tests/gateway/suspects/suspect_book_test.cpp
+++ b/tests/gateway/suspects/suspect_book_test.cpp
@@ -73,7 +73,7 @@
   const auto told = book.admissionOf(at(2.5), kKey, RequestSource::kCaller);
   cr_assert(told.state == AdmissionState::kBarred);
   cr_assert_eq(told.crashes, 3);
-  cr_assert(told.evidence == fromSeconds(0.5));
+  cr_assert(told.evidence_age == fromSeconds(0.5));
   cr_assert(told.wait == 10 * kMinute - fromSeconds(0.5));
   cr_assert(standingAt(book, 2 + 599) == AdmissionState::kBarred);
   cr_assert(standingAt(book, 2 + 600) == AdmissionState::kMayRunAlone);
@@ -123,7 +123,7 @@
   book.onRow(at(1), 10000, kKey, 5, row);
   cr_assert_eq(book.crashesOf(kKey), 2);
   cr_assert_eq(book.revisionOf(kKey), Revision{5});
-  cr_assert(book.admissionOf(at(1), kKey, RequestSource::kCaller).evidence == fromSeconds(1));
+  cr_assert(book.admissionOf(at(1), kKey, RequestSource::kCaller).evidence_age == fromSeconds(1));
   const suspect_record joined = book.record(at(1), 10000, kKey);
   cr_assert_eq(joined.engines.size(), 2U);
   cr_assert_eq(joined.last_ms, 9000);
