--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -9,10 +9,12 @@
 using http::ExchangeStatus;
 
 namespace {
+/** Largest body of an answer, in bytes. */
 constexpr std::size_t kMaxAnswer = 64 * 1024 * 1024;
+/** The engine is not the one that the request names. */
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
-/// For the answer to a connection: many times what a host within reach takes.
+/** For a connection to be taken or refused: many times what a reachable host needs. */
 constexpr Duration kEndedCheckTime = std::chrono::milliseconds(100);
 }  // namespace
 
@@ -44,77 +46,77 @@
       engine_(engine.record.id),
       address_(engine.record.address),
       started_at_(steadyNow()) {
-  request.set(context_.names.target_engine, engine_.str());
-  request_id_ = http::fieldText(request, context_.names.request_id);
-  exchange_ = std::make_shared<http::ClientExchange>(context_.pool, engine.record.address,
-                                                     std::move(request));
-  // The zone may be closed while a connection comes up.
-  exchange_->sendOnlyIf([&registry = context_.registry, zone = engine.record.zone] {
+  request.set(this->context_.names.target_engine, this->engine_.str());
+  this->request_id_ = http::fieldText(request, this->context_.names.request_id);
+  this->exchange_ = std::make_shared<http::ClientExchange>(
+      this->context_.pool, engine.record.address, std::move(request));
+  // The operator may close the zone while the connection is set up.
+  this->exchange_->sendOnlyIf([&registry = this->context_.registry, zone = engine.record.zone] {
     return !registry.closedZones().contains(zone);
   });
-  context_.registry.onAttemptStarted(started_at_, engine_);
+  this->context_.registry.onAttemptStarted(this->started_at_, this->engine_);
 }
 
 EngineCall::~EngineCall() {
-  exchange_->abort();
-  end(AttemptEnd::kServed);
+  this->exchange_->abort();
+  this->end(AttemptEnd::kServed);
 }
 
 void EngineCall::end(AttemptEnd end) {
-  if (ended_) return;
-  ended_ = true;
-  context_.registry.onAttemptEnded(steadyNow(), engine_, end);
+  if (this->ended_) return;
+  this->ended_ = true;
+  this->context_.registry.onAttemptEnded(steadyNow(), this->engine_, end);
 }
 
 void EngineCall::abort() {
-  exchange_->abort();
+  this->exchange_->abort();
 }
 
 Task<bool> EngineCall::engineHasCrashed() {
-  const auto self = shared_from_this();
+  const auto self = this->shared_from_this();
   const http::PeerState state =
-      co_await context_.pool.probe(address_, steadyNow() + kEndedCheckTime);
+      co_await this->context_.pool.probe(this->address_, steadyNow() + kEndedCheckTime);
   co_return state == http::PeerState::kRefuses;
 }
 
 Task<AttemptVerdict> EngineCall::start(AttemptLimits limits) {
-  const auto self = shared_from_this();
-  when_late_ = limits.when_late;
-  http::ExpectedEcho echo{context_.names.request_id, request_id_};
-  const ExchangeStatus status = co_await exchange_->start(limits.connect_deadline, limits.deadline,
-                                                          echo, limits.fresh_connection);
-  if (status != ExchangeStatus::kOk) co_return settle(status);
-  const AttemptVerdict verdict = judgeHead();
+  const auto self = this->shared_from_this();
+  this->when_late_ = limits.when_late;
+  http::ExpectedEcho echo{this->context_.names.request_id, this->request_id_};
+  const ExchangeStatus status = co_await this->exchange_->start(
+      limits.connect_deadline, limits.deadline, echo, limits.fresh_connection);
+  if (status != ExchangeStatus::kOk) co_return this->settle(status);
+  const AttemptVerdict verdict = this->judgeHead();
   if (verdict != AttemptVerdict::kNotExecuted) co_return verdict;
-  // Reading the refusal to its end keeps the connection.
+  // A connection whose answer was read to its end can be used again.
   std::string ignored;
-  co_await exchange_->readAll(ignored, kMaxAnswer, limits.deadline);
+  co_await this->exchange_->readAll(ignored, kMaxAnswer, limits.deadline);
   co_return verdict;
 }
 
 AttemptVerdict EngineCall::judgeHead() {
-  readLoad();
-  if (exchange_->status() == kMisdirected) {
-    end(AttemptEnd::kMisdirected);
+  this->readLoad();
+  if (this->exchange_->status() == kMisdirected) {
+    this->end(AttemptEnd::kMisdirected);
     return AttemptVerdict::kNotExecuted;
   }
-  if (head().count(context_.names.not_executed) > 0) {
-    end(AttemptEnd::kRefused);
+  if (this->head().count(this->context_.names.not_executed) > 0) {
+    this->end(AttemptEnd::kRefused);
     return AttemptVerdict::kNotExecuted;
   }
-  if (head().count(context_.names.signature) == 0) {
-    exchange_->abort();
-    end(AttemptEnd::kBroke);
+  if (this->head().count(this->context_.names.signature) == 0) {
+    this->exchange_->abort();
+    this->end(AttemptEnd::kBroke);
     return AttemptVerdict::kBroken;
   }
   return AttemptVerdict::kAnswered;
 }
 
 void EngineCall::readLoad() {
-  const std::string text = http::fieldText(head(), context_.names.load);
+  const std::string text = http::fieldText(this->head(), this->context_.names.load);
   engines::LoadReport load;
   if (std::sscanf(text.c_str(), "%u,%u,%u", &load.running, &load.waiting, &load.slots) == 3) {
-    context_.registry.onLoad(steadyNow(), engine_, load);
+    this->context_.registry.onLoad(steadyNow(), this->engine_, load);
   }
 }
 
@@ -123,48 +125,48 @@
     case ExchangeStatus::kOk:
       return AttemptVerdict::kAnswered;
     case ExchangeStatus::kNotConnected:
-      end(AttemptEnd::kUnreachable);
+      this->end(AttemptEnd::kUnreachable);
       return AttemptVerdict::kUnreachable;
     case ExchangeStatus::kWithheld:
-      end(AttemptEnd::kRefused);
+      this->end(AttemptEnd::kRefused);
       return AttemptVerdict::kUnreachable;
     case ExchangeStatus::kBroken:
-      end(AttemptEnd::kBroke);
-      exchange_->abort();
+      this->end(AttemptEnd::kBroke);
+      this->exchange_->abort();
       return AttemptVerdict::kBroken;
     case ExchangeStatus::kTimedOut:
-      end(when_late_);
-      exchange_->abort();
+      this->end(this->when_late_);
+      this->exchange_->abort();
       return AttemptVerdict::kSilent;
     case ExchangeStatus::kAborted:
-      end(AttemptEnd::kServed);
+      this->end(AttemptEnd::kServed);
       return AttemptVerdict::kAborted;
   }
   return AttemptVerdict::kBroken;
 }
 
 Task<AttemptVerdict> EngineCall::readWhole(std::string& body, Instant deadline) {
-  const auto self = shared_from_this();
-  const ExchangeStatus status = co_await exchange_->readAll(body, kMaxAnswer, deadline);
-  if (status != ExchangeStatus::kOk) co_return settle(status);
-  end(exchange_->status() >= kServerError ? AttemptEnd::kBroke : AttemptEnd::kServed);
+  const auto self = this->shared_from_this();
+  const ExchangeStatus status = co_await this->exchange_->readAll(body, kMaxAnswer, deadline);
+  if (status != ExchangeStatus::kOk) co_return this->settle(status);
+  this->end(this->exchange_->status() >= kServerError ? AttemptEnd::kBroke : AttemptEnd::kServed);
   co_return AttemptVerdict::kAnswered;
 }
 
 Task<AttemptVerdict> EngineCall::readEvents(EventParser& parser, std::vector<StreamEvent>& events,
                                             Instant deadline) {
-  const auto self = shared_from_this();
+  const auto self = this->shared_from_this();
   std::string bytes;
-  const ExchangeStatus status = co_await exchange_->readSome(bytes, deadline);
+  const ExchangeStatus status = co_await this->exchange_->readSome(bytes, deadline);
   events = parser.feed(bytes);
-  if (status != ExchangeStatus::kOk) co_return settle(status);
-  if (exchange_->complete()) end(AttemptEnd::kServed);
+  if (status != ExchangeStatus::kOk) co_return this->settle(status);
+  if (this->exchange_->complete()) this->end(AttemptEnd::kServed);
   co_return AttemptVerdict::kAnswered;
 }
 
 WeightVersion EngineCall::headVersion() const {
-  return std::strtoull(http::fieldText(head(), context_.names.weight_versions).c_str(), nullptr,
-                       10);
+  return std::strtoull(http::fieldText(this->head(), this->context_.names.weight_versions).c_str(),
+                       nullptr, 10);
 }
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -1,10 +1,11 @@
 #pragma once
 
-/// @file
-/// One attempt at one engine: sends a request, judges the answer's head, reads the rest, and tells
-/// the registry how the engine did.
+/** @file
+ * One attempt at one engine: sends a request, checks the head of the answer, reads the rest, and
+ * reports to the registry how the engine did.
+ */
 
-#include <functional>
+#include <memory>
 #include <string>
 #include <vector>
 
@@ -15,19 +16,22 @@
 
 namespace linenpier::forward {
 
-/// What an attempt has come to.
+/** How an attempt ended. Of all ends, only kNotExecuted and kUnreachable show that it did not run
+ * the request.
+ */
 enum class AttemptVerdict {
-  kAnswered,     ///< The engine answered; whole if asked for whole.
-  kNotExecuted,  ///< The engine said that it did not run the request.
+  kAnswered,     ///< The engine answered; completely if the answer was read completely.
+  kNotExecuted,  ///< The engine rejected the request: it says that it did not run it.
   kUnreachable,  ///< Nothing was sent.
-  kBroken,       ///< Broken off or spoilt; it may have run.
+  kBroken,       ///< Broken off, malformed or unsigned; it may have run.
   kSilent,       ///< Nothing in time; it may have run, or still run.
-  kAborted,      ///< Stopped by us.
+  kAborted,      ///< Stopped by the gateway; it may have run.
 };
 
+/** @return the end as log lines and metrics name it. */
 const char* toText(AttemptVerdict verdict);
 
-/// @return whether an attempt that came to this may have run the request.
+/** @return whether an attempt that ended so may have run the request. */
 bool mayHaveRun(AttemptVerdict verdict);
 
 struct EngineCallContext {
@@ -36,51 +40,57 @@
   const FieldNames& names;
 };
 
-/// Times that bound one attempt.
 struct AttemptLimits {
   Instant connect_deadline;
-  Instant deadline;  ///< For each further step as well.
+  Instant deadline;  ///< Until the head of the answer is read.
   bool fresh_connection = false;
-  /// What it says of the engine if nothing comes in time. Who waits for less than any sound engine
-  /// may take must not count that as a failure.
+  /** What it says of the engine if nothing comes in time. A sender that waits for less than any
+   * healthy engine may take must not count that as a failure.
+   */
   engines::AttemptEnd when_late = engines::AttemptEnd::kSilent;
 };
 
-/// Loop thread only; held by a shared pointer. Counts as in flight until its end.
+/** Loop thread only; held by a shared pointer. Counts as in flight at its engine until its end. */
 class EngineCall : public std::enable_shared_from_this<EngineCall> {
  public:
-  /// @param request complete but for the engine's id, which is set here.
+  /** @param request complete but for the engine's id, which is set here. */
   EngineCall(EngineCallContext context, const engines::EngineState& engine, http::Request request);
   ~EngineCall();
   EngineCall(const EngineCall&) = delete;
   EngineCall& operator=(const EngineCall&) = delete;
 
-  /// Sends the request and reads the head of the answer.
+  /** Sends the request and reads the head of the answer. */
   Task<AttemptVerdict> start(AttemptLimits limits);
-  /// Reads the rest of the answer's body. `event_time` tells the registry how long an answer takes.
+  /** Reads the rest of the answer's body. */
   Task<AttemptVerdict> readWhole(std::string& body, Instant deadline);
-  /// Waits for more of an event stream.
-  /// @return kAnswered with the events that became whole, perhaps none; `finished` tells the end.
+  /** Waits for more of an event stream.
+   * @return kAnswered with the events that are complete now, perhaps none; `finished` tells the
+   * end.
+   */
   Task<AttemptVerdict> readEvents(EventParser& parser, std::vector<StreamEvent>& events,
                                   Instant deadline);
   void abort();
-  /// Asked after the attempt broke off: whether the engine's process has ended, which is so if its
-  /// address refuses connections. One that says nothing may be cut off or stand still.
+  /** Asked after the attempt broke off.
+   * @return whether the engine's process has crashed, which is so if its address refuses
+   *     connections. An engine that does not answer may be cut off or hang, and has not.
+   */
   Task<bool> engineHasCrashed();
 
-  const EngineId& engine() const { return engine_; }
-  /// As it was sent.
-  const http::Request& request() const { return exchange_->request(); }
-  unsigned status() const { return exchange_->status(); }
-  const http::ResponseHead& head() const { return exchange_->head(); }
-  bool finished() const { return exchange_->complete(); }
-  /// @return the version in the answer's head, 0 if there is none.
+  const EngineId& engine() const { return this->engine_; }
+  /** The copy that was sent. */
+  const http::Request& request() const { return this->exchange_->request(); }
+  unsigned status() const { return this->exchange_->status(); }
+  const http::ResponseHead& head() const { return this->exchange_->head(); }
+  bool finished() const { return this->exchange_->complete(); }
+  /** @return the version of weights in the answer's head, 0 if there is none. */
   WeightVersion headVersion() const;
-  Instant startedAt() const { return started_at_; }
+  Instant startedAt() const { return this->started_at_; }
 
  private:
   AttemptVerdict judgeHead();
+  /** Reports an end that is no answer. */
   AttemptVerdict settle(http::ExchangeStatus status);
+  /** Reports the attempt's end to the registry, once. */
   void end(engines::AttemptEnd end);
   void readLoad();
 
--- a/src/gateway/forward/event_parser.cpp
+++ b/src/gateway/forward/event_parser.cpp
@@ -22,17 +22,17 @@
 std::vector<StreamEvent> EventParser::feed(std::string_view bytes) {
   std::vector<StreamEvent> events;
   for (const char byte : bytes) {
-    pending_.push_back(byte);
+    this->pending_.push_back(byte);
     if (byte != '\n') continue;
-    const std::size_t length = pending_.size() - line_start_;
-    const bool empty = length == 1 || (length == 2 && pending_[line_start_] == '\r');
+    const std::size_t length = this->pending_.size() - this->line_start_;
+    const bool empty = length == 1 || (length == 2 && this->pending_[this->line_start_] == '\r');
     if (!empty) {
-      line_start_ = pending_.size();
+      this->line_start_ = this->pending_.size();
       continue;
     }
-    events.push_back(parse(std::move(pending_)));
-    pending_.clear();
-    line_start_ = 0;
+    events.push_back(this->parse(std::move(this->pending_)));
+    this->pending_.clear();
+    this->line_start_ = 0;
   }
   return events;
 }
@@ -45,7 +45,7 @@
     const std::size_t end = left.find('\n');
     std::string_view line = left.substr(0, end);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    parseLine(line, event, has_data);
+    this->parseLine(line, event, has_data);
     left.remove_prefix(end + 1);
   }
   event.raw = std::move(raw);
@@ -64,7 +64,7 @@
     if (has_data) event.data.push_back('\n');
     event.data.append(value);
     has_data = true;
-  } else if (field == version_field_) {
+  } else if (field == this->version_field_) {
     event.version = parseNumber(value);
   }
 }
--- a/src/gateway/forward/event_parser.h
+++ b/src/gateway/forward/event_parser.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// @file
-/// Cuts a server-sent event stream into whole events.
+/** @file
+ * Cuts a server-sent event stream into complete events. Pure.
+ */
 
 #include <cstdint>
 #include <optional>
@@ -17,19 +18,19 @@
   std::string raw;  ///< All bytes, the closing empty line included.
   std::optional<std::uint64_t> id;
   std::string data;                      ///< Data lines, joined by line feeds.
-  std::optional<WeightVersion> version;  ///< Set at an event at which the version changes.
+  std::optional<WeightVersion> version;  ///< Of weights; set where it changes.
 };
 
-/// Holds at most one unfinished event.
+/** Holds at most one incomplete event. */
 class EventParser {
  public:
-  /// @param version_field name of the line that tells a change of version; any case.
+  /** @param version_field name of the line that holds a new version of weights; any case. */
   explicit EventParser(const std::string& version_field);
 
-  /// @return the events that `bytes` made whole.
+  /** @return the events that are complete with `bytes`. */
   std::vector<StreamEvent> feed(std::string_view bytes);
-  /// @return bytes of an event that is not whole.
-  const std::string& rest() const { return pending_; }
+  /** @return bytes of an event that is not complete. */
+  const std::string& rest() const { return this->pending_; }
 
  private:
   StreamEvent parse(std::string raw) const;
--- a/src/gateway/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Requests that the system itself sends to services, as a client's request would be sent: by the
- * same choice of engines, attempts and checks of answers.
+ * Requests that the system itself sends to services, such as reward calls: by the same choice of
+ * engines, the same retry rule and the same checks of answers as a client's.
  */
 
 #include <memory>
@@ -18,18 +18,18 @@
   routing::RouteTablePtr table;
   const routing::Route* route = nullptr;  ///< Of that table.
   http::Request message;
-  TenantId tenant;          ///< On whose behalf; empty: nobody's.
-  Duration limit{};         ///< Until it is given up; the route may set a shorter one.
-  double max_per_slot = 0;  ///< Engines that are fuller are left to clients; 0: no limit.
+  TenantId tenant;          ///< On whose behalf; empty: no tenant's.
+  Duration limit{};         ///< Time until it is given up; the route may set a shorter one.
+  double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0: no limit.
   std::shared_ptr<http::Cancellation> cancellation;  ///< Ends the request.
 };
 
 struct internal_outcome {
-  unsigned status = 0;    ///< Of a whole, signed answer; 0: there was none.
+  unsigned status = 0;    ///< Of a complete, signed answer; 0: there was none.
   std::string signature;  ///< Of that answer.
   int failures = 0;       ///< Attempts that engines answered with 500.
   int attempts = 0;
-  Duration wait{};  ///< It may not run for so long, since engines ended under it.
+  Duration wait{};  ///< It may not run for so long: it is a suspect.
 
   bool operator==(const internal_outcome&) const = default;
 };
