--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -47,7 +47,7 @@
   std::size_t released = 0;          ///< Those of them that readers are shown.
   std::size_t held_back_bytes = 0;   ///< Of those that they are not.
   Pending pending;
-  std::map<ItemIndex, std::shared_ptr<forward::EngineCall>> calls;    ///< By the item they run.
+  std::map<ItemIndex, std::shared_ptr<forward::engine_call>> calls;   ///< By the item they run.
   std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;  ///< Reward requests.
   Signal finished;          ///< There is something to list, or the job stops.
   Signal released_changed;  ///< `released` has grown, or the job stops.
--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -121,7 +121,7 @@
   const auto leave = leaveToRun(*active, item);
   if (!leave) return true;  // It waits, and others may start.
   const auto call =
-      std::make_shared<forward::EngineCall>(deps_.engines, *engine, itemRequest(*active, item));
+      std::make_shared<forward::engine_call>(deps_.engines, *engine, itemRequest(*active, item));
   active->run.onStarted(now, item, engine->record.id);
   active->calls[item] = call;
   deps_.engines.registry.onTokens(call->engine(), wanted.tokens);
@@ -149,7 +149,7 @@
 }
 
 void BatchService::settleSuspicion(const Active& active, ItemIndex item,
-                                   const forward::EngineCall& call, AttemptVerdict verdict,
+                                   const forward::engine_call& call, AttemptVerdict verdict,
                                    const suspects::sent_attempt& attempt, bool engine_ended) {
   if (engine_ended) {
     deps_.suspects.onEngineCrashed(attempt, keyOf(active, item), call.engine(), call.startedAt(),
@@ -163,7 +163,7 @@
 }
 
 Task<void> BatchService::runItem(ActivePtr active, ItemIndex item,
-                                 std::shared_ptr<forward::EngineCall> call, std::string model,
+                                 std::shared_ptr<forward::engine_call> call, std::string model,
                                  suspects::sent_attempt attempt) {
   const ModelName model_name(model);
   RunTimes times;
@@ -180,13 +180,13 @@
 }
 
 Task<AttemptVerdict> BatchService::readItemEvents(Active& active, ItemIndex item,
-                                                  forward::EngineCall& call, const ModelName& model,
-                                                  RunTimes& times) {
+                                                  forward::engine_call& call,
+                                                  const ModelName& model, RunTimes& times) {
   const Instant started = steadyNow();
   const Duration first_limit =
       options_.timeouts.forFirstEvent(active.run.progress(item).late_starts);
-  forward::AttemptLimits limits{started + options_.connect_time, started + first_limit, false,
-                                engines::AttemptEnd::kRefused};
+  forward::attempt_limits limits{started + options_.connect_time, started + first_limit, false,
+                                 engines::AttemptEnd::kRefused};
   AttemptVerdict verdict = co_await call.start(limits);
   if (verdict != AttemptVerdict::kAnswered) co_return verdict;
   if (call.status() >= 300) {
@@ -233,7 +233,7 @@
   co_return parser.rest().empty() ? AttemptVerdict::kAnswered : AttemptVerdict::kBroken;
 }
 
-void BatchService::settleItem(Active& active, ItemIndex item, forward::EngineCall& call,
+void BatchService::settleItem(Active& active, ItemIndex item, forward::engine_call& call,
                               AttemptVerdict verdict, const ModelName& model,
                               const RunTimes& times) {
   const Instant now = steadyNow();
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -47,7 +47,7 @@
  public:
   struct Dependencies {
     boost::asio::io_context& loop;
-    forward::EngineCallContext engines;
+    forward::engine_call_context engines;
     JobStore& store;
     lease::LeaseTable& leases;
     lease::LeaseKeeper& keeper;
@@ -219,10 +219,10 @@
   bool startItem(const ActivePtr& active, ItemIndex item, const routing::Route& route);
   /// @return nothing if the item must wait, since engines ended under it.
   std::optional<suspects::sent_attempt> leaveToRun(Active& active, ItemIndex item);
-  Task<void> runItem(ActivePtr active, ItemIndex item, std::shared_ptr<forward::EngineCall> call,
+  Task<void> runItem(ActivePtr active, ItemIndex item, std::shared_ptr<forward::engine_call> call,
                      std::string model, suspects::sent_attempt attempt);
   /// Tells what a run has shown of the item.
-  void settleSuspicion(const Active& active, ItemIndex item, const forward::EngineCall& call,
+  void settleSuspicion(const Active& active, ItemIndex item, const forward::engine_call& call,
                        forward::AttemptVerdict verdict, const suspects::sent_attempt& attempt,
                        bool engine_ended);
   /// How a run went, for the log.
@@ -232,9 +232,9 @@
     bool engine_ended = false;  ///< Its engine ended under it.
   };
   Task<forward::AttemptVerdict> readItemEvents(Active& active, ItemIndex item,
-                                               forward::EngineCall& call, const ModelName& model,
+                                               forward::engine_call& call, const ModelName& model,
                                                RunTimes& times);
-  void settleItem(Active& active, ItemIndex item, forward::EngineCall& call,
+  void settleItem(Active& active, ItemIndex item, forward::engine_call& call,
                   forward::AttemptVerdict verdict, const ModelName& model, const RunTimes& times);
   http::Request itemRequest(const Active& active, ItemIndex item) const;
   suspects::request_key keyOf(const Active& active, ItemIndex item) const;
--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -26,7 +26,7 @@
   if (attempt.isolated) this->suspects_.onInconclusive(*forwarded.key);
 }
 
-void attempt_admission::onEnded(forwarded_request& forwarded, const EngineCall& call,
+void attempt_admission::onEnded(forwarded_request& forwarded, const engine_call& call,
                                 AttemptVerdict verdict, const suspects::sent_attempt& attempt,
                                 bool engine_ended) {
   if (engine_ended) {
--- a/src/gateway/forward/attempt_admission.h
+++ b/src/gateway/forward/attempt_admission.h
@@ -28,7 +28,7 @@
   void onNotSent(const forwarded_request& forwarded, const suspects::sent_attempt& attempt);
 
   /** @param engine_ended whether the engine's process has ended under the attempt. */
-  void onEnded(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict,
+  void onEnded(forwarded_request& forwarded, const engine_call& call, AttemptVerdict verdict,
                const suspects::sent_attempt& attempt, bool engine_ended);
 
  private:
--- a/src/gateway/forward/attempt_race.cpp
+++ b/src/gateway/forward/attempt_race.cpp
@@ -6,8 +6,8 @@
   const engines::EngineState* engine = this->context_.choice.pick(*this->forwarded_, this->tried_);
   if (engine == nullptr) return false;
   this->tried_.insert(engine->record.id);
-  const EngineCallContext& engines = this->context_.engines;
-  const auto call = std::make_shared<EngineCall>(
+  const engine_call_context& engines = this->context_.engines;
+  const auto call = std::make_shared<engine_call>(
       engines, *engine, engineMessage(engines.names, *this->forwarded_, steadyNow()));
   this->running_.push_back(call);
   spawn(this->context_.loop,
@@ -15,7 +15,7 @@
   return true;
 }
 
-Task<void> attempt_race::run(std::shared_ptr<EngineCall> call, suspects::sent_attempt attempt) {
+Task<void> attempt_race::run(std::shared_ptr<engine_call> call, suspects::sent_attempt attempt) {
   const auto self = this->shared_from_this();
   result ended;
   ended.verdict = co_await this->readAnswer(*call, ended.response);
@@ -33,9 +33,9 @@
   this->changed_.notifyAll();
 }
 
-Task<AttemptVerdict> attempt_race::readAnswer(EngineCall& call, http::Response& response) {
+Task<AttemptVerdict> attempt_race::readAnswer(engine_call& call, http::Response& response) {
   const Instant deadline = this->forwarded_->deadline;
-  AttemptLimits limits{steadyNow() + this->context_.timeouts.connect, deadline};
+  attempt_limits limits{steadyNow() + this->context_.timeouts.connect, deadline};
   const AttemptVerdict started = co_await call.start(limits);
   if (started != AttemptVerdict::kAnswered) co_return started;
   const AttemptVerdict read = co_await call.readWhole(response.body(), deadline);
--- a/src/gateway/forward/attempt_race.h
+++ b/src/gateway/forward/attempt_race.h
@@ -37,15 +37,15 @@
   void abortAll();
 
  private:
-  Task<void> run(std::shared_ptr<EngineCall> call, suspects::sent_attempt attempt);
+  Task<void> run(std::shared_ptr<engine_call> call, suspects::sent_attempt attempt);
   /** Reads a complete answer into `response`. */
-  Task<AttemptVerdict> readAnswer(EngineCall& call, http::Response& response);
+  Task<AttemptVerdict> readAnswer(engine_call& call, http::Response& response);
 
   forwarding_context context_;
   std::shared_ptr<forwarded_request> forwarded_;
   Signal changed_;
   std::vector<result> results_;  ///< Not taken yet.
-  std::vector<std::shared_ptr<EngineCall>> running_;
+  std::vector<std::shared_ptr<engine_call>> running_;
   std::set<EngineId> tried_;
 };
 
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -40,8 +40,8 @@
   return verdict != AttemptVerdict::kNotExecuted && verdict != AttemptVerdict::kUnreachable;
 }
 
-EngineCall::EngineCall(EngineCallContext context, const engines::EngineState& engine,
-                       http::Request request)
+engine_call::engine_call(engine_call_context context, const engines::EngineState& engine,
+                         http::Request request)
     : context_(context),
       engine_(engine.record.id),
       address_(engine.record.address),
@@ -57,29 +57,29 @@
   this->context_.registry.onAttemptStarted(this->started_at_, this->engine_);
 }
 
-EngineCall::~EngineCall() {
+engine_call::~engine_call() {
   this->exchange_->abort();
   this->end(AttemptEnd::kServed);
 }
 
-void EngineCall::end(AttemptEnd end) {
+void engine_call::end(AttemptEnd end) {
   if (this->ended_) return;
   this->ended_ = true;
   this->context_.registry.onAttemptEnded(steadyNow(), this->engine_, end);
 }
 
-void EngineCall::abort() {
+void engine_call::abort() {
   this->exchange_->abort();
 }
 
-Task<bool> EngineCall::engineHasCrashed() {
+Task<bool> engine_call::engineHasCrashed() {
   const auto self = this->shared_from_this();
   const http::PeerState state =
       co_await this->context_.pool.probe(this->address_, steadyNow() + kEndedCheckTime);
   co_return state == http::PeerState::kRefuses;
 }
 
-Task<AttemptVerdict> EngineCall::start(AttemptLimits limits) {
+Task<AttemptVerdict> engine_call::start(attempt_limits limits) {
   const auto self = this->shared_from_this();
   this->when_late_ = limits.when_late;
   http::ExpectedEcho echo{this->context_.names.request_id, this->request_id_};
@@ -94,7 +94,7 @@
   co_return verdict;
 }
 
-AttemptVerdict EngineCall::judgeHead() {
+AttemptVerdict engine_call::judgeHead() {
   this->readLoad();
   if (this->exchange_->status() == kMisdirected) {
     this->end(AttemptEnd::kMisdirected);
@@ -112,7 +112,7 @@
   return AttemptVerdict::kAnswered;
 }
 
-void EngineCall::readLoad() {
+void engine_call::readLoad() {
   const std::string text = http::fieldText(this->head(), this->context_.names.load);
   engines::LoadReport load;
   if (std::sscanf(text.c_str(), "%u,%u,%u", &load.running, &load.waiting, &load.slots) == 3) {
@@ -120,7 +120,7 @@
   }
 }
 
-AttemptVerdict EngineCall::settle(ExchangeStatus status) {
+AttemptVerdict engine_call::settle(ExchangeStatus status) {
   switch (status) {
     case ExchangeStatus::kOk:
       return AttemptVerdict::kAnswered;
@@ -145,7 +145,7 @@
   return AttemptVerdict::kBroken;
 }
 
-Task<AttemptVerdict> EngineCall::readWhole(std::string& body, Instant deadline) {
+Task<AttemptVerdict> engine_call::readWhole(std::string& body, Instant deadline) {
   const auto self = this->shared_from_this();
   const ExchangeStatus status = co_await this->exchange_->readAll(body, kMaxAnswer, deadline);
   if (status != ExchangeStatus::kOk) co_return this->settle(status);
@@ -153,8 +153,8 @@
   co_return AttemptVerdict::kAnswered;
 }
 
-Task<AttemptVerdict> EngineCall::readEvents(EventParser& parser, std::vector<StreamEvent>& events,
-                                            Instant deadline) {
+Task<AttemptVerdict> engine_call::readEvents(EventParser& parser, std::vector<StreamEvent>& events,
+                                             Instant deadline) {
   const auto self = this->shared_from_this();
   std::string bytes;
   const ExchangeStatus status = co_await this->exchange_->readSome(bytes, deadline);
@@ -164,7 +164,7 @@
   co_return AttemptVerdict::kAnswered;
 }
 
-WeightVersion EngineCall::headVersion() const {
+WeightVersion engine_call::headVersion() const {
   return std::strtoull(http::fieldText(this->head(), this->context_.names.weight_versions).c_str(),
                        nullptr, 10);
 }
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -34,13 +34,13 @@
 /** @return whether an attempt that ended so may have run the request. */
 bool mayHaveRun(AttemptVerdict verdict);
 
-struct EngineCallContext {
+struct engine_call_context {
   http::ConnectionPool& pool;
   engines::EngineRegistry& registry;
   const FieldNames& names;
 };
 
-struct AttemptLimits {
+struct attempt_limits {
   Instant connect_deadline;
   Instant deadline;  ///< Until the head of the answer is read.
   bool fresh_connection = false;
@@ -51,16 +51,17 @@
 };
 
 /** Loop thread only; held by a shared pointer. Counts as in flight at its engine until its end. */
-class EngineCall : public std::enable_shared_from_this<EngineCall> {
+class engine_call : public std::enable_shared_from_this<engine_call> {
  public:
   /** @param request complete but for the engine's id, which is set here. */
-  EngineCall(EngineCallContext context, const engines::EngineState& engine, http::Request request);
-  ~EngineCall();
-  EngineCall(const EngineCall&) = delete;
-  EngineCall& operator=(const EngineCall&) = delete;
+  engine_call(engine_call_context context, const engines::EngineState& engine,
+              http::Request request);
+  ~engine_call();
+  engine_call(const engine_call&) = delete;
+  engine_call& operator=(const engine_call&) = delete;
 
   /** Sends the request and reads the head of the answer. */
-  Task<AttemptVerdict> start(AttemptLimits limits);
+  Task<AttemptVerdict> start(attempt_limits limits);
   /** Reads the rest of the answer's body. */
   Task<AttemptVerdict> readWhole(std::string& body, Instant deadline);
   /** Waits for more of an event stream.
@@ -94,7 +95,7 @@
   void end(engines::AttemptEnd end);
   void readLoad();
 
-  EngineCallContext context_;
+  engine_call_context context_;
   EngineId engine_;
   Address address_;
   std::string request_id_;
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -4,7 +4,7 @@
 
 namespace linenpier::forward {
 
-Forwarder::Forwarder(boost::asio::io_context& loop, EngineCallContext engines,
+Forwarder::Forwarder(boost::asio::io_context& loop, engine_call_context engines,
                      routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
                      usage::run_recorder& recorder, suspects::suspect_gate& suspects)
     : choice_(engines.registry, engines.names, round_robin),
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -21,7 +21,7 @@
 /** Loop thread only. */
 class Forwarder : public internal_requests {
  public:
-  Forwarder(boost::asio::io_context& loop, EngineCallContext engines,
+  Forwarder(boost::asio::io_context& loop, engine_call_context engines,
             routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
             usage::run_recorder& recorder, suspects::suspect_gate& suspects);
   /** The parts refer to each other. */
--- a/src/gateway/forward/forwarding_context.h
+++ b/src/gateway/forward/forwarding_context.h
@@ -20,7 +20,7 @@
 
 struct forwarding_context {
   boost::asio::io_context& loop;
-  EngineCallContext engines;
+  engine_call_context engines;
   engine_choice& choice;
   attempt_admission& admission;
   local_replies& replies;
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void request_log::onAttemptEnded(forwarded_request& forwarded, const EngineCall& call,
+void request_log::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
                                  AttemptVerdict verdict, bool engine_ended) {
   const engines::EngineState* engine = this->registry_.find(call.engine());
   const std::string service = engine == nullptr ? "gone" : engine->record.service.str();
--- a/src/gateway/forward/request_log.h
+++ b/src/gateway/forward/request_log.h
@@ -25,7 +25,7 @@
   /** Writes a line unless the attempt went well: the request's own line tells that.
    * @param engine_ended whether the engine's process has ended under the attempt.
    */
-  void onAttemptEnded(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict,
+  void onAttemptEnded(forwarded_request& forwarded, const engine_call& call, AttemptVerdict verdict,
                       bool engine_ended);
 
   /** Writes a line; of many successes, a sample.
--- a/src/gateway/forward/run_reports.cpp
+++ b/src/gateway/forward/run_reports.cpp
@@ -8,12 +8,12 @@
   this->recorder_.onBegun(forwarded.from.tenant, at);
 }
 
-void run_reports::onAttemptEnded(forwarded_request& forwarded, const EngineCall& call,
+void run_reports::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
                                  AttemptVerdict verdict) {
   if (this->hasRun(call, verdict)) this->onRun(forwarded, call.startedAt());
 }
 
-bool run_reports::hasRun(const EngineCall& call, AttemptVerdict verdict) const {
+bool run_reports::hasRun(const engine_call& call, AttemptVerdict verdict) const {
   switch (verdict) {
     case AttemptVerdict::kAnswered:
     case AttemptVerdict::kBroken:
--- a/src/gateway/forward/run_reports.h
+++ b/src/gateway/forward/run_reports.h
@@ -23,10 +23,11 @@
   void onRun(forwarded_request& forwarded, Instant at);
 
   /** Reports a run if this end of an attempt shows one. */
-  void onAttemptEnded(forwarded_request& forwarded, const EngineCall& call, AttemptVerdict verdict);
+  void onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
+                      AttemptVerdict verdict);
 
  private:
-  bool hasRun(const EngineCall& call, AttemptVerdict verdict) const;
+  bool hasRun(const engine_call& call, AttemptVerdict verdict) const;
 
   const engines::EngineRegistry& registry_;
   usage::run_recorder& recorder_;
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -76,7 +76,8 @@
   const FieldNames& names = this->context_.engines.names;
   http::Request request = engineMessage(names, this->forwarded_, now);
   if (this->last_event_) request.set(names.last_event_id, std::to_string(*this->last_event_));
-  this->running_ = std::make_shared<EngineCall>(this->context_.engines, engine, std::move(request));
+  this->running_ =
+      std::make_shared<engine_call>(this->context_.engines, engine, std::move(request));
   this->policy_.onStarted(now);
 }
 
@@ -86,7 +87,7 @@
   if (verdict == AttemptVerdict::kBroken) {
     engine_ended = co_await this->running_->engineHasCrashed();
   }
-  const EngineCall& call = *this->running_;
+  const engine_call& call = *this->running_;
   this->context_.log.onAttemptEnded(this->forwarded_, call, verdict, engine_ended);
   this->context_.admission.onEnded(this->forwarded_, call, verdict, attempt, engine_ended);
   this->policy_.onEnded(verdict);
@@ -94,8 +95,8 @@
 }
 
 Task<AttemptVerdict> stream_session::relay() {
-  EngineCall& call = *this->running_;
-  AttemptLimits limits{steadyNow() + this->context_.timeouts.connect, this->stepDeadline()};
+  engine_call& call = *this->running_;
+  attempt_limits limits{steadyNow() + this->context_.timeouts.connect, this->stepDeadline()};
   const AttemptVerdict started = co_await call.start(limits);
   if (started != AttemptVerdict::kAnswered) co_return started;
   if (call.status() >= kFirstRedirection) {
@@ -108,7 +109,7 @@
   co_return passed;
 }
 
-Task<AttemptVerdict> stream_session::relayPlain(EngineCall& call) {
+Task<AttemptVerdict> stream_session::relayPlain(engine_call& call) {
   if (this->head_sent_) co_return AttemptVerdict::kBroken;
   http::Response response;
   const AttemptVerdict read = co_await call.readWhole(response.body(), this->forwarded_.deadline);
@@ -119,7 +120,7 @@
   co_return AttemptVerdict::kAnswered;
 }
 
-Task<AttemptVerdict> stream_session::relayEvents(EngineCall& call) {
+Task<AttemptVerdict> stream_session::relayEvents(engine_call& call) {
   EventParser parser(this->context_.engines.names.weight_versions);
   std::vector<StreamEvent> events;
   while (!call.finished()) {
@@ -152,7 +153,7 @@
   return true;
 }
 
-Task<bool> stream_session::beginStreamOnce(EngineCall& call) {
+Task<bool> stream_session::beginStreamOnce(engine_call& call) {
   if (this->head_sent_) co_return true;
   this->head_sent_ = true;
   http::ResponseHead head;
--- a/src/gateway/forward/stream_session.h
+++ b/src/gateway/forward/stream_session.h
@@ -39,15 +39,15 @@
   Task<AttemptVerdict> finishCall(suspects::sent_attempt attempt);
   /** Passes on what the running call answers. */
   Task<AttemptVerdict> relay();
-  Task<AttemptVerdict> relayEvents(EngineCall& call);
+  Task<AttemptVerdict> relayEvents(engine_call& call);
   /** Passes on an answer that is no stream, such as an error. */
-  Task<AttemptVerdict> relayPlain(EngineCall& call);
+  Task<AttemptVerdict> relayPlain(engine_call& call);
   /** Appends events to `bytes`. @return whether they continue what the client has. */
   bool takeEvents(const std::vector<StreamEvent>& events, std::string& bytes);
   /** Sends the head of the engine's stream unless the client has one already.
    * @return whether the client is still there.
    */
-  Task<bool> beginStreamOnce(EngineCall& call);
+  Task<bool> beginStreamOnce(engine_call& call);
   /** Ends a request that no engine's answer was passed on to its end for. */
   Task<void> endWithoutAnswer();
   /** @return until when the engine must say something. */
@@ -62,7 +62,7 @@
   bool head_sent_ = false;
   std::optional<std::uint64_t> last_event_;  ///< Id that the client has, by us or by its own word.
   std::set<EngineId> tried_;
-  std::shared_ptr<EngineCall> running_;  ///< The newest attempt, also after its end.
+  std::shared_ptr<engine_call> running_;  ///< The newest attempt, also after its end.
 };
 
 }  // namespace linenpier::forward
