--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -195,8 +195,8 @@
   }
   WeightVersion version = call.headVersion();
   if (!model.empty()) deps_.engines.registry.onVersionSeen(call.engine(), model, version);
-  forward::EventParser parser(deps_.engines.names.weight_versions);
-  std::vector<forward::StreamEvent> events;
+  forward::event_parser parser(deps_.engines.names.weight_versions);
+  std::vector<forward::stream_event> events;
   Instant last = steadyNow();
   bool first = true;
   while (!call.finished()) {
@@ -205,7 +205,7 @@
     verdict = co_await call.readEvents(parser, events, steadyNow() + gap);
     if (active.stopped) co_return AttemptVerdict::kAborted;
     const Instant now = steadyNow();
-    for (forward::StreamEvent& event : events) {
+    for (forward::stream_event& event : events) {
       if (event.version) {
         version = *event.version;
         if (!model.empty()) deps_.engines.registry.onVersionSeen(call.engine(), model, version);
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -24,7 +24,7 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    const forward::FieldNames& names;
+    const forward::field_names& names;
     forward::internal_requests& rewards;
     std::function<routing::RouteTablePtr()> routes;
     BatchCounts& counts;
--- a/src/gateway/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -11,13 +11,13 @@
 constexpr Duration kMinAttempt = std::chrono::milliseconds(10);
 }  // namespace
 
-void AttemptPolicy::onStarted(Instant now) {
+void attempt_policy::onStarted(Instant now) {
   ++this->started_;
   ++this->running_;
   this->last_start_ = now;
 }
 
-void AttemptPolicy::onEnded(AttemptVerdict verdict) {
+void attempt_policy::onEnded(AttemptVerdict verdict) {
   --this->running_;
   if (verdict == AttemptVerdict::kUnreachable) {
     --this->started_;
@@ -26,27 +26,27 @@
   if (mayHaveRun(verdict)) this->may_have_run_ = true;
 }
 
-bool AttemptPolicy::attemptsLeft() const {
+bool attempt_policy::attemptsLeft() const {
   return this->started_ < this->max_attempts_ && this->unreachable_ < kMaxUnreachable;
 }
 
-bool AttemptPolicy::mayStart(Instant now) const {
+bool attempt_policy::mayStart(Instant now) const {
   if (!this->attemptsLeft() || now + kMinAttempt >= this->deadline_) return false;
   if (this->running_ == 0) return !this->may_have_run_ || this->repeatable_;
   return this->idempotent_ && now >= this->last_start_ + this->hedge_delay_;
 }
 
-Instant AttemptPolicy::nextLook() const {
+Instant attempt_policy::nextLook() const {
   if (!this->idempotent_ || !this->attemptsLeft() || this->running_ == 0) return this->deadline_;
   return std::min(this->deadline_, this->last_start_ + this->hedge_delay_);
 }
 
-bool AttemptPolicy::retriesFailures(Instant now) const {
+bool attempt_policy::retriesFailures(Instant now) const {
   return this->repeatable_ &&
          (this->running_ > 0 || (this->attemptsLeft() && now + kMinAttempt < this->deadline_));
 }
 
-LocalReply AttemptPolicy::localReply(Instant now) const {
+LocalReply attempt_policy::localReply(Instant now) const {
   if (!this->may_have_run_ && this->running_ == 0) return LocalReply::kNotRun;
   return now >= this->deadline_ ? LocalReply::kOutOfTime : LocalReply::kMayHaveRun;
 }
--- a/src/gateway/forward/attempt_policy.h
+++ b/src/gateway/forward/attempt_policy.h
@@ -29,9 +29,9 @@
  *
  * Invariant: the local reply is kNotRun only while no attempt may have run the request.
  */
-class AttemptPolicy {
+class attempt_policy {
  public:
-  AttemptPolicy(const routing::Route& route, Instant deadline)
+  attempt_policy(const routing::Route& route, Instant deadline)
       : repeatable_(route.repeatable()),
         idempotent_(route.kind == routing::RequestKind::kIdempotent),
         max_attempts_(route.max_attempts),
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -153,8 +153,8 @@
   co_return AttemptVerdict::kAnswered;
 }
 
-Task<AttemptVerdict> engine_call::readEvents(EventParser& parser, std::vector<StreamEvent>& events,
-                                             Instant deadline) {
+Task<AttemptVerdict> engine_call::readEvents(event_parser& parser,
+                                             std::vector<stream_event>& events, Instant deadline) {
   const auto self = this->shared_from_this();
   std::string bytes;
   const ExchangeStatus status = co_await this->exchange_->readSome(bytes, deadline);
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -37,7 +37,7 @@
 struct engine_call_context {
   http::ConnectionPool& pool;
   engines::EngineRegistry& registry;
-  const FieldNames& names;
+  const field_names& names;
 };
 
 struct attempt_limits {
@@ -68,7 +68,7 @@
    * @return kAnswered with the events that are complete now, perhaps none; `finished` tells the
    * end.
    */
-  Task<AttemptVerdict> readEvents(EventParser& parser, std::vector<StreamEvent>& events,
+  Task<AttemptVerdict> readEvents(event_parser& parser, std::vector<stream_event>& events,
                                   Instant deadline);
   void abort();
   /** Asked after the attempt broke off.
--- a/src/gateway/forward/engine_choice.h
+++ b/src/gateway/forward/engine_choice.h
@@ -17,7 +17,7 @@
 
 class engine_choice {
  public:
-  engine_choice(engines::EngineRegistry& registry, const FieldNames& names,
+  engine_choice(engines::EngineRegistry& registry, const field_names& names,
                 routing::weighted_round_robin& round_robin)
       : registry_(registry), names_(names), round_robin_(round_robin) {}
 
@@ -42,7 +42,7 @@
   fleet::data_residency residencyOf(const forwarded_request& forwarded) const;
 
   engines::EngineRegistry& registry_;
-  const FieldNames& names_;
+  const field_names& names_;
   routing::weighted_round_robin& round_robin_;
   std::function<routing::RouteTablePtr()> newest_;
 };
--- a/src/gateway/forward/event_parser.cpp
+++ b/src/gateway/forward/event_parser.cpp
@@ -16,11 +16,11 @@
 
 }  // namespace
 
-EventParser::EventParser(const std::string& version_field)
+event_parser::event_parser(const std::string& version_field)
     : version_field_(boost::to_lower_copy(version_field)) {}
 
-std::vector<StreamEvent> EventParser::feed(std::string_view bytes) {
-  std::vector<StreamEvent> events;
+std::vector<stream_event> event_parser::feed(std::string_view bytes) {
+  std::vector<stream_event> events;
   for (const char byte : bytes) {
     this->pending_.push_back(byte);
     if (byte != '\n') continue;
@@ -37,8 +37,8 @@
   return events;
 }
 
-StreamEvent EventParser::parse(std::string raw) const {
-  StreamEvent event;
+stream_event event_parser::parse(std::string raw) const {
+  stream_event event;
   bool has_data = false;
   std::string_view left = raw;
   while (!left.empty()) {
@@ -52,7 +52,7 @@
   return event;
 }
 
-void EventParser::parseLine(std::string_view line, StreamEvent& event, bool& has_data) const {
+void event_parser::parseLine(std::string_view line, stream_event& event, bool& has_data) const {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) return;
   const std::string_view field = line.substr(0, colon);
--- a/src/gateway/forward/event_parser.h
+++ b/src/gateway/forward/event_parser.h
@@ -14,7 +14,7 @@
 
 namespace linenpier::forward {
 
-struct StreamEvent {
+struct stream_event {
   std::string raw;  ///< All bytes, the closing empty line included.
   std::optional<std::uint64_t> id;
   std::string data;                      ///< Data lines, joined by line feeds.
@@ -22,19 +22,19 @@
 };
 
 /** Holds at most one incomplete event. */
-class EventParser {
+class event_parser {
  public:
   /** @param version_field name of the line that holds a new version of weights; any case. */
-  explicit EventParser(const std::string& version_field);
+  explicit event_parser(const std::string& version_field);
 
   /** @return the events that are complete with `bytes`. */
-  std::vector<StreamEvent> feed(std::string_view bytes);
+  std::vector<stream_event> feed(std::string_view bytes);
   /** @return bytes of an event that is not complete. */
   const std::string& rest() const { return this->pending_; }
 
  private:
-  StreamEvent parse(std::string raw) const;
-  void parseLine(std::string_view line, StreamEvent& event, bool& has_data) const;
+  stream_event parse(std::string raw) const;
+  void parseLine(std::string_view line, stream_event& event, bool& has_data) const;
 
   std::string version_field_;  ///< Lower case.
   std::string pending_;
--- a/src/gateway/forward/field_names.h
+++ b/src/gateway/forward/field_names.h
@@ -9,7 +9,7 @@
 
 namespace linenpier::forward {
 
-struct FieldNames {
+struct field_names {
   std::string request_id;
   std::string deadline_ms;      ///< How long the sender waits.
   std::string target_engine;    ///< Engines with another id reject the request.
--- a/src/gateway/forward/forwarded_request.cpp
+++ b/src/gateway/forward/forwarded_request.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Instant deadlineOf(const FieldNames& names, const routing::Route& route,
+Instant deadlineOf(const field_names& names, const routing::Route& route,
                    const http::Request& request, Instant received) {
   const std::string text = http::fieldText(request, names.deadline_ms);
   Duration limit = route.timeout;
@@ -26,7 +26,7 @@
   return received + limit;
 }
 
-http::Request engineMessage(const FieldNames& names, const forwarded_request& forwarded,
+http::Request engineMessage(const field_names& names, const forwarded_request& forwarded,
                             Instant now) {
   const http::Request& request = *forwarded.request;
   http::Request copy(request.method(), request.target(), kHttp11);
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -41,11 +41,11 @@
 /** @return when the gateway gives up: the shorter of the route's timeout and the time that the
  *     sender says it waits, counted from `received`.
  */
-Instant deadlineOf(const FieldNames& names, const routing::Route& route,
+Instant deadlineOf(const field_names& names, const routing::Route& route,
                    const http::Request& request, Instant received);
 
 /** @return a copy for an engine, with the time that is left and the tenant in place of its key. */
-http::Request engineMessage(const FieldNames& names, const forwarded_request& forwarded,
+http::Request engineMessage(const field_names& names, const forwarded_request& forwarded,
                             Instant now);
 
 /** @return the request's key, computed once.
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -4,7 +4,7 @@
 
 namespace linenpier::forward {
 
-Forwarder::Forwarder(boost::asio::io_context& loop, engine_call_context engines,
+forwarder::forwarder(boost::asio::io_context& loop, engine_call_context engines,
                      routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
                      usage::run_recorder& recorder, suspects::suspect_gate& suspects)
     : choice_(engines.registry, engines.names, round_robin),
@@ -15,10 +15,10 @@
       context_{loop, engines, choice_, admission_, replies_, log_, runs_, {}},
       plain_(context_) {}
 
-Task<void> Forwarder::serve(routing::RouteTablePtr table, const routing::Route& route,
+Task<void> forwarder::serve(routing::RouteTablePtr table, const routing::Route& route,
                             tenants::caller from, const http::Request& request, Instant received,
                             http::ResponseWriter& writer) {
-  const FieldNames& names = this->context_.engines.names;
+  const field_names& names = this->context_.engines.names;
   const auto forwarded = std::make_shared<forwarded_request>();
   forwarded->table = std::move(table);
   forwarded->route = &route;
@@ -35,7 +35,7 @@
   }
 }
 
-Task<internal_outcome> Forwarder::send(internal_request request) {
+Task<internal_outcome> forwarder::send(internal_request request) {
   return this->plain_.send(std::move(request));
 }
 
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -6,7 +6,7 @@
  *
  * Owns the parts that do so: the choice of an engine, the admission of suspects, local replies, log
  * lines and metrics, reports of runs. Requests with one answer are served by `plain_requests`,
- * streams by `stream_session`; both retry by the one rule in `AttemptPolicy`.
+ * streams by `stream_session`; both retry by the one rule in `attempt_policy`.
  */
 
 #include <functional>
@@ -19,14 +19,14 @@
 namespace linenpier::forward {
 
 /** Loop thread only. */
-class Forwarder : public internal_requests {
+class forwarder : public internal_requests {
  public:
-  Forwarder(boost::asio::io_context& loop, engine_call_context engines,
+  forwarder(boost::asio::io_context& loop, engine_call_context engines,
             routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
             usage::run_recorder& recorder, suspects::suspect_gate& suspects);
   /** The parts refer to each other. */
-  Forwarder(const Forwarder&) = delete;
-  Forwarder& operator=(const Forwarder&) = delete;
+  forwarder(const forwarder&) = delete;
+  forwarder& operator=(const forwarder&) = delete;
 
   /** See `engine_choice::followResidency`. */
   void followResidency(std::function<routing::RouteTablePtr()> newest) {
--- a/src/gateway/forward/local_replies.h
+++ b/src/gateway/forward/local_replies.h
@@ -24,7 +24,7 @@
 
 class local_replies {
  public:
-  local_replies(const FieldNames& names, suspects::suspect_gate& suspects,
+  local_replies(const field_names& names, suspects::suspect_gate& suspects,
                 local_reply_options options)
       : names_(names), suspects_(suspects), options_(options) {}
 
@@ -40,7 +40,7 @@
   http::Response makeFinal(forwarded_request& forwarded, LocalReply reply) const;
 
  private:
-  const FieldNames& names_;
+  const field_names& names_;
   suspects::suspect_gate& suspects_;
   local_reply_options options_;
 };
--- a/src/gateway/forward/plain_requests.cpp
+++ b/src/gateway/forward/plain_requests.cpp
@@ -14,7 +14,7 @@
 
 Task<void> plain_requests::serve(std::shared_ptr<forwarded_request> forwarded,
                                  http::ResponseWriter& writer) {
-  AttemptPolicy policy(*forwarded->route, forwarded->deadline);
+  attempt_policy policy(*forwarded->route, forwarded->deadline);
   attempts_outcome outcome = co_await this->runAttempts(forwarded, policy, writer.cancellation());
   if (writer.cancellation().requested()) {
     this->context_.log.onRequestEnded(*forwarded, "client_gone", 0, policy);
@@ -49,7 +49,7 @@
 
 Task<internal_outcome> plain_requests::send(internal_request request) {
   const auto forwarded = this->makeInternal(request);
-  AttemptPolicy policy(*request.route, forwarded->deadline);
+  attempt_policy policy(*request.route, forwarded->deadline);
   attempts_outcome attempts = co_await this->runAttempts(forwarded, policy, *request.cancellation);
   internal_outcome outcome;
   outcome.failures = attempts.failures;
@@ -67,7 +67,7 @@
 }
 
 Task<plain_requests::attempts_outcome> plain_requests::runAttempts(
-    std::shared_ptr<forwarded_request> forwarded, AttemptPolicy& policy,
+    std::shared_ptr<forwarded_request> forwarded, attempt_policy& policy,
     http::Cancellation& cancellation) {
   const auto race = std::make_shared<attempt_race>(this->context_, forwarded);
   cancellation.onRequest([race] { race->wake(); });
@@ -90,7 +90,7 @@
   co_return outcome;
 }
 
-void plain_requests::judgeResults(attempt_race& race, AttemptPolicy& policy,
+void plain_requests::judgeResults(attempt_race& race, attempt_policy& policy,
                                   attempts_outcome& outcome) const {
   for (attempt_race::result& ended : race.takeResults()) {
     policy.onEnded(ended.verdict);
@@ -103,7 +103,7 @@
 }
 
 Task<bool> plain_requests::startAttempt(std::shared_ptr<forwarded_request> forwarded,
-                                        attempt_race& race, AttemptPolicy& policy,
+                                        attempt_race& race, attempt_policy& policy,
                                         http::Cancellation& cancellation) {
   const auto attempt = co_await this->context_.admission.admit(*forwarded, policy.running() == 0);
   if (!attempt) co_return false;
--- a/src/gateway/forward/plain_requests.h
+++ b/src/gateway/forward/plain_requests.h
@@ -35,12 +35,12 @@
   std::shared_ptr<forwarded_request> makeInternal(const internal_request& request) const;
   /** Runs attempts until there is an answer to pass on, or no attempt runs and none may start. */
   Task<attempts_outcome> runAttempts(std::shared_ptr<forwarded_request> forwarded,
-                                     AttemptPolicy& policy, http::Cancellation& cancellation);
+                                     attempt_policy& policy, http::Cancellation& cancellation);
   /** Takes in the attempts that ended; the last answer that is not tried elsewhere is passed on. */
-  void judgeResults(attempt_race& race, AttemptPolicy& policy, attempts_outcome& outcome) const;
+  void judgeResults(attempt_race& race, attempt_policy& policy, attempts_outcome& outcome) const;
   /** @return whether an attempt was started; it may not be admitted, or no engine be found. */
   Task<bool> startAttempt(std::shared_ptr<forwarded_request> forwarded, attempt_race& race,
-                          AttemptPolicy& policy, http::Cancellation& cancellation);
+                          attempt_policy& policy, http::Cancellation& cancellation);
 
   forwarding_context context_;
 };
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -56,7 +56,7 @@
 }
 
 void request_log::onRequestEnded(const forwarded_request& forwarded, const char* outcome,
-                                 unsigned status, const AttemptPolicy& policy) {
+                                 unsigned status, const attempt_policy& policy) {
   const Instant now = steadyNow();
   const Duration took = now - forwarded.received;
   const char* kind = forwarded.internal ? "internal" : routing::toText(forwarded.route->kind);
--- a/src/gateway/forward/request_log.h
+++ b/src/gateway/forward/request_log.h
@@ -33,7 +33,7 @@
    * @param status that the caller gets; 0: none.
    */
   void onRequestEnded(const forwarded_request& forwarded, const char* outcome, unsigned status,
-                      const AttemptPolicy& policy);
+                      const attempt_policy& policy);
 
  private:
   /** Adds how many engines the route has, and how many of them are sent nothing or little. */
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -73,7 +73,7 @@
 
 void stream_session::startCall(Instant now, const engines::EngineState& engine) {
   this->tried_.insert(engine.record.id);
-  const FieldNames& names = this->context_.engines.names;
+  const field_names& names = this->context_.engines.names;
   http::Request request = engineMessage(names, this->forwarded_, now);
   if (this->last_event_) request.set(names.last_event_id, std::to_string(*this->last_event_));
   this->running_ =
@@ -121,8 +121,8 @@
 }
 
 Task<AttemptVerdict> stream_session::relayEvents(engine_call& call) {
-  EventParser parser(this->context_.engines.names.weight_versions);
-  std::vector<StreamEvent> events;
+  event_parser parser(this->context_.engines.names.weight_versions);
+  std::vector<stream_event> events;
   while (!call.finished()) {
     const AttemptVerdict verdict = co_await call.readEvents(parser, events, this->stepDeadline());
     std::string bytes;
@@ -142,8 +142,8 @@
   co_return AttemptVerdict::kAnswered;
 }
 
-bool stream_session::takeEvents(const std::vector<StreamEvent>& events, std::string& bytes) {
-  for (const StreamEvent& event : events) {
+bool stream_session::takeEvents(const std::vector<stream_event>& events, std::string& bytes) {
+  for (const stream_event& event : events) {
     const bool out_of_order =
         this->resumable_ && event.id && this->last_event_ && *event.id != *this->last_event_ + 1;
     if (out_of_order) return false;
--- a/src/gateway/forward/stream_session.h
+++ b/src/gateway/forward/stream_session.h
@@ -43,7 +43,7 @@
   /** Passes on an answer that is no stream, such as an error. */
   Task<AttemptVerdict> relayPlain(engine_call& call);
   /** Appends events to `bytes`. @return whether they continue what the client has. */
-  bool takeEvents(const std::vector<StreamEvent>& events, std::string& bytes);
+  bool takeEvents(const std::vector<stream_event>& events, std::string& bytes);
   /** Sends the head of the engine's stream unless the client has one already.
    * @return whether the client is still there.
    */
@@ -57,7 +57,7 @@
   forwarding_context context_;
   forwarded_request& forwarded_;
   http::ResponseWriter& writer_;
-  AttemptPolicy policy_;
+  attempt_policy policy_;
   const bool resumable_;
   bool head_sent_ = false;
   std::optional<std::uint64_t> last_event_;  ///< Id that the client has, by us or by its own word.
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -154,7 +154,7 @@
   batch::JobStore job_store_;
   usage::usage_service usage_;
   suspects::suspect_service suspects_;
-  forward::Forwarder forwarder_;
+  forward::forwarder forwarder_;
   batch::BatchService batches_;
   versions::OrderService orders_;
   scaling::scaling_service scaling_;
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -40,7 +40,7 @@
  public:
   virtual ~PlatformPort() = default;
 
-  virtual const forward::FieldNames& fieldNames() const = 0;
+  virtual const forward::field_names& fieldNames() const = 0;
   virtual table::AsyncTable& table() = 0;
   virtual table::AsyncObjects& objects() = 0;
   virtual const batch::BatchCodec& batchCodec() const = 0;
--- a/tests/gateway/forward/attempt_policy_test.cpp
+++ b/tests/gateway/forward/attempt_policy_test.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using forward::AttemptPolicy;
+using forward::attempt_policy;
 using forward::AttemptVerdict;
 using forward::LocalReply;
 
@@ -23,7 +23,7 @@
 }  // namespace
 
 Test(attempt_policy, a_request_that_may_run_once_is_not_repeated_after_it_may_have_run) {
-  AttemptPolicy policy(route(routing::RequestKind::kNonIdempotent, 3), kDeadline);
+  attempt_policy policy(route(routing::RequestKind::kNonIdempotent, 3), kDeadline);
   policy.onStarted(kStart);
   policy.onEnded(AttemptVerdict::kBroken);
   cr_assert_not(policy.mayStart(kStart));
@@ -31,7 +31,7 @@
 }
 
 Test(attempt_policy, it_is_repeated_after_proof_that_it_did_not_run) {
-  AttemptPolicy policy(route(routing::RequestKind::kNonIdempotent, 3), kDeadline);
+  attempt_policy policy(route(routing::RequestKind::kNonIdempotent, 3), kDeadline);
   policy.onStarted(kStart);
   policy.onEnded(AttemptVerdict::kNotExecuted);
   cr_assert(policy.mayStart(kStart));
@@ -42,7 +42,7 @@
 }
 
 Test(attempt_policy, no_more_engines_than_the_route_allows) {
-  AttemptPolicy policy(route(routing::RequestKind::kIdempotent, 2), kDeadline);
+  attempt_policy policy(route(routing::RequestKind::kIdempotent, 2), kDeadline);
   for (int i = 0; i < 2; ++i) {
     cr_assert(policy.mayStart(kStart));
     policy.onStarted(kStart);
@@ -52,7 +52,7 @@
 }
 
 Test(attempt_policy, engines_that_cannot_be_reached_do_not_use_up_attempts_but_end) {
-  AttemptPolicy policy(route(routing::RequestKind::kIdempotent, 1), kDeadline);
+  attempt_policy policy(route(routing::RequestKind::kIdempotent, 1), kDeadline);
   int tries = 0;
   while (policy.mayStart(kStart) && tries < 100) {
     policy.onStarted(kStart);
@@ -63,7 +63,7 @@
 }
 
 Test(attempt_policy, a_second_engine_is_asked_while_there_is_still_time_for_it) {
-  AttemptPolicy policy(route(routing::RequestKind::kIdempotent, 2), kDeadline);
+  attempt_policy policy(route(routing::RequestKind::kIdempotent, 2), kDeadline);
   policy.onStarted(kStart);
   cr_assert_not(policy.mayStart(kStart + std::chrono::milliseconds(49)));
   cr_assert(policy.mayStart(kStart + std::chrono::milliseconds(50)));
@@ -71,15 +71,15 @@
 }
 
 Test(attempt_policy, a_running_request_that_may_run_once_is_never_doubled) {
-  AttemptPolicy policy(route(routing::RequestKind::kNonIdempotent, 2), kDeadline);
+  attempt_policy policy(route(routing::RequestKind::kNonIdempotent, 2), kDeadline);
   policy.onStarted(kStart);
   cr_assert_not(policy.mayStart(kStart + std::chrono::milliseconds(500)));
 }
 
 Test(attempt_policy, out_of_time_is_told_as_such_only_if_it_may_have_run) {
-  AttemptPolicy sent(route(routing::RequestKind::kIdempotent, 1), kDeadline);
+  attempt_policy sent(route(routing::RequestKind::kIdempotent, 1), kDeadline);
   sent.onStarted(kStart);
   cr_assert_eq(sent.localReply(kDeadline), LocalReply::kOutOfTime);
-  const AttemptPolicy unsent(route(routing::RequestKind::kIdempotent, 1), kDeadline);
+  const attempt_policy unsent(route(routing::RequestKind::kIdempotent, 1), kDeadline);
   cr_assert_eq(unsent.localReply(kDeadline), LocalReply::kNotRun);
 }
--- a/tests/gateway/forward/event_parser_test.cpp
+++ b/tests/gateway/forward/event_parser_test.cpp
@@ -3,13 +3,13 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using forward::EventParser;
+using forward::event_parser;
 
 Test(event_parser, events_are_cut_wherever_the_bytes_were_split) {
   const std::string stream =
       "weight-versions: 7\nid: 1\ndata: one\ndata: two\n\nid: 2\r\ndata: three\r\n\r\n";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
-    EventParser parser("Weight-Versions");
+    event_parser parser("Weight-Versions");
     auto events = parser.feed(stream.substr(0, cut));
     for (auto& event : parser.feed(stream.substr(cut))) events.push_back(std::move(event));
     cr_assert_eq(events.size(), 2U, "cut at %zu", cut);
@@ -24,13 +24,13 @@
 }
 
 Test(event_parser, an_unfinished_event_is_kept_back) {
-  EventParser parser("v");
+  event_parser parser("v");
   cr_assert(parser.feed("id: 1\ndata: on").empty());
   cr_assert_eq(parser.rest(), "id: 1\ndata: on");
 }
 
 Test(event_parser, a_number_that_is_none_is_no_id) {
-  EventParser parser("v");
+  event_parser parser("v");
   const auto events = parser.feed("id: 1x\ndata: a\n\n");
   cr_assert_eq(events.size(), 1U);
   cr_assert_not(events[0].id.has_value());
