--- a/src/gateway/forward/engine_choice.h
+++ b/src/gateway/forward/engine_choice.h
@@ -12,6 +12,7 @@
 
 #include "gateway/engines/engine_registry.h"
 #include "gateway/forward/forwarded_request.h"
+#include "gateway/routing/weighted_round_robin.h"
 
 namespace linenpier::forward {
 
--- a/src/gateway/routing/route_table.h
+++ b/src/gateway/routing/route_table.h
@@ -86,26 +86,4 @@
 
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/// Deals requests to the services of a route in proportion to their weights, smoothly: after each
-/// round of as many requests as the weights sum to, every service had exactly its share.
-class weighted_round_robin {
- public:
-  /// @param start a number that differs between daemons, so that they do not deal in step.
-  explicit weighted_round_robin(std::uint64_t start) : start_(start) {}
-
-  /// @return the service whose turn it is.
-  ServiceName next(const Route& route);
-
- private:
-  struct Balance {
-    std::vector<WeightedService> services;  ///< As they were when the credits were last reset.
-    std::vector<double> credits;
-  };
-  /// @return the index of the service whose turn it is.
-  static std::size_t pickService(Balance& balance, double total);
-
-  std::uint64_t start_;
-  std::map<RouteName, Balance> balances_;
-};
-
 }  // namespace linenpier::routing
