--- a/src/gateway/routing/route_table.h
+++ b/src/gateway/routing/route_table.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// @file
-/// Routes: which service serves a request, and under which rules. Values only; every daemon holds
-/// the newest table it has seen and replaces it whole.
+/** @file
+ * The operator's configuration: which service serves a request, and under which rules. Values only;
+ * every daemon holds the newest table that it has read and replaces it as a whole.
+ */
 
 #include <cstdint>
 #include <map>
@@ -20,15 +21,15 @@
 
 namespace linenpier::routing {
 
-/// What the operator says about repeating a route's requests, and in what form they answer.
+/** Whether a route's requests may be repeated, and in what form they are answered. */
 enum class RequestKind {
-  kIdempotent,     ///< May run more than once.
+  kIdempotent,     ///< May run more than once, also at the same time.
   kNonIdempotent,  ///< May run at most once.
   kStreaming,      ///< Answers with events; repeated only if resumable.
-  kBatch,          ///< Batch jobs are handed in under this route.
+  kBatch,          ///< Batch jobs are submitted under this route.
 };
 
-/// @return the kind as logs and metrics name it.
+/** @return the kind as logs and metrics name it. */
 const char* toText(RequestKind kind);
 
 struct WeightedService {
@@ -43,18 +44,21 @@
   RequestKind kind = RequestKind::kNonIdempotent;
   std::vector<WeightedService> services;  ///< At least one.
   Duration timeout = std::chrono::seconds(30);
-  Duration target_latency = std::chrono::seconds(1);
-  Duration target_finish{};         ///< Batch: all results are due this long after the hand-in.
-  Duration queue_limit{};           ///< Batch: an item may be given up this long after the hand-in.
+  Duration target_latency = std::chrono::seconds(1);  ///< Half of it is the delay of a hedge.
+  Duration target_finish{};         ///< Batch: all results are due this long after submission.
+  Duration queue_limit{};           ///< Batch: an item may be given up this long after submission.
   fleet::data_residency residency;  ///< Where its requests may be served, cached and stored.
-  int priority = 5;
+  int priority = 5;                 ///< 0 is the highest. A tenant's own priority goes before it.
+  /** Attempts that are sent for one request. Engines that can't be reached do not count; they are
+   * bounded apart (`forward::attempt_policy`).
+   */
   int max_attempts = 1;
-  bool sticky = false;
-  bool resumable = false;
-  bool single_version = false;
-  bool is_public = false;  ///< Requests need no key.
+  bool sticky = false;          ///< Read from the configuration; nothing acts on it.
+  bool resumable = false;       ///< Streaming: may go on at another engine after the last event.
+  bool single_version = false;  ///< Batch: one version of weights makes an item's whole text.
+  bool is_public = false;       ///< Requests need no key.
 
-  /// @return whether a request may be sent to a second engine after the first may have run it.
+  /** @return whether a request may be sent to a second engine after the first may have run it. */
   bool repeatable() const {
     return kind == RequestKind::kIdempotent || (kind == RequestKind::kStreaming && resumable);
   }
@@ -64,15 +68,16 @@
   ServiceName name;
   std::string health_path;
   std::uint32_t max_connections = 100;  ///< An engine's limit, over all daemons.
-  /// Requests a second that an engine bears for some time after its start; 0: no bound.
+  /** Requests a second that a cold engine bears; 0: no bound. */
   double cold_per_second = 0;
-  Duration cold_time{};           ///< How long that is.
-  double memory_tokens = 0;       ///< Tokens that an engine's memory holds; 0: not told.
+  Duration cold_time{};           ///< How long an engine is cold after its start.
+  double memory_tokens = 0;       ///< Tokens that an engine's memory holds; 0: not known.
   std::vector<ModelName> models;  ///< Empty for services that serve no model.
-  std::optional<fleet::scaling_bounds> scaling;  ///< Absent: its engines are not ours to count.
+  std::optional<fleet::scaling_bounds>
+      scaling;  ///< Absent: the gateway does not scale the service.
 };
 
-/// One version of the operator's configuration. Versions only grow.
+/** One version of the operator's configuration. Versions only grow. */
 struct RouteTable {
   std::uint64_t version = 0;
   std::vector<Route> routes;
@@ -80,7 +85,7 @@
   tenant_table tenants;
   http::ServerLimits limits;
 
-  /// @return the route of that host whose prefix begins `path` and is longest, or nullptr.
+  /** @return the route of that host with the longest prefix of `path`, or nullptr. */
   const Route* find(const std::string& host, const std::string& path) const;
 };
 
--- a/src/gateway/routing/tenant_table.cpp
+++ b/src/gateway/routing/tenant_table.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kDigits = "0123456789abcdef";
 
-/// Finds candidates only; the whole digest is compared in constant time.
+/** Finds candidates only; whole digests are compared in constant time. */
 std::uint64_t prefixOf(const key_digest& digest) {
   std::uint64_t prefix = 0;
   std::memcpy(&prefix, digest.data(), sizeof(prefix));
--- a/src/gateway/routing/tenant_table.h
+++ b/src/gateway/routing/tenant_table.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /** @file
- * Tenants, and whose key a request carries. Values only.
+ * Tenants and the digests of their keys. Values only.
  *
- * Keys are secrets: only their digests are kept, so that neither a log line, a metric nor what one
- * daemon tells another can give a key away.
+ * Keys are secrets: only digests are kept, so that no log line, metric or message between daemons
+ * can give a key away.
  */
 
 #include <array>
@@ -21,20 +21,20 @@
 
 namespace linenpier::routing {
 
-/** SHA-256 of a key. Keys are long and random, so that nobody finds a key from its digest. */
+/** SHA-256 of a key. Unsalted: keys are long and random, so that none is found from its digest. */
 using key_digest = std::array<std::uint8_t, 32>;
 
 key_digest digestOf(std::string_view key);
 std::string toHex(const key_digest& digest);
-/** @return nothing if the text is no digest in hexadecimal digits. */
+/** @return nothing if the text is not a digest in lower-case hexadecimal digits. */
 std::optional<key_digest> digestFromHex(std::string_view text);
 
-/** One of those who share the service. It may have no key, for a while or for good. */
+/** One of those who share the service. It may have no key. */
 struct tenant {
   TenantId name;
   std::optional<int> priority;           ///< Goes before that of a route; 0 is the highest.
-  std::vector<key_digest> keys;          ///< Each of them opens the same.
-  fleet::data_residency residency = {};  ///< Bind beside those of a route.
+  std::vector<key_digest> keys;          ///< Each admits to the same.
+  fleet::data_residency residency = {};  ///< Binds in addition to that of a route.
 
   bool operator==(const tenant&) const = default;
 };
@@ -48,16 +48,16 @@
   /** Without tenants no request needs a key. */
   tenant_table() = default;
 
-  /** @return the table, or a finding for each name and key that stands twice. */
+  /** @return the table, or a finding for each duplicate name or key. */
   static tl::expected<tenant_table, Findings> make(std::vector<tenant> tenants);
 
   /** @return whether requests need a key. */
   bool required() const { return this->required_; }
-  /** Takes the same time whichever bytes of a key are wrong. */
+  /** Compares digests in constant time. @return the tenant with the key, or nullptr. */
   const tenant* find(const key_digest& digest) const;
   /** @return the tenant's own priority, if it has one. */
   std::optional<int> priorityOf(const TenantId& name) const;
-  /** @return where the tenant's requests may be; anywhere if it is not known. */
+  /** @return where the tenant's requests may be served; anywhere if the tenant is not known. */
   fleet::data_residency residencyOf(const TenantId& name) const;
   const std::vector<tenant>& all() const { return this->tenants_; }
 
--- a/src/gateway/tenants/caller.h
+++ b/src/gateway/tenants/caller.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Who sends a request, by the key that it carries.
+ * Authentication: which tenant sends a request, by the key that it carries. Pure.
  */
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace linenpier::tenants {
 
-/** What a request's key says. */
+/** The result of the check of a request's key. */
 enum class KeyVerdict {
   kNotNeeded,  ///< There are no tenants.
   kKnown,
@@ -37,18 +37,24 @@
   bool operator==(const caller&) const = default;
 };
 
-/** @return who sent a request with these fields. */
+/** Checks the key of a request against a configuration.
+ *
+ * Done once, when the request arrives. What was admitted then is not checked again: an open stream
+ * goes on to its end, and an accepted job runs on under its tenant's name, also after the key was
+ * removed. Each later call about the job is a request of its own and is checked. A request that is
+ * not admitted gets 401; 503 from a daemon that does not know the newest configuration.
+ */
 caller identify(const routing::RouteTable& table, const http::Fields& fields);
 
-/** Names the tenant to an engine in place of what the client sent: its key goes no further. Does
- * nothing where there are no tenants.
+/** Puts the tenant's name into a message to an engine in place of the client's key and of what the
+ * client sent as a name. Does nothing where there are no tenants.
  * @param tenant_field name of the field that engines read.
- * @param tenant empty: of nobody, as on a public route.
+ * @param tenant empty: none, as on a public route.
  */
 void nameTenant(const routing::RouteTable& table, const std::string& tenant_field,
                 const TenantId& tenant, http::Fields& fields);
 
-/** Challenges a client whose key is missing or not known. */
+/** Adds the challenge to a 401 for a client whose key is missing or unknown. */
 void challenge(KeyVerdict verdict, http::Response& response);
 
 }  // namespace linenpier::tenants
--- a/src/gateway/tenants/residency.h
+++ b/src/gateway/tenants/residency.h
@@ -9,8 +9,8 @@
 
 namespace linenpier::tenants {
 
-/** @param route nullptr: none, it binds nothing.
- * @param tenant empty, or not known: it binds nothing.
+/** @param route nullptr: no restriction by a route.
+ * @param tenant empty or unknown: no restriction by a tenant.
  * @return the regions that both allow.
  */
 fleet::data_residency residencyOf(const routing::RouteTable& table, const routing::Route* route,
