--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -5,18 +5,18 @@
 Task<std::optional<suspects::sent_attempt>> attempt_admission::admit(forwarded_request& forwarded,
                                                                      bool alone) {
   suspects::sent_attempt attempt;
-  forwarded.held = {};
+  forwarded.admission = {};
   if (!this->suspects_.any()) co_return attempt;
   const suspects::request_key key = keyOf(forwarded, *forwarded.request);
-  forwarded.held = this->suspects_.admissionOf(key, suspects::RequestSource::kCaller);
-  if (forwarded.held.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
+  forwarded.admission = this->suspects_.admissionOf(key, suspects::RequestSource::kCaller);
+  if (forwarded.admission.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
   // A second engine beside the first could crash with it.
   if (!alone) co_return std::nullopt;
-  forwarded.held = co_await this->suspects_.beginIsolatedRun(key, suspects::RequestSource::kCaller,
-                                                             forwarded.id);
-  attempt.crashes = forwarded.held.crashes;
-  attempt.isolated = forwarded.held.state == suspects::AdmissionState::kMayRunAlone;
-  if (attempt.isolated || forwarded.held.state == suspects::AdmissionState::kNotSuspect)
+  forwarded.admission = co_await this->suspects_.beginIsolatedRun(
+      key, suspects::RequestSource::kCaller, forwarded.id);
+  attempt.crashes = forwarded.admission.crashes;
+  attempt.isolated = forwarded.admission.state == suspects::AdmissionState::kMayRunAlone;
+  if (attempt.isolated || forwarded.admission.state == suspects::AdmissionState::kNotSuspect)
     co_return attempt;
   co_return std::nullopt;
 }
@@ -28,8 +28,8 @@
 
 void attempt_admission::onEnded(forwarded_request& forwarded, const engine_call& call,
                                 AttemptVerdict verdict, const suspects::sent_attempt& attempt,
-                                bool engine_ended) {
-  if (engine_ended) {
+                                bool engine_crashed) {
+  if (engine_crashed) {
     this->suspects_.onEngineCrashed(attempt, keyOf(forwarded, call.request()), call.engine(),
                                     call.startedAt(), suspects::RequestSource::kCaller,
                                     forwarded.id);
--- a/src/gateway/forward/attempt_race.cpp
+++ b/src/gateway/forward/attempt_race.cpp
@@ -20,14 +20,15 @@
   result ended;
   ended.verdict = co_await this->readAnswer(*call, ended.response);
   this->context_.runs.onAttemptEnded(*this->forwarded_, *call, ended.verdict);
-  bool engine_ended = false;
+  bool engine_crashed = false;
   if (ended.verdict == AttemptVerdict::kBroken) {
-    engine_ended = co_await call->engineHasCrashed();
+    engine_crashed = co_await call->engineHasCrashed();
   }
-  this->context_.log.onAttemptEnded(*this->forwarded_, *call, ended.verdict, engine_ended);
-  this->context_.admission.onEnded(*this->forwarded_, *call, ended.verdict, attempt, engine_ended);
+  this->context_.log.onAttemptEnded(*this->forwarded_, *call, ended.verdict, engine_crashed);
+  this->context_.admission.onEnded(*this->forwarded_, *call, ended.verdict, attempt,
+                                   engine_crashed);
   // The other engines that run the request could crash as well.
-  if (engine_ended) this->abortAll();
+  if (engine_crashed) this->abortAll();
   std::erase(this->running_, call);
   this->results_.push_back(std::move(ended));
   this->changed_.notifyAll();
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
 /** For a connection to be taken or refused: many times what a reachable host needs. */
-constexpr Duration kEndedCheckTime = std::chrono::milliseconds(100);
+constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(100);
 }  // namespace
 
 const char* toText(AttemptVerdict verdict) {
@@ -75,7 +75,7 @@
 Task<bool> engine_call::engineHasCrashed() {
   const auto self = this->shared_from_this();
   const http::PeerState state =
-      co_await this->context_.pool.probe(this->address_, steadyNow() + kEndedCheckTime);
+      co_await this->context_.pool.probe(this->address_, steadyNow() + kCrashCheckTimeout);
   co_return state == http::PeerState::kRefuses;
 }
 
--- a/src/gateway/forward/engine_choice.h
+++ b/src/gateway/forward/engine_choice.h
@@ -32,7 +32,7 @@
   /** Asks the service whose turn it is, then the route's other services, then, for a request that
    * has tried no engine yet, all of them again with ejected engines admitted.
    * @param tried engines that are not asked again.
-   * @return nullptr if no engine is admitted; `forwarded.refusals` then tells why.
+   * @return nullptr if no engine is admitted; `forwarded.refusals` has the reasons.
    */
   const engines::EngineState* pick(forwarded_request& forwarded, const std::set<EngineId>& tried);
 
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -35,7 +35,7 @@
   /** Why no engine was found at the last choice that found none. */
   engines::refusal_tally refusals;
   std::optional<suspects::request_key> key;  ///< Computed when first needed.
-  suspects::suspect_admission held;          ///< The last answer on its admission as a suspect.
+  suspects::suspect_admission admission;     ///< As a suspect; as last asked for.
 };
 
 /** @return when the gateway gives up: the shorter of the route's timeout and the time that the
--- a/src/gateway/forward/local_replies.cpp
+++ b/src/gateway/forward/local_replies.cpp
@@ -50,13 +50,14 @@
     response.set(this->names_.retry_after, secondsText(this->options_.retry_after_closed));
   }
   if (forwarded.key) {
-    forwarded.held = this->suspects_.admissionOf(*forwarded.key, suspects::RequestSource::kCaller);
+    forwarded.admission =
+        this->suspects_.admissionOf(*forwarded.key, suspects::RequestSource::kCaller);
   }
   // Also set on 502 and 504: an earlier retry could not run. A suspect that runs just now is
   // cleared soon if it is innocent, so its caller may retry as usual.
-  const bool tried = forwarded.held.state == suspects::AdmissionState::kRunning;
-  if (!tried && forwarded.held.wait > this->options_.retry_after) {
-    response.set(this->names_.retry_after, secondsText(forwarded.held.wait));
+  const bool running = forwarded.admission.state == suspects::AdmissionState::kRunning;
+  if (!running && forwarded.admission.wait > this->options_.retry_after) {
+    response.set(this->names_.retry_after, secondsText(forwarded.admission.wait));
   }
   return response;
 }
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 void request_log::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
-                                 AttemptVerdict verdict, bool engine_ended) {
+                                 AttemptVerdict verdict, bool engine_crashed) {
   const engines::EngineState* engine = this->registry_.find(call.engine());
   const std::string service = engine == nullptr ? "gone" : engine->record.service.str();
   this->metrics_.onAttemptEnded(service, toText(verdict));
@@ -23,7 +23,7 @@
       .milliseconds("took_ms", steadyNow() - call.startedAt());
   if (verdict == AttemptVerdict::kBroken) {
     event.text("key", keyOf(forwarded, call.request()).str())
-        .text("engine_ended", engine_ended ? "yes" : "no");
+        .text("engine_ended", engine_crashed ? "yes" : "no");
   }
   if (engine != nullptr) {
     event.number("in_flight", engine->in_flight).number("failures", engine->failures);
--- a/src/gateway/forward/request_log.h
+++ b/src/gateway/forward/request_log.h
@@ -23,10 +23,10 @@
       : registry_(registry), metrics_(metrics) {}
 
   /** Writes a line unless the attempt went well: the request's own line tells that.
-   * @param engine_ended whether the engine's process has ended under the attempt.
+   * @param engine_crashed whether the engine's process crashed under the attempt.
    */
   void onAttemptEnded(forwarded_request& forwarded, const engine_call& call, AttemptVerdict verdict,
-                      bool engine_ended);
+                      bool engine_crashed);
 
   /** Writes a line; of many successes, a sample.
    * @param outcome such as "answered", "client_gone".
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -83,13 +83,13 @@
 
 Task<AttemptVerdict> stream_session::finishCall(suspects::sent_attempt attempt) {
   const AttemptVerdict verdict = co_await this->relay();
-  bool engine_ended = false;
+  bool engine_crashed = false;
   if (verdict == AttemptVerdict::kBroken) {
-    engine_ended = co_await this->running_->engineHasCrashed();
+    engine_crashed = co_await this->running_->engineHasCrashed();
   }
   const engine_call& call = *this->running_;
-  this->context_.log.onAttemptEnded(this->forwarded_, call, verdict, engine_ended);
-  this->context_.admission.onEnded(this->forwarded_, call, verdict, attempt, engine_ended);
+  this->context_.log.onAttemptEnded(this->forwarded_, call, verdict, engine_crashed);
+  this->context_.admission.onEnded(this->forwarded_, call, verdict, attempt, engine_crashed);
   this->policy_.onEnded(verdict);
   co_return verdict;
 }
