--- a/src/daemon/admission/admission_controller.cpp
+++ b/src/daemon/admission/admission_controller.cpp
@@ -5,7 +5,7 @@
 
 namespace linenpier::admission {
 
-using upstream::engine_state;
+using upstream::EngineState;
 
 namespace {
 
@@ -189,8 +189,8 @@
 std::optional<upstream::RoutingChoice> AdmissionController::chooseEngine(
     Instant now, const ModelName& model, WeightVersion minimum_version, std::uint64_t prefix_hash,
     const std::vector<EngineId>& avoid) {
-  std::vector<const engine_state*> with_room;
-  for (const engine_state* engine : directory_.candidates(now, model, minimum_version)) {
+  std::vector<const EngineState*> with_room;
+  for (const EngineState* engine : directory_.candidates(now, model, minimum_version)) {
     const bool room = engine->expectedLoad() < engine->report.slots;
     if (room && !contains(avoid, engine->seed.id)) with_room.push_back(engine);
   }
--- a/src/daemon/api/operator_routes.cpp
+++ b/src/daemon/api/operator_routes.cpp
@@ -47,7 +47,7 @@
           {"status", memberStatusName(member.status)}};
 }
 
-json engineJson(const upstream::engine_state& engine) {
+json engineJson(const upstream::EngineState& engine) {
   return {{"id", engine.seed.id.str()},         {"model", engine.seed.model.str()},
           {"running", engine.report.running},   {"waiting", engine.report.waiting},
           {"slots", engine.report.slots},       {"version", engine.report.version},
--- a/src/daemon/node/node_core.h
+++ b/src/daemon/node/node_core.h
@@ -45,7 +45,7 @@
 struct NodeStatus {
   wire::MemberRecord self;
   std::vector<wire::MemberRecord> members;
-  std::vector<upstream::engine_state> engines;
+  std::vector<upstream::EngineState> engines;
   std::vector<wire::ModelHead> heads;
   Revision config_revision = 0;
   bool ready = false;
--- a/src/daemon/upstream/engine_directory.cpp
+++ b/src/daemon/upstream/engine_directory.cpp
@@ -7,7 +7,7 @@
 
 namespace linenpier::upstream {
 
-double engine_state::expectedLoad() const {
+double EngineState::expectedLoad() const {
   const double reported = report.running + report.waiting;
   const double corrected = reported + started_since - ended_since;
   return std::max(corrected, static_cast<double>(in_flight));
@@ -59,7 +59,7 @@
 void EngineDirectory::onReport(Instant now, const wire::EngineReport& report) {
   const auto found = engines_.find(report.engine);
   if (found == engines_.end()) return;
-  engine_state& engine = found->second;
+  EngineState& engine = found->second;
   engine.report = report;
   if (now - engine.confirmed_at < options_.report_lag) {
     engine.report.version = std::max(engine.report.version, engine.confirmed_version);
@@ -73,7 +73,7 @@
 void EngineDirectory::onVersionConfirmed(Instant now, const EngineId& id, WeightVersion version) {
   const auto found = engines_.find(id);
   if (found == engines_.end()) return;
-  engine_state& engine = found->second;
+  EngineState& engine = found->second;
   engine.confirmed_version = version;
   engine.confirmed_at = now;
   engine.report.version = std::max(engine.report.version, version);
@@ -98,7 +98,7 @@
 void EngineDirectory::onStreamEnded(Instant now, const EngineId& id, bool healthy) {
   const auto found = engines_.find(id);
   if (found == engines_.end()) return;
-  engine_state& engine = found->second;
+  EngineState& engine = found->second;
   if (engine.in_flight > 0) --engine.in_flight;
   ++engine.ended_since;
   if (healthy) {
@@ -113,20 +113,20 @@
   engine.open_until = now + open_time;
 }
 
-const engine_state* EngineDirectory::find(const EngineId& id) const {
+const EngineState* EngineDirectory::find(const EngineId& id) const {
   const auto found = engines_.find(id);
   return found == engines_.end() ? nullptr : &found->second;
 }
 
-bool EngineDirectory::usable(Instant now, const engine_state& engine) const {
+bool EngineDirectory::usable(Instant now, const EngineState& engine) const {
   if (engine.leaving() || !engine.reported) return false;
   if (now - engine.reported_at > options_.report_lifetime) return false;
   return now >= engine.open_until;
 }
 
-std::vector<const engine_state*> EngineDirectory::candidates(Instant now, const ModelName& model,
+std::vector<const EngineState*> EngineDirectory::candidates(Instant now, const ModelName& model,
                                                             WeightVersion minimum_version) const {
-  std::vector<const engine_state*> result;
+  std::vector<const EngineState*> result;
   for (const auto& [id, engine] : engines_) {
     if (engine.seed.model != model) continue;
     if (engine.report.version < minimum_version) continue;
--- a/src/daemon/upstream/routing_policy.h
+++ b/src/daemon/upstream/routing_policy.h
@@ -36,7 +36,7 @@
   virtual ~RoutingPolicy() = default;
   /// @param candidates engines that may serve the request; each has room unless `force` is set.
   /// @return the choice; nothing if there is no candidate.
-  virtual std::optional<RoutingChoice> choose(const std::vector<const engine_state*>& candidates,
+  virtual std::optional<RoutingChoice> choose(const std::vector<const EngineState*>& candidates,
                                               const RoutingRequest& request) = 0;
   virtual const char* name() const = 0;
 };
--- a/src/daemon/weights/weight_rollout.cpp
+++ b/src/daemon/weights/weight_rollout.cpp
@@ -26,7 +26,7 @@
 }
 
 std::vector<EngineOrder> WeightRollout::onTick(
-    Instant now, const std::map<EngineId, upstream::engine_state>& engines,
+    Instant now, const std::map<EngineId, upstream::EngineState>& engines,
     const ownership::EngineOwnership& ownership, const std::set<ModelName>& serving_models) {
   std::vector<EngineOrder> orders;
   std::erase_if(progress_, [&](const auto& entry) {
--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -121,7 +121,7 @@
   const auto leave = leaveToRun(*active, item);
   if (!leave) return true;  // It waits, and others may start.
   const auto call =
-      std::make_shared<forward::EngineCall>(deps_.engines, *engine, itemRequest(*active, item));
+      std::make_shared<forward::engine_call>(deps_.engines, *engine, itemRequest(*active, item));
   active->run.onStarted(now, item, engine->record.id);
   active->calls[item] = call;
   deps_.engines.registry.onTokens(call->engine(), wanted.tokens);
@@ -137,38 +137,39 @@
   suspects::sent_attempt attempt;
   if (!deps_.suspects.any()) return attempt;
   const std::string id = active.run.job().items[item].id.str();
-  const suspects::verdict told =
-      deps_.suspects.beginOwnTrial(keyOf(active, item), suspects::Asker::kItem, id);
-  attempt.ends = told.ends;
-  attempt.trial = told.is == suspects::Standing::kMayTry;
-  if (attempt.trial || told.is == suspects::Standing::kClear) return attempt;
-  const bool tried = told.is == suspects::Standing::kTried;
+  const suspects::suspect_admission told =
+      deps_.suspects.beginOwnIsolatedRun(keyOf(active, item), suspects::RequestSource::kItem, id);
+  attempt.crashes = told.crashes;
+  attempt.isolated = told.state == suspects::AdmissionState::kMayRunAlone;
+  if (attempt.isolated || told.state == suspects::AdmissionState::kNotSuspect) return attempt;
+  const bool tried = told.state == suspects::AdmissionState::kRunning;
   const Duration wait = std::min(told.wait, tried ? kTriedPause : kHeldPause);
   active.run.onHeld(item, steadyNow() + wait);
   return std::nullopt;
 }
 
 void BatchService::settleSuspicion(const Active& active, ItemIndex item,
-                                   const forward::EngineCall& call, AttemptVerdict verdict,
+                                   const forward::engine_call& call, AttemptVerdict verdict,
                                    const suspects::sent_attempt& attempt, bool engine_ended) {
   if (engine_ended) {
-    deps_.suspects.onEngineEnded(attempt, keyOf(active, item), call.engine(), call.startedAt(),
-                                 suspects::Asker::kItem, active.run.job().items[item].id.str());
+    deps_.suspects.onEngineCrashed(attempt, keyOf(active, item), call.engine(), call.startedAt(),
+                                   suspects::RequestSource::kItem,
+                                   active.run.job().items[item].id.str());
   } else if (verdict != AttemptVerdict::kAnswered) {
-    if (attempt.trial) deps_.suspects.onUnproved(keyOf(active, item));
+    if (attempt.isolated) deps_.suspects.onInconclusive(keyOf(active, item));
   } else if (deps_.suspects.any()) {
     deps_.suspects.onAnswered(keyOf(active, item));
   }
 }
 
 Task<void> BatchService::runItem(ActivePtr active, ItemIndex item,
-                                 std::shared_ptr<forward::EngineCall> call, std::string model,
+                                 std::shared_ptr<forward::engine_call> call, std::string model,
                                  suspects::sent_attempt attempt) {
   const ModelName model_name(model);
   RunTimes times;
   const AttemptVerdict verdict = co_await readItemEvents(*active, item, *call, model_name, times);
   if (verdict == AttemptVerdict::kBroken) {
-    times.engine_ended = co_await call->engineHasEnded();
+    times.engine_ended = co_await call->engineHasCrashed();
   }
   settleSuspicion(*active, item, *call, verdict, attempt, times.engine_ended);
   active->calls.erase(item);
@@ -179,13 +180,13 @@
 }
 
 Task<AttemptVerdict> BatchService::readItemEvents(Active& active, ItemIndex item,
-                                                  forward::EngineCall& call, const ModelName& model,
-                                                  RunTimes& times) {
+                                                  forward::engine_call& call,
+                                                  const ModelName& model, RunTimes& times) {
   const Instant started = steadyNow();
   const Duration first_limit =
       options_.timeouts.forFirstEvent(active.run.progress(item).late_starts);
-  forward::AttemptLimits limits{started + options_.connect_time, started + first_limit, false,
-                                engines::AttemptEnd::kRefused};
+  forward::attempt_limits limits{started + options_.connect_time, started + first_limit, false,
+                                 engines::AttemptEnd::kRefused};
   AttemptVerdict verdict = co_await call.start(limits);
   if (verdict != AttemptVerdict::kAnswered) co_return verdict;
   if (call.status() >= 300) {
@@ -194,8 +195,8 @@
   }
   WeightVersion version = call.headVersion();
   if (!model.empty()) deps_.engines.registry.onVersionSeen(call.engine(), model, version);
-  forward::EventParser parser(deps_.engines.names.weight_versions);
-  std::vector<forward::StreamEvent> events;
+  forward::event_parser parser(deps_.engines.names.weight_versions);
+  std::vector<forward::stream_event> events;
   Instant last = steadyNow();
   bool first = true;
   while (!call.finished()) {
@@ -204,7 +205,7 @@
     verdict = co_await call.readEvents(parser, events, steadyNow() + gap);
     if (active.stopped) co_return AttemptVerdict::kAborted;
     const Instant now = steadyNow();
-    for (forward::StreamEvent& event : events) {
+    for (forward::stream_event& event : events) {
       if (event.version) {
         version = *event.version;
         if (!model.empty()) deps_.engines.registry.onVersionSeen(call.engine(), model, version);
@@ -232,7 +233,7 @@
   co_return parser.rest().empty() ? AttemptVerdict::kAnswered : AttemptVerdict::kBroken;
 }
 
-void BatchService::settleItem(Active& active, ItemIndex item, forward::EngineCall& call,
+void BatchService::settleItem(Active& active, ItemIndex item, forward::engine_call& call,
                               AttemptVerdict verdict, const ModelName& model,
                               const RunTimes& times) {
   const Instant now = steadyNow();
--- /dev/null
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -0,0 +1,43 @@
+#include "gateway/forward/attempt_admission.h"
+
+namespace linenpier::forward {
+
+Task<std::optional<suspects::sent_attempt>> attempt_admission::admit(forwarded_request& forwarded,
+                                                                     bool alone) {
+  suspects::sent_attempt attempt;
+  forwarded.admission = {};
+  if (!this->suspects_.any()) co_return attempt;
+  const suspects::request_key key = keyOf(forwarded, *forwarded.request);
+  forwarded.admission = this->suspects_.admissionOf(key, suspects::RequestSource::kCaller);
+  if (forwarded.admission.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
+  // A second engine beside the first could crash with it.
+  if (!alone) co_return std::nullopt;
+  forwarded.admission = co_await this->suspects_.beginIsolatedRun(
+      key, suspects::RequestSource::kCaller, forwarded.id);
+  attempt.crashes = forwarded.admission.crashes;
+  attempt.isolated = forwarded.admission.state == suspects::AdmissionState::kMayRunAlone;
+  if (attempt.isolated || forwarded.admission.state == suspects::AdmissionState::kNotSuspect)
+    co_return attempt;
+  co_return std::nullopt;
+}
+
+void attempt_admission::onNotSent(const forwarded_request& forwarded,
+                                  const suspects::sent_attempt& attempt) {
+  if (attempt.isolated) this->suspects_.onInconclusive(*forwarded.key);
+}
+
+void attempt_admission::onEnded(forwarded_request& forwarded, const engine_call& call,
+                                AttemptVerdict verdict, const suspects::sent_attempt& attempt,
+                                bool engine_crashed) {
+  if (engine_crashed) {
+    this->suspects_.onEngineCrashed(attempt, keyOf(forwarded, call.request()), call.engine(),
+                                    call.startedAt(), suspects::RequestSource::kCaller,
+                                    forwarded.id);
+  } else if (verdict != AttemptVerdict::kAnswered) {
+    if (attempt.isolated) this->suspects_.onInconclusive(keyOf(forwarded, call.request()));
+  } else if (this->suspects_.any()) {
+    this->suspects_.onAnswered(keyOf(forwarded, call.request()));
+  }
+}
+
+}  // namespace linenpier::forward
--- a/src/gateway/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -1,65 +1,54 @@
 #include "gateway/forward/attempt_policy.h"
 
+#include <algorithm>
+
 namespace linenpier::forward {
 
 namespace {
+/** Unreachable engines after which a request is given up. */
 constexpr int kMaxUnreachable = 4;
-/// With less time left than this, an attempt has no chance.
+/** With less time left than this, an attempt has no chance. */
 constexpr Duration kMinAttempt = std::chrono::milliseconds(10);
-constexpr unsigned kRefusedStatus = 503;
-constexpr unsigned kUnknownStatus = 502;
-constexpr unsigned kOutOfTimeStatus = 504;
 }  // namespace
 
-unsigned statusOf(FinalAnswer answer) {
-  switch (answer) {
-    case FinalAnswer::kRefused:
-      return kRefusedStatus;
-    case FinalAnswer::kUnknown:
-      return kUnknownStatus;
-    case FinalAnswer::kOutOfTime:
-      return kOutOfTimeStatus;
-  }
-  return kUnknownStatus;
-}
-
-void AttemptPolicy::onStarted(Instant now) {
-  ++started_;
-  ++running_;
-  last_start_ = now;
+void attempt_policy::onStarted(Instant now) {
+  ++this->started_;
+  ++this->running_;
+  this->last_start_ = now;
 }
 
-void AttemptPolicy::onEnded(AttemptVerdict verdict) {
-  --running_;
+void attempt_policy::onEnded(AttemptVerdict verdict) {
+  --this->running_;
   if (verdict == AttemptVerdict::kUnreachable) {
-    --started_;
-    ++unreachable_;
+    --this->started_;
+    ++this->unreachable_;
   }
-  if (forward::mayHaveRun(verdict)) may_have_run_ = true;
+  if (mayHaveRun(verdict)) this->may_have_run_ = true;
 }
 
-bool AttemptPolicy::attemptsLeft() const {
-  return started_ < max_attempts_ && unreachable_ < kMaxUnreachable;
+bool attempt_policy::attemptsLeft() const {
+  return this->started_ < this->max_attempts_ && this->unreachable_ < kMaxUnreachable;
 }
 
-bool AttemptPolicy::mayStart(Instant now) const {
-  if (!attemptsLeft() || now + kMinAttempt >= deadline_) return false;
-  if (running_ == 0) return !may_have_run_ || repeatable_;
-  return idempotent_ && now >= last_start_ + hedge_delay_;
+bool attempt_policy::mayStart(Instant now) const {
+  if (!this->attemptsLeft() || now + kMinAttempt >= this->deadline_) return false;
+  if (this->running_ == 0) return !this->may_have_run_ || this->repeatable_;
+  return this->idempotent_ && now >= this->last_start_ + this->hedge_delay_;
 }
 
-Instant AttemptPolicy::nextLook() const {
-  if (!idempotent_ || !attemptsLeft() || running_ == 0) return deadline_;
-  return std::min(deadline_, last_start_ + hedge_delay_);
+Instant attempt_policy::nextLook() const {
+  if (!this->idempotent_ || !this->attemptsLeft() || this->running_ == 0) return this->deadline_;
+  return std::min(this->deadline_, this->last_start_ + this->hedge_delay_);
 }
 
-bool AttemptPolicy::retriesFailures(Instant now) const {
-  return repeatable_ && (running_ > 0 || (attemptsLeft() && now + kMinAttempt < deadline_));
+bool attempt_policy::retriesFailures(Instant now) const {
+  return this->repeatable_ &&
+         (this->running_ > 0 || (this->attemptsLeft() && now + kMinAttempt < this->deadline_));
 }
 
-FinalAnswer AttemptPolicy::finalAnswer(Instant now) const {
-  if (!mayHaveRun()) return FinalAnswer::kRefused;
-  return now >= deadline_ ? FinalAnswer::kOutOfTime : FinalAnswer::kUnknown;
+LocalReply attempt_policy::localReply(Instant now) const {
+  if (!this->may_have_run_ && this->running_ == 0) return LocalReply::kNotRun;
+  return now >= this->deadline_ ? LocalReply::kOutOfTime : LocalReply::kMayHaveRun;
 }
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/event_parser.cpp
+++ b/src/gateway/forward/event_parser.cpp
@@ -16,43 +16,43 @@
 
 }  // namespace
 
-EventParser::EventParser(const std::string& version_field)
+event_parser::event_parser(const std::string& version_field)
     : version_field_(boost::to_lower_copy(version_field)) {}
 
-std::vector<StreamEvent> EventParser::feed(std::string_view bytes) {
-  std::vector<StreamEvent> events;
+std::vector<stream_event> event_parser::feed(std::string_view bytes) {
+  std::vector<stream_event> events;
   for (const char byte : bytes) {
-    pending_.push_back(byte);
+    this->pending_.push_back(byte);
     if (byte != '\n') continue;
-    const std::size_t length = pending_.size() - line_start_;
-    const bool empty = length == 1 || (length == 2 && pending_[line_start_] == '\r');
+    const std::size_t length = this->pending_.size() - this->line_start_;
+    const bool empty = length == 1 || (length == 2 && this->pending_[this->line_start_] == '\r');
     if (!empty) {
-      line_start_ = pending_.size();
+      this->line_start_ = this->pending_.size();
       continue;
     }
-    events.push_back(parse(std::move(pending_)));
-    pending_.clear();
-    line_start_ = 0;
+    events.push_back(this->parse(std::move(this->pending_)));
+    this->pending_.clear();
+    this->line_start_ = 0;
   }
   return events;
 }
 
-StreamEvent EventParser::parse(std::string raw) const {
-  StreamEvent event;
+stream_event event_parser::parse(std::string raw) const {
+  stream_event event;
   bool has_data = false;
   std::string_view left = raw;
   while (!left.empty()) {
     const std::size_t end = left.find('\n');
     std::string_view line = left.substr(0, end);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    parseLine(line, event, has_data);
+    this->parseLine(line, event, has_data);
     left.remove_prefix(end + 1);
   }
   event.raw = std::move(raw);
   return event;
 }
 
-void EventParser::parseLine(std::string_view line, StreamEvent& event, bool& has_data) const {
+void event_parser::parseLine(std::string_view line, stream_event& event, bool& has_data) const {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) return;
   const std::string_view field = line.substr(0, colon);
@@ -64,7 +64,7 @@
     if (has_data) event.data.push_back('\n');
     event.data.append(value);
     has_data = true;
-  } else if (field == version_field_) {
+  } else if (field == this->version_field_) {
     event.version = parseNumber(value);
   }
 }
--- a/src/gateway/forward/event_parser.h
+++ b/src/gateway/forward/event_parser.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// @file
-/// Cuts a server-sent event stream into whole events.
+/** @file
+ * Cuts a server-sent event stream into complete events. Pure.
+ */
 
 #include <cstdint>
 #include <optional>
@@ -13,27 +14,27 @@
 
 namespace linenpier::forward {
 
-struct StreamEvent {
+struct stream_event {
   std::string raw;  ///< All bytes, the closing empty line included.
   std::optional<std::uint64_t> id;
   std::string data;                      ///< Data lines, joined by line feeds.
-  std::optional<WeightVersion> version;  ///< Set at an event at which the version changes.
+  std::optional<WeightVersion> version;  ///< Of weights; set where it changes.
 };
 
-/// Holds at most one unfinished event.
-class EventParser {
+/** Holds at most one incomplete event. */
+class event_parser {
  public:
-  /// @param version_field name of the line that tells a change of version; any case.
-  explicit EventParser(const std::string& version_field);
+  /** @param version_field name of the line that holds a new version of weights; any case. */
+  explicit event_parser(const std::string& version_field);
 
-  /// @return the events that `bytes` made whole.
-  std::vector<StreamEvent> feed(std::string_view bytes);
-  /// @return bytes of an event that is not whole.
-  const std::string& rest() const { return pending_; }
+  /** @return the events that are complete with `bytes`. */
+  std::vector<stream_event> feed(std::string_view bytes);
+  /** @return bytes of an event that is not complete. */
+  const std::string& rest() const { return this->pending_; }
 
  private:
-  StreamEvent parse(std::string raw) const;
-  void parseLine(std::string_view line, StreamEvent& event, bool& has_data) const;
+  stream_event parse(std::string raw) const;
+  void parseLine(std::string_view line, stream_event& event, bool& has_data) const;
 
   std::string version_field_;  ///< Lower case.
   std::string pending_;
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -1,266 +1,42 @@
 #include "gateway/forward/forwarder.h"
 
-#include <algorithm>
-#include <boost/beast/http/status.hpp>
-#include <cstdio>
-#include <cstdlib>
-
-#include "gateway/suspects/request_key.h"
-#include "gateway/tenants/residency.h"
+#include "gateway/forward/stream_session.h"
 
 namespace linenpier::forward {
 
-namespace {
-
-constexpr unsigned kRefusedStatus = 503;
-
-std::string secondsText(Duration duration) {
-  char seconds[16];
-  std::snprintf(seconds, sizeof(seconds), "%.2f", toSeconds(duration));
-  return seconds;
-}
-
-}  // namespace
-
-Instant Forwarder::deadlineOf(const routing::Route& route, const http::Request& request,
-                              Instant received) const {
-  const std::string text = http::fieldText(request, context_.names.deadline_ms);
-  Duration limit = route.timeout;
-  if (!text.empty()) {
-    const auto named = std::chrono::milliseconds(std::strtoll(text.c_str(), nullptr, 10));
-    if (named > Duration::zero()) limit = std::min<Duration>(limit, named);
-  }
-  return received + limit;
-}
-
-http::Request Forwarder::outgoing(const ForwardedRequest& forwarded, Instant now) const {
-  const http::Request& request = *forwarded.request;
-  http::Request copy(request.method(), request.target(), 11);
-  copy.method_string(request.method_string());
-  http::copyEndToEndFields(request, copy);
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(forwarded.deadline - now);
-  copy.set(context_.names.deadline_ms, std::to_string(std::max<std::int64_t>(1, left.count())));
-  tenants::nameTenant(*forwarded.table, context_.names.tenant, forwarded.from.tenant, copy);
-  if (forwarded.from.priority) {
-    copy.set(context_.names.priority, std::to_string(*forwarded.from.priority));
-  }
-  copy.body() = request.body();
-  copy.prepare_payload();
-  return copy;
-}
-
-http::Response Forwarder::localReply(unsigned status, const std::string& id) const {
-  http::Response response(static_cast<boost::beast::http::status>(status), 11);
-  if (!id.empty()) response.set(context_.names.request_id, id);
-  if (status == kRefusedStatus || status == 429) {
-    response.set(context_.names.retry_after, secondsText(options_.retry_after));
-  }
-  return response;
-}
-
-Task<void> Forwarder::serve(routing::RouteTablePtr table, const routing::Route& route,
+forwarder::forwarder(boost::asio::io_context& loop, engine_call_context engines,
+                     routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
+                     usage::run_recorder& recorder, suspects::suspect_gate& suspects)
+    : choice_(engines.registry, engines.names, round_robin),
+      admission_(suspects),
+      replies_(engines.names, suspects, {}),
+      log_(engines.registry, metrics),
+      runs_(engines.registry, recorder),
+      context_{loop, engines, choice_, admission_, replies_, log_, runs_, {}},
+      plain_(context_) {}
+
+Task<void> forwarder::serve(routing::RouteTablePtr table, const routing::Route& route,
                             tenants::caller from, const http::Request& request, Instant received,
                             http::ResponseWriter& writer) {
-  const auto shared = std::make_shared<ForwardedRequest>();
-  ForwardedRequest& forwarded = *shared;
-  forwarded.table = std::move(table);
-  forwarded.route = &route;
-  forwarded.request = &request;
-  forwarded.from = std::move(from);
-  forwarded.id = http::fieldText(request, context_.names.request_id);
-  forwarded.received = received;
-  forwarded.deadline = deadlineOf(route, request, received);
+  const field_names& names = this->context_.engines.names;
+  const auto forwarded = std::make_shared<forwarded_request>();
+  forwarded->table = std::move(table);
+  forwarded->route = &route;
+  forwarded->request = &request;
+  forwarded->from = std::move(from);
+  forwarded->id = http::fieldText(request, names.request_id);
+  forwarded->received = received;
+  forwarded->deadline = deadlineOf(names, route, request, received);
   if (route.kind == routing::RequestKind::kStreaming) {
-    co_await serveStream(forwarded, writer);
+    stream_session session(this->context_, *forwarded, writer);
+    co_await session.run();
   } else {
-    co_await servePlain(shared, writer);
-  }
-}
-
-fleet::data_residency Forwarder::residencyOf(const ForwardedRequest& forwarded) const {
-  const routing::RouteTablePtr newest = newest_ ? newest_() : forwarded.table;
-  const std::string target(forwarded.request->target());
-  const std::string path = target.substr(0, target.find('?'));
-  const routing::Route* route = newest->find(http::fieldText(*forwarded.request, "Host"), path);
-  if (route == nullptr) route = forwarded.route;
-  return tenants::residencyOf(*newest, route, forwarded.from.tenant);
-}
-
-const engines::engine_state* Forwarder::pickEngine(ForwardedRequest& forwarded,
-                                                   const std::set<EngineId>& tried) {
-  engines::engine_request wanted;
-  wanted.excluded = tried;
-  wanted.max_per_slot = forwarded.max_per_slot;
-  wanted.model = ModelName(http::fieldText(*forwarded.request, context_.names.model));
-  wanted.residency = residencyOf(forwarded);
-  const engines::engine_state* engine = pickFrom(forwarded, wanted);
-  if (engine == nullptr) forwarded.refusals = context_.registry.lastRefusals();
-  return engine;
-}
-
-const engines::engine_state* Forwarder::pickFrom(const ForwardedRequest& forwarded,
-                                                 engines::engine_request& wanted) {
-  const Instant now = steadyNow();
-  wanted.service = round_robin_.next(*forwarded.route);
-  if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
-  for (const routing::WeightedService& each : forwarded.route->services) {
-    wanted.service = each.service;
-    if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
-  }
-  if (!wanted.excluded.empty()) return nullptr;
-  wanted.last_resort = true;
-  for (const routing::WeightedService& each : forwarded.route->services) {
-    wanted.service = each.service;
-    if (const auto* engine = context_.registry.pick(now, wanted)) return engine;
-  }
-  return nullptr;
-}
-
-Task<void> Forwarder::answerFinally(ForwardedRequest& forwarded, FinalAnswer answer,
-                                    http::ResponseWriter& writer) {
-  http::Response response = localReply(statusOf(answer), forwarded.id);
-  const bool closed = forwarded.refusals.commonest() == engines::EngineRefusal::kZoneClosed;
-  if (closed && answer == FinalAnswer::kRefused) {
-    response.set(context_.names.retry_after, secondsText(options_.retry_after_closed));
-  }
-  if (forwarded.key) forwarded.held = suspects_.ask(*forwarded.key, suspects::Asker::kCaller);
-  // Also where it has run and can't be refused: asking sooner is of no use. What is tried just now
-  // is soon cleared if it is innocent.
-  const bool tried = forwarded.held.is == suspects::Standing::kTried;
-  if (!tried && forwarded.held.wait > options_.retry_after) {
-    response.set(context_.names.retry_after, secondsText(forwarded.held.wait));
-  }
-  co_await writer.send(std::move(response));
-}
-
-const suspects::request_key& Forwarder::keyOf(ForwardedRequest& forwarded,
-                                              const http::Request& message) const {
-  if (!forwarded.key) forwarded.key = suspects::keyOf(forwarded.from.tenant, message);
-  return *forwarded.key;
-}
-
-Task<std::optional<suspects::sent_attempt>> Forwarder::leaveToRun(ForwardedRequest& forwarded,
-                                                                  bool alone) {
-  suspects::sent_attempt attempt;
-  forwarded.held = {};
-  if (!suspects_.any()) co_return attempt;
-  const suspects::request_key key = keyOf(forwarded, *forwarded.request);
-  forwarded.held = suspects_.ask(key, suspects::Asker::kCaller);
-  if (forwarded.held.is == suspects::Standing::kClear) co_return attempt;
-  // A second engine beside the first would be lost with it.
-  if (!alone) co_return std::nullopt;
-  forwarded.held = co_await suspects_.beginTrial(key, suspects::Asker::kCaller, forwarded.id);
-  attempt.ends = forwarded.held.ends;
-  attempt.trial = forwarded.held.is == suspects::Standing::kMayTry;
-  if (attempt.trial || forwarded.held.is == suspects::Standing::kClear) co_return attempt;
-  co_return std::nullopt;
-}
-
-void Forwarder::settleSuspicion(ForwardedRequest& forwarded, const EngineCall& call,
-                                AttemptVerdict verdict, const suspects::sent_attempt& attempt,
-                                bool engine_ended) {
-  if (engine_ended) {
-    suspects_.onEngineEnded(attempt, keyOf(forwarded, call.request()), call.engine(),
-                            call.startedAt(), suspects::Asker::kCaller, forwarded.id);
-  } else if (verdict != AttemptVerdict::kAnswered) {
-    if (attempt.trial) suspects_.onUnproved(keyOf(forwarded, call.request()));
-  } else if (suspects_.any()) {
-    suspects_.onAnswered(keyOf(forwarded, call.request()));
-  }
-}
-
-void Forwarder::logAttempt(ForwardedRequest& forwarded, EngineCall& call, AttemptVerdict verdict,
-                           bool engine_ended) {
-  const engines::engine_state* engine = context_.registry.find(call.engine());
-  const std::string service = engine == nullptr ? "gone" : engine->record.service.str();
-  metrics_.onAttemptEnded(service, toText(verdict));
-  // What went well stands in the request's own line.
-  if (verdict == AttemptVerdict::kAnswered) return;
-  logging::LogEvent event("forward", "attempt_ended");
-  event.text("request", forwarded.id)
-      .text("engine", call.engine().str())
-      .text("service", service)
-      .text("verdict", toText(verdict))
-      .milliseconds("took_ms", steadyNow() - call.startedAt());
-  if (verdict == AttemptVerdict::kBroken) {
-    event.text("key", keyOf(forwarded, call.request()).str())
-        .text("engine_ended", engine_ended ? "yes" : "no");
-  }
-  if (engine != nullptr) {
-    event.number("in_flight", engine->load.inFlight())
-        .number("failures", engine->health.failures());
-    if (engine->load.reportedAt() != Instant{}) {
-      event.real("others", engine->load.others())
-          .milliseconds("load_age_ms", steadyNow() - engine->load.reportedAt());
-    }
-  }
-}
-
-void Forwarder::recordRun(ForwardedRequest& forwarded, Instant at) {
-  if (forwarded.recorded || forwarded.internal || forwarded.from.tenant.empty()) return;
-  forwarded.recorded = true;
-  recorder_.onBegun(forwarded.from.tenant, at);
-}
-
-void Forwarder::recordAttempt(ForwardedRequest& forwarded, const EngineCall& call,
-                              AttemptVerdict verdict) {
-  bool ran = verdict == AttemptVerdict::kAnswered || verdict == AttemptVerdict::kBroken;
-  if (verdict == AttemptVerdict::kSilent || verdict == AttemptVerdict::kAborted) {
-    // An engine that answered others meanwhile was not dark: it ran this one, too.
-    const engines::engine_state* engine = context_.registry.find(call.engine());
-    ran = engine != nullptr && engine->load.reportedAt() > call.startedAt();
-  }
-  if (ran) recordRun(forwarded, call.startedAt());
-}
-
-void Forwarder::addEngineCounts(const routing::Route& route, Instant now,
-                                logging::LogEvent& event) const {
-  int known = 0;
-  int draining = 0;
-  int ejected = 0;
-  int cold = 0;
-  for (const routing::WeightedService& part : route.services) {
-    for (const engines::engine_index::entry& entry : context_.registry.known(part.service)) {
-      const engines::engine_state& engine = *entry.engine;
-      ++known;
-      draining += engine.record.draining ? 1 : 0;
-      ejected += engine.health.isEjected(now) ? 1 : 0;
-      cold += context_.registry.cold().isCold(now, engine.record.id) ? 1 : 0;
-    }
+    co_await this->plain_.serve(forwarded, writer);
   }
-  event.number("engines", known)
-      .number("draining", draining)
-      .number("ejected", ejected)
-      .number("cold", cold);
 }
 
-void Forwarder::logEnd(const ForwardedRequest& forwarded, const char* outcome, unsigned status,
-                       const AttemptPolicy& policy) {
-  const Instant now = steadyNow();
-  const Duration took = now - forwarded.received;
-  const char* kind = forwarded.internal ? "internal" : routing::toText(forwarded.route->kind);
-  metrics_.onRequestEnded(kind, forwarded.route->services.front().service.str(), outcome,
-                          policy.started(), took);
-  const bool success = status >= 200 && status < 300;
-  if (success && !sampler_.admit(now)) return;
-  logging::LogEvent event("forward", "request_ended");
-  event.text("request", forwarded.id)
-      .text("route", forwarded.route->name.str())
-      .text("kind", kind)
-      .text("tenant", forwarded.from.tenant.str())
-      .number("config", static_cast<std::int64_t>(forwarded.table->version))
-      .text("outcome", outcome)
-      .number("status", status)
-      .number("attempts", policy.started())
-      .milliseconds("took_ms", took)
-      .milliseconds("left_ms", forwarded.deadline - now);
-  if (!success) {
-    addEngineCounts(*forwarded.route, now, event);
-    event.text("refusals", forwarded.refusals.describe());
-  }
-  if (const auto skipped = sampler_.takeSkipped()) {
-    event.number("successes_not_written", static_cast<std::int64_t>(skipped));
-  }
+Task<internal_outcome> forwarder::send(internal_request request) {
+  return this->plain_.send(std::move(request));
 }
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -1,151 +1,60 @@
 #pragma once
 
-/// @file
-/// Serves one client request by attempts at engines. Bytes pass unchanged in both directions.
+/** @file
+ * Serves requests by attempts at engines. Bytes of bodies and events pass unchanged in both
+ * directions.
+ *
+ * Owns the parts that do so: the choice of an engine, the admission of suspects, local replies, log
+ * lines and metrics, reports of runs. Requests with one answer are served by `plain_requests`,
+ * streams by `stream_session`; both retry by the one rule in `attempt_policy`.
+ */
 
 #include <functional>
 
-#include "common/event_log.h"
-#include "common/success_sampler.h"
-#include "gateway/forward/attempt_policy.h"
+#include "gateway/forward/forwarding_context.h"
 #include "gateway/forward/internal_requests.h"
+#include "gateway/forward/plain_requests.h"
 #include "gateway/http/server.h"
-#include "gateway/metrics/gateway_metrics.h"
-#include "gateway/routing/route_table.h"
-#include "gateway/suspects/suspect_gate.h"
-#include "gateway/tenants/caller.h"
-#include "gateway/usage/run_recorder.h"
 
 namespace linenpier::forward {
 
-/// Lines about answered requests that a daemon writes in full each second, and one in how many
-/// then.
-inline constexpr std::uint32_t kFullLinesPerSecond = 50;
-inline constexpr std::uint32_t kSampleOneIn = 20;
-
-struct ForwarderOptions {
-  Duration connect_time = std::chrono::milliseconds(200);
-  /// A resumable stream that says nothing for this long goes on elsewhere.
-  Duration stream_silence = std::chrono::milliseconds(1500);
-  Duration retry_after = std::chrono::milliseconds(250);  ///< Told with refusals.
-  /// The same where the operator closed the zones of the engines: he does so for some seconds at
-  /// the least, so that whoever asks sooner is refused again.
-  Duration retry_after_closed = std::chrono::seconds(1);
-};
-
-/// A request on its way. The route belongs to the table, which is kept with it.
-struct ForwardedRequest {
-  routing::RouteTablePtr table;
-  const routing::Route* route = nullptr;
-  const http::Request* request = nullptr;
-  tenants::caller from;
-  std::string id;
-  Instant received{};
-  Instant deadline{};
-  double max_per_slot = 0;  ///< Engines that are fuller are left alone; 0: no limit.
-  bool internal = false;    ///< The system itself sends it, not a client.
-  bool recorded = false;    ///< It was recorded that it began to run.
-  /// Why there was no engine for it when one was last looked for in vain.
-  engines::refusal_tally refusals;
-  std::optional<suspects::request_key> key;  ///< Worked out when it is first needed.
-  suspects::verdict held;                    ///< What it was told when it was last a suspect.
-};
-
-/// Loop thread only.
-class Forwarder : public internal_requests {
+/** Loop thread only. */
+class forwarder : public internal_requests {
  public:
-  Forwarder(boost::asio::io_context& loop, EngineCallContext context,
+  forwarder(boost::asio::io_context& loop, engine_call_context engines,
             routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
-            usage::run_recorder& recorder, suspects::suspect_gate& suspects,
-            ForwarderOptions options)
-      : loop_(loop),
-        context_(context),
-        round_robin_(round_robin),
-        metrics_(metrics),
-        recorder_(recorder),
-        suspects_(suspects),
-        options_(options) {}
+            usage::run_recorder& recorder, suspects::suspect_gate& suspects);
+  /** The parts refer to each other. */
+  forwarder(const forwarder&) = delete;
+  forwarder& operator=(const forwarder&) = delete;
 
-  /// Homes are those of the newest table from now on, also for requests that came under an older
-  /// one.
+  /** See `engine_picker::followResidency`. */
   void followResidency(std::function<routing::RouteTablePtr()> newest) {
-    newest_ = std::move(newest);
+    this->choice_.followResidency(std::move(newest));
   }
-  /// Answers the request in every case, unless the client is gone.
+
+  /** Answers the request in every case, unless the client is gone.
+   * @param from who sends it; its key was checked and is not checked again, however long a stream
+   *     stays open.
+   */
   Task<void> serve(routing::RouteTablePtr table, const routing::Route& route, tenants::caller from,
                    const http::Request& request, Instant received, http::ResponseWriter& writer);
-  Task<internal_outcome> send(internal_request request) override;
-  /// @return an answer of this daemon's own.
-  http::Response localReply(unsigned status, const std::string& id) const;
 
- private:
-  struct Race;
-  struct StreamState;
-
-  /// What the attempts of one request came to.
-  struct plain_outcome {
-    std::optional<http::Response> answer;  ///< Whole and signed.
-    int failures = 0;                      ///< Attempts that engines answered with 500.
-  };
-
-  Task<void> servePlain(std::shared_ptr<ForwardedRequest> forwarded, http::ResponseWriter& writer);
-  Task<plain_outcome> runAttempts(std::shared_ptr<ForwardedRequest> forwarded,
-                                  AttemptPolicy& policy, http::Cancellation& cancellation);
-  Task<void> runAttempt(std::shared_ptr<Race> race, std::shared_ptr<EngineCall> call,
-                        std::shared_ptr<ForwardedRequest> forwarded,
-                        suspects::sent_attempt attempt);
-  /// @return whether there was an engine for it.
-  bool startAttempt(const std::shared_ptr<ForwardedRequest>& forwarded,
-                    const std::shared_ptr<Race>& race, const suspects::sent_attempt& attempt);
-  /// @param message the request, or a copy that an attempt has sent: attempts may outlive the
-  ///     request itself.
-  /// @return its key, worked out once.
-  const suspects::request_key& keyOf(ForwardedRequest& forwarded,
-                                     const http::Request& message) const;
-  /// Asks whether an attempt may be sent, of nearly all requests without a wait.
-  /// @param alone whether no other attempt of the request runs.
-  /// @return nothing if not: `held` then tells why.
-  Task<std::optional<suspects::sent_attempt>> leaveToRun(ForwardedRequest& forwarded, bool alone);
-  /// Tells what an attempt has shown of the request.
-  void settleSuspicion(ForwardedRequest& forwarded, const EngineCall& call, AttemptVerdict verdict,
-                       const suspects::sent_attempt& attempt, bool engine_ended);
-  Task<void> serveStream(ForwardedRequest& forwarded, http::ResponseWriter& writer);
-  Task<AttemptVerdict> relay(ForwardedRequest& forwarded, EngineCall& call, StreamState& state,
-                             http::ResponseWriter& writer);
-  /// Passes on the head of an engine's stream.
-  Task<bool> beginClientStream(EngineCall& call, http::ResponseWriter& writer);
-  Task<void> answerFinally(ForwardedRequest& forwarded, FinalAnswer answer,
-                           http::ResponseWriter& writer);
+  Task<internal_outcome> send(internal_request request) override;
 
-  const engines::engine_state* pickEngine(ForwardedRequest& forwarded,
-                                          const std::set<EngineId>& tried);
-  const engines::engine_state* pickFrom(const ForwardedRequest& forwarded,
-                                        engines::engine_request& wanted);
-  /// @return where the request may be served.
-  fleet::data_residency residencyOf(const ForwardedRequest& forwarded) const;
-  http::Request outgoing(const ForwardedRequest& forwarded, Instant now) const;
-  Instant deadlineOf(const routing::Route& route, const http::Request& request,
-                     Instant received) const;
-  void logEnd(const ForwardedRequest& forwarded, const char* outcome, unsigned status,
-              const AttemptPolicy& policy);
-  /// Adds how many engines there are for the route, and how many of them get nothing.
-  void addEngineCounts(const routing::Route& route, Instant now, logging::LogEvent& event) const;
-  /// An engine began to run the request.
-  void recordRun(ForwardedRequest& forwarded, Instant at);
-  /// Records a run if this end of an attempt tells of one.
-  void recordAttempt(ForwardedRequest& forwarded, const EngineCall& call, AttemptVerdict verdict);
-  void logAttempt(ForwardedRequest& forwarded, EngineCall& call, AttemptVerdict verdict,
-                  bool engine_ended);
+  /** See `local_replies::make`. */
+  http::Response localReply(unsigned status, const std::string& id) const {
+    return this->replies_.make(status, id);
+  }
 
-  boost::asio::io_context& loop_;
-  EngineCallContext context_;
-  routing::weighted_round_robin& round_robin_;
-  metrics::GatewayMetrics& metrics_;
-  usage::run_recorder& recorder_;
-  suspects::suspect_gate& suspects_;
-  ForwarderOptions options_;
-  std::function<routing::RouteTablePtr()> newest_;
-  logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
+ private:
+  engine_picker choice_;
+  attempt_admission admission_;
+  local_replies replies_;
+  request_log log_;
+  run_reports runs_;
+  forwarding_context context_;  ///< Refers to the parts above.
+  plain_requests plain_;
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -175,7 +175,7 @@
   if (snapshot.zones_revision > operators.zonesRevision()) {
     this->deps_.zones.onTable(snapshot.zones_revision, snapshot.closed_zones, "peer");
   }
-  if (!isFresh(this->deps_.coordination)) this->deps_.suspects.onTold(snapshot.suspects);
+  if (!isFresh(this->deps_.coordination)) this->deps_.suspects.onPeerRows(snapshot.suspects);
   if (!snapshot.configuration.empty() && !isFresh(operators.watcher())) {
     operators.onConfiguration(snapshot.configuration);
   }
--- a/src/gateway/service/request_entry.h
+++ b/src/gateway/service/request_entry.h
@@ -22,7 +22,7 @@
   struct dependencies {
     PlatformPort& platform;
     const operator_feed& operators;
-    forward::Forwarder& forwarder;
+    forward::forwarder& forwarder;
     batch::BatchService& batches;
     metrics::GatewayMetrics& metrics;
   };
--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -18,75 +18,66 @@
 
 }  // namespace
 
-const char* toText(Standing value) {
-  switch (value) {
-    case Standing::kClear:
-      return "clear";
-    case Standing::kMayTry:
-      return "may_try";
-    case Standing::kTried:
-      return "tried_now";
-    case Standing::kMustWait:
-      return "must_wait";
-    case Standing::kBarred:
-      return "barred";
-  }
-  return "unknown";
+bool suspect_book::isBarred(int crashes, RequestSource source) const {
+  const bool item = source == RequestSource::kItem;
+  return crashes >= (item ? this->rules_.item_crash_threshold : this->rules_.crash_threshold);
+}
+
+Duration suspect_book::pauseAfter(int crashes, RequestSource source) const {
+  if (this->isBarred(crashes, source)) return this->barFor(crashes);
+  if (crashes <= 1) return Duration::zero();
+  const bool item = source == RequestSource::kItem;
+  return item ? this->rules_.item_retry_interval : this->rules_.retry_backoff;
 }
 
-Duration suspect_book::barFor(int ends) const {
-  if (ends < this->rules_.proof) return Duration::zero();
-  const int doublings = std::min(ends - this->rules_.proof, this->rules_.max_doublings);
+Duration suspect_book::barFor(int crashes) const {
+  if (crashes < this->rules_.crash_threshold) return Duration::zero();
+  const int doublings =
+      std::min(crashes - this->rules_.crash_threshold, this->rules_.max_doublings);
   return this->rules_.first_bar * (1 << doublings);
 }
 
 Instant suspect_book::forgottenAt(const entry& each) const {
-  return each.last_at + this->barFor(each.ends) + this->rules_.memory;
+  return each.last_at + this->barFor(each.crashes) + this->rules_.retention;
 }
 
 std::size_t suspect_book::barred(Instant now) const {
   return static_cast<std::size_t>(
       std::count_if(this->entries_.begin(), this->entries_.end(), [&](const auto& each) {
-        return now < each.second.last_at + this->barFor(each.second.ends);
+        return now < each.second.last_at + this->barFor(each.second.crashes);
       }));
 }
 
-int suspect_book::endsOf(const request_key& key) const {
+int suspect_book::crashesOf(const request_key& key) const {
   const auto at = this->entries_.find(key);
-  return at == this->entries_.end() ? 0 : at->second.ends;
+  return at == this->entries_.end() ? 0 : at->second.crashes;
 }
 
-verdict suspect_book::ask(Instant now, const request_key& key, Asker who) const {
-  verdict told;
+suspect_admission suspect_book::admissionOf(Instant now, const request_key& key,
+                                            RequestSource source) const {
+  suspect_admission admission;
   const auto at = this->entries_.find(key);
-  if (at == this->entries_.end() || at->second.ends == 0) return told;
+  if (at == this->entries_.end() || at->second.crashes == 0) return admission;
   const entry& known = at->second;
-  if (now >= this->forgottenAt(known)) return told;
-  told.ends = known.ends;
-  told.evidence = now - known.last_at;
-  Instant free_at = known.last_at + this->barFor(known.ends);
-  told.is = Standing::kBarred;
-  const bool more_trials = known.ends < this->rules_.proof + this->rules_.item_trials;
-  if (who == Asker::kItem && known.ends > 1 && more_trials) {
-    free_at = known.last_at + this->rules_.item_pause;
-    told.is = Standing::kMustWait;
-  } else if (known.ends > 1 && known.ends < this->rules_.proof) {
-    free_at = known.last_at + this->rules_.trial_pause;
-    told.is = Standing::kMustWait;
-  }
+  if (now >= this->forgottenAt(known)) return admission;
+  admission.crashes = known.crashes;
+  admission.evidence_age = now - known.last_at;
+  const Instant free_at = known.last_at + this->pauseAfter(known.crashes, source);
   if (now < free_at) {
-    told.wait = free_at - now;
-    return told;
+    const bool barred = this->isBarred(known.crashes, source);
+    admission.state = barred ? AdmissionState::kBarred : AdmissionState::kMustWait;
+    admission.wait = free_at - now;
+    return admission;
   }
-  const bool tried = !known.tried_by.empty() && now < known.tried_until;
-  told.is = tried ? Standing::kTried : Standing::kMayTry;
-  if (tried) told.wait = known.tried_until - now;
-  return told;
+  const bool running = !known.tried_by.empty() && now < known.tried_until;
+  admission.state = running ? AdmissionState::kRunning : AdmissionState::kMayRunAlone;
+  if (running) admission.wait = known.tried_until - now;
+  return admission;
 }
 
 void suspect_book::addEngines(entry& into, const std::vector<EngineId>& engines) const {
   for (const EngineId& each : engines) {
-    if (into.engines.size() >= kEnginesKept) return;
+    if (into.engines.size() >= kMaxEnginesKept) return;
     const bool known =
         std::find(into.engines.begin(), into.engines.end(), each) != into.engines.end();
     if (!known) into.engines.push_back(each);
@@ -94,28 +85,29 @@
 }
 
 void suspect_book::dropOne() {
-  const auto least = std::min_element(this->entries_.begin(), this->entries_.end(),
-                                      [](const auto& one, const auto& other) {
-                                        return std::pair(one.second.ends, one.second.last_at) <
-                                               std::pair(other.second.ends, other.second.last_at);
-                                      });
+  const auto least = std::min_element(
+      this->entries_.begin(), this->entries_.end(), [](const auto& one, const auto& other) {
+        return std::pair(one.second.crashes, one.second.last_at) <
+               std::pair(other.second.crashes, other.second.last_at);
+      });
   if (least != this->entries_.end()) this->entries_.erase(least);
 }
 
-bool suspect_book::onEnded(Instant now, const request_key& key, const EngineId& engine, int known) {
+bool suspect_book::onEngineCrashed(Instant now, const request_key& key, const EngineId& engine,
+                                   int known) {
   const bool is_new = !this->entries_.contains(key);
-  if (is_new && this->entries_.size() >= this->rules_.most) this->dropOne();
+  if (is_new && this->entries_.size() >= this->rules_.max_entries) this->dropOne();
   entry& each = this->entries_[key];
-  // What was cleared since the attempt was sent does not count any more.
-  const int counted = std::min(known, each.ends) + 1;
-  const bool news = counted > each.ends;
-  each.ends = std::max(each.ends, counted);
+  // Crashes that an answer cleared since the attempt was sent do not count any more.
+  const int counted = std::min(known, each.crashes) + 1;
+  const bool grew = counted > each.crashes;
+  each.crashes = std::max(each.crashes, counted);
   this->addEngines(each, {engine});
-  if (news) {
+  if (grew) {
     each.last_at = now;
     each.written = false;
   }
-  return news;
+  return grew;
 }
 
 Revision suspect_book::onCleared(const request_key& key) {
@@ -126,14 +118,14 @@
   return revision;
 }
 
-void suspect_book::onTrial(Instant now, const request_key& key, const std::string& self) {
+void suspect_book::onIsolatedRun(Instant now, const request_key& key, const std::string& self) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return;
   at->second.tried_by = self;
-  at->second.tried_until = now + this->rules_.max_trial;
+  at->second.tried_until = now + this->rules_.isolated_run_timeout;
 }
 
-void suspect_book::onTrialEnded(const request_key& key, const std::string& self) {
+void suspect_book::onIsolatedRunEnded(const request_key& key, const std::string& self) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || at->second.tried_by != self) return;
   at->second.tried_by.clear();
@@ -144,29 +136,29 @@
                          Revision revision, const suspect_record& record) {
   entry& each = this->entries_[key];
   if (revision <= each.revision) return;
-  const bool knew_more = each.ends > record.ends;
-  if (record.ends >= each.ends) each.last_at = pastInstant(now, clock_ms, record.last_ms);
-  each.ends = std::max(each.ends, record.ends);
+  const bool knew_more = each.crashes > record.ends;
+  if (record.ends >= each.crashes) each.last_at = pastInstant(now, clock_ms, record.last_ms);
+  each.crashes = std::max(each.crashes, record.ends);
   this->addEngines(each, record.engines);
   each.tried_by = record.tried_by;
-  each.tried_until = now + this->rules_.max_trial;
+  each.tried_until = now + this->rules_.isolated_run_timeout;
   if (clock_ms != 0) {
     const auto left = std::chrono::milliseconds(record.tried_until_ms - clock_ms);
-    each.tried_until = now + std::min<Duration>(left, this->rules_.max_trial);
+    each.tried_until = now + std::min<Duration>(left, this->rules_.isolated_run_timeout);
   }
   each.revision = revision;
   each.shared = true;
   each.written = !knew_more;
 }
 
-void suspect_book::onTold(Instant now, std::int64_t clock_ms, const request_key& key,
-                          Revision revision, const suspect_record& record) {
+void suspect_book::onPeerRow(Instant now, std::int64_t clock_ms, const request_key& key,
+                             Revision revision, const suspect_record& record) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || revision > at->second.revision) {
     this->onRow(now, clock_ms, key, revision, record);
     return;
   }
-  at->second.ends = std::max(at->second.ends, record.ends);
+  at->second.crashes = std::max(at->second.crashes, record.ends);
   this->addEngines(at->second, record.engines);
 }
 
@@ -186,8 +178,8 @@
     this->entries_.erase(at);
     return;
   }
-  // Cleared by another daemon's answer, but ended one more engine here: that stands for itself.
-  at->second.ends = 1;
+  // An answer at another daemon cleared it, but it crashed an engine here since: that one counts.
+  at->second.crashes = 1;
   at->second.revision = 0;
 }
 
@@ -196,10 +188,11 @@
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || revision <= at->second.revision) return;
   at->second.revision = revision;
-  at->second.written = at->second.ends == written.ends && at->second.tried_by == written.tried_by;
+  at->second.written =
+      at->second.crashes == written.ends && at->second.tried_by == written.tried_by;
 }
 
-std::string suspect_book::triedBy(const request_key& key) const {
+std::string suspect_book::isolatedBy(const request_key& key) const {
   const auto at = this->entries_.find(key);
   return at == this->entries_.end() ? std::string() : at->second.tried_by;
 }
@@ -210,7 +203,7 @@
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return record;
   const entry& each = at->second;
-  record.ends = each.ends;
+  record.ends = each.crashes;
   record.engines = each.engines;
   record.last_ms = clock_ms - toMilliseconds(now - each.last_at);
   record.tried_by = each.tried_by;
@@ -229,13 +222,13 @@
 std::vector<request_key> suspect_book::worst(std::size_t most, Fits fits) const {
   std::vector<std::pair<int, request_key>> found;
   for (const auto& [key, each] : this->entries_) {
-    if (fits(each)) found.emplace_back(-each.ends, key);
+    if (fits(each)) found.emplace_back(-each.crashes, key);
   }
   std::sort(found.begin(), found.end());
   if (found.size() > most) found.resize(most);
   std::vector<request_key> keys;
   keys.reserve(found.size());
-  for (auto& [ends, key] : found) keys.push_back(std::move(key));
+  for (auto& [crashes, key] : found) keys.push_back(std::move(key));
   return keys;
 }
 
--- a/tests/daemon/ownership/engine_ownership_test.cpp
+++ b/tests/daemon/ownership/engine_ownership_test.cpp
@@ -25,15 +25,15 @@
   return result;
 }
 
-std::map<EngineId, upstream::engine_state> engines(int count) {
-  std::map<EngineId, upstream::engine_state> result;
+std::map<EngineId, upstream::EngineState> engines(int count) {
+  std::map<EngineId, upstream::EngineState> result;
   for (int i = 0; i < count; ++i) result[EngineId("e" + std::to_string(i))] = {};
   return result;
 }
 
 EngineOwnership::Work tickOf(EngineOwnership& ownership, Instant now,
                              const std::vector<wire::MemberRecord>& zone_members,
-                             const std::map<EngineId, upstream::engine_state>& all) {
+                             const std::map<EngineId, upstream::EngineState>& all) {
   ownership.assign(zone_members, all);
   return ownership.onTick(now);
 }
--- a/tests/daemon/upstream/routing_policy_test.cpp
+++ b/tests/daemon/upstream/routing_policy_test.cpp
@@ -5,12 +5,12 @@
 #include <map>
 
 using namespace linenpier;
-using upstream::engine_state;
+using upstream::EngineState;
 
 namespace {
 
-engine_state engineWith(const std::string& id, std::uint32_t running, std::uint32_t started_since) {
-  engine_state engine;
+EngineState engineWith(const std::string& id, std::uint32_t running, std::uint32_t started_since) {
+  EngineState engine;
   engine.seed.id = EngineId(id);
   engine.report.running = running;
   engine.report.slots = 8;
@@ -35,8 +35,8 @@
 }
 
 Test(routing_policy, corrected_load_sees_what_a_lagging_report_does_not) {
-  const engine_state looks_idle = engineWith("looks-idle", 0, 6);
-  const engine_state is_idle = engineWith("is-idle", 2, 0);
+  const EngineState looks_idle = engineWith("looks-idle", 0, 6);
+  const EngineState is_idle = engineWith("is-idle", 2, 0);
   const auto corrected = upstream::makeRoutingPolicy("corrected-load", 1);
   const auto reported = upstream::makeRoutingPolicy("least-reported", 1);
   cr_assert(corrected->choose({&looks_idle, &is_idle}, {})->engine == EngineId("is-idle"));
@@ -44,8 +44,8 @@
 }
 
 Test(routing_policy, equal_prefixes_meet_on_one_engine_until_it_is_busier) {
-  engine_state a = engineWith("a", 0, 0);
-  engine_state b = engineWith("b", 0, 0);
+  EngineState a = engineWith("a", 0, 0);
+  EngineState b = engineWith("b", 0, 0);
   const auto policy = upstream::makeRoutingPolicy("corrected-load", 1);
   const EngineId home = policy->choose({&a, &b}, {42})->engine;
   for (int i = 0; i < 20; ++i) cr_assert(policy->choose({&a, &b}, {42})->engine == home);
