--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -44,10 +44,6 @@
   /// The leases were read. Decides whether this daemon offers itself.
   /// @return whether the decision changed.
   bool onLeasesRead(Instant now, const pool_demand& wanted);
-  /// @param wanted daemons that should, anywhere.
-  bool onLeasesRead(Instant now, std::size_t wanted) {
-    return onLeasesRead(now, pool_demand{wanted});
-  }
 
   bool offers() const { return offers_; }
   double capacity() const { return capacity_.value(); }
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -17,8 +17,8 @@
 
 /// The pool is seen to lack members, or not, for long enough to join it.
 void settle(OwnerPool& pool, std::size_t wanted) {
-  pool.onLeasesRead(kStart - std::chrono::minutes(1), wanted);
-  pool.onLeasesRead(kStart, wanted);
+  pool.onLeasesRead(kStart - std::chrono::minutes(1), lease::pool_demand{wanted});
+  pool.onLeasesRead(kStart, lease::pool_demand{wanted});
 }
 
 LeaseTable tableWith(const std::map<LeaseId, LeaseRow>& rows) {
@@ -120,9 +120,9 @@
     LeaseTable table(makeLeaseId("d" + std::to_string(i), "a"), {}, kStart);
     table.onStoreRegained(kStart);
     OwnerPool pool(table, kLarge);
-    pool.onLeasesRead(kStart, 8);
+    pool.onLeasesRead(kStart, lease::pool_demand{8});
     at_once += pool.offers() ? 1 : 0;
-    pool.onLeasesRead(kStart + std::chrono::seconds(1), 8);
+    pool.onLeasesRead(kStart + std::chrono::seconds(1), lease::pool_demand{8});
     within_a_second += pool.offers() ? 1 : 0;
   }
   cr_assert_leq(at_once, 3);
