--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -18,9 +18,12 @@
 }
 
 table::Put LeaseKeeper::renewal() const {
-  const std::set<EngineId> awaited = awaited_ ? awaited_() : std::set<EngineId>();
-  return {table::leaseKey(leases_.own()),
-          encodeLease(pool_.capacity(), peer_, pool_.zone(), awaited)};
+  LeaseRow row;
+  row.capacity = pool_.capacity();
+  row.peer = peer_;
+  row.zone = pool_.zone();
+  if (awaited_) row.awaited = awaited_();
+  return {table::leaseKey(leases_.own()), encodeLeaseRow(row)};
 }
 
 void LeaseKeeper::onRenewed(Instant sent_at) {
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -2,80 +2,18 @@
 
 #include <algorithm>
 #include <set>
-#include <sstream>
 
 #include "common/hash.h"
 
 namespace linenpier::lease {
 
 namespace {
-constexpr char kSeparator = '#';
-/// In a row's value: "capacity@zone;engine,engine|peer". Earlier releases read capacity and peer.
-constexpr char kPeerSeparator = '|';
-constexpr char kZoneSeparator = '@';
-constexpr char kAwaitedSeparator = ';';
-constexpr char kEngineSeparator = ',';
 constexpr Duration kOldAge = std::chrono::seconds(60);
 constexpr Duration kAgeSpread = std::chrono::milliseconds(300);
 constexpr Duration kJitterSpread = std::chrono::milliseconds(80);
 constexpr std::int64_t kJitterSteps = 100;
 }  // namespace
 
-std::string encodeCapacity(double capacity) {
-  return std::to_string(capacity);
-}
-
-double decodeCapacity(const std::string& value) {
-  return std::max(0.0, std::strtod(value.c_str(), nullptr));
-}
-
-std::string encodeLease(double capacity, const std::optional<Address>& peer, const ZoneName& zone,
-                        const std::set<EngineId>& awaited) {
-  std::string value = encodeCapacity(capacity);
-  if (!zone.empty()) value += kZoneSeparator + zone.str();
-  char separator = kAwaitedSeparator;
-  for (const EngineId& engine : awaited) {
-    value += separator + engine.str();
-    separator = kEngineSeparator;
-  }
-  if (peer) value += kPeerSeparator + toString(*peer);
-  return value;
-}
-
-std::optional<Address> decodePeer(const std::string& value) {
-  const std::size_t separator = value.find(kPeerSeparator);
-  if (separator == std::string::npos) return std::nullopt;
-  return parseAddress(value.substr(separator + 1));
-}
-
-std::set<EngineId> decodeAwaited(const std::string& value) {
-  std::set<EngineId> awaited;
-  const std::string told = value.substr(0, value.find(kPeerSeparator));
-  const std::size_t begin = told.find(kAwaitedSeparator);
-  if (begin == std::string::npos) return awaited;
-  std::istringstream engines(told.substr(begin + 1));
-  std::string engine;
-  while (std::getline(engines, engine, kEngineSeparator)) {
-    if (!engine.empty()) awaited.insert(EngineId(engine));
-  }
-  return awaited;
-}
-
-ZoneName decodeZone(const std::string& value) {
-  const std::string told = value.substr(0, value.find(kPeerSeparator));
-  const std::string head = told.substr(0, told.find(kAwaitedSeparator));
-  const std::size_t separator = head.find(kZoneSeparator);
-  return separator == std::string::npos ? ZoneName() : ZoneName(head.substr(separator + 1));
-}
-
-LeaseId makeLeaseId(const std::string& daemon, const std::string& incarnation) {
-  return LeaseId(daemon + kSeparator + incarnation);
-}
-
-std::string daemonOf(const LeaseId& lease) {
-  return lease.str().substr(0, lease.str().find(kSeparator));
-}
-
 Duration LeaseTable::takeoverDelay(Instant now, const std::string& what) const {
   const Duration age = std::min(now - started_at_, kOldAge);
   const auto step = static_cast<std::int64_t>(hash64(own_.str(), hash64(what)) % kJitterSteps);
@@ -84,8 +22,8 @@
 
 void LeaseTable::onRow(Instant now, const LeaseId& lease, Revision revision) {
   Observation& seen = rows_[lease];
-  if (revision <= seen.revision) return;
-  seen.revision = revision;
+  if (revision <= seen.row.revision) return;
+  seen.row.revision = revision;
   seen.changed_at = now;
 }
 
@@ -97,13 +35,13 @@
   // An absent row is kept while somebody asks for it: its silence counts.
   for (const auto& [lease, row] : rows) {
     onRow(now, lease, row.revision);
-    rows_[lease].capacity = row.capacity;
-    rows_[lease].peer = row.peer;
-    rows_[lease].awaited = row.awaited;
-    rows_[lease].zone = row.zone;
+    Observation& seen = rows_[lease];
+    const Revision newest = seen.row.revision;
+    seen.row = row;
+    seen.row.revision = newest;
   }
   std::erase_if(rows_, [&](const auto& each) {
-    return each.second.revision > 0 && !rows.contains(each.first);
+    return each.second.row.revision > 0 && !rows.contains(each.first);
   });
   read_at_ = std::max(read_at_, sent_at);
   const Duration excess = std::max(now - sent_at - times_.usual_delay, Duration::zero());
@@ -116,7 +54,7 @@
   if (lease == own_) return false;
   if (lease.empty() || isEarlierSelf(lease)) return true;
   if (!store_healthy_since_) return false;
-  const auto [at, fresh] = rows_.try_emplace(lease, Observation{0, read_at_, 0, std::nullopt, {}});
+  const auto [at, fresh] = rows_.try_emplace(lease, Observation{{}, read_at_});
   const Instant since = std::max(at->second.changed_at, *store_healthy_since_);
   return read_at_ - since > times_.expiry + allowance_;
 }
@@ -131,7 +69,7 @@
 bool LeaseTable::alive(Instant now, const LeaseId& lease) const {
   if (lease == own_) return true;
   const auto at = rows_.find(lease);
-  if (at == rows_.end() || at->second.revision == 0) return false;
+  if (at == rows_.end() || at->second.row.revision == 0) return false;
   // While the store is away nobody can renew: who lived when it was last read counts as alive.
   const Instant as_of = store_healthy_since_ ? now : read_at_;
   return as_of - at->second.changed_at < times_.expiry;
@@ -141,21 +79,21 @@
   std::vector<OwnerCandidate> found;
   for (const auto& [lease, seen] : rows_) {
     const bool other = lease != own_ && !isEarlierSelf(lease);
-    const bool offers = other && seen.capacity > 0 && alive(now, lease);
-    if (offers) found.push_back({lease, seen.capacity, seen.zone});
+    const bool offers = other && seen.row.capacity > 0 && alive(now, lease);
+    if (offers) found.push_back({lease, seen.row.capacity, seen.row.zone});
   }
   return found;
 }
 
 ZoneName LeaseTable::zoneOf(const LeaseId& lease) const {
   const auto at = rows_.find(lease);
-  return at == rows_.end() ? ZoneName() : at->second.zone;
+  return at == rows_.end() ? ZoneName() : at->second.row.zone;
 }
 
 std::vector<Address> LeaseTable::peers() const {
   std::set<Address> found;
   for (const auto& [lease, seen] : rows_) {
-    if (lease != own_ && !isEarlierSelf(lease) && seen.peer) found.insert(*seen.peer);
+    if (lease != own_ && !isEarlierSelf(lease) && seen.row.peer) found.insert(*seen.row.peer);
   }
   return {found.begin(), found.end()};
 }
@@ -163,7 +101,7 @@
 std::set<EngineId> LeaseTable::awaited(Instant now) const {
   std::set<EngineId> found;
   for (const auto& [lease, seen] : rows_) {
-    if (alive(now, lease)) found.insert(seen.awaited.begin(), seen.awaited.end());
+    if (alive(now, lease)) found.insert(seen.row.awaited.begin(), seen.row.awaited.end());
   }
   return found;
 }
@@ -171,7 +109,7 @@
 std::vector<LeaseId> LeaseTable::forgotten(Instant now) const {
   std::vector<LeaseId> found;
   for (const auto& [lease, seen] : rows_) {
-    if (lease == own_ || seen.revision == 0) continue;
+    if (lease == own_ || seen.row.revision == 0) continue;
     if (isEarlierSelf(lease) || now - seen.changed_at > times_.forget) found.push_back(lease);
   }
   return found;
@@ -179,7 +117,7 @@
 
 Revision LeaseTable::seenRevision(const LeaseId& lease) const {
   const auto at = rows_.find(lease);
-  return at == rows_.end() ? 0 : at->second.revision;
+  return at == rows_.end() ? 0 : at->second.row.revision;
 }
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -14,10 +14,8 @@
 #include <string>
 #include <vector>
 
-#include "common/address.h"
-#include "common/ids.h"
-#include "common/table_row.h"
 #include "common/time.h"
+#include "gateway/lease/lease_row.h"
 
 namespace linenpier::lease {
 
@@ -40,41 +38,6 @@
   Duration forget = std::chrono::seconds(60);
 };
 
-/// A lease as its row tells.
-struct LeaseRow {
-  // Not explicit: a row without a capacity is its revision.
-  LeaseRow(Revision row_revision = 0, double told_capacity = 0,
-           std::optional<Address> told_peer = std::nullopt, ZoneName told_zone = {},
-           std::set<EngineId> told_awaited = {})
-      : revision(row_revision),
-        capacity(told_capacity),
-        peer(told_peer),
-        zone(std::move(told_zone)),
-        awaited(std::move(told_awaited)) {}
-
-  Revision revision;
-  double capacity;              ///< See OwnCapacity::value; 0: not told.
-  std::optional<Address> peer;  ///< Where other daemons ask its daemon.
-  ZoneName zone;                ///< That its daemon is in; empty: not told.
-  std::set<EngineId> awaited;   ///< See `LeaseTable::awaited`.
-};
-
-/// @return the value of a lease's row.
-std::string encodeCapacity(double capacity);
-/// @return 0 if the value tells none.
-double decodeCapacity(const std::string& value);
-/// @param zone that the daemon is in; empty: not told. It stands where daemons that do not look for
-///     it still read the rest.
-/// @param awaited engines that run what a step waits for.
-/// @return the value of a lease's row that tells where other daemons ask, too.
-std::string encodeLease(double capacity, const std::optional<Address>& peer,
-                        const ZoneName& zone = {}, const std::set<EngineId>& awaited = {});
-std::set<EngineId> decodeAwaited(const std::string& value);
-/// @return empty if the value tells no zone.
-ZoneName decodeZone(const std::string& value);
-/// @return nothing if the value tells no address.
-std::optional<Address> decodePeer(const std::string& value);
-
 /// A live daemon that told what it can carry.
 struct OwnerCandidate {
   LeaseId lease;
@@ -84,11 +47,6 @@
   bool operator==(const OwnerCandidate&) const = default;
 };
 
-/// @return the lease id of one life of a daemon.
-LeaseId makeLeaseId(const std::string& daemon, const std::string& incarnation);
-/// @return the daemon that the lease belongs to.
-std::string daemonOf(const LeaseId& lease);
-
 class LeaseTable {
  public:
   /// @param started_at when this life began.
@@ -140,12 +98,8 @@
 
  private:
   struct Observation {
-    Revision revision = 0;
+    LeaseRow row;  ///< Its revision only rises.
     Instant changed_at{};
-    double capacity = 0;
-    std::optional<Address> peer;
-    std::set<EngineId> awaited;
-    ZoneName zone;
   };
   LeaseId own_;
   LeaseTimes times_;
--- a/src/gateway/lease/lease_watch.cpp
+++ b/src/gateway/lease/lease_watch.cpp
@@ -51,8 +51,7 @@
     this->keeper_.onStoreClock(steadyNow(), page->clock_ms);
     for (const table::Row& row : page->rows) {
       const LeaseId lease(row.key.substr(table::kLeaseTable.size() + 1));
-      rows[lease] = LeaseRow(row.revision, decodeCapacity(row.value), decodePeer(row.value),
-                             decodeZone(row.value), decodeAwaited(row.value));
+      rows[lease] = decodeLeaseRow(row.revision, row.value);
     }
     if (!table::moveBehind(*page, range)) break;
   }
--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -7,7 +7,7 @@
 #include "gateway/batch/checkpoint.h"
 #include "gateway/batch/job_store.h"
 #include "gateway/lease/leader_lock.h"
-#include "gateway/lease/lease_table.h"
+#include "gateway/lease/lease_row.h"
 #include "gateway/service/peer_snapshot.h"
 #include "gateway/suspects/suspect_record.h"
 
@@ -48,13 +48,14 @@
 }  // namespace
 
 Test(earlier_build, its_leases_are_read_and_written_alike) {
-  cr_assert_float_eq(lease::decodeCapacity(kLease), 0.48, 1e-9);
-  cr_assert_eq(lease::decodeZone(kLease).str(), "north");
-  cr_assert(lease::decodeAwaited(kLease) == std::set<EngineId>({EngineId("i-1"), EngineId("i-2")}));
+  const lease::LeaseRow read = lease::decodeLeaseRow(5, kLease);
+  cr_assert_float_eq(read.capacity, 0.48, 1e-9);
+  cr_assert_eq(read.zone.str(), "north");
+  cr_assert(read.awaited == std::set<EngineId>({EngineId("i-1"), EngineId("i-2")}));
   const Address peer{0x0a010003, 8166};
-  cr_assert(*lease::decodePeer(kLease) == peer);
+  cr_assert(*read.peer == peer);
   const std::string written =
-      lease::encodeLease(0.48, peer, ZoneName("north"), {EngineId("i-1"), EngineId("i-2")});
+      lease::encodeLeaseRow({0, 0.48, peer, ZoneName("north"), {EngineId("i-1"), EngineId("i-2")}});
   cr_assert_eq(written, kLease);
 }
 
--- a/tests/gateway/lease/lease_table_test.cpp
+++ b/tests/gateway/lease/lease_table_test.cpp
@@ -3,6 +3,9 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
+using lease::decodeLeaseRow;
+using lease::encodeLeaseRow;
+using lease::LeaseRow;
 using lease::LeaseTable;
 using lease::makeLeaseId;
 
@@ -14,7 +17,7 @@
 
 /// Reads the store, where `revision` stands for the lease of `kOther`, and asks for `lease`.
 bool expiredAfterRead(LeaseTable& table, Instant now, const LeaseId& lease, Revision revision = 5) {
-  table.onRead(now, now, {{kOther, revision}});
+  table.onRead(now, now, {{kOther, LeaseRow{revision}}});
   return table.expired(lease);
 }
 
@@ -43,7 +46,8 @@
 
 Test(lease_table, silence_counts_up_to_the_last_read_only) {
   LeaseTable table = watching();
-  table.onRead(kStart + std::chrono::seconds(1), kStart + std::chrono::seconds(1), {{kOther, 5}});
+  table.onRead(kStart + std::chrono::seconds(1), kStart + std::chrono::seconds(1),
+               {{kOther, LeaseRow{5}}});
   cr_assert_not(table.expired(kOther), "nothing was read since");
   cr_assert(expiredAfterRead(table, kStart + std::chrono::seconds(2), kOther));
 }
@@ -58,7 +62,8 @@
 Test(lease_table, rows_of_earlier_lives_and_of_long_silence_may_be_removed) {
   LeaseTable table = watching();
   const LeaseId earlier = makeLeaseId("d1", "a");
-  table.onRead(kStart, kStart, {{kOther, 5}, {earlier, 3}, {kOwn, 9}});
+  table.onRead(kStart, kStart,
+               {{kOther, LeaseRow{5}}, {earlier, LeaseRow{3}}, {kOwn, LeaseRow{9}}});
   cr_assert_eq(table.forgotten(kStart + std::chrono::seconds(1)).size(), 1U);
   cr_assert_eq(table.forgotten(kStart + std::chrono::seconds(1)).front(), earlier);
   cr_assert_eq(table.forgotten(kStart + std::chrono::seconds(61)).size(), 2U);
@@ -114,7 +119,7 @@
 
 /// Reads the owner's row, unchanged, at `sent`.
 void readUnchanged(lease::LeaseTable& table, Instant sent, Duration delay) {
-  table.onRead(sent, sent + delay, {{kSlowOwner, 1}});
+  table.onRead(sent, sent + delay, {{kSlowOwner, LeaseRow{1}}});
 }
 
 }  // namespace
@@ -157,7 +162,7 @@
 
 Test(lease_table, while_the_store_is_away_those_count_as_alive_who_were_when_it_was_last_read) {
   LeaseTable table = watching();
-  table.onRead(kStart, kStart, {{kOther, lease::LeaseRow(6, 0.5)}});
+  table.onRead(kStart, kStart, {{kOther, LeaseRow{6, 0.5}}});
   const Instant later = kStart + std::chrono::seconds(5);
   cr_assert_not(table.alive(later, kOther), "the store answers, and nothing was renewed");
   table.onStoreLost();
@@ -167,41 +172,12 @@
 
 Test(lease_table, a_lease_tells_where_its_daemon_may_be_asked) {
   const Address peer{0x0a010004, 8166};
-  const std::string value = lease::encodeLease(0.25, peer);
-  cr_assert_float_eq(lease::decodeCapacity(value), 0.25, 1e-6);
-  cr_assert(lease::decodePeer(value) == peer);
-  cr_assert_not(lease::decodePeer(lease::encodeLease(0.25, std::nullopt)).has_value());
-  cr_assert_not(lease::decodePeer("0.25|nowhere").has_value());
-  lease::LeaseTable table(kOwn, {}, kStart);
-  table.onRead(kStart, kStart,
-               {{kOther, lease::LeaseRow(6, 0.5, peer)}, {kOwn, lease::LeaseRow(5, 0.5, peer)}});
+  const std::string value = encodeLeaseRow({.capacity = 0.25, .peer = peer});
+  cr_assert_float_eq(decodeLeaseRow(6, value).capacity, 0.25, 1e-6);
+  cr_assert(decodeLeaseRow(6, value).peer == peer);
+  cr_assert_not(decodeLeaseRow(6, encodeLeaseRow({.capacity = 0.25})).peer.has_value());
+  cr_assert_not(decodeLeaseRow(6, "0.25|nowhere").peer.has_value());
+  LeaseTable table(kOwn, {}, kStart);
+  table.onRead(kStart, kStart, {{kOther, LeaseRow{6, 0.5, peer}}, {kOwn, LeaseRow{5, 0.5, peer}}});
   cr_assert_eq(table.peers().size(), 1U);
 }
-
-Test(lease_table, a_row_tells_which_engines_its_owner_waits_for) {
-  const std::optional<Address> peer = parseAddress("10.0.0.1:9000");
-  const std::set<EngineId> awaited = {EngineId("e1"), EngineId("e2")};
-  const std::string value = lease::encodeLease(0.25, peer, ZoneName("z-1"), awaited);
-  cr_assert(lease::decodeAwaited(value) == awaited);
-  cr_assert(lease::decodePeer(value) == peer);
-  cr_assert_eq(lease::decodeZone(value).str(), "z-1");
-  cr_assert_float_eq(lease::decodeCapacity(value), 0.25, 1e-9);
-  cr_assert(lease::decodeAwaited(lease::encodeLease(0.25, peer)).empty());
-}
-
-Test(lease_rows, a_row_tells_capacity_zone_and_address) {
-  const Address peer{0x7f000001, 77};
-  const std::string value = lease::encodeLease(0.25, peer, ZoneName("z-1"));
-  cr_assert_eq(lease::decodeCapacity(value), 0.25);
-  cr_assert_eq(lease::decodeZone(value).str(), "z-1");
-  cr_assert_eq(*lease::decodePeer(value), peer);
-}
-
-Test(lease_rows, rows_of_daemons_that_tell_no_zone_are_read_as_before) {
-  const Address peer{0x7f000001, 77};
-  const std::string value = "0.250000|127.0.0.1:77";
-  cr_assert_eq(lease::encodeLease(0.25, peer), value);
-  cr_assert(lease::decodeZone(value).empty());
-  cr_assert(lease::decodeZone("").empty());
-  cr_assert_eq(*lease::decodePeer(value), peer);
-}
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -36,7 +36,7 @@
   settle(first, 2);
   cr_assert(first.offers());
   const LeaseTable full = tableWith(
-      {{makeLeaseId("x", "1"), LeaseRow(3, 0.5)}, {makeLeaseId("y", "1"), LeaseRow(4, 0.5)}});
+      {{makeLeaseId("x", "1"), LeaseRow{3, 0.5}}, {makeLeaseId("y", "1"), LeaseRow{4, 0.5}}});
   OwnerPool small(full, kSmall);
   settle(small, 2);
   cr_assert_not(small.offers(), "two faster machines offer themselves");
@@ -48,8 +48,8 @@
 
 Test(owner_pool, a_daemon_offers_itself_where_its_place_lacks_members) {
   const LeaseTable table =
-      tableWith({{makeLeaseId("x", "1"), LeaseRow(3, 0.5, {}, ZoneName("a"))},
-                 {makeLeaseId("y", "1"), LeaseRow(4, 0.5, {}, ZoneName("a"))}});
+      tableWith({{makeLeaseId("x", "1"), LeaseRow{3, 0.5, {}, ZoneName("a")}},
+                 {makeLeaseId("y", "1"), LeaseRow{4, 0.5, {}, ZoneName("a")}}});
   const lease::pool_demand wanted{2, {{{ZoneName("b")}, 1}}};
   const auto settled = [&](const lease::pool_demand& demand, const char* zone) {
     OwnerPool pool(table, kSmall, ZoneName(zone));
@@ -63,7 +63,7 @@
 }
 
 Test(owner_pool, a_faster_machine_displaces_a_slower_one) {
-  const LeaseTable table = tableWith({{makeLeaseId("x", "1"), LeaseRow(3, 0.06)}});
+  const LeaseTable table = tableWith({{makeLeaseId("x", "1"), LeaseRow{3, 0.06}}});
   OwnerPool large(table, kLarge);
   settle(large, 1);
   cr_assert(large.offers());
@@ -72,7 +72,7 @@
 
 Test(owner_pool, owners_that_told_no_capacity_or_fell_silent_are_no_candidates) {
   LeaseTable table =
-      tableWith({{makeLeaseId("x", "1"), LeaseRow(3, 0.5)}, {makeLeaseId("y", "1"), LeaseRow(4)}});
+      tableWith({{makeLeaseId("x", "1"), LeaseRow{3, 0.5}}, {makeLeaseId("y", "1"), LeaseRow{4}}});
   cr_assert_eq(table.candidates(kStart).size(), 1U);
   cr_assert(table.candidates(kStart + std::chrono::seconds(2)).empty());
 }
@@ -95,7 +95,7 @@
 
 Test(owner_pool, daemons_outside_the_pool_let_its_members_take_over_first) {
   const LeaseTable table = tableWith(
-      {{makeLeaseId("x", "1"), LeaseRow(3, 0.5)}, {makeLeaseId("y", "1"), LeaseRow(4, 0.5)}});
+      {{makeLeaseId("x", "1"), LeaseRow{3, 0.5}}, {makeLeaseId("y", "1"), LeaseRow{4, 0.5}}});
   OwnerPool outside(table, kSmall);
   settle(outside, 1);
   OwnerPool inside(table, kLarge);
@@ -107,12 +107,6 @@
             "there is no pool");
 }
 
-Test(owner_pool, what_is_told_of_a_capacity_is_understood) {
-  cr_assert_float_eq(lease::decodeCapacity(lease::encodeCapacity(0.25)), 0.25, 1e-6);
-  cr_assert_eq(lease::decodeCapacity("renewed"), 0);
-  cr_assert_eq(lease::decodeCapacity("-3"), 0);
-}
-
 Test(owner_pool, of_a_large_fleet_only_some_join_before_they_see_each_other) {
   int at_once = 0;
   int within_a_second = 0;
