--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -5,13 +5,6 @@
 
 namespace linenpier::lease {
 
-namespace {
-/// Clocks of machines differ by at most a ms in so many seconds.
-constexpr std::int64_t kSecondsPerDriftMs = 10;
-/// No answer comes later than this: the store's clock began anew.
-constexpr std::int64_t kMaxLagMs = 5000;
-}  // namespace
-
 void LeaseKeeper::start(std::function<bool()> needed) {
   needed_ = std::move(needed);
   spawn(loop_, [this] { return run(); });
@@ -30,23 +23,6 @@
   renewed_at_ = std::max(renewed_at_, sent_at);
 }
 
-std::int64_t LeaseKeeper::storeClock(Instant now) const {
-  if (clock_ms_ == 0) return 0;
-  return clock_ms_ +
-         std::chrono::duration_cast<std::chrono::milliseconds>(now - clock_read_at_).count();
-}
-
-void LeaseKeeper::onStoreClock(Instant now, std::int64_t clock_ms) {
-  const std::int64_t expected_ms = storeClock(now);
-  const std::int64_t lag_ms = expected_ms - clock_ms;
-  const auto since = std::chrono::duration_cast<std::chrono::seconds>(now - clock_read_at_);
-  const std::int64_t drift_ms = since.count() / kSecondsPerDriftMs;
-  const bool later = clock_ms_ != 0 && lag_ms > drift_ms && lag_ms < kMaxLagMs;
-  if (later) return;
-  clock_ms_ = clock_ms;
-  clock_read_at_ = now;
-}
-
 Task<bool> LeaseKeeper::confirmSilent(LeaseId lease) {
   if (lease.empty() || leases_.isEarlierSelf(lease)) co_return true;
   const table::RowRange range = table::onlyRow(table::kLeaseTable, lease.str());
--- a/src/gateway/lease/lease_keeper.h
+++ b/src/gateway/lease/lease_keeper.h
@@ -8,6 +8,7 @@
 #include "common/task.h"
 #include "gateway/lease/lease_table.h"
 #include "gateway/lease/owner_pool.h"
+#include "gateway/lease/store_clock.h"
 #include "gateway/table/async_table.h"
 
 namespace linenpier::lease {
@@ -35,11 +36,10 @@
   /// @return whether the lease was renewed lately. For the metrics only: a renewal has no
   ///     condition, so it tells of the way to the store and gives no right.
   bool valid(Instant now) const { return now - renewed_at_ < leases_.times().validity; }
-  /// @return the store's steady clock, estimated from what its answers said; 0 if none came yet.
-  std::int64_t storeClock(Instant now) const;
-  /// An answer of the store that came at `now` showed its clock. Answers come late by as much as
-  /// their way takes, so the one that shows the clock furthest ahead is nearest to it.
-  void onStoreClock(Instant now, std::int64_t clock_ms);
+  /// @return the estimate of the store's clock at that time, in ms; 0 before the first answer.
+  std::int64_t storeClock(Instant at) const { return clock_.at(at); }
+  /// An answer of the store that came at `now` showed its clock.
+  void onStoreClock(Instant now, std::int64_t clock_ms) { clock_.onAnswer(now, clock_ms); }
   /// Asks the store itself whether an owner that the feed tells nothing of is silent. A feed that
   /// hangs looks like silence of all.
   /// @return whether the store answered and its row is what was last seen.
@@ -59,9 +59,8 @@
   std::function<bool()> needed_;
   std::optional<Address> peer_;
   std::function<std::set<EngineId>()> awaited_;
-  Instant renewed_at_{};       ///< When the last successful renewal was sent.
-  std::int64_t clock_ms_ = 0;  ///< The store's clock as last read.
-  Instant clock_read_at_{};
+  Instant renewed_at_{};  ///< When the last successful renewal was sent.
+  store_clock clock_;
   bool stopping_ = false;
 };
 
