--- a/spec/checked_right.pml
+++ b/spec/checked_right.pml
@@ -1,4 +1,4 @@
-/* The same right as in order_right, where those who are called check tokens (src/gateway/lease/exclusive_right,
+/* The same right as in order_right, where those who are called check tokens (src/gateway/lease/leader_lock,
  * handover_rules::tokens_checked).
  *
  * A daemon takes the right by a conditional write once the row has been silent for EXPIRY, or at once if
