--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -10,22 +10,24 @@
 
 namespace {
 
-/// A proof is sent this much before the lease's renewal is due, so that one write does for both.
-constexpr Duration kProofLead = std::chrono::milliseconds(60);
-constexpr Duration kProofPause = std::chrono::milliseconds(120);  ///< After one without an answer.
-/// What this daemon knows of the store's clock may lag by a slow answer.
+/// The lock is confirmed this much before a renewal of the lease is due: one write does for both.
+constexpr Duration kConfirmLead = std::chrono::milliseconds(60);
+constexpr Duration kConfirmBackoff = std::chrono::milliseconds(120);  ///< After no answer.
+/// The estimate of the store's clock may lag by a slow answer: added to the time of the last
+/// action.
 constexpr std::int64_t kClockLagMs = 500;
-constexpr char kSeparator = '|';
+/// Between the leader's lease and the time of the last action in the lock's row.
+constexpr char kActionSeparator = '|';
 
 }  // namespace
 
 std::string encodeLockRow(const leader_lock_row& value) {
-  return value.owner.str() + kSeparator + std::to_string(value.last_action_ms);
+  return value.owner.str() + kActionSeparator + std::to_string(value.last_action_ms);
 }
 
 leader_lock_row decodeLockRow(const std::string& text) {
   leader_lock_row value;
-  const std::size_t separator = text.find(kSeparator);
+  const std::size_t separator = text.find(kActionSeparator);
   value.owner = LeaseId(text.substr(0, separator));
   if (separator != std::string::npos) {
     value.last_action_ms = std::strtoll(text.c_str() + separator + 1, nullptr, 10);
@@ -76,9 +78,9 @@
 }
 
 void leader_lock::onTick(Instant now, bool row_known) {
-  const LeaseTimes& times = this->deps_.leases.times();
   if (this->held()) {
-    if (now - this->confirmed_at_ < times.renewal - kProofLead || this->confirming_) return;
+    const Duration due_after = this->deps_.leases.times().renewal_interval - kConfirmLead;
+    if (this->confirming_ || now - this->confirmed_at_ < due_after) return;
     this->confirming_ = true;
     spawn(this->deps_.loop, [this] { return this->confirm(); });
     return;
@@ -112,7 +114,7 @@
     if (row != answer->conflicts.end()) this->onRow(*row);
   }
   if (!answer) {
-    co_await sleepFor(this->deps_.loop, kProofPause);
+    co_await sleepFor(this->deps_.loop, kConfirmBackoff);
   }
   this->confirming_ = false;
 }
@@ -125,7 +127,7 @@
 Duration leader_lock::pauseAfter(const LeaseId& from, std::int64_t last_action_ms) const {
   if (this->rules_.tokens_checked) return this->pauseAfterOwnActions(steadyNow());
   if (!from.empty()) {
-    // It could act until its lease ran out, some time before others may take over.
+    // It could act until the validity ran out, earlier than its lease expired for others.
     const LeaseTimes& times = this->deps_.leases.times();
     return this->rules_.pause - (times.expiry - times.validity);
   }
@@ -188,6 +190,7 @@
           : this->deps_.keeper.storeClock(this->last_action_at_) + kClockLagMs;
   write.transaction.puts.push_back({this->key_, encodeLockRow({{}, last_action_ms})});
   this->owner_ = LeaseId();
+  // Without the store's answer the lock is taken over as from a leader that was lost.
   co_await this->deps_.table.write(std::move(write));
 }
 
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -5,80 +5,89 @@
 
 namespace linenpier::lease {
 
+namespace {
+
+/// After a renewal that the store did not take: half of the renewal interval, so that another one
+/// fits into the validity.
+constexpr Duration kRenewalBackoff = std::chrono::milliseconds(200);
+
+}  // namespace
+
 void LeaseKeeper::start(std::function<bool()> needed) {
-  needed_ = std::move(needed);
-  spawn(loop_, [this] { return run(); });
+  this->needed_ = std::move(needed);
+  spawn(this->loop_, [this] { return this->run(); });
 }
 
 table::Put LeaseKeeper::renewal() const {
   LeaseRow row;
-  row.capacity = pool_.capacity();
-  row.peer = peer_;
-  row.zone = pool_.zone();
-  if (awaited_) row.awaited = awaited_();
-  return {table::leaseKey(leases_.own()), encodeLeaseRow(row)};
+  row.capacity = this->pool_.capacity();
+  row.peer = this->peer_;
+  row.zone = this->pool_.zone();
+  if (this->awaited_) row.awaited = this->awaited_();
+  return {table::leaseKey(this->leases_.own()), encodeLeaseRow(row)};
 }
 
 void LeaseKeeper::onRenewed(Instant sent_at) {
-  renewed_at_ = std::max(renewed_at_, sent_at);
+  this->renewed_at_ = std::max(this->renewed_at_, sent_at);
 }
 
 Task<bool> LeaseKeeper::confirmSilent(LeaseId lease) {
-  if (lease.empty() || leases_.isEarlierSelf(lease)) co_return true;
+  if (lease.empty() || this->leases_.isEarlierSelf(lease)) co_return true;
   const table::RowRange range = table::onlyRow(table::kLeaseTable, lease.str());
-  const auto page = co_await table_.read(range);
+  const auto page = co_await this->table_.read(range);
   if (!page) co_return false;
   if (page->rows.empty()) co_return true;
   const Revision revision = page->rows.front().revision;
-  if (revision <= leases_.seenRevision(lease)) co_return true;
-  leases_.onRow(steadyNow(), lease, revision);
+  if (revision <= this->leases_.seenRevision(lease)) co_return true;
+  this->leases_.onRow(steadyNow(), lease, revision);
   co_return false;
 }
 
 Task<bool> LeaseKeeper::renew() {
   const Instant sent_at = steadyNow();
   table::Write write;
-  write.transaction.puts.push_back(renewal());
-  const auto answer = co_await table_.write(std::move(write));
+  write.transaction.puts.push_back(this->renewal());
+  const auto answer = co_await this->table_.write(std::move(write));
   const bool done = answer.has_value() && answer->committed;
-  if (done) onRenewed(sent_at);
+  if (done) this->onRenewed(sent_at);
   co_return done;
 }
 
 Task<void> LeaseKeeper::run() {
-  constexpr Duration kRetryPause = std::chrono::milliseconds(200);
-  while (!stopping_) {
-    Duration pause = leases_.times().renewal;
-    const Instant due = renewed_at_ + leases_.times().renewal;
+  while (!this->stopping_) {
+    const Duration interval = this->leases_.times().renewal_interval;
+    Duration pause = interval;
+    const Instant due = this->renewed_at_ + interval;
     const Instant now = steadyNow();
-    const bool needed = needed_();
-    if (!needed && renewed_at_ != Instant{}) {
-      // A row that nobody needs is read by every daemon each second.
-      if (co_await removeRow()) renewed_at_ = Instant{};
+    const bool needed = this->needed_();
+    if (!needed && this->renewed_at_ != Instant{}) {
+      // Every daemon would go on reading a row that nobody needs.
+      if (co_await this->removeRow()) this->renewed_at_ = Instant{};
     } else if (needed && now >= due) {
-      if (!co_await renew()) pause = kRetryPause;
+      if (!co_await this->renew()) pause = kRenewalBackoff;
     } else if (now < due) {
       pause = due - now;
     }
     const Instant wake_at = steadyNow() + pause;
-    co_await sleepFor(loop_, pause);
-    // An item waits for the store as it waits for a late timer: both put off each of its steps.
-    const Duration way = storeDelay(leases_.allowance(), leases_.times());
-    pool_.onTimer(steadyNow() - wake_at + way);
+    co_await sleepFor(this->loop_, pause);
+    // A far store puts off each step of an item's run as a late timer does, so both count alike.
+    const Duration store_delay = storeDelay(this->leases_.allowance(), this->leases_.times());
+    this->pool_.onTimer(steadyNow() - wake_at + store_delay);
   }
 }
 
 Task<void> LeaseKeeper::stop() {
-  stopping_ = true;
-  if (renewed_at_ != Instant{}) {
-    co_await removeRow();
+  this->stopping_ = true;
+  if (this->renewed_at_ != Instant{}) {
+    // A row that stays is removed by others (`LeaseTable::removable`).
+    co_await this->removeRow();
   }
 }
 
 Task<bool> LeaseKeeper::removeRow() {
   table::Write write;
-  write.removes.push_back(table::leaseKey(leases_.own()));
-  const auto answer = co_await table_.write(std::move(write));
+  write.removes.push_back(table::leaseKey(this->leases_.own()));
+  const auto answer = co_await this->table_.write(std::move(write));
   co_return answer.has_value() && answer->committed;
 }
 
--- a/src/gateway/lease/lease_keeper.h
+++ b/src/gateway/lease/lease_keeper.h
@@ -1,7 +1,9 @@
 #pragma once
 
-/// @file
-/// Renews this daemon's lease row while it owns anything or offers to.
+/** @file
+ * Renews this daemon's lease while it owns anything or offers to, and removes its row otherwise.
+ * Also the place where the store's clock is known (`store_clock`).
+ */
 
 #include <functional>
 
@@ -13,43 +15,48 @@
 
 namespace linenpier::lease {
 
-/// Loop thread only.
+/** Loop thread only. Lives as long as the loop runs. */
 class LeaseKeeper {
  public:
   LeaseKeeper(boost::asio::io_context& loop, table::AsyncTable& table, LeaseTable& leases,
               OwnerPool& pool)
       : loop_(loop), table_(table), leases_(leases), pool_(pool) {}
 
-  /// @param needed tells whether a lease is needed now.
+  /** @param needed returns whether this daemon needs a lease now. */
   void start(std::function<bool()> needed);
-  /// Tells with each renewal where other daemons may ask this one.
-  void setPeerAddress(const Address& peer) { peer_ = peer; }
-  /// @param awaited tells with each renewal which engines run what a step waits for.
-  void setAwaited(std::function<std::set<EngineId>()> awaited) { awaited_ = std::move(awaited); }
-  /// Ends the renewals. The row is removed if possible.
+  /** Each renewal states where other daemons may ask this one. */
+  void setPeerAddress(const Address& peer) { this->peer_ = peer; }
+  /** @param awaited returns the engines that run what a step waits for; each renewal states them.
+   */
+  void setAwaited(std::function<std::set<EngineId>()> awaited) {
+    this->awaited_ = std::move(awaited);
+  }
+  /** Ends the renewals and tries once to remove the row. */
   Task<void> stop();
 
-  /// @return the put that renews the lease, to ride on other writes.
+  /** @return the put that renews the lease, to be part of another write. */
   table::Put renewal() const;
-  /// A write with the renewal, sent at `sent_at`, was done.
+  /** The store took a write with the renewal, sent at `sent_at`. */
   void onRenewed(Instant sent_at);
-  /// @return whether the lease was renewed lately. For the metrics only: a renewal has no
-  ///     condition, so it tells of the way to the store and gives no right.
-  bool valid(Instant now) const { return now - renewed_at_ < leases_.times().validity; }
-  /// @return the estimate of the store's clock at that time, in ms; 0 before the first answer.
-  std::int64_t storeClock(Instant at) const { return clock_.at(at); }
-  /// An answer of the store that came at `now` showed its clock.
-  void onStoreClock(Instant now, std::int64_t clock_ms) { clock_.onAnswer(now, clock_ms); }
-  /// Asks the store itself whether an owner that the feed tells nothing of is silent. A feed that
-  /// hangs looks like silence of all.
-  /// @return whether the store answered and its row is what was last seen.
+  /** @return whether the lease was renewed within its validity. For the metrics only: a renewal has
+   *     no condition, so it shows that the store can be reached and not that anything is owned.
+   */
+  bool valid(Instant now) const { return now - this->renewed_at_ < this->leases_.times().validity; }
+  /** @return the estimate of the store's clock at that time, in ms; 0 before the first answer. */
+  std::int64_t storeClock(Instant at) const { return this->clock_.at(at); }
+  /** An answer of the store that came at `now` showed its clock. */
+  void onStoreClock(Instant now, std::int64_t clock_ms) { this->clock_.onAnswer(now, clock_ms); }
+  /** Reads one lease from the store before a takeover: to a daemon whose reads hang, all owners
+   * seem silent.
+   * @return whether the store answered and the lease was not renewed since it was last seen.
+   */
   Task<bool> confirmSilent(LeaseId lease);
-  /// Renews at once. @return whether the store took it.
+  /** Renews at once. @return whether the store took it. */
   Task<bool> renew();
 
  private:
   Task<void> run();
-  /// @return whether the lease's row is gone.
+  /** @return whether the store took the removal of the row. */
   Task<bool> removeRow();
 
   boost::asio::io_context& loop_;
@@ -59,7 +66,7 @@
   std::function<bool()> needed_;
   std::optional<Address> peer_;
   std::function<std::set<EngineId>()> awaited_;
-  Instant renewed_at_{};  ///< When the last successful renewal was sent.
+  Instant renewed_at_{};  ///< When the last successful renewal was sent; zero: there is no row.
   store_clock clock_;
   bool stopping_ = false;
 };
--- a/src/gateway/lease/lease_watch.cpp
+++ b/src/gateway/lease/lease_watch.cpp
@@ -6,10 +6,12 @@
 namespace linenpier::lease {
 
 namespace {
+
 constexpr std::uint64_t kSpreadSteps = 1000;
-/// Every daemon sees the rows that nobody needs; one in so many reads removes them.
+/// Every daemon sees the same stale rows; each tries to remove them after one read in so many.
 constexpr std::uint64_t kRemoveOneIn = 10;
-constexpr std::size_t kMaxRemovedAtOnce = 50;
+constexpr std::size_t kMaxRowsRemoved = 50;  ///< In one write.
+
 }  // namespace
 
 void lease_watch::start(std::function<void(bool healthy)> on_health) {
@@ -17,22 +19,21 @@
   spawn(this->loop_, [this] { return this->run(); });
 }
 
-Duration lease_watch::nextPause(bool answered) {
+Duration lease_watch::nextInterval(bool answered) {
   const bool hurry = !answered || this->pool_.offers() || this->leases_.anySuspect(steadyNow());
-  const Duration period = hurry ? this->options_.suspect_period : this->options_.period;
+  const Duration mean = hurry ? this->options_.suspect_interval : this->options_.interval;
   const auto step = static_cast<std::int64_t>(this->random_.below(kSpreadSteps));
-  return period * 2 / 3 + period * 2 / 3 * step / static_cast<std::int64_t>(kSpreadSteps);
+  return mean * 2 / 3 + mean * 2 / 3 * step / static_cast<std::int64_t>(kSpreadSteps);
 }
 
 Task<void> lease_watch::run() {
   for (;;) {
-    // A refusal for too many calls asks for fewer, not for a hurry.
     const bool answered = co_await this->readAll();
     if (answered && this->random_.below(kRemoveOneIn) == 0) {
-      co_await this->removeForgotten();
+      co_await this->removeStaleRows();
     }
-    const Duration pause = this->nextPause(answered);
-    co_await this->retry_now_.waitFor(pause);
+    const Duration interval = this->nextInterval(answered);
+    co_await this->retry_now_.waitFor(interval);
   }
 }
 
@@ -43,10 +44,10 @@
   for (;;) {
     auto page = co_await this->table_.read(range);
     if (!page) {
-      // Too many calls of all daemons say nothing of this daemon's way to the store.
-      const bool refused = page.error().failure == CallFailure::kRateLimited;
-      if (!refused) this->on_health_(false);
-      co_return refused;
+      // A refusal for too many calls shows that the store can be reached, and asks for fewer.
+      const bool rate_limited = page.error().failure == CallFailure::kRateLimited;
+      if (!rate_limited) this->on_health_(false);
+      co_return rate_limited;
     }
     this->keeper_.onStoreClock(steadyNow(), page->clock_ms);
     for (const table::Row& row : page->rows) {
@@ -60,15 +61,15 @@
   co_return true;
 }
 
-Task<void> lease_watch::removeForgotten() {
-  std::vector<LeaseId> forgotten = this->leases_.forgotten(steadyNow());
-  if (forgotten.empty()) co_return;
-  if (forgotten.size() > kMaxRemovedAtOnce) forgotten.resize(kMaxRemovedAtOnce);
+Task<void> lease_watch::removeStaleRows() {
+  std::vector<LeaseId> stale = this->leases_.removable(steadyNow());
+  if (stale.empty()) co_return;
+  if (stale.size() > kMaxRowsRemoved) stale.resize(kMaxRowsRemoved);
   table::Write write;
-  for (const LeaseId& lease : forgotten) write.removes.push_back(table::leaseKey(lease));
+  for (const LeaseId& lease : stale) write.removes.push_back(table::leaseKey(lease));
   const auto answer = co_await this->table_.write(std::move(write));
   logging::LogEvent("lease", "forgotten_removed")
-      .number("rows", static_cast<std::int64_t>(forgotten.size()))
+      .number("rows", static_cast<std::int64_t>(stale.size()))
       .text("outcome", answer ? "done" : "not_done");
 }
 
--- a/src/gateway/lease/lease_watch.h
+++ b/src/gateway/lease/lease_watch.h
@@ -1,9 +1,11 @@
 #pragma once
 
 /** @file
- * Reads the leases of all owners now and then. Renewals are many and concern few, so they are read
- * when it suits the reader, not told to every daemon one by one: one small read a daemon and
- * second, however many owners there are.
+ * Reads the leases of all daemons now and then.
+ *
+ * Renewals are many and concern few, so they are not followed by a feed that would wake every
+ * daemon: each daemon reads all rows when it suits it, one small read a second however many owners
+ * there are. A daemon that may have to take over reads more often.
  */
 
 #include <functional>
@@ -16,14 +18,15 @@
 
 namespace linenpier::lease {
 
+/** Intervals are means; each is spread by a third to both sides, so that reads do not coincide. */
 struct lease_watch_options {
-  Duration period = std::chrono::seconds(1);  ///< In the mean; spread by a third to both sides.
-  /// While an owner misses renewals, or the store did not answer; and always at a daemon that
-  /// offers to own what a lost owner leaves.
-  Duration suspect_period = std::chrono::milliseconds(350);
+  Duration interval = std::chrono::seconds(1);
+  /// While an owner misses renewals or the store did not answer, and always at a daemon that offers
+  /// to own what a lost owner leaves.
+  Duration suspect_interval = std::chrono::milliseconds(350);
 };
 
-/// Loop thread only.
+/** Loop thread only. Lives as long as the loop runs. */
 class lease_watch {
  public:
   lease_watch(boost::asio::io_context& loop, table::AsyncTable& table, LeaseTable& leases,
@@ -38,17 +41,19 @@
         random_(seed),
         retry_now_(loop) {}
 
-  /// @param on_health told after each read whether the store answered.
+  /** @param on_health called after each read with whether the store answered. */
   void start(std::function<void(bool healthy)> on_health);
-  /// The store was heard of elsewhere: the leases are read now.
-  void retryNow() { retry_now_.notifyAll(); }
+  /** Reads at once: the store is known to answer others. */
+  void retryNow() { this->retry_now_.notifyAll(); }
 
  private:
   Task<void> run();
-  /// @return whether the store can be reached.
+  /** @return whether the store can be reached. */
   Task<bool> readAll();
-  Task<void> removeForgotten();
-  Duration nextPause(bool answered);
+  /** Removes rows of leases that ended long ago. */
+  Task<void> removeStaleRows();
+  /** @return the time until the next read. */
+  Duration nextInterval(bool answered);
 
   boost::asio::io_context& loop_;
   table::AsyncTable& table_;
--- a/src/gateway/lease/own_capacity.h
+++ b/src/gateway/lease/own_capacity.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// @file
-/// How much work this daemon can take on, as it observes itself. Pure.
+/** @file
+ * How much work this daemon can take on, as it observes itself. Pure.
+ */
 
 #include <algorithm>
 
@@ -9,39 +10,42 @@
 
 namespace linenpier::lease {
 
-/// What the machine was given.
+/** What the machine was given. */
 struct MachineLimits {
   double processors = 1;    ///< Share of a core, times how many cores it counts as.
-  double link_mbps = 1000;  ///< Of its own link.
+  double link_mbps = 1000;  ///< Of its own network link.
 };
 
-/// A machine that is short of processor time runs its timers late, whatever it was given: a slow
-/// machine, a spent quota and an overloaded daemon all show in that.
+/** Capacity in processors: what the machine was given, lowered by how late its timers run. A slow
+ * machine, a spent quota and an overloaded daemon all show in that.
+ */
 class OwnCapacity {
  public:
   explicit OwnCapacity(MachineLimits limits) : limits_(limits) {}
 
-  /// A timer ran this long after it was due.
+  /** A timer ran this long after it was due. */
   void onTimer(Duration lateness) {
-    const double seconds = toSeconds(std::max(lateness - kDefaultLateness, Duration::zero()));
-    lateness_ += kNewestWeight * (seconds - lateness_);
+    const double seconds = toSeconds(std::max(lateness - kToleratedLateness, Duration::zero()));
+    this->lateness_ += kNewestWeight * (seconds - this->lateness_);
   }
 
-  /// @return processors that this daemon counts as, bounded by its link.
+  /** @return processors that this daemon counts as, bounded by its link. */
   double value() const {
-    const double given = std::min(limits_.processors, limits_.link_mbps / kMbpsPerProcessor);
-    return given / (1 + lateness_ / toSeconds(kHalvingLateness));
+    const double by_link = this->limits_.link_mbps / kMbpsPerProcessor;
+    const double given = std::min(this->limits_.processors, by_link);
+    return given / (1 + this->lateness_ / toSeconds(kHalvingLateness));
   }
 
  private:
   /// Timers of an idle machine run up to this late.
-  static constexpr Duration kDefaultLateness = std::chrono::milliseconds(5);
-  /// A daemon whose timers run this late counts half: items that wait for each other's events by
-  /// this much lose about as much as they would on a machine of half the speed.
+  static constexpr Duration kToleratedLateness = std::chrono::milliseconds(5);
+  /// A daemon whose timers run this late counts half: each step of an item's run is put off by it,
+  /// about as much as on a machine of half the speed.
   static constexpr Duration kHalvingLateness = std::chrono::milliseconds(20);
-  static constexpr double kNewestWeight = 0.2;  ///< Of some two seconds' timers.
-  /// A large step writes some 1 MB when it ends, which takes 10 ms at this rate: as long as a whole
-  /// processor takes to encode it.
+  /// Of the newest timer in the smoothed lateness, which covers some two seconds of renewals.
+  static constexpr double kNewestWeight = 0.2;
+  /// Link that one processor can make use of: a large step's results of 1 MB take 10 ms at this
+  /// rate, as long as a whole processor takes to encode them.
   static constexpr double kMbpsPerProcessor = 1000;
 
   MachineLimits limits_;
--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -9,23 +9,24 @@
 
 namespace {
 
-/// Daemons outside the pool wait this much longer before they take something over: twice the spread
-/// of the pool's own delays, so that they only come when nobody of the pool does.
+/// Daemons outside the pool wait this much longer before they take over, well beyond the pool's own
+/// delays: they come only when nobody of the pool does.
 constexpr Duration kOutsiderDelay = std::chrono::milliseconds(600);
-/// Capacities are told apart by steps of this power of two. A timer's jitter must not change ranks.
+/// Capacities are compared in steps of half a doubling: a timer's jitter must not change ranks.
 constexpr double kStepsPerDoubling = 2;
+constexpr double kMinCapacity = 1e-6;  ///< Of the logarithm.
 
 /// Within this time the daemons of a fleet join a pool that lacks members, one after the other, so
-/// that most of them see it full before their turn: with 300 daemons some 20 a second do, and each
-/// sees the others after a second.
+/// that most see it full before their turn: of 300 daemons some 20 a second come, and each sees the
+/// others after a second.
 constexpr Duration kJoinSpread = std::chrono::seconds(12);
-/// Daemons that carry less than the best member come later, in proportion, but not later than this
-/// many times: a fleet without better ones must not be left without owners.
-constexpr double kLatestTurn = 4;
-constexpr std::uint64_t kTurns = 1000;
+/// Daemons of less capacity than the best member come later, in proportion, but by no more than
+/// this factor: a fleet without better ones must not be left without owners.
+constexpr double kMaxJoinFactor = 4;
+constexpr std::uint64_t kJoinSteps = 1000;
 
 long capacityStep(double capacity) {
-  return std::lround(kStepsPerDoubling * std::log2(std::max(capacity, 1e-6)));
+  return std::lround(kStepsPerDoubling * std::log2(std::max(capacity, kMinCapacity)));
 }
 
 }  // namespace
@@ -42,22 +43,22 @@
 }
 
 std::vector<OwnerCandidate> OwnerPool::ranked(Instant now) const {
-  std::vector<OwnerCandidate> candidates = leases_.candidates(now);
-  if (offers_) candidates.push_back({leases_.own(), capacity(), zone_});
+  std::vector<OwnerCandidate> candidates = this->leases_.candidates(now);
+  if (this->offers_) candidates.push_back({this->leases_.own(), this->capacity(), this->zone_});
   std::sort(candidates.begin(), candidates.end(), betterOwner);
   return candidates;
 }
 
-bool OwnerPool::lacking(const pool_demand& wanted,
-                        const std::vector<OwnerCandidate>& others) const {
-  const OwnerCandidate self{leases_.own(), capacity(), zone_};
-  std::vector<ZoneName> better;  // Where they are.
+bool OwnerPool::lacksMembers(const pool_demand& wanted,
+                             const std::vector<OwnerCandidate>& others) const {
+  const OwnerCandidate self{this->leases_.own(), this->capacity(), this->zone_};
+  std::vector<ZoneName> better;  // Zones of the better daemons.
   for (const OwnerCandidate& each : others) {
     if (betterOwner(each, self)) better.push_back(each.zone);
   }
   if (better.size() < wanted.owners) return true;
   return std::any_of(wanted.places.begin(), wanted.places.end(), [&](const auto& place) {
-    if (!place.zones.contains(zone_)) return false;
+    if (!place.zones.contains(this->zone_)) return false;
     const auto there = std::count_if(better.begin(), better.end(), [&place](const ZoneName& zone) {
       return place.zones.contains(zone);
     });
@@ -66,28 +67,30 @@
 }
 
 bool OwnerPool::onLeasesRead(Instant now, const pool_demand& wanted) {
-  const std::vector<OwnerCandidate> others = leases_.candidates(now);
-  if (!lacking(wanted, others)) {
-    lacking_since_.reset();
-  } else if (!lacking_since_) {
-    lacking_since_ = now;
+  const std::vector<OwnerCandidate> others = this->leases_.candidates(now);
+  if (!this->lacksMembers(wanted, others)) {
+    this->lacking_since_.reset();
+  } else if (!this->lacking_since_) {
+    this->lacking_since_ = now;
   }
-  const bool before = offers_;
-  offers_ = lacking_since_ && (before || now - *lacking_since_ >= joinDelay(others));
-  return offers_ != before;
+  const bool before = this->offers_;
+  this->offers_ =
+      this->lacking_since_ && (before || now - *this->lacking_since_ >= this->joinDelay(others));
+  return this->offers_ != before;
 }
 
 Duration OwnerPool::joinDelay(const std::vector<OwnerCandidate>& members) const {
-  double best = capacity();
+  double best = this->capacity();
   for (const OwnerCandidate& each : members) best = std::max(best, each.capacity);
-  const double factor = std::min(best / capacity(), kLatestTurn);
-  const auto turn = static_cast<std::int64_t>(hash64(leases_.own().str()) % kTurns);
-  return fromSeconds(toSeconds(kJoinSpread) * factor * static_cast<double>(turn) / kTurns);
+  const double factor = std::min(best / this->capacity(), kMaxJoinFactor);
+  const auto step = static_cast<std::int64_t>(hash64(this->leases_.own().str()) % kJoinSteps);
+  return fromSeconds(toSeconds(kJoinSpread) * factor * static_cast<double>(step) / kJoinSteps);
 }
 
-Duration OwnerPool::takeoverDelay(Instant now, const std::string& what) const {
-  const bool first = offers_ || leases_.candidates(now).empty();
-  return leases_.takeoverDelay(now, what) + (first ? Duration::zero() : kOutsiderDelay);
+Duration OwnerPool::takeoverDelay(Instant now, const std::string& subject) const {
+  const bool in_turn = this->offers_ || this->leases_.candidates(now).empty();
+  const Duration outsider = in_turn ? Duration::zero() : kOutsiderDelay;
+  return this->leases_.takeoverDelay(now, subject) + outsider;
 }
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -1,10 +1,12 @@
 #pragma once
 
-/// @file
-/// Which daemons offer to own jobs and rights. In a fleet of unequal machines whoever happens to
-/// receive a job would own it, however slow it is. So a few daemons offer themselves: they renew a
-/// lease while they own nothing, too, and tell with it what they can carry. Everybody sees them in
-/// the leases that are read anyway. Pure.
+/** @file
+ * Which daemons offer to own jobs and leader locks. Pure; loop thread only.
+ *
+ * Machines of a fleet differ, and without a choice whoever happens to receive a job would own it,
+ * however slow it is. So a few daemons offer: each renews a lease also while it owns nothing, and
+ * its row states what it can carry. All daemons see them in the leases that they read anyway.
+ */
 
 #include <optional>
 #include <set>
@@ -15,10 +17,11 @@
 
 namespace linenpier::lease {
 
-/// How many daemons should offer themselves.
+/** How many daemons should offer. */
 struct pool_demand {
-  /// Zones in which there must be so many, whoever offers elsewhere: what must stay there is owned
-  /// there.
+  /** Zones in which so many must offer, whoever offers elsewhere: what must stay within them is
+   * owned there.
+   */
   struct place {
     std::set<ZoneName> zones;
     std::size_t owners = 0;
@@ -32,44 +35,46 @@
   bool operator==(const pool_demand&) const = default;
 };
 
-/// Invariant: all daemons that read the same leases rank the same daemons alike, so that the pool
-/// settles on the best ones without anybody who decides.
+/** Invariant: daemons that read the same leases rank the same daemons alike, so that the pool
+ * settles on the best ones without anybody who decides.
+ */
 class OwnerPool {
  public:
-  /// @param zone that this daemon is in; empty: not told.
+  /** @param zone of this daemon; empty: not known. */
   OwnerPool(const LeaseTable& leases, MachineLimits limits, ZoneName zone = {})
       : leases_(leases), zone_(std::move(zone)), capacity_(limits) {}
 
-  void onTimer(Duration lateness) { capacity_.onTimer(lateness); }
-  /// The leases were read. Decides whether this daemon offers itself.
-  /// @return whether the decision changed.
+  /** A timer of this daemon ran this long after it was due. */
+  void onTimer(Duration lateness) { this->capacity_.onTimer(lateness); }
+  /** The leases were read: decides whether this daemon offers. @return whether that changed. */
   bool onLeasesRead(Instant now, const pool_demand& wanted);
 
-  bool offers() const { return offers_; }
-  double capacity() const { return capacity_.value(); }
-  const ZoneName& zone() const { return zone_; }
-  /// @return the live daemons that told their capacity, best first; this one if it offers itself.
+  bool offers() const { return this->offers_; }
+  double capacity() const { return this->capacity_.value(); }
+  const ZoneName& zone() const { return this->zone_; }
+  /** @return the live daemons that offer, best first; this one among them if it does. */
   std::vector<OwnerCandidate> ranked(Instant now) const;
-  /// @return how long this daemon lets others go first for something that nobody owns.
-  Duration takeoverDelay(Instant now, const std::string& what) const;
+  /** @return how long this daemon lets others go first in taking over `subject`. */
+  Duration takeoverDelay(Instant now, const std::string& subject) const;
 
  private:
-  const LeaseTable& leases_;
-  /// @return how long this daemon waits before it joins a pool that lacks members.
+  /** @return how long this daemon waits before it joins a pool that lacks members. */
   Duration joinDelay(const std::vector<OwnerCandidate>& members) const;
+  /** @return whether fewer better daemons offer than are wanted, anywhere or in a place that this
+   *     daemon is in.
+   */
+  bool lacksMembers(const pool_demand& wanted, const std::vector<OwnerCandidate>& others) const;
 
-  /// @return whether fewer better daemons offer themselves than are wanted, anywhere or in a place
-  ///     that this daemon is in.
-  bool lacking(const pool_demand& wanted, const std::vector<OwnerCandidate>& others) const;
-
+  const LeaseTable& leases_;
   ZoneName zone_;
   OwnCapacity capacity_;
   bool offers_ = false;
-  std::optional<Instant> lacking_since_;  ///< When the pool was first seen to lack members.
+  std::optional<Instant> lacking_since_;  ///< Since when each read showed that members are missing.
 };
 
-/// @return whether `one` is the better owner. Capacities that differ by little count as equal; then
-///     a hash of the daemons' names decides, which spreads owners over zones.
+/** @return whether `one` is the better owner. Capacities that differ by little count as equal; then
+ *     a hash of the daemons' names decides, which spreads owners over zones.
+ */
 bool betterOwner(const OwnerCandidate& one, const OwnerCandidate& other);
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/store_delay.h
+++ b/src/gateway/lease/store_delay.h
@@ -1,26 +1,24 @@
 #pragma once
 
 /** @file
- * What a daemon's way to the store adds to the delays that its capacity falls with. Pure.
+ * How far a daemon is from the store, as a delay that lowers its capacity. Pure.
  */
 
 #include <algorithm>
 
-#include "gateway/lease/lease_table.h"
+#include "common/time.h"
+#include "gateway/lease/lease_times.h"
 
 namespace linenpier::lease {
 
-/** Beyond this it is the store that is slow, for everybody alike: the ranks of owners must not
- * change then. A way around the globe and back takes several times as long.
- */
-inline constexpr Duration kMaxStoreWay = std::chrono::milliseconds(40);
+/** A longer delay is the store's own, alike for all daemons, and must not change how they rank. */
+inline constexpr Duration kMaxStoreDelay = std::chrono::milliseconds(40);
 
-/** @param allowance of the lease table: what its reads took lately beyond what is usual, times the
- *     delays that it allows.
- * @return how much longer than usual a call to the store takes here.
+/** @param allowance of the lease table: a multiple of the excess delay of its reads.
+ * @return how much longer than tolerated a read of the store takes at this daemon.
  */
 inline Duration storeDelay(Duration allowance, const LeaseTimes& times) {
-  return std::min(allowance / times.delays_allowed, kMaxStoreWay);
+  return std::min(allowance / times.allowance_factor, kMaxStoreDelay);
 }
 
 }  // namespace linenpier::lease
--- a/tests/gateway/lease/lease_table_test.cpp
+++ b/tests/gateway/lease/lease_table_test.cpp
@@ -64,9 +64,9 @@
   const LeaseId earlier = makeLeaseId("d1", "a");
   table.onRead(kStart, kStart,
                {{kOther, LeaseRow{5}}, {earlier, LeaseRow{3}}, {kOwn, LeaseRow{9}}});
-  cr_assert_eq(table.forgotten(kStart + std::chrono::seconds(1)).size(), 1U);
-  cr_assert_eq(table.forgotten(kStart + std::chrono::seconds(1)).front(), earlier);
-  cr_assert_eq(table.forgotten(kStart + std::chrono::seconds(61)).size(), 2U);
+  cr_assert_eq(table.removable(kStart + std::chrono::seconds(1)).size(), 1U);
+  cr_assert_eq(table.removable(kStart + std::chrono::seconds(1)).front(), earlier);
+  cr_assert_eq(table.removable(kStart + std::chrono::seconds(61)).size(), 2U);
 }
 
 Test(lease_table, nothing_expires_while_the_feed_is_away_or_just_after) {
@@ -100,7 +100,7 @@
 
 Test(lease_table, an_owner_stops_before_others_may_start) {
   const lease::LeaseTimes times;
-  cr_assert(times.renewal * 2 <= times.validity);
+  cr_assert(times.renewal_interval * 2 <= times.validity);
   cr_assert(times.validity < times.expiry);
 }
 
--- a/tests/gateway/lease/store_delay_test.cpp
+++ b/tests/gateway/lease/store_delay_test.cpp
@@ -44,6 +44,6 @@
 
 Test(store_delay, a_store_that_is_slow_for_all_does_not_put_the_ranks_about) {
   const Duration slow = delayAfterReadsOf(std::chrono::milliseconds(400));
-  cr_assert(slow == lease::kMaxStoreWay);
+  cr_assert(slow == lease::kMaxStoreDelay);
   cr_assert(slow == delayAfterReadsOf(std::chrono::milliseconds(440)));
 }
