--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -49,9 +49,9 @@
     boost::asio::io_context& loop;
     forward::EngineCallContext engines;
     JobStore& store;
-    lease::LeaseTable& leases;
-    lease::LeaseKeeper& keeper;
-    const lease::OwnerPool& pool;
+    lease::lease_table& leases;
+    lease::lease_keeper& keeper;
+    const lease::owner_pool& pool;
     const BatchCodec& codec;
     forward::internal_requests& rewards;
     suspects::suspect_gate& suspects;
--- a/src/gateway/batch/owner_choice.cpp
+++ b/src/gateway/batch/owner_choice.cpp
@@ -12,7 +12,7 @@
 /// Daemons that can carry at least this part of what the best one can are as good as it.
 constexpr double kAsGood = 0.7;
 
-double capacityOf(const std::vector<lease::OwnerCandidate>& candidates, const LeaseId& lease) {
+double capacityOf(const std::vector<lease::owner_candidate>& candidates, const LeaseId& lease) {
   const auto at = std::find_if(candidates.begin(), candidates.end(),
                                [&lease](const auto& each) { return each.lease == lease; });
   return at == candidates.end() ? 0 : at->capacity;
@@ -30,7 +30,7 @@
 
 OwnerChoice withinResidency(OwnerChoice choice, const fleet::data_residency& residency,
                             const fleet::fleet_layout& layout) {
-  std::erase_if(choice.candidates, [&](const lease::OwnerCandidate& each) {
+  std::erase_if(choice.candidates, [&](const lease::owner_candidate& each) {
     return !residency.allows(layout.regionOf(each.zone));
   });
   if (!residency.allows(layout.regionOf(choice.previous_zone))) choice.previous = LeaseId();
@@ -42,7 +42,7 @@
   if (choice.candidates.empty()) return own;
   const double least = kAsGood * choice.candidates.front().capacity;
   std::vector<LeaseId> good;
-  for (const lease::OwnerCandidate& each : choice.candidates) {
+  for (const lease::owner_candidate& each : choice.candidates) {
     if (each.capacity >= least && each.lease != choice.previous) good.push_back(each.lease);
   }
   // Owners of other models are taken only where there is nobody else: a machine that is lost should
--- a/src/gateway/batch/owner_choice.h
+++ b/src/gateway/batch/owner_choice.h
@@ -15,7 +15,7 @@
 
 struct OwnerChoice {
   /// Live daemons that told what they can carry, best first.
-  std::vector<lease::OwnerCandidate> candidates;
+  std::vector<lease::owner_candidate> candidates;
   /// Owner of the model's newest job, if it lives: it has connections to the engines, and knows
   /// what it runs there and what is kept. Empty: there is none.
   LeaseId previous;
--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -128,7 +128,7 @@
   if (this->rules_.tokens_checked) return this->pauseAfterOwnActions(steadyNow());
   if (!from.empty()) {
     // It could act until the validity ran out, earlier than its lease expired for others.
-    const LeaseTimes& times = this->deps_.leases.times();
+    const lease_times& times = this->deps_.leases.times();
     return this->rules_.pause - (times.expiry - times.validity);
   }
   const std::int64_t clock_ms = this->deps_.keeper.storeClock(steadyNow());
--- a/src/gateway/lease/leader_lock.h
+++ b/src/gateway/lease/leader_lock.h
@@ -6,7 +6,7 @@
  *
  * The lock is a row of the store with its leader's lease. The row's revision is the fencing token,
  * which goes with every call of the leader. A daemon takes the lock by a conditional write on the
- * row once the leader's lease has expired, after its takeover delay (`OwnerPool::takeoverDelay`).
+ * row once the leader's lease has expired, after its takeover delay (`owner_pool::takeoverDelay`).
  *
  * Holding the row does not allow a call by itself: the leader may have been cut off or frozen, and
  * somebody else may have taken the row meanwhile. So it confirms the lock again and again by a
@@ -56,9 +56,9 @@
   struct dependencies {
     boost::asio::io_context& loop;
     table::AsyncTable& table;
-    LeaseTable& leases;
-    LeaseKeeper& keeper;
-    const OwnerPool& pool;
+    lease_table& leases;
+    lease_keeper& keeper;
+    const owner_pool& pool;
   };
   /** Called when this daemon has become the leader, or is no longer. */
   using on_change = std::function<void(bool held)>;
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-void LeaseKeeper::start(std::function<bool()> needed) {
+void lease_keeper::start(std::function<bool()> needed) {
   this->needed_ = std::move(needed);
   spawn(this->loop_, [this] { return this->run(); });
 }
 
-table::Put LeaseKeeper::renewal() const {
-  LeaseRow row;
+table::Put lease_keeper::renewal() const {
+  lease_row row;
   row.capacity = this->pool_.capacity();
   row.peer = this->peer_;
   row.zone = this->pool_.zone();
@@ -27,11 +27,11 @@
   return {table::leaseKey(this->leases_.own()), encodeLeaseRow(row)};
 }
 
-void LeaseKeeper::onRenewed(Instant sent_at) {
+void lease_keeper::onRenewed(Instant sent_at) {
   this->renewed_at_ = std::max(this->renewed_at_, sent_at);
 }
 
-Task<bool> LeaseKeeper::confirmSilent(LeaseId lease) {
+Task<bool> lease_keeper::confirmSilent(LeaseId lease) {
   if (lease.empty() || this->leases_.isEarlierSelf(lease)) co_return true;
   const table::RowRange range = table::onlyRow(table::kLeaseTable, lease.str());
   const auto page = co_await this->table_.read(range);
@@ -43,7 +43,7 @@
   co_return false;
 }
 
-Task<bool> LeaseKeeper::renew() {
+Task<bool> lease_keeper::renew() {
   const Instant sent_at = steadyNow();
   table::Write write;
   write.transaction.puts.push_back(this->renewal());
@@ -53,7 +53,7 @@
   co_return done;
 }
 
-Task<void> LeaseKeeper::run() {
+Task<void> lease_keeper::run() {
   while (!this->stopping_) {
     const Duration interval = this->leases_.times().renewal_interval;
     Duration pause = interval;
@@ -76,15 +76,15 @@
   }
 }
 
-Task<void> LeaseKeeper::stop() {
+Task<void> lease_keeper::stop() {
   this->stopping_ = true;
   if (this->renewed_at_ != Instant{}) {
-    // A row that stays is removed by others (`LeaseTable::removable`).
+    // A row that stays is removed by others (`lease_table::removable`).
     co_await this->removeRow();
   }
 }
 
-Task<bool> LeaseKeeper::removeRow() {
+Task<bool> lease_keeper::removeRow() {
   table::Write write;
   write.removes.push_back(table::leaseKey(this->leases_.own()));
   const auto answer = co_await this->table_.write(std::move(write));
--- a/src/gateway/lease/lease_keeper.h
+++ b/src/gateway/lease/lease_keeper.h
@@ -16,10 +16,10 @@
 namespace linenpier::lease {
 
 /** Loop thread only. Lives as long as the loop runs. */
-class LeaseKeeper {
+class lease_keeper {
  public:
-  LeaseKeeper(boost::asio::io_context& loop, table::AsyncTable& table, LeaseTable& leases,
-              OwnerPool& pool)
+  lease_keeper(boost::asio::io_context& loop, table::AsyncTable& table, lease_table& leases,
+               owner_pool& pool)
       : loop_(loop), table_(table), leases_(leases), pool_(pool) {}
 
   /** @param needed returns whether this daemon needs a lease now. */
@@ -61,8 +61,8 @@
 
   boost::asio::io_context& loop_;
   table::AsyncTable& table_;
-  LeaseTable& leases_;
-  OwnerPool& pool_;
+  lease_table& leases_;
+  owner_pool& pool_;
   std::function<bool()> needed_;
   std::optional<Address> peer_;
   std::function<std::set<EngineId>()> awaited_;
--- a/src/gateway/lease/lease_row.cpp
+++ b/src/gateway/lease/lease_row.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-std::string encodeLeaseRow(const LeaseRow& row) {
+std::string encodeLeaseRow(const lease_row& row) {
   std::string value = std::to_string(row.capacity);
   if (!row.zone.empty()) value += kZoneSeparator + row.zone.str();
   char separator = kAwaitedSeparator;
@@ -60,8 +60,8 @@
   return value;
 }
 
-LeaseRow decodeLeaseRow(Revision revision, const std::string& value) {
-  LeaseRow row;
+lease_row decodeLeaseRow(Revision revision, const std::string& value) {
+  lease_row row;
   row.revision = revision;
   row.capacity = decodeCapacity(value);
   row.peer = decodePeer(value);
--- a/src/gateway/lease/lease_row.h
+++ b/src/gateway/lease/lease_row.h
@@ -18,22 +18,22 @@
 namespace linenpier::lease {
 
 /** A lease as its row states it. */
-struct LeaseRow {
+struct lease_row {
   Revision revision = 0;             ///< Rises with each renewal; 0: the row was never seen.
-  double capacity = 0;               ///< See OwnCapacity::value; 0: not stated.
+  double capacity = 0;               ///< See `own_capacity::value`; 0: not stated.
   std::optional<Address> peer = {};  ///< Where other daemons ask this one.
   ZoneName zone = {};                ///< Of the daemon; empty: not stated.
-  std::set<EngineId> awaited = {};   ///< See `LeaseTable::awaited`.
+  std::set<EngineId> awaited = {};   ///< See `lease_table::awaited`.
 
-  bool operator==(const LeaseRow&) const = default;
+  bool operator==(const lease_row&) const = default;
 };
 
 /** @return the value of a lease's row; the revision is the store's and not part of it. */
-std::string encodeLeaseRow(const LeaseRow& row);
+std::string encodeLeaseRow(const lease_row& row);
 /** @return the lease. What the value does not state, or states unreadably, is left at its default:
  *     rows of earlier and later releases stay readable.
  */
-LeaseRow decodeLeaseRow(Revision revision, const std::string& value);
+lease_row decodeLeaseRow(Revision revision, const std::string& value);
 
 /** @param incarnation unique to one life of the daemon. */
 LeaseId makeLeaseId(const std::string& daemon, const std::string& incarnation);
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -18,28 +18,28 @@
 
 }  // namespace
 
-Duration LeaseTable::takeoverDelay(Instant now, const std::string& subject) const {
+Duration lease_table::takeoverDelay(Instant now, const std::string& subject) const {
   const Duration age = std::min(now - this->started_at_, kMaxCountedAge);
   const auto step =
       static_cast<std::int64_t>(hash64(this->own_.str(), hash64(subject)) % kJitterSteps);
   return kMaxAgeDelay * age.count() / kMaxCountedAge.count() + kMaxJitter * step / kJitterSteps;
 }
 
-void LeaseTable::onRow(Instant now, const LeaseId& lease, Revision revision) {
-  Observation& seen = this->rows_[lease];
+void lease_table::onRow(Instant now, const LeaseId& lease, Revision revision) {
+  observation& seen = this->rows_[lease];
   if (revision <= seen.row.revision) return;
   seen.row.revision = revision;
   seen.changed_at = now;
 }
 
-bool LeaseTable::isEarlierSelf(const LeaseId& lease) const {
+bool lease_table::isEarlierSelf(const LeaseId& lease) const {
   return lease != this->own_ && daemonOf(lease) == daemonOf(this->own_);
 }
 
-void LeaseTable::onRead(Instant sent_at, Instant now, const std::map<LeaseId, LeaseRow>& rows) {
+void lease_table::onRead(Instant sent_at, Instant now, const std::map<LeaseId, lease_row>& rows) {
   for (const auto& [lease, row] : rows) {
     this->onRow(now, lease, row.revision);
-    Observation& seen = this->rows_[lease];
+    observation& seen = this->rows_[lease];
     const Revision newest = seen.row.revision;
     seen.row = row;
     seen.row.revision = newest;
@@ -56,16 +56,16 @@
   this->allowance_ = std::max(wanted, this->allowance_ / 2);
 }
 
-bool LeaseTable::expired(const LeaseId& lease) {
+bool lease_table::expired(const LeaseId& lease) {
   if (lease == this->own_) return false;
   if (lease.empty() || this->isEarlierSelf(lease)) return true;
   if (!this->store_healthy_since_) return false;
-  const auto [at, fresh] = this->rows_.try_emplace(lease, Observation{{}, this->read_at_});
+  const auto [at, fresh] = this->rows_.try_emplace(lease, observation{{}, this->read_at_});
   const Instant since = std::max(at->second.changed_at, *this->store_healthy_since_);
   return this->read_at_ - since > this->times_.expiry + this->allowance_;
 }
 
-bool LeaseTable::anySuspect(Instant now) const {
+bool lease_table::anySuspect(Instant now) const {
   return std::any_of(this->rows_.begin(), this->rows_.end(), [&](const auto& each) {
     const Duration silence = now - each.second.changed_at;
     return each.first != this->own_ && silence > this->times_.suspicion &&
@@ -73,7 +73,7 @@
   });
 }
 
-bool LeaseTable::alive(Instant now, const LeaseId& lease) const {
+bool lease_table::alive(Instant now, const LeaseId& lease) const {
   if (lease == this->own_) return true;
   const auto at = this->rows_.find(lease);
   if (at == this->rows_.end() || at->second.row.revision == 0) return false;
@@ -82,8 +82,8 @@
   return as_of - at->second.changed_at < this->times_.expiry;
 }
 
-std::vector<OwnerCandidate> LeaseTable::candidates(Instant now) const {
-  std::vector<OwnerCandidate> found;
+std::vector<owner_candidate> lease_table::candidates(Instant now) const {
+  std::vector<owner_candidate> found;
   for (const auto& [lease, seen] : this->rows_) {
     const bool other = lease != this->own_ && !this->isEarlierSelf(lease);
     const bool offers = other && seen.row.capacity > 0 && this->alive(now, lease);
@@ -92,12 +92,12 @@
   return found;
 }
 
-ZoneName LeaseTable::zoneOf(const LeaseId& lease) const {
+ZoneName lease_table::zoneOf(const LeaseId& lease) const {
   const auto at = this->rows_.find(lease);
   return at == this->rows_.end() ? ZoneName() : at->second.row.zone;
 }
 
-std::vector<Address> LeaseTable::peers() const {
+std::vector<Address> lease_table::peers() const {
   std::set<Address> found;
   for (const auto& [lease, seen] : this->rows_) {
     const bool other = lease != this->own_ && !this->isEarlierSelf(lease);
@@ -106,7 +106,7 @@
   return {found.begin(), found.end()};
 }
 
-std::set<EngineId> LeaseTable::awaited(Instant now) const {
+std::set<EngineId> lease_table::awaited(Instant now) const {
   std::set<EngineId> found;
   for (const auto& [lease, seen] : this->rows_) {
     if (!this->alive(now, lease)) continue;
@@ -115,7 +115,7 @@
   return found;
 }
 
-std::vector<LeaseId> LeaseTable::removable(Instant now) const {
+std::vector<LeaseId> lease_table::removable(Instant now) const {
   std::vector<LeaseId> found;
   for (const auto& [lease, seen] : this->rows_) {
     if (lease == this->own_ || seen.row.revision == 0) continue;
@@ -125,7 +125,7 @@
   return found;
 }
 
-Revision LeaseTable::seenRevision(const LeaseId& lease) const {
+Revision lease_table::seenRevision(const LeaseId& lease) const {
   const auto at = this->rows_.find(lease);
   return at == this->rows_.end() ? 0 : at->second.row.revision;
 }
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -23,18 +23,18 @@
 namespace linenpier::lease {
 
 /** A live daemon that offers to own jobs and leader locks. */
-struct OwnerCandidate {
+struct owner_candidate {
   LeaseId lease;
-  double capacity = 0;  ///< See OwnCapacity::value.
+  double capacity = 0;  ///< See `own_capacity::value`.
   ZoneName zone = {};   ///< Empty: not known.
 
-  bool operator==(const OwnerCandidate&) const = default;
+  bool operator==(const owner_candidate&) const = default;
 };
 
-class LeaseTable {
+class lease_table {
  public:
   /** @param started_at when this life of the daemon began. */
-  LeaseTable(LeaseId own, LeaseTimes times, Instant started_at)
+  lease_table(LeaseId own, lease_times times, Instant started_at)
       : own_(std::move(own)), times_(times), started_at_(started_at) {}
 
   /** A lease's row was seen under this revision. */
@@ -42,7 +42,7 @@
   /** All rows were read, as of a moment between `sent_at` and `now`. The read's delay sets the
    * allowance.
    */
-  void onRead(Instant sent_at, Instant now, const std::map<LeaseId, LeaseRow>& rows);
+  void onRead(Instant sent_at, Instant now, const std::map<LeaseId, lease_row>& rows);
   /** The store answers from now on. Silence until now says nothing about owners. */
   void onStoreRegained(Instant now) { this->store_healthy_since_ = now; }
   void onStoreLost() { this->store_healthy_since_.reset(); }
@@ -62,7 +62,7 @@
   /** @return whether the lease belongs to another life of this daemon, which has ended for sure. */
   bool isEarlierSelf(const LeaseId& lease) const;
   /** @return the other live daemons that stated a capacity. */
-  std::vector<OwnerCandidate> candidates(Instant now) const;
+  std::vector<owner_candidate> candidates(Instant now) const;
   /** @return the zone of the lease's daemon; empty if it is not known. */
   ZoneName zoneOf(const LeaseId& lease) const;
   /** @return where other daemons with leases may be asked. They reached the store when it was last
@@ -87,19 +87,19 @@
   /** @return how much longer than the expiry an owner may be silent, as slow as the store is. */
   Duration allowance() const { return this->allowance_; }
   const LeaseId& own() const { return this->own_; }
-  const LeaseTimes& times() const { return this->times_; }
+  const lease_times& times() const { return this->times_; }
 
  private:
-  struct Observation {
-    LeaseRow row;          ///< Its revision only rises.
+  struct observation {
+    lease_row row;         ///< Its revision only rises.
     Instant changed_at{};  ///< When the revision last rose, by this daemon's clock.
   };
 
   LeaseId own_;
-  LeaseTimes times_;
+  lease_times times_;
   Instant started_at_{};
   /// As last seen. Of a lease without a row: with revision 0, silent since it was first asked for.
-  std::map<LeaseId, Observation> rows_;
+  std::map<LeaseId, observation> rows_;
   Duration allowance_{};
   Instant read_at_{};                           ///< When the last read that was answered was sent.
   std::optional<Instant> store_healthy_since_;  ///< Empty while the store does not answer.
--- a/src/gateway/lease/lease_times.h
+++ b/src/gateway/lease/lease_times.h
@@ -13,7 +13,7 @@
  * Invariant: two renewals fit into the validity, and the validity is shorter than the expiry, so
  * that an owner stops before others start. docs/DECISIONS.md adds the times up until a takeover.
  */
-struct LeaseTimes {
+struct lease_times {
   Duration renewal_interval = std::chrono::milliseconds(400);
   /// A leader acts only this long after it sent its last confirmation that the store took.
   Duration validity = std::chrono::milliseconds(1000);
@@ -31,7 +31,7 @@
   /// Silence after which a row is removed from the store: nobody takes over from it any more.
   Duration removal_age = std::chrono::seconds(60);
 
-  bool operator==(const LeaseTimes&) const = default;
+  bool operator==(const lease_times&) const = default;
 };
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/lease_watch.cpp
+++ b/src/gateway/lease/lease_watch.cpp
@@ -39,7 +39,7 @@
 
 Task<bool> lease_watch::readAll() {
   const Instant sent_at = steadyNow();
-  std::map<LeaseId, LeaseRow> rows;
+  std::map<LeaseId, lease_row> rows;
   table::RowRange range{table::kLeaseTable, "", "", 0};
   for (;;) {
     auto page = co_await this->table_.read(range);
--- a/src/gateway/lease/lease_watch.h
+++ b/src/gateway/lease/lease_watch.h
@@ -29,8 +29,8 @@
 /** Loop thread only. Lives as long as the loop runs. */
 class lease_watch {
  public:
-  lease_watch(boost::asio::io_context& loop, table::AsyncTable& table, LeaseTable& leases,
-              LeaseKeeper& keeper, const OwnerPool& pool, lease_watch_options options,
+  lease_watch(boost::asio::io_context& loop, table::AsyncTable& table, lease_table& leases,
+              lease_keeper& keeper, const owner_pool& pool, lease_watch_options options,
               std::uint64_t seed)
       : loop_(loop),
         table_(table),
@@ -57,9 +57,9 @@
 
   boost::asio::io_context& loop_;
   table::AsyncTable& table_;
-  LeaseTable& leases_;
-  LeaseKeeper& keeper_;
-  const OwnerPool& pool_;
+  lease_table& leases_;
+  lease_keeper& keeper_;
+  const owner_pool& pool_;
   lease_watch_options options_;
   Random random_;
   Signal retry_now_;
--- a/src/gateway/lease/own_capacity.h
+++ b/src/gateway/lease/own_capacity.h
@@ -11,7 +11,7 @@
 namespace linenpier::lease {
 
 /** What the machine was given. */
-struct MachineLimits {
+struct machine_limits {
   double processors = 1;    ///< Share of a core, times how many cores it counts as.
   double link_mbps = 1000;  ///< Of its own network link.
 };
@@ -19,9 +19,9 @@
 /** Capacity in processors: what the machine was given, lowered by how late its timers run. A slow
  * machine, a spent quota and an overloaded daemon all show in that.
  */
-class OwnCapacity {
+class own_capacity {
  public:
-  explicit OwnCapacity(MachineLimits limits) : limits_(limits) {}
+  explicit own_capacity(machine_limits limits) : limits_(limits) {}
 
   /** A timer ran this long after it was due. */
   void onTimer(Duration lateness) {
@@ -48,7 +48,7 @@
   /// rate, as long as a whole processor takes to encode them.
   static constexpr double kMbpsPerProcessor = 1000;
 
-  MachineLimits limits_;
+  machine_limits limits_;
   double lateness_ = 0;  ///< Smoothed, in seconds.
 };
 
--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-bool betterOwner(const OwnerCandidate& one, const OwnerCandidate& other) {
+bool betterOwner(const owner_candidate& one, const owner_candidate& other) {
   const long step = capacityStep(one.capacity);
   const long other_step = capacityStep(other.capacity);
   if (step != other_step) return step > other_step;
@@ -42,18 +42,18 @@
   return hash != other_hash ? hash < other_hash : name < other_name;
 }
 
-std::vector<OwnerCandidate> OwnerPool::ranked(Instant now) const {
-  std::vector<OwnerCandidate> candidates = this->leases_.candidates(now);
+std::vector<owner_candidate> owner_pool::ranked(Instant now) const {
+  std::vector<owner_candidate> candidates = this->leases_.candidates(now);
   if (this->offers_) candidates.push_back({this->leases_.own(), this->capacity(), this->zone_});
   std::sort(candidates.begin(), candidates.end(), betterOwner);
   return candidates;
 }
 
-bool OwnerPool::lacksMembers(const pool_demand& wanted,
-                             const std::vector<OwnerCandidate>& others) const {
-  const OwnerCandidate self{this->leases_.own(), this->capacity(), this->zone_};
+bool owner_pool::lacksMembers(const pool_demand& wanted,
+                              const std::vector<owner_candidate>& others) const {
+  const owner_candidate self{this->leases_.own(), this->capacity(), this->zone_};
   std::vector<ZoneName> better;  // Zones of the better daemons.
-  for (const OwnerCandidate& each : others) {
+  for (const owner_candidate& each : others) {
     if (betterOwner(each, self)) better.push_back(each.zone);
   }
   if (better.size() < wanted.owners) return true;
@@ -66,8 +66,8 @@
   });
 }
 
-bool OwnerPool::onLeasesRead(Instant now, const pool_demand& wanted) {
-  const std::vector<OwnerCandidate> others = this->leases_.candidates(now);
+bool owner_pool::onLeasesRead(Instant now, const pool_demand& wanted) {
+  const std::vector<owner_candidate> others = this->leases_.candidates(now);
   if (!this->lacksMembers(wanted, others)) {
     this->lacking_since_.reset();
   } else if (!this->lacking_since_) {
@@ -79,15 +79,15 @@
   return this->offers_ != before;
 }
 
-Duration OwnerPool::joinDelay(const std::vector<OwnerCandidate>& members) const {
+Duration owner_pool::joinDelay(const std::vector<owner_candidate>& members) const {
   double best = this->capacity();
-  for (const OwnerCandidate& each : members) best = std::max(best, each.capacity);
+  for (const owner_candidate& each : members) best = std::max(best, each.capacity);
   const double factor = std::min(best / this->capacity(), kMaxJoinFactor);
   const auto step = static_cast<std::int64_t>(hash64(this->leases_.own().str()) % kJoinSteps);
   return fromSeconds(toSeconds(kJoinSpread) * factor * static_cast<double>(step) / kJoinSteps);
 }
 
-Duration OwnerPool::takeoverDelay(Instant now, const std::string& subject) const {
+Duration owner_pool::takeoverDelay(Instant now, const std::string& subject) const {
   const bool in_turn = this->offers_ || this->leases_.candidates(now).empty();
   const Duration outsider = in_turn ? Duration::zero() : kOutsiderDelay;
   return this->leases_.takeoverDelay(now, subject) + outsider;
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -38,10 +38,10 @@
 /** Invariant: daemons that read the same leases rank the same daemons alike, so that the pool
  * settles on the best ones without anybody who decides.
  */
-class OwnerPool {
+class owner_pool {
  public:
   /** @param zone of this daemon; empty: not known. */
-  OwnerPool(const LeaseTable& leases, MachineLimits limits, ZoneName zone = {})
+  owner_pool(const lease_table& leases, machine_limits limits, ZoneName zone = {})
       : leases_(leases), zone_(std::move(zone)), capacity_(limits) {}
 
   /** A timer of this daemon ran this long after it was due. */
@@ -53,21 +53,21 @@
   double capacity() const { return this->capacity_.value(); }
   const ZoneName& zone() const { return this->zone_; }
   /** @return the live daemons that offer, best first; this one among them if it does. */
-  std::vector<OwnerCandidate> ranked(Instant now) const;
+  std::vector<owner_candidate> ranked(Instant now) const;
   /** @return how long this daemon lets others go first in taking over `subject`. */
   Duration takeoverDelay(Instant now, const std::string& subject) const;
 
  private:
   /** @return how long this daemon waits before it joins a pool that lacks members. */
-  Duration joinDelay(const std::vector<OwnerCandidate>& members) const;
+  Duration joinDelay(const std::vector<owner_candidate>& members) const;
   /** @return whether fewer better daemons offer than are wanted, anywhere or in a place that this
    *     daemon is in.
    */
-  bool lacksMembers(const pool_demand& wanted, const std::vector<OwnerCandidate>& others) const;
+  bool lacksMembers(const pool_demand& wanted, const std::vector<owner_candidate>& others) const;
 
-  const LeaseTable& leases_;
+  const lease_table& leases_;
   ZoneName zone_;
-  OwnCapacity capacity_;
+  own_capacity capacity_;
   bool offers_ = false;
   std::optional<Instant> lacking_since_;  ///< Since when each read showed that members are missing.
 };
@@ -75,6 +75,6 @@
 /** @return whether `one` is the better owner. Capacities that differ by little count as equal; then
  *     a hash of the daemons' names decides, which spreads owners over zones.
  */
-bool betterOwner(const OwnerCandidate& one, const OwnerCandidate& other);
+bool betterOwner(const owner_candidate& one, const owner_candidate& other);
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/store_delay.h
+++ b/src/gateway/lease/store_delay.h
@@ -17,7 +17,7 @@
 /** @param allowance of the lease table: a multiple of the excess delay of its reads.
  * @return how much longer than tolerated a read of the store takes at this daemon.
  */
-inline Duration storeDelay(Duration allowance, const LeaseTimes& times) {
+inline Duration storeDelay(Duration allowance, const lease_times& times) {
   return std::min(allowance / times.allowance_factor, kMaxStoreDelay);
 }
 
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -146,9 +146,9 @@
   routing::RouteTablePtr routes_;  ///< The newest seen in this life; empty before the first.
   lease::pool_demand demand_ = demandWithoutModels();  ///< Of daemons that offer to own work.
   routing::weighted_round_robin round_robin_;
-  lease::LeaseTable leases_;
-  lease::OwnerPool owner_pool_;
-  lease::LeaseKeeper keeper_;
+  lease::lease_table leases_;
+  lease::owner_pool owner_pool_;
+  lease::lease_keeper keeper_;
   lease::lease_watch lease_watch_;
   bool leases_answered_ = false;  ///< Whether the last read of the leases was answered.
   batch::JobStore job_store_;
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -34,7 +34,7 @@
   std::optional<Address> duties;  ///< Where duties at the platform are carried out; absent: none.
   usage::usage_options usage;
   scaling::scaling_options scaling;
-  lease::MachineLimits machine;
+  lease::machine_limits machine;
   std::size_t row_bytes = 65536;                  ///< Largest value of a row.
   Duration stop_limit = std::chrono::seconds(8);  ///< From the signal to the end.
   lease::handover_rules handover;                 ///< Of rights to order engines and of duties.
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -41,8 +41,8 @@
   struct dependencies {
     boost::asio::io_context& loop;
     table::AsyncTable& table;
-    lease::LeaseTable& leases;
-    lease::LeaseKeeper& keeper;
+    lease::lease_table& leases;
+    lease::lease_keeper& keeper;
     /** Lets other daemons do a write. */
     std::function<Task<std::optional<table::TransactionAnswer>>(table::Write)> write_by_peer;
   };
--- a/src/gateway/versions/order_service.h
+++ b/src/gateway/versions/order_service.h
@@ -43,9 +43,9 @@
     boost::asio::io_context& loop;
     engines::EngineRegistry& registry;
     table::AsyncTable& table;
-    lease::LeaseTable& leases;
-    lease::LeaseKeeper& keeper;
-    const lease::OwnerPool& pool;
+    lease::lease_table& leases;
+    lease::lease_keeper& keeper;
+    const lease::owner_pool& pool;
     EngineOrders& orders;
     std::function<routing::RouteTablePtr()> routes;
     std::function<open_work_by_model()> open_work;  ///< Of jobs under way.
--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -48,7 +48,7 @@
 }  // namespace
 
 Test(earlier_build, its_leases_are_read_and_written_alike) {
-  const lease::LeaseRow read = lease::decodeLeaseRow(5, kLease);
+  const lease::lease_row read = lease::decodeLeaseRow(5, kLease);
   cr_assert_float_eq(read.capacity, 0.48, 1e-9);
   cr_assert_eq(read.zone.str(), "north");
   cr_assert(read.awaited == std::set<EngineId>({EngineId("i-1"), EngineId("i-2")}));
--- a/tests/gateway/batch/owner_choice_test.cpp
+++ b/tests/gateway/batch/owner_choice_test.cpp
@@ -12,7 +12,7 @@
 const LeaseId kFast("fast#1");
 const LeaseId kOther("other#1");
 
-OwnerChoice choiceOf(std::vector<lease::OwnerCandidate> candidates) {
+OwnerChoice choiceOf(std::vector<lease::owner_candidate> candidates) {
   OwnerChoice choice;
   choice.candidates = std::move(candidates);
   choice.items = 200;
--- a/tests/gateway/lease/lease_row_test.cpp
+++ b/tests/gateway/lease/lease_row_test.cpp
@@ -9,13 +9,13 @@
 using namespace linenpier;
 using lease::decodeLeaseRow;
 using lease::encodeLeaseRow;
-using lease::LeaseRow;
+using lease::lease_row;
 
 Test(lease_table, a_row_tells_which_engines_its_owner_waits_for) {
   const std::optional<Address> peer = parseAddress("10.0.0.1:9000");
   const std::set<EngineId> awaited = {EngineId("e1"), EngineId("e2")};
   const std::string value = encodeLeaseRow({0, 0.25, peer, ZoneName("z-1"), awaited});
-  const LeaseRow read = decodeLeaseRow(3, value);
+  const lease_row read = decodeLeaseRow(3, value);
   cr_assert(read.awaited == awaited);
   cr_assert(read.peer == peer);
   cr_assert_eq(read.zone.str(), "z-1");
@@ -25,7 +25,7 @@
 
 Test(lease_rows, a_row_tells_capacity_zone_and_address) {
   const Address peer{0x7f000001, 77};
-  const LeaseRow read = decodeLeaseRow(3, encodeLeaseRow({0, 0.25, peer, ZoneName("z-1")}));
+  const lease_row read = decodeLeaseRow(3, encodeLeaseRow({0, 0.25, peer, ZoneName("z-1")}));
   cr_assert_eq(read.capacity, 0.25);
   cr_assert_eq(read.zone.str(), "z-1");
   cr_assert_eq(*read.peer, peer);
--- a/tests/gateway/lease/lease_table_test.cpp
+++ b/tests/gateway/lease/lease_table_test.cpp
@@ -5,8 +5,8 @@
 using namespace linenpier;
 using lease::decodeLeaseRow;
 using lease::encodeLeaseRow;
-using lease::LeaseRow;
-using lease::LeaseTable;
+using lease::lease_row;
+using lease::lease_table;
 using lease::makeLeaseId;
 
 namespace {
@@ -16,13 +16,14 @@
 const LeaseId kOther = makeLeaseId("d2", "a");
 
 /// Reads the store, where `revision` stands for the lease of `kOther`, and asks for `lease`.
-bool expiredAfterRead(LeaseTable& table, Instant now, const LeaseId& lease, Revision revision = 5) {
-  table.onRead(now, now, {{kOther, LeaseRow{revision}}});
+bool expiredAfterRead(lease_table& table, Instant now, const LeaseId& lease,
+                      Revision revision = 5) {
+  table.onRead(now, now, {{kOther, lease_row{revision}}});
   return table.expired(lease);
 }
 
-LeaseTable watching() {
-  LeaseTable table(kOwn, {}, kStart);
+lease_table watching() {
+  lease_table table(kOwn, {}, kStart);
   table.onStoreRegained(kStart);
   table.onRow(kStart, kOther, 5);
   return table;
@@ -31,7 +32,7 @@
 }  // namespace
 
 Test(lease_table, silence_longer_than_the_expiry_ends_a_lease) {
-  LeaseTable table = watching();
+  lease_table table = watching();
   cr_assert_not(expiredAfterRead(table, kStart + std::chrono::milliseconds(1400), kOther));
   cr_assert(expiredAfterRead(table, kStart + std::chrono::milliseconds(1600), kOther));
   table.onRow(kStart + std::chrono::milliseconds(1600), kOther, 6);
@@ -39,38 +40,38 @@
 }
 
 Test(lease_table, the_same_revision_again_is_no_renewal) {
-  LeaseTable table = watching();
+  lease_table table = watching();
   table.onRow(kStart + std::chrono::seconds(1), kOther, 5);
   cr_assert(expiredAfterRead(table, kStart + std::chrono::milliseconds(1600), kOther));
 }
 
 Test(lease_table, silence_counts_up_to_the_last_read_only) {
-  LeaseTable table = watching();
+  lease_table table = watching();
   table.onRead(kStart + std::chrono::seconds(1), kStart + std::chrono::seconds(1),
-               {{kOther, LeaseRow{5}}});
+               {{kOther, lease_row{5}}});
   cr_assert_not(table.expired(kOther), "nothing was read since");
   cr_assert(expiredAfterRead(table, kStart + std::chrono::seconds(2), kOther));
 }
 
 Test(lease_table, an_owner_that_misses_renewals_is_suspected_for_a_while) {
-  LeaseTable table = watching();
+  lease_table table = watching();
   cr_assert_not(table.anySuspect(kStart + std::chrono::milliseconds(500)));
   cr_assert(table.anySuspect(kStart + std::chrono::milliseconds(900)));
   cr_assert_not(table.anySuspect(kStart + std::chrono::seconds(5)), "others have taken over");
 }
 
 Test(lease_table, rows_of_earlier_lives_and_of_long_silence_may_be_removed) {
-  LeaseTable table = watching();
+  lease_table table = watching();
   const LeaseId earlier = makeLeaseId("d1", "a");
   table.onRead(kStart, kStart,
-               {{kOther, LeaseRow{5}}, {earlier, LeaseRow{3}}, {kOwn, LeaseRow{9}}});
+               {{kOther, lease_row{5}}, {earlier, lease_row{3}}, {kOwn, lease_row{9}}});
   cr_assert_eq(table.removable(kStart + std::chrono::seconds(1)).size(), 1U);
   cr_assert_eq(table.removable(kStart + std::chrono::seconds(1)).front(), earlier);
   cr_assert_eq(table.removable(kStart + std::chrono::seconds(61)).size(), 2U);
 }
 
 Test(lease_table, nothing_expires_while_the_feed_is_away_or_just_after) {
-  LeaseTable table = watching();
+  lease_table table = watching();
   table.onStoreLost();
   cr_assert_not(expiredAfterRead(table, kStart + std::chrono::seconds(60), kOther));
   table.onStoreRegained(kStart + std::chrono::seconds(60));
@@ -79,27 +80,27 @@
 }
 
 Test(lease_table, an_earlier_life_of_this_daemon_has_ended_for_sure) {
-  LeaseTable table = watching();
+  lease_table table = watching();
   cr_assert(expiredAfterRead(table, kStart, makeLeaseId("d1", "a")));
   cr_assert_not(expiredAfterRead(table, kStart + std::chrono::seconds(60), kOwn));
 }
 
 Test(lease_table, an_owner_whose_row_was_never_seen_gets_its_time) {
-  LeaseTable table = watching();
+  lease_table table = watching();
   const LeaseId unseen = makeLeaseId("d3", "x");
   cr_assert_not(expiredAfterRead(table, kStart, unseen));
   cr_assert(expiredAfterRead(table, kStart + std::chrono::milliseconds(1600), unseen));
 }
 
 Test(lease_table, daemons_that_started_last_take_over_first) {
-  const LeaseTable old(kOwn, {}, kStart);
-  const LeaseTable young(makeLeaseId("d4", "a"), {}, kStart + std::chrono::seconds(50));
+  const lease_table old(kOwn, {}, kStart);
+  const lease_table young(makeLeaseId("d4", "a"), {}, kStart + std::chrono::seconds(50));
   const Instant now = kStart + std::chrono::seconds(55);
   cr_assert(young.takeoverDelay(now, "job") < old.takeoverDelay(now, "job"));
 }
 
 Test(lease_table, an_owner_stops_before_others_may_start) {
-  const lease::LeaseTimes times;
+  const lease::lease_times times;
   cr_assert(times.renewal_interval * 2 <= times.validity);
   cr_assert(times.validity < times.expiry);
 }
@@ -111,21 +112,21 @@
 constexpr Instant kHealthySince{std::chrono::seconds(100)};
 const LeaseId kSlowOwner("other#1");
 
-lease::LeaseTable tableOfHealthyStore() {
-  lease::LeaseTable table(LeaseId("own#1"), {}, kHealthySince);
+lease::lease_table tableOfHealthyStore() {
+  lease::lease_table table(LeaseId("own#1"), {}, kHealthySince);
   table.onStoreRegained(kHealthySince);
   return table;
 }
 
 /// Reads the owner's row, unchanged, at `sent`.
-void readUnchanged(lease::LeaseTable& table, Instant sent, Duration delay) {
-  table.onRead(sent, sent + delay, {{kSlowOwner, LeaseRow{1}}});
+void readUnchanged(lease::lease_table& table, Instant sent, Duration delay) {
+  table.onRead(sent, sent + delay, {{kSlowOwner, lease_row{1}}});
 }
 
 }  // namespace
 
 Test(lease_table, an_owner_whose_row_stays_as_it_is_is_gone_after_the_expiry) {
-  lease::LeaseTable table = tableOfHealthyStore();
+  lease::lease_table table = tableOfHealthyStore();
   readUnchanged(table, kHealthySince, kQuick);
   readUnchanged(table, kHealthySince + std::chrono::milliseconds(1400), kQuick);
   cr_assert_not(table.expired(kSlowOwner));
@@ -134,7 +135,7 @@
 }
 
 Test(lease_table, a_store_that_answers_late_explains_more_silence) {
-  lease::LeaseTable table = tableOfHealthyStore();
+  lease::lease_table table = tableOfHealthyStore();
   readUnchanged(table, kHealthySince, kSlow);
   readUnchanged(table, kHealthySince + std::chrono::milliseconds(2500), kSlow);
   cr_assert_not(table.expired(kSlowOwner), "its renewals wait in the same store");
@@ -143,7 +144,7 @@
 }
 
 Test(lease_table, a_store_that_is_quick_again_explains_little) {
-  lease::LeaseTable table = tableOfHealthyStore();
+  lease::lease_table table = tableOfHealthyStore();
   readUnchanged(table, kHealthySince, kSlow);
   cr_assert(table.allowance() > std::chrono::seconds(1));
   for (int i = 1; i <= 5; ++i) {
@@ -154,15 +155,15 @@
 }
 
 Test(lease_table, this_life_never_expires_and_an_earlier_one_always_has) {
-  lease::LeaseTable table = tableOfHealthyStore();
+  lease::lease_table table = tableOfHealthyStore();
   cr_assert_not(table.expired(LeaseId("own#1")));
   cr_assert(table.expired(LeaseId("own#0")));
   cr_assert(table.expired(LeaseId("")));
 }
 
 Test(lease_table, while_the_store_is_away_those_count_as_alive_who_were_when_it_was_last_read) {
-  LeaseTable table = watching();
-  table.onRead(kStart, kStart, {{kOther, LeaseRow{6, 0.5}}});
+  lease_table table = watching();
+  table.onRead(kStart, kStart, {{kOther, lease_row{6, 0.5}}});
   const Instant later = kStart + std::chrono::seconds(5);
   cr_assert_not(table.alive(later, kOther), "the store answers, and nothing was renewed");
   table.onStoreLost();
@@ -177,7 +178,8 @@
   cr_assert(decodeLeaseRow(6, value).peer == peer);
   cr_assert_not(decodeLeaseRow(6, encodeLeaseRow({.capacity = 0.25})).peer.has_value());
   cr_assert_not(decodeLeaseRow(6, "0.25|nowhere").peer.has_value());
-  LeaseTable table(kOwn, {}, kStart);
-  table.onRead(kStart, kStart, {{kOther, LeaseRow{6, 0.5, peer}}, {kOwn, LeaseRow{5, 0.5, peer}}});
+  lease_table table(kOwn, {}, kStart);
+  table.onRead(kStart, kStart,
+               {{kOther, lease_row{6, 0.5, peer}}, {kOwn, lease_row{5, 0.5, peer}}});
   cr_assert_eq(table.peers().size(), 1U);
 }
--- a/tests/gateway/lease/store_delay_test.cpp
+++ b/tests/gateway/lease/store_delay_test.cpp
@@ -5,24 +5,24 @@
 #include "gateway/lease/owner_pool.h"
 
 using namespace linenpier;
-using lease::LeaseTable;
-using lease::OwnerPool;
+using lease::lease_table;
+using lease::owner_pool;
 
 namespace {
 
 constexpr Instant kStart{std::chrono::seconds(100)};
-constexpr lease::MachineLimits kMachine{0.5, 600};
+constexpr lease::machine_limits kMachine{0.5, 600};
 
 Duration delayAfterReadsOf(Duration answer) {
-  LeaseTable table(lease::makeLeaseId("own", "a"), {}, kStart);
+  lease_table table(lease::makeLeaseId("own", "a"), {}, kStart);
   table.onStoreRegained(kStart);
   table.onRead(kStart, kStart + answer, {});
   return lease::storeDelay(table.allowance(), table.times());
 }
 
 double capacityAt(Duration answer) {
-  const LeaseTable table(lease::makeLeaseId("own", "a"), {}, kStart);
-  OwnerPool pool(table, kMachine);
+  const lease_table table(lease::makeLeaseId("own", "a"), {}, kStart);
+  owner_pool pool(table, kMachine);
   for (int i = 0; i < 50; ++i) pool.onTimer(delayAfterReadsOf(answer));
   return pool.capacity();
 }
@@ -37,8 +37,8 @@
 Test(store_delay, a_daemon_far_from_the_store_counts_about_half) {
   const double far = capacityAt(std::chrono::milliseconds(46));
   cr_assert(far > 0.2 && far < 0.3, "%f", far);
-  const lease::OwnerCandidate near_one{lease::makeLeaseId("n", "1"), 0.4};
-  const lease::OwnerCandidate far_one{lease::makeLeaseId("f", "1"), far};
+  const lease::owner_candidate near_one{lease::makeLeaseId("n", "1"), 0.4};
+  const lease::owner_candidate far_one{lease::makeLeaseId("f", "1"), far};
   cr_assert(lease::betterOwner(near_one, far_one));
 }
 
