--- a/src/gateway/versions/engine_shares.cpp
+++ b/src/gateway/versions/engine_shares.cpp
@@ -10,11 +10,6 @@
 constexpr std::size_t kSpareFactor = 2;
 }  // namespace
 
-bool EngineShares::isFor(const EngineId& engine, const ModelName& model) const {
-  const auto at = dealt_.find(engine);
-  return at != dealt_.end() && at->second == model;
-}
-
 const std::set<EngineId>& EngineShares::enginesFor(const ModelName& model) const {
   static const std::set<EngineId> kNone;
   const auto at = by_model_.find(model);
--- a/src/gateway/versions/engine_shares.h
+++ b/src/gateway/versions/engine_shares.h
@@ -29,8 +29,6 @@
   void update(const engines::EngineList& engines, const EnginesWanted& wanted,
               const std::map<ModelName, WeightVersion>& named);
 
-  /// @return whether the engine should hold the newest weights of the model.
-  bool isFor(const EngineId& engine, const ModelName& model) const;
   /// @return the number of engines for the model.
   std::size_t sizeOf(const ModelName& model) const;
   /// @return the model of each engine that is dealt.
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -84,7 +84,6 @@
 
   void onNamed(Instant now, const ModelName& model, WeightVersion version);
   WeightVersion named(const ModelName& model) const;
-  const std::map<ModelName, WeightVersion>& allNamed() const { return named_; }
 
   /// @param engines those of the service that are not draining.
   /// @return the orders to send now. Each counts as being sent until it is answered.
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -136,12 +136,12 @@
   cr_assert(shares.sizeOf(kModel) >= 4 && shares.sizeOf(kModel) <= 5);
   std::vector<bool> before;
   for (const EngineState& state : fixture.states)
-    before.push_back(shares.isFor(state.record.id, kModel));
+    before.push_back(shares.enginesFor(kModel).contains(state.record.id));
   engines.erase(fixture.states.back().record.id);
   shares.update(engines, all, {});
   int moved = 0;
   for (std::size_t i = 0; i + 1 < fixture.states.size(); ++i) {
-    moved += shares.isFor(fixture.states[i].record.id, kModel) != before[i] ? 1 : 0;
+    moved += shares.enginesFor(kModel).contains(fixture.states[i].record.id) != before[i] ? 1 : 0;
   }
   cr_assert(moved <= 1, "%d moved", moved);
 }
@@ -154,8 +154,8 @@
   }
   versions::EngineShares shares;
   shares.update(fixture.list(), {{kModel, 4}, {kOtherModel, 4}}, {{kModel, 7}, {kOtherModel, 6}});
-  cr_assert(shares.isFor(EngineId("e0"), kModel));
-  cr_assert(shares.isFor(EngineId("e3"), kOtherModel));
+  cr_assert(shares.enginesFor(kModel).contains(EngineId("e0")));
+  cr_assert(shares.enginesFor(kOtherModel).contains(EngineId("e3")));
 }
 
 Test(version_rollout, a_large_service_loads_a_share_of_its_engines_at_once) {
@@ -273,7 +273,7 @@
   shares.update(fixture.list(), {{kModel, 60}}, {});
   std::map<ZoneName, int> zones;
   for (const EngineState& state : fixture.states) {
-    if (shares.isFor(state.record.id, kModel)) ++zones[state.record.zone];
+    if (shares.enginesFor(kModel).contains(state.record.id)) ++zones[state.record.zone];
   }
   for (const auto& [zone, count] : zones) cr_assert_eq(count, 20, "%s", zone.str().c_str());
 }
