--- /dev/null
+++ b/src/gateway/versions/engine_assignment.cpp
@@ -0,0 +1,153 @@
+#include "gateway/versions/engine_assignment.h"
+
+#include <algorithm>
+
+namespace linenpier::versions {
+
+namespace {
+
+/// A model gives engines back when it has more than so many times what it can use: demand that
+/// swings moves none.
+constexpr std::size_t kSpareFactor = 2;
+
+}  // namespace
+
+const std::set<EngineId>& EngineAssignment::enginesFor(const ModelName& model) const {
+  static const std::set<EngineId> kNone;
+  const auto at = this->by_model_.find(model);
+  return at == this->by_model_.end() ? kNone : at->second;
+}
+
+std::size_t EngineAssignment::sizeOf(const ModelName& model) const {
+  return this->enginesFor(model).size();
+}
+
+void EngineAssignment::reset() {
+  *this = EngineAssignment();
+}
+
+void EngineAssignment::assign(const engines::EngineState& engine, const ModelName& model) {
+  const EngineId& id = engine.record.id;
+  this->model_of_[id] = model;
+  this->by_model_[model].insert(id);
+  ++this->by_zone_[model][engine.record.zone];
+  this->zones_[id] = engine.record.zone;
+}
+
+void EngineAssignment::release(const EngineId& engine) {
+  const auto at = this->model_of_.find(engine);
+  if (at == this->model_of_.end()) return;
+  this->by_model_[at->second].erase(engine);
+  --this->by_zone_[at->second][this->zones_[engine]];
+  this->zones_.erase(engine);
+  this->model_of_.erase(at);
+}
+
+void EngineAssignment::releaseLost(const engines::EngineList& engines,
+                                   const EnginesWanted& wanted) {
+  std::vector<EngineId> lost;
+  for (const auto& [id, model] : this->model_of_) {
+    if (!engines.contains(id) || !wanted.contains(model)) lost.push_back(id);
+  }
+  for (const EngineId& id : lost) this->release(id);
+}
+
+void EngineAssignment::releaseSpare(const engines::EngineList& engines,
+                                    const EnginesWanted& wanted) {
+  for (const auto& [model, most] : wanted) {
+    if (this->sizeOf(model) <= kSpareFactor * most) continue;
+    std::vector<std::pair<WeightVersion, EngineId>> held;
+    for (const EngineId& id : this->enginesFor(model)) {
+      held.emplace_back(engines.at(id)->versionOf(model), id);
+    }
+    // Those with the oldest weights go first.
+    std::sort(held.begin(), held.end());
+    for (std::size_t i = 0; i + most < held.size(); ++i) this->release(held[i].second);
+  }
+}
+
+ModelName EngineAssignment::neediest(const EnginesWanted& wanted) const {
+  ModelName found;
+  for (const auto& [model, most] : wanted) {
+    if (this->sizeOf(model) >= most) continue;
+    if (found.empty() || this->sizeOf(model) < this->sizeOf(found)) found = model;
+  }
+  return found;
+}
+
+ModelName EngineAssignment::largest(const EnginesWanted& wanted) const {
+  return std::max_element(wanted.begin(), wanted.end(),
+                          [this](const auto& one, const auto& other) {
+                            return this->sizeOf(one.first) < this->sizeOf(other.first);
+                          })
+      ->first;
+}
+
+bool EngineAssignment::hasEnoughIn(const ZoneName& zone, const ModelName& model,
+                                   std::size_t wanted) const {
+  const auto zones = this->by_zone_.find(model);
+  if (zones == this->by_zone_.end()) return false;
+  const auto there = zones->second.find(zone);
+  return there != zones->second.end() && there->second * this->all_zones_.size() >= wanted;
+}
+
+void EngineAssignment::adopt(const engines::EngineList& engines, const EnginesWanted& wanted,
+                             const std::map<ModelName, WeightVersion>& named) {
+  if (this->adopted_) return;
+  this->adopted_ = true;
+  for (const auto& [id, engine] : engines) {
+    this->all_zones_.insert(engine->record.zone);
+    ModelName held;
+    std::size_t held_count = 0;
+    for (const auto& [model, most] : wanted) {
+      const auto newest = named.find(model);
+      const bool serves = newest != named.end() && engine->versionOf(model) + 1 >= newest->second;
+      if (!serves) continue;
+      held = model;
+      ++held_count;
+    }
+    const bool one_model = held_count == 1;
+    if (one_model && this->sizeOf(held) < wanted.at(held)) this->assign(*engine, held);
+  }
+}
+
+void EngineAssignment::assignFree(const engines::EngineList& engines, const EnginesWanted& wanted) {
+  ModelName model = this->neediest(wanted);
+  auto at = engines.lower_bound(this->next_);
+  // The first time round each model's engines are spread over the zones, the second time any do.
+  for (std::size_t seen = 0; seen < 2 * engines.size() && !model.empty(); ++seen) {
+    if (this->model_of_.size() == engines.size()) return;
+    if (at == engines.end()) at = engines.begin();
+    const engines::EngineState& engine = *at->second;
+    this->next_ = (at++)->first;
+    if (this->model_of_.contains(engine.record.id)) continue;
+    this->all_zones_.insert(engine.record.zone);
+    const bool spread = seen < engines.size();
+    if (spread && this->hasEnoughIn(engine.record.zone, model, wanted.at(model))) continue;
+    this->assign(engine, model);
+    model = this->neediest(wanted);
+  }
+}
+
+void EngineAssignment::balance(const engines::EngineList& engines, const EnginesWanted& wanted) {
+  for (;;) {
+    const ModelName to = this->neediest(wanted);
+    const ModelName from = this->largest(wanted);
+    if (to.empty() || this->sizeOf(from) <= this->sizeOf(to) + 1) return;
+    const engines::EngineState& moved = *engines.at(*this->enginesFor(from).begin());
+    this->release(moved.record.id);
+    this->assign(moved, to);
+  }
+}
+
+void EngineAssignment::update(const engines::EngineList& engines, const EnginesWanted& wanted,
+                              const std::map<ModelName, WeightVersion>& named) {
+  this->releaseLost(engines, wanted);
+  if (wanted.empty()) return;
+  this->releaseSpare(engines, wanted);
+  this->adopt(engines, wanted, named);
+  this->assignFree(engines, wanted);
+  this->balance(engines, wanted);
+}
+
+}  // namespace linenpier::versions
--- a/src/gateway/versions/load_demand.h
+++ b/src/gateway/versions/load_demand.h
@@ -17,8 +17,9 @@
   /// Services with no more engines than this for a model bring each version to all of them.
   std::size_t always = 24;
   double headroom = 1.25;  ///< Engines per engine that the open items fill.
-  /// Engines dealt to a model, in times of those that hold its newest version: a new version comes
-  /// to engines that fell empty, while runs that began under the one before end where they are.
+  /// Engines assigned to a model, in times of those that hold its newest version: a new version
+  /// comes to engines that fell empty, while runs that began under the one before end where they
+  /// are.
   std::size_t generations = 3;
   /// Steps follow each other: what was open this long ago will be open again.
   Duration memory = std::chrono::seconds(10);
@@ -45,8 +46,8 @@
    * @return engines that should hold the model's newest version soon.
    */
   std::size_t enginesFor(const ModelName& model, std::uint32_t slots) const;
-  /** @return engines that its versions should go round. */
-  std::size_t enginesToDeal(const ModelName& model, std::uint32_t slots) const {
+  /** @return engines that should be assigned to the model, for its versions to go round. */
+  std::size_t enginesToAssign(const ModelName& model, std::uint32_t slots) const {
     return this->options_.generations * this->enginesFor(model, slots);
   }
 
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -77,7 +77,7 @@
   std::erase_if(progress_, [&](const auto& each) {
     const Progress& progress = each.second;
     const bool under_way = progress.sending || now < progress.loading_until;
-    return !under_way && !shares_.dealt().contains(each.first);
+    return !under_way && !assignment_.all().contains(each.first);
   });
 }
 
@@ -91,7 +91,7 @@
   EnginesWanted wanted;
   const std::uint32_t slots = engines.empty() ? 1 : engines.begin()->second->record.slots;
   for (const ModelName& model : models) {
-    wanted[model] = isSettled(now, model) ? engines.size() : demand_.enginesToDeal(model, slots);
+    wanted[model] = isSettled(now, model) ? engines.size() : demand_.enginesToAssign(model, slots);
   }
   return wanted;
 }
@@ -106,7 +106,7 @@
     if (!open.single_version && open.items > 0) single_version_.erase(model);
   }
   demand_.onOpenWork(now, work);
-  shares_.update(engines, enginesWanted(now, engines, models), named_);
+  assignment_.update(engines, enginesWanted(now, engines, models), named_);
   dropIdleProgress(now);
   std::size_t loading = 0;
   for (const auto& [id, progress] : progress_) {
@@ -133,7 +133,7 @@
     const ModelName& model = candidate.model;
     if (candidate.urgency == Urgency::kLater) break;
     // The newest step needs some engines while others load.
-    const std::size_t most = std::max<std::size_t>(1, shares_.sizeOf(model) / 3);
+    const std::size_t most = std::max<std::size_t>(1, assignment_.sizeOf(model) / 3);
     if (candidate.urgency != Urgency::kNow && taken_out[model] >= most) continue;
     Progress& progress = progress_[candidate.engine->record.id];
     if (!progress.sequence) continue;
@@ -165,7 +165,7 @@
   if (single_version_.contains(model)) return LoadMode::kWait;
   double room = 0;
   double displaced = 0;
-  for (const EngineId& id : shares_.enginesFor(model)) {
+  for (const EngineId& id : assignment_.enginesFor(model)) {
     const engines::EngineState* each = engines.at(id);
     const auto at = progress_.find(id);
     const std::uint32_t reported = at == progress_.end() ? 0 : at->second.load;
@@ -191,13 +191,13 @@
     Instant now, const engines::EngineList& engines, const std::set<EngineId>& awaited) {
   std::vector<Candidate> candidates;
   std::map<ModelName, std::size_t> left_alone;
-  for (const auto& [id, model] : shares_.dealt()) {
+  for (const auto& [id, model] : assignment_.all()) {
     const engines::EngineState& engine = *engines.at(id);
     const Progress& progress = progressOf(engine);
     if (progress.sending || now < progress.loading_until || now < progress.not_before) continue;
     if (!isBehind(now, engine, model)) continue;
     if (awaited.contains(id) && isNew(now, model) &&
-        3 * (left_alone[model] + 1) <= shares_.sizeOf(model)) {
+        3 * (left_alone[model] + 1) <= assignment_.sizeOf(model)) {
       ++left_alone[model];
       continue;
     }
@@ -213,7 +213,7 @@
   for (const auto& [model, named_at] : named_at_) {
     std::size_t up_to_date = 0;
     std::uint32_t slots = 0;
-    for (const EngineId& id : shares_.enginesFor(model)) {
+    for (const EngineId& id : assignment_.enginesFor(model)) {
       const engines::EngineState& engine = *engines.at(id);
       slots = engine.record.slots;
       const auto progress = progress_.find(id);
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "gateway/engines/engine_registry.h"
-#include "gateway/versions/engine_shares.h"
+#include "gateway/versions/engine_assignment.h"
 #include "gateway/versions/load_demand.h"
 
 namespace linenpier::versions {
@@ -101,7 +101,7 @@
   /// The right to order is gone, or new: what engines have taken must be asked again.
   void reset() {
     progress_.clear();
-    shares_.reset();
+    assignment_.reset();
   }
 
  private:
@@ -154,7 +154,7 @@
   bool isBehind(Instant now, const engines::EngineState& engine, const ModelName& model) const;
 
   RolloutOptions options_;
-  EngineShares shares_;
+  EngineAssignment assignment_;
   load_demand demand_;
   std::set<ModelName> single_version_;  ///< Models whose texts must come from one version.
   std::map<ModelName, WeightVersion> named_;
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -16,7 +16,7 @@
 constexpr Instant kStart{std::chrono::seconds(100)};
 constexpr Duration kMoment = std::chrono::milliseconds(10);
 
-/// Engines of one service as the holder of its right sees them.
+/// Engines of one service as the leader of its lock sees them.
 struct Fixture {
   std::vector<EngineState> states;
   VersionRollout rollout{{}};
@@ -128,20 +128,21 @@
 Test(engine_shares, each_model_has_its_engines_and_they_stay) {
   Fixture fixture(9);
   fixture.rollout.onNamed(kStart, kModel, 2);
-  versions::EngineShares shares;
+  versions::EngineAssignment assignment;
   engines::EngineList engines = fixture.list();
   const versions::EnginesWanted all = {{kModel, 9}, {kOtherModel, 9}};
-  shares.update(engines, all, {});
-  cr_assert_eq(shares.sizeOf(kModel) + shares.sizeOf(kOtherModel), 9U);
-  cr_assert(shares.sizeOf(kModel) >= 4 && shares.sizeOf(kModel) <= 5);
+  assignment.update(engines, all, {});
+  cr_assert_eq(assignment.sizeOf(kModel) + assignment.sizeOf(kOtherModel), 9U);
+  cr_assert(assignment.sizeOf(kModel) >= 4 && assignment.sizeOf(kModel) <= 5);
   std::vector<bool> before;
   for (const EngineState& state : fixture.states)
-    before.push_back(shares.enginesFor(kModel).contains(state.record.id));
+    before.push_back(assignment.enginesFor(kModel).contains(state.record.id));
   engines.erase(fixture.states.back().record.id);
-  shares.update(engines, all, {});
+  assignment.update(engines, all, {});
   int moved = 0;
   for (std::size_t i = 0; i + 1 < fixture.states.size(); ++i) {
-    moved += shares.enginesFor(kModel).contains(fixture.states[i].record.id) != before[i] ? 1 : 0;
+    moved +=
+        assignment.enginesFor(kModel).contains(fixture.states[i].record.id) != before[i] ? 1 : 0;
   }
   cr_assert(moved <= 1, "%d moved", moved);
 }
@@ -152,10 +153,11 @@
   for (int i = 2; i < 4; ++i) {
     fixture.states[static_cast<std::size_t>(i)].record.models[kOtherModel] = 6;
   }
-  versions::EngineShares shares;
-  shares.update(fixture.list(), {{kModel, 4}, {kOtherModel, 4}}, {{kModel, 7}, {kOtherModel, 6}});
-  cr_assert(shares.enginesFor(kModel).contains(EngineId("e0")));
-  cr_assert(shares.enginesFor(kOtherModel).contains(EngineId("e3")));
+  versions::EngineAssignment assignment;
+  assignment.update(fixture.list(), {{kModel, 4}, {kOtherModel, 4}},
+                    {{kModel, 7}, {kOtherModel, 6}});
+  cr_assert(assignment.enginesFor(kModel).contains(EngineId("e0")));
+  cr_assert(assignment.enginesFor(kOtherModel).contains(EngineId("e3")));
 }
 
 Test(version_rollout, a_large_service_loads_a_share_of_its_engines_at_once) {
@@ -257,10 +259,10 @@
 Test(engine_shares, models_are_dealt_as_many_engines_as_they_use_in_a_service_of_any_size) {
   for (const int size : {500, 1000, 10000}) {
     Fixture fixture(size);
-    versions::EngineShares shares;
-    shares.update(fixture.list(), {{kModel, 120}, {kOtherModel, 72}}, {});
-    cr_assert_eq(shares.sizeOf(kModel), 120U);
-    cr_assert_eq(shares.dealt().size(), 192U, "%zu of %d", shares.dealt().size(), size);
+    versions::EngineAssignment assignment;
+    assignment.update(fixture.list(), {{kModel, 120}, {kOtherModel, 72}}, {});
+    cr_assert_eq(assignment.sizeOf(kModel), 120U);
+    cr_assert_eq(assignment.all().size(), 192U, "%zu of %d", assignment.all().size(), size);
   }
 }
 
@@ -269,27 +271,27 @@
   for (std::size_t i = 0; i < fixture.states.size(); ++i) {
     fixture.states[i].record.zone = ZoneName("z" + std::to_string(i / 200));
   }
-  versions::EngineShares shares;
-  shares.update(fixture.list(), {{kModel, 60}}, {});
+  versions::EngineAssignment assignment;
+  assignment.update(fixture.list(), {{kModel, 60}}, {});
   std::map<ZoneName, int> zones;
   for (const EngineState& state : fixture.states) {
-    if (shares.enginesFor(kModel).contains(state.record.id)) ++zones[state.record.zone];
+    if (assignment.enginesFor(kModel).contains(state.record.id)) ++zones[state.record.zone];
   }
   for (const auto& [zone, count] : zones) cr_assert_eq(count, 20, "%s", zone.str().c_str());
 }
 
 Test(engine_shares, engines_that_are_lost_are_replaced_and_a_spare_is_given_back) {
   Fixture fixture(500);
-  versions::EngineShares shares;
+  versions::EngineAssignment assignment;
   engines::EngineList engines = fixture.list();
-  shares.update(engines, {{kModel, 60}}, {});
-  const std::set<EngineId> before = shares.enginesFor(kModel);
+  assignment.update(engines, {{kModel, 60}}, {});
+  const std::set<EngineId> before = assignment.enginesFor(kModel);
   for (const EngineId& id : before) engines.erase(id);
-  shares.update(engines, {{kModel, 60}}, {});
-  cr_assert_eq(shares.sizeOf(kModel), 60U);
-  for (const EngineId& id : shares.enginesFor(kModel)) cr_assert_not(before.contains(id));
-  shares.update(engines, {{kModel, 29}}, {});
-  cr_assert_eq(shares.sizeOf(kModel), 29U);
+  assignment.update(engines, {{kModel, 60}}, {});
+  cr_assert_eq(assignment.sizeOf(kModel), 60U);
+  for (const EngineId& id : assignment.enginesFor(kModel)) cr_assert_not(before.contains(id));
+  assignment.update(engines, {{kModel, 29}}, {});
+  cr_assert_eq(assignment.sizeOf(kModel), 29U);
 }
 
 Test(version_rollout, a_version_costs_as_many_loads_and_questions_in_a_service_twice_as_large) {
