--- a/src/gateway/service/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -70,7 +70,7 @@
   state.engine_connections_opened = engine_pool_.opened();
   state.log_lines_dropped = logging::droppedLines();
   state.lease_valid = keeper_.valid(now);
-  state.order_rights_held = orders_.rightsHeld();
+  state.order_rights_held = orders_.locksHeld();
   state.usage_requests_counted = usage_.totals().counted;
   state.usage_requests_late = usage_.totals().late;
   state.usage_windows_reported = usage_.totals().reported;
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -314,7 +314,7 @@
     change.gone ? batches_.onRecordGone(id) : batches_.onRecordRow(id, change.row);
   } else if (key.starts_with(table::kOrderPrefix)) {
     const ServiceName service(tail(table::kOrderPrefix));
-    change.gone ? orders_.onRightGone(service) : orders_.onRightRow(service, change.row);
+    change.gone ? orders_.onLockGone(service) : orders_.onLockRow(service, change.row);
   } else if (key.starts_with(table::kSuspectPrefix)) {
     const suspects::request_key suspect(tail(table::kSuspectPrefix));
     change.gone ? suspects_.onRowGone(suspect, change.row.revision)
--- a/src/gateway/versions/engine_assignment.cpp
+++ b/src/gateway/versions/engine_assignment.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "gateway/versions/version_order.h"
+
 namespace linenpier::versions {
 
 namespace {
@@ -101,7 +103,8 @@
     std::size_t held_count = 0;
     for (const auto& [model, most] : wanted) {
       const auto newest = named.find(model);
-      const bool serves = newest != named.end() && engine->versionOf(model) + 1 >= newest->second;
+      const bool serves =
+          newest != named.end() && servesNewestStep(engine->versionOf(model), newest->second);
       if (!serves) continue;
       held = model;
       ++held_count;
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -11,139 +11,120 @@
 
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(60);
-/// At a daemon that holds no right and is not the first to take one.
-constexpr Duration kIdleTick = std::chrono::milliseconds(250);
-/// When a fleet starts nobody holds a right, and nobody offers to yet.
-constexpr Duration kStartTime = std::chrono::seconds(5);
-
-const char* toText(LoadMode mode) {
-  switch (mode) {
-    case LoadMode::kWait:
-      return "wait";
-    case LoadMode::kCancel:
-      return "cancel";
-    case LoadMode::kRetain:
-      return "retain";
-  }
-  return "unknown";
-}
-
-const char* toText(OrderAnswer answer) {
-  switch (answer) {
-    case OrderAnswer::kUnderWay:
-      return "under_way";
-    case OrderAnswer::kInForce:
-      return "in_force";
-    case OrderAnswer::kBusy:
-      return "busy";
-    case OrderAnswer::kFenced:
-      return "fenced";
-    case OrderAnswer::kRejected:
-      return "rejected";
-    case OrderAnswer::kUnknown:
-      return "unknown";
-  }
-  return "unknown";
-}
+constexpr Duration kTickInterval = std::chrono::milliseconds(60);
+/// At a daemon that holds no lock and does not offer to: it takes one only if nobody else does.
+constexpr Duration kIdleTickInterval = std::chrono::milliseconds(250);
+/// When a fleet starts nobody holds a lock, and nobody offers to yet: no daemon counts as idle.
+constexpr Duration kStartupTime = std::chrono::seconds(5);
 
 }  // namespace
 
+OrderService::Leadership::Leadership(const lease::leader_lock::dependencies& deps,
+                                     const ServiceName& service, const OrderOptions& options)
+    : rollout(options.rollout),
+      lock(deps, "order/" + service.str(), table::orderKey(service), options.handover,
+           [this](bool) { this->rollout.reset(); }) {}
+
 void OrderService::start() {
-  spawn(deps_.loop, [this] { return tickLoop(); });
+  spawn(this->deps_.loop, [this] { return this->tickLoop(); });
 }
 
-OrderService::Right::Right(const lease::leader_lock::dependencies& deps, const ServiceName& service,
-                           const OrderOptions& options)
-    : rollout(options.rollout),
-      right(deps, "order/" + service.str(), table::orderKey(service), options.handover,
-            [this](bool) { rollout.reset(); }) {}
-
-OrderService::Right& OrderService::rightOf(const ServiceName& service) {
-  auto& right = rights_[service];
-  if (!right) {
-    const lease::leader_lock::dependencies deps{deps_.loop, deps_.table, deps_.leases, deps_.keeper,
-                                                deps_.pool};
-    right = std::make_unique<Right>(deps, service, options_);
-    for (const auto& [model, version] : named_) right->rollout.onNamed(steadyNow(), model, version);
+OrderService::Leadership& OrderService::leadershipOf(const ServiceName& service) {
+  auto& leadership = this->services_[service];
+  if (!leadership) {
+    const lease::leader_lock::dependencies deps{this->deps_.loop, this->deps_.table,
+                                                this->deps_.leases, this->deps_.keeper,
+                                                this->deps_.pool};
+    leadership = std::make_unique<Leadership>(deps, service, this->options_);
+    for (const auto& [model, version] : this->named_) {
+      leadership->rollout.onNamed(steadyNow(), model, version);
+    }
   }
-  return *right;
+  return *leadership;
 }
 
-std::size_t OrderService::rightsHeld() const {
-  return static_cast<std::size_t>(std::count_if(
-      rights_.begin(), rights_.end(), [](const auto& each) { return each.second->right.held(); }));
+std::size_t OrderService::locksHeld() const {
+  return static_cast<std::size_t>(
+      std::count_if(this->services_.begin(), this->services_.end(),
+                    [](const auto& each) { return each.second->lock.held(); }));
 }
 
 void OrderService::onNamed(const ModelName& model, WeightVersion version) {
-  WeightVersion& known = named_[model];
+  WeightVersion& known = this->named_[model];
   if (version <= known) return;
   known = version;
   LogEvent("versions", "named")
       .text("model", model.str())
       .number("version", static_cast<std::int64_t>(version));
-  for (auto& [service, right] : rights_) right->rollout.onNamed(steadyNow(), model, version);
+  for (auto& [service, leadership] : this->services_) {
+    leadership->rollout.onNamed(steadyNow(), model, version);
+  }
 }
 
-void OrderService::onRightRow(const ServiceName& service, const table::Row& row) {
-  rightOf(service).right.onRow(row);
+void OrderService::onLockRow(const ServiceName& service, const table::Row& row) {
+  this->leadershipOf(service).lock.onRow(row);
 }
 
-void OrderService::onRightGone(const ServiceName& service) {
-  rightOf(service).right.onGone();
+void OrderService::onLockGone(const ServiceName& service) {
+  this->leadershipOf(service).lock.onGone();
 }
 
 Task<void> OrderService::tickLoop() {
   const Instant begun = steadyNow();
   for (;;) {
-    const bool idle = !deps_.pool.offers() && !holdsAny() && steadyNow() - begun > kStartTime;
-    co_await sleepFor(deps_.loop, idle ? kIdleTick : kTick);
-    const routing::RouteTablePtr routes = deps_.routes();
-    if (!routes || stopping_) continue;
+    const bool started = steadyNow() - begun > kStartupTime;
+    const bool idle = started && !this->deps_.pool.offers() && !this->holdsAny();
+    co_await sleepFor(this->deps_.loop, idle ? kIdleTickInterval : kTickInterval);
+    const routing::RouteTablePtr routes = this->deps_.routes();
+    if (!routes || this->stopping_) continue;
     for (const auto& [name, service] : routes->services) {
-      if (!service.models.empty()) tickService(steadyNow(), name);
+      if (!service.models.empty()) this->tickService(steadyNow(), name);
     }
   }
 }
 
 void OrderService::tickService(Instant now, const ServiceName& service) {
-  Right& right = rightOf(service);
-  right.right.onTick(now, table_read_);
-  if (!right.right.mayAct(now)) return;
-  const engines::EngineList& engines = deps_.registry.ofService(service);
-  open_work_by_model work = deps_.open_work();
-  for (const auto& [model, version] : named_) work.try_emplace(model);
-  const std::set<EngineId> awaited = deps_.awaited ? deps_.awaited(now) : std::set<EngineId>();
-  for (VersionOrder& order : right.rollout.onTick(now, engines, work, awaited)) {
-    spawn(deps_.loop, [this, service, order] { return sendOrder(service, order); });
+  Leadership& leadership = this->leadershipOf(service);
+  leadership.lock.onTick(now, this->table_read_);
+  if (!leadership.lock.mayAct(now)) return;
+  const engines::EngineList& engines = this->deps_.registry.ofService(service);
+  open_work_by_model work = this->deps_.open_work();
+  for (const auto& [model, version] : this->named_) work.try_emplace(model);
+  std::set<EngineId> awaited;
+  if (this->deps_.awaited) awaited = this->deps_.awaited(now);
+  for (VersionOrder& order : leadership.rollout.onTick(now, engines, work, awaited)) {
+    spawn(this->deps_.loop, [this, service, order] { return this->sendOrder(service, order); });
   }
-  for (const engines::EngineState* engine : right.rollout.reportsWanted()) {
-    right.rollout.onReportAsked(now, engine->record.id);
+  for (const engines::EngineState* engine : leadership.rollout.reportsWanted()) {
     const EngineId id = engine->record.id;
     const Address address = engine->record.address;
-    spawn(deps_.loop, [this, service, id, address] { return askReport(service, id, address); });
+    leadership.rollout.onReportAsked(now, id);
+    spawn(this->deps_.loop,
+          [this, service, id, address] { return this->askReport(service, id, address); });
   }
 }
 
 Task<void> OrderService::askReport(ServiceName service, EngineId engine, Address address) {
-  const auto report = co_await deps_.orders.report(engine, address);
-  if (report) rightOf(service).rollout.onReport(steadyNow(), engine, *report);
+  const auto report = co_await this->deps_.orders.report(engine, address);
+  // An engine without an answer is asked again after the report interval.
+  if (report) this->leadershipOf(service).rollout.onReport(steadyNow(), engine, *report);
 }
 
 Task<void> OrderService::sendOrder(ServiceName service, VersionOrder order) {
-  Right& right = rightOf(service);
-  const Instant send_by = right.right.mayActUntil();
-  if (!right.right.mayAct(steadyNow()) || stopping_) {
-    right.rollout.onAnswer(steadyNow(), order, OrderAnswer::kBusy);
+  Leadership& leadership = this->leadershipOf(service);
+  const Instant send_by = leadership.lock.mayActUntil();
+  if (!leadership.lock.mayAct(steadyNow()) || this->stopping_) {
+    leadership.rollout.onAnswer(steadyNow(), order, OrderAnswer::kBusy);
     co_return;
   }
-  const FencingToken token = right.right.token();
-  ++counts_.sent;
-  right.right.onActed(steadyNow());
-  const OrderAnswer answer = co_await deps_.orders.send(order, deps_.holder, token, send_by);
-  right.rollout.onAnswer(steadyNow(), order, answer);
-  if (answer == OrderAnswer::kUnderWay) ++counts_.under_way;
-  if (answer == OrderAnswer::kUnknown) ++counts_.unanswered;
+  const FencingToken token = leadership.lock.token();
+  ++this->counts_.sent;
+  leadership.lock.onActed(steadyNow());
+  const OrderAnswer answer =
+      co_await this->deps_.orders.send(order, this->deps_.holder, token, send_by);
+  leadership.rollout.onAnswer(steadyNow(), order, answer);
+  if (answer == OrderAnswer::kUnderWay) ++this->counts_.under_way;
+  if (answer == OrderAnswer::kUnknown) ++this->counts_.unanswered;
   LogEvent("versions", "order_answered")
       .text("engine", order.engine.str())
       .text("model", order.model.str())
@@ -155,9 +136,9 @@
 }
 
 Task<void> OrderService::handOver() {
-  stopping_ = true;
-  for (auto& [service, right] : rights_) {
-    co_await right->right.handOver();
+  this->stopping_ = true;
+  for (auto& [service, leadership] : this->services_) {
+    co_await leadership->lock.handOver();
   }
 }
 
--- a/src/gateway/versions/order_service.h
+++ b/src/gateway/versions/order_service.h
@@ -1,30 +1,20 @@
 #pragma once
 
-/// @file
-/// Orders the engines of services while this daemon holds the right to: one daemon a service at a
-/// time.
+/** @file
+ * Sends orders to the engines of services whose locks this daemon holds: each service has one
+ * leader at a time, which alone decides on its engines (`version_rollout.h`).
+ */
 
 #include <functional>
 #include <map>
 #include <memory>
 
 #include "gateway/lease/leader_lock.h"
+#include "gateway/versions/engine_orders.h"
 #include "gateway/versions/version_rollout.h"
 
 namespace linenpier::versions {
 
-/// Sends orders in the platform's form.
-class EngineOrders {
- public:
-  virtual ~EngineOrders() = default;
-
-  /// @param send_by the order is sent until then or not at all.
-  virtual Task<OrderAnswer> send(VersionOrder order, std::string holder, FencingToken token,
-                                 Instant send_by) = 0;
-  /// @return nothing if the engine gave no answer.
-  virtual Task<std::optional<OrderReport>> report(EngineId engine, Address address) = 0;
-};
-
 struct OrderOptions {
   lease::handover_rules handover;
   RolloutOptions rollout;
@@ -36,7 +26,7 @@
   std::uint64_t unanswered = 0;
 };
 
-/// Loop thread only.
+/** Loop thread only. Lives as long as the loop runs. */
 class OrderService {
  public:
   struct Dependencies {
@@ -49,7 +39,7 @@
     EngineOrders& orders;
     std::function<routing::RouteTablePtr()> routes;
     std::function<open_work_by_model()> open_work;  ///< Of jobs under way.
-    std::string holder;                             ///< Name that orders carry.
+    std::string holder;                             ///< Name of this daemon in orders.
     /// Engines with a run that a step waits for. Not set: none is known.
     std::function<std::set<EngineId>(Instant now)> awaited;
   };
@@ -57,30 +47,31 @@
       : deps_(std::move(dependencies)), options_(options) {}
 
   void start();
-  /// Rights that are held now go on under the options of before.
-  void setOptions(const OrderOptions& options) { options_ = options; }
+  /** Services that were seen before go on under the options of before. */
+  void setOptions(const OrderOptions& options) { this->options_ = options; }
+  /** A version was named as the newest of its model. */
   void onNamed(const ModelName& model, WeightVersion version);
-  /// The row of a service's right, as the feed tells it.
-  void onRightRow(const ServiceName& service, const table::Row& row);
-  void onRightGone(const ServiceName& service);
-  /// The table was read and other rows of it are about to be told: unless told, there is no row.
-  void onTableRead() { table_read_ = true; }
-  bool holdsAny() const { return rightsHeld() > 0; }
-  std::size_t rightsHeld() const;
-  /// Gives up every right.
+  /** The row of a service's lock, as the feed shows it. */
+  void onLockRow(const ServiceName& service, const table::Row& row);
+  void onLockGone(const ServiceName& service);
+  /** The table of locks was read and its rows follow: a lock without one has no row. */
+  void onTableRead() { this->table_read_ = true; }
+  bool holdsAny() const { return this->locksHeld() > 0; }
+  std::size_t locksHeld() const;
+  /** Gives up every lock. */
   Task<void> handOver();
-  const OrderCounts& counts() const { return counts_; }
+  const OrderCounts& counts() const { return this->counts_; }
 
  private:
-  /// A service's right, and what its holder does.
-  struct Right {
-    Right(const lease::leader_lock::dependencies& deps, const ServiceName& service,
-          const OrderOptions& options);
+  /** A service's lock, and what its leader knows. */
+  struct Leadership {
+    Leadership(const lease::leader_lock::dependencies& deps, const ServiceName& service,
+               const OrderOptions& options);
 
     VersionRollout rollout;
-    lease::leader_lock right;
+    lease::leader_lock lock;
   };
-  Right& rightOf(const ServiceName& service);
+  Leadership& leadershipOf(const ServiceName& service);
   Task<void> tickLoop();
   void tickService(Instant now, const ServiceName& service);
   Task<void> askReport(ServiceName service, EngineId engine, Address address);
@@ -88,10 +79,11 @@
 
   Dependencies deps_;
   OrderOptions options_;
-  std::map<ServiceName, std::unique_ptr<Right>> rights_;
+  /// Entries stay for good: tasks under way refer to them.
+  std::map<ServiceName, std::unique_ptr<Leadership>> services_;
   std::map<ModelName, WeightVersion> named_;
   OrderCounts counts_;
-  bool table_read_ = false;  ///< Whether an unknown right means that there is no row.
+  bool table_read_ = false;  ///< Whether a lock that is not known has no row.
   bool stopping_ = false;
 };
 
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -5,24 +5,52 @@
 
 namespace linenpier::versions {
 
+namespace {
+
+/// One in so many of a model's engines, at least one, is changed at once while it can still serve
+/// the newest step: the step needs the others.
+constexpr std::size_t kLoadingOneIn = 3;
+/// One in so many of a model's engines at most is left alone for runs that a step waits for: the
+/// newest step needs engines with its version.
+constexpr std::size_t kAwaitedOneIn = 3;
+
+}  // namespace
+
+// --- Versions and reports -----------------------------------------------------------------------
+
 void VersionRollout::onNamed(Instant now, const ModelName& model, WeightVersion version) {
-  WeightVersion& known = named_[model];
+  WeightVersion& known = this->named_[model];
   if (version <= known) return;
   known = version;
-  named_at_[model] = now;
+  this->named_at_[model] = now;
 }
 
 WeightVersion VersionRollout::named(const ModelName& model) const {
-  const auto at = named_.find(model);
-  return at == named_.end() ? 0 : at->second;
+  const auto at = this->named_.find(model);
+  return at == this->named_.end() ? 0 : at->second;
+}
+
+bool VersionRollout::isNew(Instant now, const ModelName& model) const {
+  const auto named_at = this->named_at_.find(model);
+  return named_at != this->named_at_.end() && now - named_at->second < this->options_.busy_timeout;
+}
+
+bool VersionRollout::isSettled(Instant now, const ModelName& model) const {
+  const auto named_at = this->named_at_.find(model);
+  return named_at != this->named_at_.end() && now - named_at->second >= this->options_.settled;
+}
+
+void VersionRollout::reset() {
+  this->progress_.clear();
+  this->assignment_.reset();
 }
 
 void VersionRollout::onReportAsked(Instant now, const EngineId& engine) {
-  progress_[engine].asked_at = now;
+  this->progress_[engine].asked_at = now;
 }
 
 void VersionRollout::onReport(Instant now, const EngineId& engine, const OrderReport& report) {
-  Progress& progress = progress_[engine];
+  Progress& progress = this->progress_[engine];
   if (engines::startedBefore(report.start, progress.start)) return;
   if (engines::startedBefore(progress.start, report.start)) progress = Progress{};
   if (report.start != 0) progress.start = report.start;
@@ -30,244 +58,262 @@
   progress.load = report.load;
   // Reports are a little old: our own count of the orders it has taken may be ahead.
   progress.sequence = std::max(progress.sequence.value_or(0), report.taken);
-  if (report.busy) progress.not_before = std::max(progress.not_before, now + options_.busy_pause);
+  if (report.busy) {
+    progress.not_before = std::max(progress.not_before, now + this->options_.busy_backoff);
+  }
 }
 
-VersionRollout::Urgency VersionRollout::urgencyOf(Instant now, const engines::EngineState& engine,
-                                                  const ModelName& model) const {
-  const WeightVersion wanted = named(model);
-  // The newest step takes weights one version old. Engines behind that are of no use to it.
-  if (engine.versionOf(model) + 1 < wanted) return Urgency::kNow;
-  const Progress& progress = progress_.at(engine.record.id);
-  const double load = std::max(progress.load, engine.in_flight);
-  if (load <= options_.quiet_share * engine.record.slots) return Urgency::kSoon;
-  if (single_version_.contains(model)) return Urgency::kLater;
-  return isNew(now, model) ? Urgency::kLater : Urgency::kSoon;
+void VersionRollout::onAnswer(Instant now, const VersionOrder& order, OrderAnswer answer) {
+  Progress& progress = this->progress_[order.engine];
+  // The engine has started again since: what its earlier start answered says nothing of this one.
+  if (engines::startedBefore(order.start, progress.start)) return;
+  progress.sending = false;
+  switch (answer) {
+    case OrderAnswer::kUnderWay:
+      progress.loading_until = now + this->options_.load_time;
+      if (progress.sequence) ++*progress.sequence;
+      progress.confirmed[order.model] = order.version;
+      progress.confirmed_at[order.model] = now;
+      break;
+    case OrderAnswer::kInForce:
+      progress.confirmed[order.model] = order.version;
+      progress.confirmed_at[order.model] = now;
+      break;
+    case OrderAnswer::kBusy:
+      progress.sequence.reset();
+      progress.not_before = now + this->options_.busy_backoff;
+      break;
+    case OrderAnswer::kUnknown:
+      // The sequence stays, so that at most one of this order and the next is ever carried out.
+      progress.not_before = now + this->options_.unknown_backoff;
+      break;
+    case OrderAnswer::kFenced:
+    case OrderAnswer::kRejected:
+      progress.sequence.reset();
+      progress.not_before = now + this->options_.rejected_backoff;
+      break;
+  }
 }
 
-bool VersionRollout::isNew(Instant now, const ModelName& model) const {
-  const auto named_at = named_at_.find(model);
-  return named_at != named_at_.end() && now - named_at->second < options_.busy_timeout;
+// --- A tick -------------------------------------------------------------------------------------
+
+std::vector<VersionOrder> VersionRollout::onTick(Instant now, const engines::EngineList& engines,
+                                                 const open_work_by_model& work,
+                                                 const std::set<EngineId>& awaited) {
+  this->noteWork(now, work);
+  this->assignment_.update(engines, this->enginesWanted(now, engines, work), this->named_);
+  this->dropIdleProgress(now);
+  const std::size_t loading = this->loadingCount(now);
+  std::vector<Candidate> candidates = this->findCandidates(now, engines, awaited);
+  this->chooseCandidates(now, engines, candidates);
+  this->findReportsWanted(now, candidates);
+  return this->orderCandidates(now, engines, candidates, loading);
 }
 
-bool VersionRollout::isBehind(Instant now, const engines::EngineState& engine,
-                              const ModelName& model) const {
-  const WeightVersion wanted = named(model);
-  const auto at = progress_.find(engine.record.id);
-  if (at != progress_.end()) {
-    const auto confirmed = at->second.confirmed.find(model);
-    const auto since = at->second.confirmed_at.find(model);
-    // Discovery lags behind what the engine itself has answered.
-    if (confirmed != at->second.confirmed.end() && confirmed->second >= wanted &&
-        now - since->second < options_.confirm_time) {
-      return false;
-    }
+void VersionRollout::noteWork(Instant now, const open_work_by_model& work) {
+  for (const auto& [model, open] : work) {
+    if (open.single_version) this->single_version_.insert(model);
+    if (!open.single_version && open.items > 0) this->single_version_.erase(model);
   }
-  return engine.versionOf(model) < wanted;
+  this->demand_.onOpenWork(now, work);
+}
+
+EnginesWanted VersionRollout::enginesWanted(Instant now, const engines::EngineList& engines,
+                                            const open_work_by_model& work) const {
+  EnginesWanted wanted;
+  const std::uint32_t slots = engines.empty() ? 1 : engines.begin()->second->record.slots;
+  for (const auto& [model, open] : work) {
+    wanted[model] =
+        this->isSettled(now, model) ? engines.size() : this->demand_.enginesToAssign(model, slots);
+  }
+  return wanted;
 }
 
 VersionRollout::Progress& VersionRollout::progressOf(const engines::EngineState& engine) {
-  Progress& progress = progress_[engine.record.id];
+  Progress& progress = this->progress_[engine.record.id];
   if (engines::startedBefore(progress.start, engine.record.start)) progress = Progress{};
   if (progress.start == 0) progress.start = engine.record.start;
   return progress;
 }
 
 void VersionRollout::dropIdleProgress(Instant now) {
-  std::erase_if(progress_, [&](const auto& each) {
-    const Progress& progress = each.second;
-    const bool under_way = progress.sending || now < progress.loading_until;
-    return !under_way && !assignment_.all().contains(each.first);
+  std::erase_if(this->progress_, [&](const auto& each) {
+    return !each.second.changing(now) && !this->assignment_.all().contains(each.first);
   });
 }
 
-bool VersionRollout::isSettled(Instant now, const ModelName& model) const {
-  const auto named_at = named_at_.find(model);
-  return named_at != named_at_.end() && now - named_at->second >= options_.settled;
-}
+// --- Which engines ------------------------------------------------------------------------------
 
-EnginesWanted VersionRollout::enginesWanted(Instant now, const engines::EngineList& engines,
-                                            const std::set<ModelName>& models) const {
-  EnginesWanted wanted;
-  const std::uint32_t slots = engines.empty() ? 1 : engines.begin()->second->record.slots;
-  for (const ModelName& model : models) {
-    wanted[model] = isSettled(now, model) ? engines.size() : demand_.enginesToAssign(model, slots);
+bool VersionRollout::isBehind(Instant now, const engines::EngineState& engine,
+                              const ModelName& model) const {
+  const WeightVersion wanted = this->named(model);
+  const auto at = this->progress_.find(engine.record.id);
+  if (at != this->progress_.end()) {
+    const auto confirmed = at->second.confirmed.find(model);
+    const auto since = at->second.confirmed_at.find(model);
+    if (confirmed != at->second.confirmed.end() && confirmed->second >= wanted &&
+        now - since->second < this->options_.confirm_time) {
+      return false;
+    }
   }
-  return wanted;
+  return engine.versionOf(model) < wanted;
 }
 
-std::vector<VersionOrder> VersionRollout::onTick(Instant now, const engines::EngineList& engines,
-                                                 const open_work_by_model& work,
-                                                 const std::set<EngineId>& awaited) {
-  std::set<ModelName> models;
-  for (const auto& [model, open] : work) {
-    models.insert(model);
-    if (open.single_version) single_version_.insert(model);
-    if (!open.single_version && open.items > 0) single_version_.erase(model);
-  }
-  demand_.onOpenWork(now, work);
-  assignment_.update(engines, enginesWanted(now, engines, models), named_);
-  dropIdleProgress(now);
-  std::size_t loading = 0;
-  for (const auto& [id, progress] : progress_) {
-    if (progress.sending || now < progress.loading_until) ++loading;
+VersionRollout::Urgency VersionRollout::urgencyOf(Instant now, const engines::EngineState& engine,
+                                                  const ModelName& model) const {
+  if (!servesNewestStep(engine.versionOf(model), this->named(model))) return Urgency::kObsolete;
+  const Progress& progress = this->progress_.at(engine.record.id);
+  const double load = std::max(progress.load, engine.in_flight);
+  if (load <= this->options_.quiet_share * engine.record.slots) return Urgency::kDue;
+  if (this->single_version_.contains(model)) return Urgency::kBusy;
+  return this->isNew(now, model) ? Urgency::kBusy : Urgency::kDue;
+}
+
+std::vector<VersionRollout::Candidate> VersionRollout::findCandidates(
+    Instant now, const engines::EngineList& engines, const std::set<EngineId>& awaited) {
+  std::vector<Candidate> candidates;
+  std::map<ModelName, std::size_t> left_alone;
+  for (const auto& [id, model] : this->assignment_.all()) {
+    const engines::EngineState& engine = *engines.at(id);
+    const Progress& progress = this->progressOf(engine);
+    if (progress.changing(now) || now < progress.not_before) continue;
+    if (!this->isBehind(now, engine, model)) continue;
+    if (awaited.contains(id) && this->isNew(now, model) &&
+        kAwaitedOneIn * (left_alone[model] + 1) <= this->assignment_.sizeOf(model)) {
+      ++left_alone[model];
+      continue;
+    }
+    candidates.push_back({&engine, model, this->urgencyOf(now, engine, model),
+                          std::max(progress.load, engine.in_flight)});
   }
-  std::vector<Candidate> candidates = findCandidates(now, engines, awaited);
+  return candidates;
+}
+
+void VersionRollout::chooseCandidates(Instant now, const engines::EngineList& engines,
+                                      std::vector<Candidate>& candidates) const {
   std::sort(candidates.begin(), candidates.end(), [](const Candidate& one, const Candidate& other) {
     if (one.urgency != other.urgency) return one.urgency < other.urgency;
     if (one.load != other.load) return one.load < other.load;
     return one.engine->record.id < other.engine->record.id;
   });
-  std::map<ModelName, std::size_t> missing = enginesMissing(now, engines);
+  std::map<ModelName, std::size_t> missing = this->enginesMissing(now, engines);
   std::erase_if(candidates, [&missing](const Candidate& candidate) {
     std::size_t& left = missing[candidate.model];
     if (left == 0) return true;
     --left;
     return false;
   });
-  findReportsWanted(now, candidates);
-  std::vector<VersionOrder> orders;
-  std::map<ModelName, std::size_t> taken_out = loadingByModel(now);
+}
+
+std::map<ModelName, std::size_t> VersionRollout::enginesMissing(
+    Instant now, const engines::EngineList& engines) const {
+  std::map<ModelName, std::size_t> missing;
+  for (const auto& [model, named_at] : this->named_at_) {
+    std::size_t up_to_date = 0;
+    std::uint32_t slots = 0;
+    for (const EngineId& id : this->assignment_.enginesFor(model)) {
+      const engines::EngineState& engine = *engines.at(id);
+      slots = engine.record.slots;
+      const auto progress = this->progress_.find(id);
+      const bool sending = progress != this->progress_.end() && progress->second.sending;
+      if (sending || !this->isBehind(now, engine, model)) ++up_to_date;
+    }
+    const std::size_t wanted =
+        this->isSettled(now, model) ? engines.size() : this->demand_.enginesFor(model, slots);
+    missing[model] = wanted - std::min(wanted, up_to_date);
+  }
+  return missing;
+}
+
+void VersionRollout::findReportsWanted(Instant now, const std::vector<Candidate>& candidates) {
+  this->reports_wanted_.clear();
   for (const Candidate& candidate : candidates) {
-    if (loading + orders.size() >= atOnce(engines.size())) break;
-    const ModelName& model = candidate.model;
-    if (candidate.urgency == Urgency::kLater) break;
-    // The newest step needs some engines while others load.
-    const std::size_t most = std::max<std::size_t>(1, assignment_.sizeOf(model) / 3);
-    if (candidate.urgency != Urgency::kNow && taken_out[model] >= most) continue;
-    Progress& progress = progress_[candidate.engine->record.id];
-    if (!progress.sequence) continue;
-    VersionOrder order;
-    order.engine = candidate.engine->record.id;
-    order.start = progress.start;
-    order.address = candidate.engine->record.address;
-    order.model = model;
-    order.version = named(model);
-    order.mode = modeFor(now, *candidate.engine, model, engines);
-    order.expected_sequence = progress.sequence;
-    orders.push_back(order);
-    progress.sending = true;
-    progress.model = model;
-    ++taken_out[model];
+    if (this->reports_wanted_.size() >= this->options_.reports_at_once) return;
+    const Progress& progress = this->progress_.at(candidate.engine->record.id);
+    const bool fresh = now - progress.reported_at < this->options_.report_interval;
+    const bool asked = now - progress.asked_at < this->options_.report_interval;
+    if (!fresh && !asked) this->reports_wanted_.push_back(candidate.engine);
   }
-  return orders;
 }
 
+// --- How many, and how --------------------------------------------------------------------------
+
 std::size_t VersionRollout::atOnce(std::size_t engines) const {
-  const double share = options_.at_once_share * static_cast<double>(engines);
-  return std::max(options_.at_once, static_cast<std::size_t>(std::lround(share)));
+  const double share = this->options_.at_once_share * static_cast<double>(engines);
+  return std::max(this->options_.at_once, static_cast<std::size_t>(std::lround(share)));
+}
+
+std::size_t VersionRollout::loadingCount(Instant now) const {
+  return static_cast<std::size_t>(
+      std::count_if(this->progress_.begin(), this->progress_.end(),
+                    [now](const auto& each) { return each.second.changing(now); }));
+}
+
+std::map<ModelName, std::size_t> VersionRollout::loadingByModel(Instant now) const {
+  std::map<ModelName, std::size_t> counts;
+  for (const auto& [id, progress] : this->progress_) {
+    if (progress.changing(now)) ++counts[progress.model];
+  }
+  return counts;
 }
 
 LoadMode VersionRollout::modeFor(Instant now, const engines::EngineState& engine,
                                  const ModelName& model, const engines::EngineList& engines) const {
-  if (options_.mode) return *options_.mode;
+  if (this->options_.mode) return *this->options_.mode;
   // A text that one version must make would be lost with its engine's version.
-  if (single_version_.contains(model)) return LoadMode::kWait;
+  if (this->single_version_.contains(model)) return LoadMode::kWait;
   double room = 0;
   double displaced = 0;
-  for (const EngineId& id : assignment_.enginesFor(model)) {
+  for (const EngineId& id : this->assignment_.enginesFor(model)) {
     const engines::EngineState* each = engines.at(id);
-    const auto at = progress_.find(id);
-    const std::uint32_t reported = at == progress_.end() ? 0 : at->second.load;
+    const auto at = this->progress_.find(id);
+    const bool known = at != this->progress_.end();
+    const std::uint32_t reported = known ? at->second.load : 0;
     const double load = std::max(reported, each->in_flight);
     if (each == &engine) {
       displaced = load;
-    } else if (at == progress_.end() || (!at->second.sending && now >= at->second.loading_until)) {
+    } else if (!known || !at->second.changing(now)) {
       room += std::max(0.0, each->record.slots - load);
     }
   }
   return displaced <= room ? LoadMode::kCancel : LoadMode::kRetain;
 }
 
-std::map<ModelName, std::size_t> VersionRollout::loadingByModel(Instant now) const {
-  std::map<ModelName, std::size_t> counts;
-  for (const auto& [id, progress] : progress_) {
-    if (progress.sending || now < progress.loading_until) ++counts[progress.model];
-  }
-  return counts;
+VersionOrder VersionRollout::orderFor(Instant now, const Candidate& candidate,
+                                      const Progress& progress,
+                                      const engines::EngineList& engines) const {
+  VersionOrder order;
+  order.engine = candidate.engine->record.id;
+  order.start = progress.start;
+  order.address = candidate.engine->record.address;
+  order.model = candidate.model;
+  order.version = this->named(candidate.model);
+  order.mode = this->modeFor(now, *candidate.engine, candidate.model, engines);
+  order.expected_sequence = progress.sequence;
+  return order;
 }
 
-std::vector<VersionRollout::Candidate> VersionRollout::findCandidates(
-    Instant now, const engines::EngineList& engines, const std::set<EngineId>& awaited) {
-  std::vector<Candidate> candidates;
-  std::map<ModelName, std::size_t> left_alone;
-  for (const auto& [id, model] : assignment_.all()) {
-    const engines::EngineState& engine = *engines.at(id);
-    const Progress& progress = progressOf(engine);
-    if (progress.sending || now < progress.loading_until || now < progress.not_before) continue;
-    if (!isBehind(now, engine, model)) continue;
-    if (awaited.contains(id) && isNew(now, model) &&
-        3 * (left_alone[model] + 1) <= assignment_.sizeOf(model)) {
-      ++left_alone[model];
-      continue;
-    }
-    candidates.push_back(
-        {&engine, model, urgencyOf(now, engine, model), std::max(progress.load, engine.in_flight)});
-  }
-  return candidates;
-}
-
-std::map<ModelName, std::size_t> VersionRollout::enginesMissing(
-    Instant now, const engines::EngineList& engines) const {
-  std::map<ModelName, std::size_t> missing;
-  for (const auto& [model, named_at] : named_at_) {
-    std::size_t up_to_date = 0;
-    std::uint32_t slots = 0;
-    for (const EngineId& id : assignment_.enginesFor(model)) {
-      const engines::EngineState& engine = *engines.at(id);
-      slots = engine.record.slots;
-      const auto progress = progress_.find(id);
-      const bool sending = progress != progress_.end() && progress->second.sending;
-      if (sending || !isBehind(now, engine, model)) ++up_to_date;
-    }
-    const std::size_t wanted =
-        isSettled(now, model) ? engines.size() : demand_.enginesFor(model, slots);
-    missing[model] = wanted - std::min(wanted, up_to_date);
-  }
-  return missing;
-}
-
-void VersionRollout::findReportsWanted(Instant now, const std::vector<Candidate>& candidates) {
-  reports_wanted_.clear();
+std::vector<VersionOrder> VersionRollout::orderCandidates(Instant now,
+                                                          const engines::EngineList& engines,
+                                                          const std::vector<Candidate>& candidates,
+                                                          std::size_t loading) {
+  std::vector<VersionOrder> orders;
+  std::map<ModelName, std::size_t> changing = this->loadingByModel(now);
   for (const Candidate& candidate : candidates) {
-    if (reports_wanted_.size() >= options_.reports_at_once) return;
-    const Progress& progress = progress_.at(candidate.engine->record.id);
-    const bool fresh = now - progress.reported_at < options_.report_period;
-    const bool asked = now - progress.asked_at < options_.report_period;
-    if (!fresh && !asked) reports_wanted_.push_back(candidate.engine);
-  }
-}
-
-void VersionRollout::onAnswer(Instant now, const VersionOrder& order, OrderAnswer answer) {
-  Progress& progress = progress_[order.engine];
-  // The engine has started again since: what the earlier start took is of no matter.
-  if (engines::startedBefore(order.start, progress.start)) return;
-  progress.sending = false;
-  switch (answer) {
-    case OrderAnswer::kUnderWay:
-      progress.loading_until = now + options_.load_time;
-      if (progress.sequence) ++*progress.sequence;
-      progress.confirmed[order.model] = order.version;
-      progress.confirmed_at[order.model] = now;
-      break;
-    case OrderAnswer::kInForce:
-      progress.confirmed[order.model] = order.version;
-      progress.confirmed_at[order.model] = now;
-      break;
-    case OrderAnswer::kBusy:
-      progress.sequence.reset();
-      progress.not_before = now + options_.busy_pause;
-      break;
-    case OrderAnswer::kUnknown:
-      // The same sequence is expected again: at most one of both orders is ever carried out.
-      progress.not_before = now + options_.unknown_pause;
-      break;
-    case OrderAnswer::kFenced:
-    case OrderAnswer::kRejected:
-      progress.sequence.reset();
-      progress.not_before = now + options_.rejected_pause;
-      break;
+    if (loading + orders.size() >= this->atOnce(engines.size())) break;
+    if (candidate.urgency == Urgency::kBusy) break;
+    const ModelName& model = candidate.model;
+    const std::size_t most =
+        std::max<std::size_t>(1, this->assignment_.sizeOf(model) / kLoadingOneIn);
+    if (candidate.urgency != Urgency::kObsolete && changing[model] >= most) continue;
+    Progress& progress = this->progress_[candidate.engine->record.id];
+    if (!progress.sequence) continue;
+    orders.push_back(this->orderFor(now, candidate, progress, engines));
+    progress.sending = true;
+    progress.model = model;
+    ++changing[model];
   }
+  return orders;
 }
 
 }  // namespace linenpier::versions
