--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -26,8 +26,8 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(since_1970).count();
 }
 
-versions::OrderOptions orderOptions(const GatewaySettings& settings) {
-  versions::OrderOptions options;
+versions::order_options orderOptions(const GatewaySettings& settings) {
+  versions::order_options options;
   options.handover = settings.handover;
   options.rollout = settings.rollout;
   return options;
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -156,7 +156,7 @@
   suspects::suspect_service suspects_;
   forward::Forwarder forwarder_;
   batch::BatchService batches_;
-  versions::OrderService orders_;
+  versions::order_service orders_;
   scaling::scaling_service scaling_;
   http::Server requests_;
   http::Server readiness_;
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -38,7 +38,7 @@
   std::size_t row_bytes = 65536;                  ///< Largest value of a row.
   Duration stop_limit = std::chrono::seconds(8);  ///< From the signal to the end.
   lease::handover_rules handover;                 ///< Of rights to order engines and of duties.
-  versions::RolloutOptions rollout;
+  versions::rollout_options rollout;
   batch::BatchOptions batch;
   engines::cold_rules cold;  ///< Of engines that started lately.
   /// Between two heartbeats of an engine, as the platform sets it.
--- a/src/gateway/versions/engine_assignment.cpp
+++ b/src/gateway/versions/engine_assignment.cpp
@@ -14,21 +14,21 @@
 
 }  // namespace
 
-const std::set<EngineId>& EngineAssignment::enginesFor(const ModelName& model) const {
+const std::set<EngineId>& engine_assignment::enginesFor(const ModelName& model) const {
   static const std::set<EngineId> kNone;
   const auto at = this->by_model_.find(model);
   return at == this->by_model_.end() ? kNone : at->second;
 }
 
-std::size_t EngineAssignment::sizeOf(const ModelName& model) const {
+std::size_t engine_assignment::sizeOf(const ModelName& model) const {
   return this->enginesFor(model).size();
 }
 
-void EngineAssignment::reset() {
-  *this = EngineAssignment();
+void engine_assignment::reset() {
+  *this = engine_assignment();
 }
 
-void EngineAssignment::assign(const engines::EngineState& engine, const ModelName& model) {
+void engine_assignment::assign(const engines::EngineState& engine, const ModelName& model) {
   const EngineId& id = engine.record.id;
   this->model_of_[id] = model;
   this->by_model_[model].insert(id);
@@ -36,7 +36,7 @@
   this->zones_[id] = engine.record.zone;
 }
 
-void EngineAssignment::release(const EngineId& engine) {
+void engine_assignment::release(const EngineId& engine) {
   const auto at = this->model_of_.find(engine);
   if (at == this->model_of_.end()) return;
   this->by_model_[at->second].erase(engine);
@@ -45,8 +45,8 @@
   this->model_of_.erase(at);
 }
 
-void EngineAssignment::releaseLost(const engines::EngineList& engines,
-                                   const EnginesWanted& wanted) {
+void engine_assignment::releaseLost(const engines::EngineList& engines,
+                                    const engines_wanted& wanted) {
   std::vector<EngineId> lost;
   for (const auto& [id, model] : this->model_of_) {
     if (!engines.contains(id) || !wanted.contains(model)) lost.push_back(id);
@@ -54,8 +54,8 @@
   for (const EngineId& id : lost) this->release(id);
 }
 
-void EngineAssignment::releaseSpare(const engines::EngineList& engines,
-                                    const EnginesWanted& wanted) {
+void engine_assignment::releaseSpare(const engines::EngineList& engines,
+                                     const engines_wanted& wanted) {
   for (const auto& [model, most] : wanted) {
     if (this->sizeOf(model) <= kSpareFactor * most) continue;
     std::vector<std::pair<WeightVersion, EngineId>> held;
@@ -68,7 +68,7 @@
   }
 }
 
-ModelName EngineAssignment::neediest(const EnginesWanted& wanted) const {
+ModelName engine_assignment::neediest(const engines_wanted& wanted) const {
   ModelName found;
   for (const auto& [model, most] : wanted) {
     if (this->sizeOf(model) >= most) continue;
@@ -77,7 +77,7 @@
   return found;
 }
 
-ModelName EngineAssignment::largest(const EnginesWanted& wanted) const {
+ModelName engine_assignment::largest(const engines_wanted& wanted) const {
   return std::max_element(wanted.begin(), wanted.end(),
                           [this](const auto& one, const auto& other) {
                             return this->sizeOf(one.first) < this->sizeOf(other.first);
@@ -85,16 +85,16 @@
       ->first;
 }
 
-bool EngineAssignment::hasEnoughIn(const ZoneName& zone, const ModelName& model,
-                                   std::size_t wanted) const {
+bool engine_assignment::hasEnoughIn(const ZoneName& zone, const ModelName& model,
+                                    std::size_t wanted) const {
   const auto zones = this->by_zone_.find(model);
   if (zones == this->by_zone_.end()) return false;
   const auto there = zones->second.find(zone);
   return there != zones->second.end() && there->second * this->all_zones_.size() >= wanted;
 }
 
-void EngineAssignment::adopt(const engines::EngineList& engines, const EnginesWanted& wanted,
-                             const std::map<ModelName, WeightVersion>& named) {
+void engine_assignment::adopt(const engines::EngineList& engines, const engines_wanted& wanted,
+                              const std::map<ModelName, WeightVersion>& named) {
   if (this->adopted_) return;
   this->adopted_ = true;
   for (const auto& [id, engine] : engines) {
@@ -114,7 +114,8 @@
   }
 }
 
-void EngineAssignment::assignFree(const engines::EngineList& engines, const EnginesWanted& wanted) {
+void engine_assignment::assignFree(const engines::EngineList& engines,
+                                   const engines_wanted& wanted) {
   ModelName model = this->neediest(wanted);
   auto at = engines.lower_bound(this->next_);
   // The first time round each model's engines are spread over the zones, the second time any do.
@@ -132,7 +133,7 @@
   }
 }
 
-void EngineAssignment::balance(const engines::EngineList& engines, const EnginesWanted& wanted) {
+void engine_assignment::balance(const engines::EngineList& engines, const engines_wanted& wanted) {
   for (;;) {
     const ModelName to = this->neediest(wanted);
     const ModelName from = this->largest(wanted);
@@ -143,8 +144,8 @@
   }
 }
 
-void EngineAssignment::update(const engines::EngineList& engines, const EnginesWanted& wanted,
-                              const std::map<ModelName, WeightVersion>& named) {
+void engine_assignment::update(const engines::EngineList& engines, const engines_wanted& wanted,
+                               const std::map<ModelName, WeightVersion>& named) {
   this->releaseLost(engines, wanted);
   if (wanted.empty()) return;
   this->releaseSpare(engines, wanted);
--- a/src/gateway/versions/engine_assignment.h
+++ b/src/gateway/versions/engine_assignment.h
@@ -18,7 +18,7 @@
 namespace linenpier::versions {
 
 /** How many engines each model can use. */
-using EnginesWanted = std::map<ModelName, std::size_t>;
+using engines_wanted = std::map<ModelName, std::size_t>;
 
 /** Keeps assignments as far as it can: engines move from model to model only when the models'
  * numbers differ by more than one.
@@ -26,14 +26,14 @@
  * Invariant: an engine is assigned to at most one model; `by_model_`, `by_zone_` and `zones_` say
  * the same as `model_of_`.
  */
-class EngineAssignment {
+class engine_assignment {
  public:
   /** @param engines those of the service that are not draining.
    * @param wanted of the models that need engines now. They get no more, and equal numbers where
    *     there are too few.
    * @param named the newest version of each model.
    */
-  void update(const engines::EngineList& engines, const EnginesWanted& wanted,
+  void update(const engines::EngineList& engines, const engines_wanted& wanted,
               const std::map<ModelName, WeightVersion>& named);
   /** Forgets all; the next update goes on with what the engines hold. */
   void reset();
@@ -49,22 +49,22 @@
   void assign(const engines::EngineState& engine, const ModelName& model);
   void release(const EngineId& engine);
   /** Releases engines that are no longer listed, and those of models that need none. */
-  void releaseLost(const engines::EngineList& engines, const EnginesWanted& wanted);
+  void releaseLost(const engines::EngineList& engines, const engines_wanted& wanted);
   /** Releases what a model has far beyond its use. */
-  void releaseSpare(const engines::EngineList& engines, const EnginesWanted& wanted);
+  void releaseSpare(const engines::EngineList& engines, const engines_wanted& wanted);
   /** Assigns engines to the model whose weights they hold: a new leader goes on where the one
    * before stood.
    */
-  void adopt(const engines::EngineList& engines, const EnginesWanted& wanted,
+  void adopt(const engines::EngineList& engines, const engines_wanted& wanted,
              const std::map<ModelName, WeightVersion>& named);
   /** Assigns free engines, spread over the zones where that is possible. */
-  void assignFree(const engines::EngineList& engines, const EnginesWanted& wanted);
+  void assignFree(const engines::EngineList& engines, const engines_wanted& wanted);
   /** Moves engines from the model with the most to those that have too few. */
-  void balance(const engines::EngineList& engines, const EnginesWanted& wanted);
+  void balance(const engines::EngineList& engines, const engines_wanted& wanted);
   /** @return the model with the fewest engines of those that can use one more; empty: none can. */
-  ModelName neediest(const EnginesWanted& wanted) const;
+  ModelName neediest(const engines_wanted& wanted) const;
   /** @return the model with the most engines; `wanted` must not be empty. */
-  ModelName largest(const EnginesWanted& wanted) const;
+  ModelName largest(const engines_wanted& wanted) const;
   /** @return whether the model has its part of engines in the zone already. */
   bool hasEnoughIn(const ZoneName& zone, const ModelName& model, std::size_t wanted) const;
 
--- a/src/gateway/versions/engine_orders.h
+++ b/src/gateway/versions/engine_orders.h
@@ -11,17 +11,17 @@
 
 namespace linenpier::versions {
 
-class EngineOrders {
+class engine_orders {
  public:
-  virtual ~EngineOrders() = default;
+  virtual ~engine_orders() = default;
 
   /** @param holder name of the leader, as the platform's orders carry it.
    * @param send_by the order is sent until then or not at all.
    */
-  virtual Task<OrderAnswer> send(VersionOrder order, std::string holder, FencingToken token,
+  virtual Task<OrderAnswer> send(version_order order, std::string holder, FencingToken token,
                                  Instant send_by) = 0;
   /** @return nothing if the engine gave no answer. */
-  virtual Task<std::optional<OrderReport>> report(EngineId engine, Address address) = 0;
+  virtual Task<std::optional<order_report>> report(EngineId engine, Address address) = 0;
 };
 
 }  // namespace linenpier::versions
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -19,23 +19,24 @@
 
 }  // namespace
 
-OrderService::Leadership::Leadership(const lease::leader_lock::dependencies& deps,
-                                     const ServiceName& service, const OrderOptions& options)
+order_service::service_leadership::service_leadership(const lease::leader_lock::dependencies& deps,
+                                                      const ServiceName& service,
+                                                      const order_options& options)
     : rollout(options.rollout),
       lock(deps, "order/" + service.str(), table::orderKey(service), options.handover,
            [this](bool) { this->rollout.reset(); }) {}
 
-void OrderService::start() {
+void order_service::start() {
   spawn(this->deps_.loop, [this] { return this->tickLoop(); });
 }
 
-OrderService::Leadership& OrderService::leadershipOf(const ServiceName& service) {
+order_service::service_leadership& order_service::leadershipOf(const ServiceName& service) {
   auto& leadership = this->services_[service];
   if (!leadership) {
     const lease::leader_lock::dependencies deps{this->deps_.loop, this->deps_.table,
                                                 this->deps_.leases, this->deps_.keeper,
                                                 this->deps_.pool};
-    leadership = std::make_unique<Leadership>(deps, service, this->options_);
+    leadership = std::make_unique<service_leadership>(deps, service, this->options_);
     for (const auto& [model, version] : this->named_) {
       leadership->rollout.onNamed(steadyNow(), model, version);
     }
@@ -43,13 +44,13 @@
   return *leadership;
 }
 
-std::size_t OrderService::locksHeld() const {
+std::size_t order_service::locksHeld() const {
   return static_cast<std::size_t>(
       std::count_if(this->services_.begin(), this->services_.end(),
                     [](const auto& each) { return each.second->lock.held(); }));
 }
 
-void OrderService::onNamed(const ModelName& model, WeightVersion version) {
+void order_service::onNamed(const ModelName& model, WeightVersion version) {
   WeightVersion& known = this->named_[model];
   if (version <= known) return;
   known = version;
@@ -61,15 +62,15 @@
   }
 }
 
-void OrderService::onLockRow(const ServiceName& service, const table::Row& row) {
+void order_service::onLockRow(const ServiceName& service, const table::Row& row) {
   this->leadershipOf(service).lock.onRow(row);
 }
 
-void OrderService::onLockGone(const ServiceName& service) {
+void order_service::onLockGone(const ServiceName& service) {
   this->leadershipOf(service).lock.onGone();
 }
 
-Task<void> OrderService::tickLoop() {
+Task<void> order_service::tickLoop() {
   const Instant begun = steadyNow();
   for (;;) {
     const bool started = steadyNow() - begun > kStartupTime;
@@ -83,8 +84,8 @@
   }
 }
 
-void OrderService::tickService(Instant now, const ServiceName& service) {
-  Leadership& leadership = this->leadershipOf(service);
+void order_service::tickService(Instant now, const ServiceName& service) {
+  service_leadership& leadership = this->leadershipOf(service);
   leadership.lock.onTick(now, this->table_read_);
   if (!leadership.lock.mayAct(now)) return;
   const engines::EngineList& engines = this->deps_.registry.ofService(service);
@@ -92,7 +93,7 @@
   for (const auto& [model, version] : this->named_) work.try_emplace(model);
   std::set<EngineId> awaited;
   if (this->deps_.awaited) awaited = this->deps_.awaited(now);
-  for (VersionOrder& order : leadership.rollout.onTick(now, engines, work, awaited)) {
+  for (version_order& order : leadership.rollout.onTick(now, engines, work, awaited)) {
     spawn(this->deps_.loop, [this, service, order] { return this->sendOrder(service, order); });
   }
   for (const engines::EngineState* engine : leadership.rollout.reportsWanted()) {
@@ -104,14 +105,14 @@
   }
 }
 
-Task<void> OrderService::askReport(ServiceName service, EngineId engine, Address address) {
+Task<void> order_service::askReport(ServiceName service, EngineId engine, Address address) {
   const auto report = co_await this->deps_.orders.report(engine, address);
   // An engine without an answer is asked again after the report interval.
   if (report) this->leadershipOf(service).rollout.onReport(steadyNow(), engine, *report);
 }
 
-Task<void> OrderService::sendOrder(ServiceName service, VersionOrder order) {
-  Leadership& leadership = this->leadershipOf(service);
+Task<void> order_service::sendOrder(ServiceName service, version_order order) {
+  service_leadership& leadership = this->leadershipOf(service);
   const Instant send_by = leadership.lock.mayActUntil();
   if (!leadership.lock.mayAct(steadyNow()) || this->stopping_) {
     leadership.rollout.onAnswer(steadyNow(), order, OrderAnswer::kBusy);
@@ -135,7 +136,7 @@
       .text("outcome", toText(answer));
 }
 
-Task<void> OrderService::handOver() {
+Task<void> order_service::handOver() {
   this->stopping_ = true;
   for (auto& [service, leadership] : this->services_) {
     co_await leadership->lock.handOver();
--- a/src/gateway/versions/order_service.h
+++ b/src/gateway/versions/order_service.h
@@ -15,40 +15,40 @@
 
 namespace linenpier::versions {
 
-struct OrderOptions {
+struct order_options {
   lease::handover_rules handover;
-  RolloutOptions rollout;
+  rollout_options rollout;
 };
 
-struct OrderCounts {
+struct order_counts {
   std::uint64_t sent = 0;
   std::uint64_t under_way = 0;
   std::uint64_t unanswered = 0;
 };
 
 /** Loop thread only. Lives as long as the loop runs. */
-class OrderService {
+class order_service {
  public:
-  struct Dependencies {
+  struct dependencies {
     boost::asio::io_context& loop;
     engines::EngineRegistry& registry;
     table::AsyncTable& table;
     lease::lease_table& leases;
     lease::lease_keeper& keeper;
     const lease::owner_pool& pool;
-    EngineOrders& orders;
+    engine_orders& orders;
     std::function<routing::RouteTablePtr()> routes;
     std::function<open_work_by_model()> open_work;  ///< Of jobs under way.
     std::string holder;                             ///< Name of this daemon in orders.
     /// Engines with a run that a step waits for. Not set: none is known.
     std::function<std::set<EngineId>(Instant now)> awaited;
   };
-  OrderService(Dependencies dependencies, OrderOptions options)
-      : deps_(std::move(dependencies)), options_(options) {}
+  order_service(dependencies deps, order_options options)
+      : deps_(std::move(deps)), options_(options) {}
 
   void start();
   /** Services that were seen before go on under the options of before. */
-  void setOptions(const OrderOptions& options) { this->options_ = options; }
+  void setOptions(const order_options& options) { this->options_ = options; }
   /** A version was named as the newest of its model. */
   void onNamed(const ModelName& model, WeightVersion version);
   /** The row of a service's lock, as the feed shows it. */
@@ -60,29 +60,29 @@
   std::size_t locksHeld() const;
   /** Gives up every lock. */
   Task<void> handOver();
-  const OrderCounts& counts() const { return this->counts_; }
+  const order_counts& counts() const { return this->counts_; }
 
  private:
   /** A service's lock, and what its leader knows. */
-  struct Leadership {
-    Leadership(const lease::leader_lock::dependencies& deps, const ServiceName& service,
-               const OrderOptions& options);
+  struct service_leadership {
+    service_leadership(const lease::leader_lock::dependencies& deps, const ServiceName& service,
+                       const order_options& options);
 
-    VersionRollout rollout;
+    version_rollout rollout;
     lease::leader_lock lock;
   };
-  Leadership& leadershipOf(const ServiceName& service);
+  service_leadership& leadershipOf(const ServiceName& service);
   Task<void> tickLoop();
   void tickService(Instant now, const ServiceName& service);
   Task<void> askReport(ServiceName service, EngineId engine, Address address);
-  Task<void> sendOrder(ServiceName service, VersionOrder order);
+  Task<void> sendOrder(ServiceName service, version_order order);
 
-  Dependencies deps_;
-  OrderOptions options_;
+  dependencies deps_;
+  order_options options_;
   /// Entries stay for good: tasks under way refer to them.
-  std::map<ServiceName, std::unique_ptr<Leadership>> services_;
+  std::map<ServiceName, std::unique_ptr<service_leadership>> services_;
   std::map<ModelName, WeightVersion> named_;
-  OrderCounts counts_;
+  order_counts counts_;
   bool table_read_ = false;  ///< Whether a lock that is not known has no row.
   bool stopping_ = false;
 };
--- a/src/gateway/versions/version_order.h
+++ b/src/gateway/versions/version_order.h
@@ -21,7 +21,7 @@
 };
 
 /** That an engine shall load a version. */
-struct VersionOrder {
+struct version_order {
   EngineId engine;
   engines::EngineStart start = 0;  ///< The order is meant for this start of the engine.
   Address address;
@@ -44,7 +44,7 @@
 };
 
 /** What an engine reports of itself; a little old when it arrives. */
-struct OrderReport {
+struct order_report {
   engines::EngineStart start = 0;
   std::uint64_t taken = 0;  ///< Orders it has taken since its start.
   bool busy = false;        ///< One of them is under way.
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -18,41 +18,41 @@
 
 // --- Versions and reports -----------------------------------------------------------------------
 
-void VersionRollout::onNamed(Instant now, const ModelName& model, WeightVersion version) {
+void version_rollout::onNamed(Instant now, const ModelName& model, WeightVersion version) {
   WeightVersion& known = this->named_[model];
   if (version <= known) return;
   known = version;
   this->named_at_[model] = now;
 }
 
-WeightVersion VersionRollout::named(const ModelName& model) const {
+WeightVersion version_rollout::named(const ModelName& model) const {
   const auto at = this->named_.find(model);
   return at == this->named_.end() ? 0 : at->second;
 }
 
-bool VersionRollout::isNew(Instant now, const ModelName& model) const {
+bool version_rollout::isNew(Instant now, const ModelName& model) const {
   const auto named_at = this->named_at_.find(model);
   return named_at != this->named_at_.end() && now - named_at->second < this->options_.busy_timeout;
 }
 
-bool VersionRollout::isSettled(Instant now, const ModelName& model) const {
+bool version_rollout::isSettled(Instant now, const ModelName& model) const {
   const auto named_at = this->named_at_.find(model);
   return named_at != this->named_at_.end() && now - named_at->second >= this->options_.settled;
 }
 
-void VersionRollout::reset() {
+void version_rollout::reset() {
   this->progress_.clear();
   this->assignment_.reset();
 }
 
-void VersionRollout::onReportAsked(Instant now, const EngineId& engine) {
+void version_rollout::onReportAsked(Instant now, const EngineId& engine) {
   this->progress_[engine].asked_at = now;
 }
 
-void VersionRollout::onReport(Instant now, const EngineId& engine, const OrderReport& report) {
-  Progress& progress = this->progress_[engine];
+void version_rollout::onReport(Instant now, const EngineId& engine, const order_report& report) {
+  engine_progress& progress = this->progress_[engine];
   if (engines::startedBefore(report.start, progress.start)) return;
-  if (engines::startedBefore(progress.start, report.start)) progress = Progress{};
+  if (engines::startedBefore(progress.start, report.start)) progress = engine_progress{};
   if (report.start != 0) progress.start = report.start;
   progress.reported_at = now;
   progress.load = report.load;
@@ -63,8 +63,8 @@
   }
 }
 
-void VersionRollout::onAnswer(Instant now, const VersionOrder& order, OrderAnswer answer) {
-  Progress& progress = this->progress_[order.engine];
+void version_rollout::onAnswer(Instant now, const version_order& order, OrderAnswer answer) {
+  engine_progress& progress = this->progress_[order.engine];
   // The engine has started again since: what its earlier start answered says nothing of this one.
   if (engines::startedBefore(order.start, progress.start)) return;
   progress.sending = false;
@@ -97,20 +97,20 @@
 
 // --- A tick -------------------------------------------------------------------------------------
 
-std::vector<VersionOrder> VersionRollout::onTick(Instant now, const engines::EngineList& engines,
-                                                 const open_work_by_model& work,
-                                                 const std::set<EngineId>& awaited) {
+std::vector<version_order> version_rollout::onTick(Instant now, const engines::EngineList& engines,
+                                                   const open_work_by_model& work,
+                                                   const std::set<EngineId>& awaited) {
   this->noteWork(now, work);
   this->assignment_.update(engines, this->enginesWanted(now, engines, work), this->named_);
   this->dropIdleProgress(now);
   const std::size_t loading = this->loadingCount(now);
-  std::vector<Candidate> candidates = this->findCandidates(now, engines, awaited);
+  std::vector<load_candidate> candidates = this->findCandidates(now, engines, awaited);
   this->chooseCandidates(now, engines, candidates);
   this->findReportsWanted(now, candidates);
   return this->orderCandidates(now, engines, candidates, loading);
 }
 
-void VersionRollout::noteWork(Instant now, const open_work_by_model& work) {
+void version_rollout::noteWork(Instant now, const open_work_by_model& work) {
   for (const auto& [model, open] : work) {
     if (open.single_version) this->single_version_.insert(model);
     if (!open.single_version && open.items > 0) this->single_version_.erase(model);
@@ -118,9 +118,9 @@
   this->demand_.onOpenWork(now, work);
 }
 
-EnginesWanted VersionRollout::enginesWanted(Instant now, const engines::EngineList& engines,
-                                            const open_work_by_model& work) const {
-  EnginesWanted wanted;
+engines_wanted version_rollout::enginesWanted(Instant now, const engines::EngineList& engines,
+                                              const open_work_by_model& work) const {
+  engines_wanted wanted;
   const std::uint32_t slots = engines.empty() ? 1 : engines.begin()->second->record.slots;
   for (const auto& [model, open] : work) {
     wanted[model] =
@@ -129,14 +129,14 @@
   return wanted;
 }
 
-VersionRollout::Progress& VersionRollout::progressOf(const engines::EngineState& engine) {
-  Progress& progress = this->progress_[engine.record.id];
-  if (engines::startedBefore(progress.start, engine.record.start)) progress = Progress{};
+version_rollout::engine_progress& version_rollout::progressOf(const engines::EngineState& engine) {
+  engine_progress& progress = this->progress_[engine.record.id];
+  if (engines::startedBefore(progress.start, engine.record.start)) progress = engine_progress{};
   if (progress.start == 0) progress.start = engine.record.start;
   return progress;
 }
 
-void VersionRollout::dropIdleProgress(Instant now) {
+void version_rollout::dropIdleProgress(Instant now) {
   std::erase_if(this->progress_, [&](const auto& each) {
     return !each.second.changing(now) && !this->assignment_.all().contains(each.first);
   });
@@ -144,8 +144,8 @@
 
 // --- Which engines ------------------------------------------------------------------------------
 
-bool VersionRollout::isBehind(Instant now, const engines::EngineState& engine,
-                              const ModelName& model) const {
+bool version_rollout::isBehind(Instant now, const engines::EngineState& engine,
+                               const ModelName& model) const {
   const WeightVersion wanted = this->named(model);
   const auto at = this->progress_.find(engine.record.id);
   if (at != this->progress_.end()) {
@@ -159,23 +159,23 @@
   return engine.versionOf(model) < wanted;
 }
 
-VersionRollout::Urgency VersionRollout::urgencyOf(Instant now, const engines::EngineState& engine,
-                                                  const ModelName& model) const {
+version_rollout::Urgency version_rollout::urgencyOf(Instant now, const engines::EngineState& engine,
+                                                    const ModelName& model) const {
   if (!servesNewestStep(engine.versionOf(model), this->named(model))) return Urgency::kObsolete;
-  const Progress& progress = this->progress_.at(engine.record.id);
+  const engine_progress& progress = this->progress_.at(engine.record.id);
   const double load = std::max(progress.load, engine.in_flight);
   if (load <= this->options_.quiet_share * engine.record.slots) return Urgency::kDue;
   if (this->single_version_.contains(model)) return Urgency::kBusy;
   return this->isNew(now, model) ? Urgency::kBusy : Urgency::kDue;
 }
 
-std::vector<VersionRollout::Candidate> VersionRollout::findCandidates(
+std::vector<version_rollout::load_candidate> version_rollout::findCandidates(
     Instant now, const engines::EngineList& engines, const std::set<EngineId>& awaited) {
-  std::vector<Candidate> candidates;
+  std::vector<load_candidate> candidates;
   std::map<ModelName, std::size_t> left_alone;
   for (const auto& [id, model] : this->assignment_.all()) {
     const engines::EngineState& engine = *engines.at(id);
-    const Progress& progress = this->progressOf(engine);
+    const engine_progress& progress = this->progressOf(engine);
     if (progress.changing(now) || now < progress.not_before) continue;
     if (!this->isBehind(now, engine, model)) continue;
     if (awaited.contains(id) && this->isNew(now, model) &&
@@ -189,15 +189,16 @@
   return candidates;
 }
 
-void VersionRollout::chooseCandidates(Instant now, const engines::EngineList& engines,
-                                      std::vector<Candidate>& candidates) const {
-  std::sort(candidates.begin(), candidates.end(), [](const Candidate& one, const Candidate& other) {
-    if (one.urgency != other.urgency) return one.urgency < other.urgency;
-    if (one.load != other.load) return one.load < other.load;
-    return one.engine->record.id < other.engine->record.id;
-  });
+void version_rollout::chooseCandidates(Instant now, const engines::EngineList& engines,
+                                       std::vector<load_candidate>& candidates) const {
+  std::sort(candidates.begin(), candidates.end(),
+            [](const load_candidate& one, const load_candidate& other) {
+              if (one.urgency != other.urgency) return one.urgency < other.urgency;
+              if (one.load != other.load) return one.load < other.load;
+              return one.engine->record.id < other.engine->record.id;
+            });
   std::map<ModelName, std::size_t> missing = this->enginesMissing(now, engines);
-  std::erase_if(candidates, [&missing](const Candidate& candidate) {
+  std::erase_if(candidates, [&missing](const load_candidate& candidate) {
     std::size_t& left = missing[candidate.model];
     if (left == 0) return true;
     --left;
@@ -205,7 +206,7 @@
   });
 }
 
-std::map<ModelName, std::size_t> VersionRollout::enginesMissing(
+std::map<ModelName, std::size_t> version_rollout::enginesMissing(
     Instant now, const engines::EngineList& engines) const {
   std::map<ModelName, std::size_t> missing;
   for (const auto& [model, named_at] : this->named_at_) {
@@ -225,11 +226,12 @@
   return missing;
 }
 
-void VersionRollout::findReportsWanted(Instant now, const std::vector<Candidate>& candidates) {
+void version_rollout::findReportsWanted(Instant now,
+                                        const std::vector<load_candidate>& candidates) {
   this->reports_wanted_.clear();
-  for (const Candidate& candidate : candidates) {
+  for (const load_candidate& candidate : candidates) {
     if (this->reports_wanted_.size() >= this->options_.reports_at_once) return;
-    const Progress& progress = this->progress_.at(candidate.engine->record.id);
+    const engine_progress& progress = this->progress_.at(candidate.engine->record.id);
     const bool fresh = now - progress.reported_at < this->options_.report_interval;
     const bool asked = now - progress.asked_at < this->options_.report_interval;
     if (!fresh && !asked) this->reports_wanted_.push_back(candidate.engine);
@@ -238,18 +240,18 @@
 
 // --- How many, and how --------------------------------------------------------------------------
 
-std::size_t VersionRollout::atOnce(std::size_t engines) const {
+std::size_t version_rollout::atOnce(std::size_t engines) const {
   const double share = this->options_.at_once_share * static_cast<double>(engines);
   return std::max(this->options_.at_once, static_cast<std::size_t>(std::lround(share)));
 }
 
-std::size_t VersionRollout::loadingCount(Instant now) const {
+std::size_t version_rollout::loadingCount(Instant now) const {
   return static_cast<std::size_t>(
       std::count_if(this->progress_.begin(), this->progress_.end(),
                     [now](const auto& each) { return each.second.changing(now); }));
 }
 
-std::map<ModelName, std::size_t> VersionRollout::loadingByModel(Instant now) const {
+std::map<ModelName, std::size_t> version_rollout::loadingByModel(Instant now) const {
   std::map<ModelName, std::size_t> counts;
   for (const auto& [id, progress] : this->progress_) {
     if (progress.changing(now)) ++counts[progress.model];
@@ -257,8 +259,9 @@
   return counts;
 }
 
-LoadMode VersionRollout::modeFor(Instant now, const engines::EngineState& engine,
-                                 const ModelName& model, const engines::EngineList& engines) const {
+LoadMode version_rollout::modeFor(Instant now, const engines::EngineState& engine,
+                                  const ModelName& model,
+                                  const engines::EngineList& engines) const {
   if (this->options_.mode) return *this->options_.mode;
   // A text that one version must make would be lost with its engine's version.
   if (this->single_version_.contains(model)) return LoadMode::kWait;
@@ -279,10 +282,10 @@
   return displaced <= room ? LoadMode::kCancel : LoadMode::kRetain;
 }
 
-VersionOrder VersionRollout::orderFor(Instant now, const Candidate& candidate,
-                                      const Progress& progress,
-                                      const engines::EngineList& engines) const {
-  VersionOrder order;
+version_order version_rollout::orderFor(Instant now, const load_candidate& candidate,
+                                        const engine_progress& progress,
+                                        const engines::EngineList& engines) const {
+  version_order order;
   order.engine = candidate.engine->record.id;
   order.start = progress.start;
   order.address = candidate.engine->record.address;
@@ -293,20 +296,19 @@
   return order;
 }
 
-std::vector<VersionOrder> VersionRollout::orderCandidates(Instant now,
-                                                          const engines::EngineList& engines,
-                                                          const std::vector<Candidate>& candidates,
-                                                          std::size_t loading) {
-  std::vector<VersionOrder> orders;
+std::vector<version_order> version_rollout::orderCandidates(
+    Instant now, const engines::EngineList& engines, const std::vector<load_candidate>& candidates,
+    std::size_t loading) {
+  std::vector<version_order> orders;
   std::map<ModelName, std::size_t> changing = this->loadingByModel(now);
-  for (const Candidate& candidate : candidates) {
+  for (const load_candidate& candidate : candidates) {
     if (loading + orders.size() >= this->atOnce(engines.size())) break;
     if (candidate.urgency == Urgency::kBusy) break;
     const ModelName& model = candidate.model;
     const std::size_t most =
         std::max<std::size_t>(1, this->assignment_.sizeOf(model) / kLoadingOneIn);
     if (candidate.urgency != Urgency::kObsolete && changing[model] >= most) continue;
-    Progress& progress = this->progress_[candidate.engine->record.id];
+    engine_progress& progress = this->progress_[candidate.engine->record.id];
     if (!progress.sequence) continue;
     orders.push_back(this->orderFor(now, candidate, progress, engines));
     progress.sending = true;
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -22,7 +22,7 @@
 
 namespace linenpier::versions {
 
-struct RolloutOptions {
+struct rollout_options {
   /// Empty: runs are reset where the model's other engines have room for them, since they go on
   /// elsewhere from what they have; else they are retained, and stand still while the engine loads.
   /// Texts that one version must make end first. Set: always this mode.
@@ -53,9 +53,9 @@
 };
 
 /** Loop thread only. */
-class VersionRollout {
+class version_rollout {
  public:
-  explicit VersionRollout(RolloutOptions options) : options_(options), demand_(options.demand) {}
+  explicit version_rollout(rollout_options options) : options_(options), demand_(options.demand) {}
 
   /** A version was named as the newest of its model. Older ones than that known are ignored. */
   void onNamed(Instant now, const ModelName& model, WeightVersion version);
@@ -66,22 +66,22 @@
    *     is new, up to a third of each model's engines.
    * @return the orders to send now. Each counts as being sent until it is answered.
    */
-  std::vector<VersionOrder> onTick(Instant now, const engines::EngineList& engines,
-                                   const open_work_by_model& work,
-                                   const std::set<EngineId>& awaited = {});
-  void onAnswer(Instant now, const VersionOrder& order, OrderAnswer answer);
+  std::vector<version_order> onTick(Instant now, const engines::EngineList& engines,
+                                    const open_work_by_model& work,
+                                    const std::set<EngineId>& awaited = {});
+  void onAnswer(Instant now, const version_order& order, OrderAnswer answer);
   /** @return the engines to ask for a report, as of the last tick. */
   const std::vector<const engines::EngineState*>& reportsWanted() const {
     return this->reports_wanted_;
   }
   void onReportAsked(Instant now, const EngineId& engine);
-  void onReport(Instant now, const EngineId& engine, const OrderReport& report);
+  void onReport(Instant now, const EngineId& engine, const order_report& report);
   /** The lock was acquired or lost: what engines have taken must be asked again. */
   void reset();
 
  private:
   /** What is known of one start of an engine; a later start has taken no orders. */
-  struct Progress {
+  struct engine_progress {
     engines::EngineStart start = 0;
     bool sending = false;     ///< An order is on its way.
     ModelName model;          ///< Of the order sent last.
@@ -104,7 +104,7 @@
     kBusy,      ///< It has work that would have to go elsewhere: not yet.
   };
   /** An engine that is behind. */
-  struct Candidate {
+  struct load_candidate {
     const engines::EngineState* engine = nullptr;
     ModelName model;
     Urgency urgency = Urgency::kBusy;
@@ -119,24 +119,24 @@
   bool isBehind(Instant now, const engines::EngineState& engine, const ModelName& model) const;
 
   void noteWork(Instant now, const open_work_by_model& work);
-  EnginesWanted enginesWanted(Instant now, const engines::EngineList& engines,
-                              const open_work_by_model& work) const;
+  engines_wanted enginesWanted(Instant now, const engines::EngineList& engines,
+                               const open_work_by_model& work) const;
   /** @return what is known of the engine's present start. */
-  Progress& progressOf(const engines::EngineState& engine);
+  engine_progress& progressOf(const engines::EngineState& engine);
   void dropIdleProgress(Instant now);
 
   /** @return the engines that are behind and may be ordered now. */
-  std::vector<Candidate> findCandidates(Instant now, const engines::EngineList& engines,
-                                        const std::set<EngineId>& awaited);
+  std::vector<load_candidate> findCandidates(Instant now, const engines::EngineList& engines,
+                                             const std::set<EngineId>& awaited);
   /** Sorts candidates by urgency, load and id, and drops those that no model needs. */
   void chooseCandidates(Instant now, const engines::EngineList& engines,
-                        std::vector<Candidate>& candidates) const;
+                        std::vector<load_candidate>& candidates) const;
   Urgency urgencyOf(Instant now, const engines::EngineState& engine, const ModelName& model) const;
   /** @return how many more engines each model's newest version should come to soon. */
   std::map<ModelName, std::size_t> enginesMissing(Instant now,
                                                   const engines::EngineList& engines) const;
   /** Chooses whom to ask for reports: those that would be changed first. */
-  void findReportsWanted(Instant now, const std::vector<Candidate>& candidates);
+  void findReportsWanted(Instant now, const std::vector<load_candidate>& candidates);
 
   std::size_t loadingCount(Instant now) const;
   std::map<ModelName, std::size_t> loadingByModel(Instant now) const;
@@ -144,20 +144,20 @@
   std::size_t atOnce(std::size_t engines) const;
   LoadMode modeFor(Instant now, const engines::EngineState& engine, const ModelName& model,
                    const engines::EngineList& engines) const;
-  VersionOrder orderFor(Instant now, const Candidate& candidate, const Progress& progress,
-                        const engines::EngineList& engines) const;
+  version_order orderFor(Instant now, const load_candidate& candidate,
+                         const engine_progress& progress, const engines::EngineList& engines) const;
   /** @param loading engines that load already. @return orders to the first candidates. */
-  std::vector<VersionOrder> orderCandidates(Instant now, const engines::EngineList& engines,
-                                            const std::vector<Candidate>& candidates,
-                                            std::size_t loading);
+  std::vector<version_order> orderCandidates(Instant now, const engines::EngineList& engines,
+                                             const std::vector<load_candidate>& candidates,
+                                             std::size_t loading);
 
-  RolloutOptions options_;
-  EngineAssignment assignment_;
+  rollout_options options_;
+  engine_assignment assignment_;
   load_demand demand_;
   std::set<ModelName> single_version_;  ///< Models whose texts must each come from one version.
   std::map<ModelName, WeightVersion> named_;
   std::map<ModelName, Instant> named_at_;
-  std::map<EngineId, Progress> progress_;
+  std::map<EngineId, engine_progress> progress_;
   std::vector<const engines::EngineState*> reports_wanted_;  ///< As of the last tick.
 };
 
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -6,8 +6,8 @@
 using engines::EngineState;
 using versions::LoadMode;
 using versions::OrderAnswer;
-using versions::VersionOrder;
-using versions::VersionRollout;
+using versions::version_order;
+using versions::version_rollout;
 
 namespace {
 
@@ -19,7 +19,7 @@
 /// Engines of one service as the leader of its lock sees them.
 struct Fixture {
   std::vector<EngineState> states;
-  VersionRollout rollout{{}};
+  version_rollout rollout{{}};
 
   explicit Fixture(int count, WeightVersion version = 1) {
     for (int i = 0; i < count; ++i) {
@@ -36,9 +36,9 @@
     for (const EngineState& state : states) engines[state.record.id] = &state;
     return engines;
   }
-  std::vector<VersionOrder> tick(Instant now, const std::set<ModelName>& models = {kModel},
-                                 std::size_t open_items = 1000, bool single_version = false,
-                                 const std::set<EngineId>& awaited = {}) {
+  std::vector<version_order> tick(Instant now, const std::set<ModelName>& models = {kModel},
+                                  std::size_t open_items = 1000, bool single_version = false,
+                                  const std::set<EngineId>& awaited = {}) {
     versions::open_work_by_model work;
     for (const ModelName& model : models) work[model] = {open_items, single_version};
     return rollout.onTick(now, list(), work, awaited);
@@ -75,7 +75,7 @@
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.reportAll(kStart, 4);
   cr_assert(fixture.tick(kStart).empty());
-  const Instant later = kStart + versions::RolloutOptions{}.busy_timeout;
+  const Instant later = kStart + versions::rollout_options{}.busy_timeout;
   fixture.reportAll(later - kMoment, 4);
   cr_assert(fixture.tick(later - kMoment).empty(), "still new");
   fixture.reportAll(later, 4);
@@ -97,7 +97,7 @@
   Fixture fixture(1);
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.reportAll(kStart);
-  const VersionOrder first = fixture.tick(kStart).at(0);
+  const version_order first = fixture.tick(kStart).at(0);
   fixture.rollout.onAnswer(kStart, first, OrderAnswer::kUnknown);
   cr_assert(fixture.tick(kStart).empty());
   const auto again = fixture.tick(kStart + std::chrono::seconds(1));
@@ -109,7 +109,7 @@
   Fixture fixture(1);
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.reportAll(kStart);
-  const VersionOrder order = fixture.tick(kStart).at(0);
+  const version_order order = fixture.tick(kStart).at(0);
   fixture.rollout.onAnswer(kStart, order, OrderAnswer::kUnderWay);
   cr_assert(fixture.tick(kStart + std::chrono::seconds(2)).empty());
   cr_assert_eq(fixture.tick(kStart + std::chrono::seconds(5)).size(), 1U,
@@ -128,9 +128,9 @@
 Test(engine_shares, each_model_has_its_engines_and_they_stay) {
   Fixture fixture(9);
   fixture.rollout.onNamed(kStart, kModel, 2);
-  versions::EngineAssignment assignment;
+  versions::engine_assignment assignment;
   engines::EngineList engines = fixture.list();
-  const versions::EnginesWanted all = {{kModel, 9}, {kOtherModel, 9}};
+  const versions::engines_wanted all = {{kModel, 9}, {kOtherModel, 9}};
   assignment.update(engines, all, {});
   cr_assert_eq(assignment.sizeOf(kModel) + assignment.sizeOf(kOtherModel), 9U);
   cr_assert(assignment.sizeOf(kModel) >= 4 && assignment.sizeOf(kModel) <= 5);
@@ -153,7 +153,7 @@
   for (int i = 2; i < 4; ++i) {
     fixture.states[static_cast<std::size_t>(i)].record.models[kOtherModel] = 6;
   }
-  versions::EngineAssignment assignment;
+  versions::engine_assignment assignment;
   assignment.update(fixture.list(), {{kModel, 4}, {kOtherModel, 4}},
                     {{kModel, 7}, {kOtherModel, 6}});
   cr_assert(assignment.enginesFor(kModel).contains(EngineId("e0")));
@@ -211,7 +211,7 @@
   fixture.reportAll(kStart, 4);
   const auto orders = fixture.tick(kStart, {kModel}, 1000, true);
   cr_assert_eq(orders.size(), 2U, "they are of no use to the newest step");
-  for (const VersionOrder& order : orders) cr_assert(order.mode == LoadMode::kWait);
+  for (const version_order& order : orders) cr_assert(order.mode == LoadMode::kWait);
 }
 
 Test(version_rollout, an_engine_that_a_step_waits_for_is_left_alone_while_the_version_is_new) {
@@ -221,9 +221,9 @@
   const std::set<EngineId> awaited = {EngineId("e0")};
   Instant now = kStart;
   std::set<EngineId> changed;
-  for (; now < kStart + versions::RolloutOptions{}.busy_timeout; now += std::chrono::seconds(1)) {
+  for (; now < kStart + versions::rollout_options{}.busy_timeout; now += std::chrono::seconds(1)) {
     fixture.reportAll(now, 1);
-    for (const VersionOrder& order : fixture.tick(now, {kModel}, 1000, false, awaited)) {
+    for (const version_order& order : fixture.tick(now, {kModel}, 1000, false, awaited)) {
       fixture.rollout.onAnswer(now, order, OrderAnswer::kInForce);
       changed.insert(order.engine);
     }
@@ -259,7 +259,7 @@
 Test(engine_shares, models_are_dealt_as_many_engines_as_they_use_in_a_service_of_any_size) {
   for (const int size : {500, 1000, 10000}) {
     Fixture fixture(size);
-    versions::EngineAssignment assignment;
+    versions::engine_assignment assignment;
     assignment.update(fixture.list(), {{kModel, 120}, {kOtherModel, 72}}, {});
     cr_assert_eq(assignment.sizeOf(kModel), 120U);
     cr_assert_eq(assignment.all().size(), 192U, "%zu of %d", assignment.all().size(), size);
@@ -271,7 +271,7 @@
   for (std::size_t i = 0; i < fixture.states.size(); ++i) {
     fixture.states[i].record.zone = ZoneName("z" + std::to_string(i / 200));
   }
-  versions::EngineAssignment assignment;
+  versions::engine_assignment assignment;
   assignment.update(fixture.list(), {{kModel, 60}}, {});
   std::map<ZoneName, int> zones;
   for (const EngineState& state : fixture.states) {
@@ -282,7 +282,7 @@
 
 Test(engine_shares, engines_that_are_lost_are_replaced_and_a_spare_is_given_back) {
   Fixture fixture(500);
-  versions::EngineAssignment assignment;
+  versions::engine_assignment assignment;
   engines::EngineList engines = fixture.list();
   assignment.update(engines, {{kModel, 60}}, {});
   const std::set<EngineId> before = assignment.enginesFor(kModel);
@@ -304,7 +304,7 @@
     std::size_t questions = 0;
     // Shorter than discovery may take to show a load.
     for (Instant now = kStart; now < kStart + std::chrono::seconds(3); now += 6 * kMoment) {
-      for (const VersionOrder& order : fixture.tick(now, {kModel}, 200)) {
+      for (const version_order& order : fixture.tick(now, {kModel}, 200)) {
         ++ordered;
         fixture.rollout.onAnswer(now, order, OrderAnswer::kUnderWay);
       }
@@ -329,7 +329,7 @@
   fixture.states[0].record.start = 1000;
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.rollout.onReport(kStart, EngineId("e0"), {1000, 7, false, 0});
-  const VersionOrder order = fixture.tick(kStart).at(0);
+  const version_order order = fixture.tick(kStart).at(0);
   cr_assert_eq(*order.expected_sequence, 7U);
   fixture.states[0].record.start = 2000;
   cr_assert(fixture.tick(kStart + kMoment).empty(), "its sequence is not known");
