--- /dev/null
+++ b/src/gateway/scaling/count_targets.cpp
@@ -0,0 +1,137 @@
+#include "gateway/scaling/count_targets.h"
+
+#include <algorithm>
+#include <cmath>
+#include <tuple>
+
+namespace linenpier::scaling {
+
+namespace {
+
+std::size_t sumOf(const fleet::group_counts& counts) {
+  std::size_t sum = 0;
+  for (const auto& [group, count] : counts) sum += count;
+  return sum;
+}
+
+/** @return the baseline of the groups that can have it, and how many engines that leaves missing.
+ */
+count_targets reachableBaseline(const target_inputs& inputs) {
+  count_targets targets;
+  for (const ZoneName& zone : zonesOf(inputs.baseline)) {
+    if (inputs.unavailable.contains(zone)) {
+      targets.missing += countInZone(inputs.baseline, zone);
+      continue;
+    }
+    for (const fleet::EngineKind kind : {fleet::EngineKind::kOnDemand, fleet::EngineKind::kSpot}) {
+      const fleet::engine_group group{zone, kind};
+      const std::size_t baseline = countOf(inputs.baseline, group);
+      const std::size_t there = std::min(baseline, inputs.view.of(group).serving);
+      const bool scarce = inputs.scarce.contains(group);
+      targets.wanted[group] = scarce ? there : baseline;
+      if (scarce) targets.missing += baseline - there;
+    }
+  }
+  return targets;
+}
+
+/** Gives up to `count` more engines of the kind to the groups in `wanted`: to those with the fewest
+ * beyond their baseline first, of these to the cheapest.
+ * @return how many found no place.
+ */
+std::size_t addEngines(const target_inputs& inputs, std::size_t count, fleet::EngineKind kind,
+                       fleet::group_counts& wanted) {
+  for (; count > 0; --count) {
+    auto best = wanted.end();
+    std::tuple<std::size_t, double> best_rank;
+    for (auto at = wanted.begin(); at != wanted.end(); ++at) {
+      const fleet::engine_group& group = at->first;
+      if (group.kind != kind || inputs.scarce.contains(group)) continue;
+      if (countInZone(wanted, group.zone) >= inputs.bounds.most) continue;
+      const std::size_t baseline = countOf(inputs.baseline, group);
+      const std::size_t extra = at->second > baseline ? at->second - baseline : 0;
+      const std::tuple<std::size_t, double> rank{extra, inputs.bounds.priceOf(group)};
+      if (best != wanted.end() && best_rank <= rank) continue;
+      best = at;
+      best_rank = rank;
+    }
+    if (best == wanted.end()) return count;
+    ++best->second;
+  }
+  return 0;
+}
+
+/** Takes up to `count` engines from the groups in `wanted`, the dearest first; every zone keeps its
+ * share of the baseline and its lower bound.
+ */
+void removeEngines(const target_inputs& inputs, std::size_t count, fleet::group_counts& wanted) {
+  for (; count > 0; --count) {
+    auto best = wanted.end();
+    for (auto at = wanted.begin(); at != wanted.end(); ++at) {
+      const auto baseline = static_cast<double>(countInZone(inputs.baseline, at->first.zone));
+      const auto kept = static_cast<std::size_t>(std::ceil(baseline * inputs.options.min_share));
+      const std::size_t least = std::max(kept, inputs.bounds.least);
+      if (at->second == 0 || countInZone(wanted, at->first.zone) <= least) continue;
+      const bool dearer = best == wanted.end() ||
+                          inputs.bounds.priceOf(at->first) > inputs.bounds.priceOf(best->first);
+      if (dearer) best = at;
+    }
+    if (best == wanted.end()) return;
+    --best->second;
+  }
+}
+
+/** Moves every zone into its bounds by its engines on demand. */
+void clampToBounds(const fleet::scaling_bounds& bounds, fleet::group_counts& wanted) {
+  for (auto& [group, count] : wanted) {
+    if (group.kind != fleet::EngineKind::kOnDemand) continue;
+    const std::size_t spot = countOf(wanted, {group.zone, fleet::EngineKind::kSpot});
+    if (count + spot < bounds.least) count = bounds.least - spot;
+    if (count + spot > bounds.most) count = bounds.most - std::min(spot, bounds.most);
+  }
+}
+
+}  // namespace
+
+std::size_t countOf(const fleet::group_counts& counts, const fleet::engine_group& group) {
+  const auto at = counts.find(group);
+  return at == counts.end() ? 0 : at->second;
+}
+
+std::size_t countInZone(const fleet::group_counts& counts, const ZoneName& zone) {
+  return countOf(counts, {zone, fleet::EngineKind::kOnDemand}) +
+         countOf(counts, {zone, fleet::EngineKind::kSpot});
+}
+
+std::set<ZoneName> zonesOf(const fleet::group_counts& counts) {
+  std::set<ZoneName> found;
+  for (const auto& [group, count] : counts) found.insert(group.zone);
+  return found;
+}
+
+count_targets computeTargets(const target_inputs& inputs) {
+  count_targets targets = reachableBaseline(inputs);
+  const std::size_t baseline = sumOf(inputs.baseline);
+  std::size_t needed = baseline;
+  if (inputs.options.mode == ScalingMode::kDemand) {
+    needed = inputs.view.engines_for_work.value_or(baseline);
+  }
+  // Where less is needed than the baseline, engines that are missing need not be replaced.
+  std::size_t fewer = baseline - std::min(baseline, needed);
+  const std::size_t not_replaced = std::min(fewer, targets.missing);
+  targets.missing -= not_replaced;
+  fewer -= not_replaced;
+  removeEngines(inputs, fewer, targets.wanted);
+  const std::size_t left =
+      addEngines(inputs, targets.missing, fleet::EngineKind::kOnDemand, targets.wanted);
+  std::size_t more = needed - std::min(baseline, needed) + left;
+  const bool spot_is_cheaper = inputs.bounds.spot_price < 1;
+  if (spot_is_cheaper) {
+    more = addEngines(inputs, more, fleet::EngineKind::kSpot, targets.wanted);
+  }
+  addEngines(inputs, more, fleet::EngineKind::kOnDemand, targets.wanted);
+  clampToBounds(inputs.bounds, targets.wanted);
+  return targets;
+}
+
+}  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Orders to the platform for a number of engines.
+ * Port through which the platform is ordered to run a number of engines.
  */
 
 #include "common/ids.h"
@@ -24,10 +24,10 @@
  public:
   virtual ~scaling_port() = default;
 
-  /** @return kFenced also where there are no such engines to be had now: the platform does not
-   *     tell one from the other.
+  /** @return kFenced also where the platform has no such engines now: it does not tell one from the
+   *     other.
    */
-  virtual Task<usage::DutyAnswer> orderCount(count_order order, usage::leader_proof right) = 0;
+  virtual Task<usage::DutyAnswer> orderCount(count_order order, usage::leader_proof proof) = 0;
 };
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_record.cpp
+++ b/src/gateway/scaling/scaling_record.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr char kDefault[] = "usual";
+constexpr char kBaseline[] = "usual";
 constexpr char kOrdered[] = "ordered";
 constexpr char kZone[] = "zone";
 constexpr char kKind[] = "kind";
@@ -38,12 +38,12 @@
 std::size_t scaling_record::current(const fleet::engine_group& group) const {
   const auto last = this->ordered.find(group);
   if (last != this->ordered.end()) return last->second;
-  const auto found = this->usual.find(group);
-  return found == this->usual.end() ? 0 : found->second;
+  const auto found = this->baseline.find(group);
+  return found == this->baseline.end() ? 0 : found->second;
 }
 
 std::string encodeRecord(const scaling_record& record) {
-  const json document = {{kDefault, encodeCounts(record.usual)},
+  const json document = {{kBaseline, encodeCounts(record.baseline)},
                          {kOrdered, encodeCounts(record.ordered)}};
   return document.dump();
 }
@@ -53,7 +53,7 @@
   if (!document.is_object()) return std::nullopt;
   try {
     scaling_record record;
-    record.usual = decodeCounts(document.at(kDefault));
+    record.baseline = decodeCounts(document.at(kBaseline));
     record.ordered = decodeCounts(document.at(kOrdered));
     return record;
   } catch (const json::exception&) {
--- a/src/gateway/scaling/scaling_record.h
+++ b/src/gateway/scaling/scaling_record.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /** @file
- * What must outlive the daemon that decides on a service's number of engines. A value.
+ * What must outlive the leader that decides on a service's number of engines: a row of the store. A
+ * value.
  */
 
 #include <optional>
@@ -12,12 +13,13 @@
 namespace linenpier::scaling {
 
 struct scaling_record {
-  /** What the service runs with while nothing is missing: what was there without an order. */
-  fleet::group_counts usual;
+  /** Engines that the service runs with while nothing is missing: those that came without an order.
+   */
+  fleet::group_counts baseline;
   /** The last order for each group, written down before it was sent. */
   fleet::group_counts ordered;
 
-  /** @return how many engines the group should have by the last order. */
+  /** @return how many engines the group should have: by the last order, else the baseline. */
   std::size_t current(const fleet::engine_group& group) const;
   bool operator==(const scaling_record&) const = default;
 };
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -10,13 +10,12 @@
 
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
-/// At a daemon that does not hold the right: a look whether nobody does.
-constexpr Duration kIdleTick = std::chrono::milliseconds(500);
-/// Between two looks at the engines: a reclaim leaves some 2.5 s.
-constexpr Duration kLook = std::chrono::milliseconds(200);
-/// After a write without an answer, or rows that could not be read.
-constexpr Duration kRetryPause = std::chrono::milliseconds(300);
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< Of the lock's leader.
+/// At the other daemons: each looks whether the lock is free.
+constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
+/// Between two decisions. Short against the platform's notice of a reclaim.
+constexpr Duration kDecisionInterval = std::chrono::milliseconds(200);
+constexpr Duration kReadBackoff = std::chrono::milliseconds(300);  ///< After rows were not read.
 constexpr char kLockName[] = "scaling";
 
 std::int64_t number(std::size_t count) {
@@ -29,15 +28,15 @@
                                  const lease::handover_rules& handover)
     : deps_(std::move(deps)),
       options_(options),
-      lock_(deps_.right, kLockName, table::lockKey(kLockName), handover, [this](bool) {
-        this->rows_.reset();
+      lock_(deps_.lock, kLockName, table::lockKey(kLockName), handover, [this](bool) {
+        this->records_read_ = false;
         this->services_.clear();
       }) {}
 
 void scaling_service::start() {
   if (this->options_.mode == ScalingMode::kFixed) return;
-  spawn(this->deps_.right.loop, [this] { return this->rightLoop(); });
-  spawn(this->deps_.right.loop, [this] { return this->orderLoop(); });
+  spawn(this->deps_.lock.loop, [this] { return this->lockLoop(); });
+  spawn(this->deps_.lock.loop, [this] { return this->orderLoop(); });
 }
 
 std::map<ServiceName, fleet::group_counts> scaling_service::ordered() const {
@@ -48,9 +47,10 @@
   return found;
 }
 
-Task<void> scaling_service::rightLoop() {
+Task<void> scaling_service::lockLoop() {
   for (;;) {
-    co_await sleepFor(this->deps_.right.loop, this->lock_.held() ? kTick : kIdleTick);
+    co_await sleepFor(this->deps_.lock.loop,
+                      this->lock_.held() ? kTickInterval : kIdleTickInterval);
     const routing::RouteTablePtr routes = this->deps_.routes();
     bool any = false;
     if (routes) {
@@ -62,15 +62,16 @@
 
 Task<void> scaling_service::orderLoop() {
   for (;;) {
-    co_await sleepFor(this->deps_.right.loop, this->lock_.held() ? kLook : kIdleTick);
+    co_await sleepFor(this->deps_.lock.loop,
+                      this->lock_.held() ? kDecisionInterval : kIdleTickInterval);
     const bool settled = this->engineListSettled(steadyNow());
     if (!settled || !this->lock_.mayAct(steadyNow())) continue;
-    co_await this->orderNext();
+    co_await this->decideAll();
   }
 }
 
 bool scaling_service::engineListSettled(Instant now) {
-  if (!this->deps_.engines_followed() || !this->deps_.right.leases.storeHealthy()) {
+  if (!this->deps_.engines_followed() || !this->deps_.lock.leases.storeHealthy()) {
     this->followed_since_ = Instant{};
     return false;
   }
@@ -78,11 +79,11 @@
   return now - this->followed_since_ >= this->options_.settle;
 }
 
-Task<void> scaling_service::orderNext() {
-  if (!this->rows_) {
+Task<void> scaling_service::decideAll() {
+  if (!this->records_read_) {
     const bool known = co_await this->readRecords();
     if (!known) {
-      co_await sleepFor(this->deps_.right.loop, kRetryPause);
+      co_await sleepFor(this->deps_.lock.loop, kReadBackoff);
       co_return;
     }
   }
@@ -90,9 +91,9 @@
   if (!routes) co_return;
   for (const auto& [name, service] : routes->services) {
     if (!service.scaling) continue;
-    const routing::Service attended = service;
-    co_await this->attend(attended);
-    if (!this->rows_) co_return;
+    const routing::Service copy = service;
+    co_await this->decideFor(copy);
+    if (!this->records_read_) co_return;
   }
 }
 
@@ -101,7 +102,7 @@
   table::RowRange range{table::kScalingTable, "", "", 0, Duration::zero()};
   const FencingToken token = this->lock_.token();
   for (;;) {
-    const auto page = co_await this->deps_.right.table.read(range);
+    const auto page = co_await this->deps_.lock.table.read(range);
     if (!page) co_return false;
     for (const table::Row& row : page->rows) {
       rows[ServiceName(row.key.substr(table::kScalingTable.size() + 1))] = row;
@@ -121,11 +122,11 @@
         row.revision, scaling_policy(this->options_, now, record.value_or(scaling_record{})), {}};
     this->services_.emplace(name, std::move(state));
   }
-  this->rows_ = std::move(rows);
+  this->records_read_ = true;
   co_return true;
 }
 
-scaling_view scaling_service::look(const routing::Service& service, work_peak& work) const {
+scaling_view scaling_service::viewOf(const routing::Service& service, work_peak& work) const {
   scaling_view view;
   std::uint32_t slots = 1;
   for (const auto& [id, engine] : this->deps_.registry.all()) {
@@ -152,7 +153,7 @@
   return view;
 }
 
-Task<void> scaling_service::attend(routing::Service service) {
+Task<void> scaling_service::decideFor(routing::Service service) {
   const ServiceName name = service.name;
   const Instant now = steadyNow();
   auto at = this->services_.find(name);
@@ -160,17 +161,11 @@
     service_state fresh{0, scaling_policy(this->options_, now, scaling_record{}), {}};
     at = this->services_.emplace(name, std::move(fresh)).first;
   }
-  const scaling_view view = this->look(service, at->second.work);
+  const scaling_view view = this->viewOf(service, at->second.work);
   const std::vector<count_decision> due = at->second.policy.decide(now, *service.scaling, view);
   const std::optional<scaling_record> learned = at->second.policy.learn(now, view);
   if (learned) {
-    const bool written = co_await this->writeRecord(name, *learned);
-    std::size_t engines = 0;
-    for (const auto& [group, count] : learned->usual) engines += count;
-    LogEvent("scaling", "usual_number")
-        .text("service", name.str())
-        .number("engines", number(engines))
-        .text("outcome", written ? "written" : "not_written");
+    co_await this->writeBaseline(name, *learned);
     co_return;
   }
   if (due.empty()) co_return;
@@ -178,6 +173,16 @@
   co_await this->carryOut(name, std::move(first));
 }
 
+Task<void> scaling_service::writeBaseline(ServiceName name, scaling_record learned) {
+  std::size_t engines = 0;
+  for (const auto& [group, count] : learned.baseline) engines += count;
+  const bool written = co_await this->writeRecord(name, std::move(learned));
+  LogEvent("scaling", "usual_number")
+      .text("service", name.str())
+      .number("engines", number(engines))
+      .text("outcome", written ? "written" : "not_written");
+}
+
 Task<bool> scaling_service::writeRecord(ServiceName name, scaling_record record) {
   const std::string key = table::scalingKey(name);
   const FencingToken token = this->lock_.token();
@@ -185,17 +190,18 @@
   write.transaction.checks.push_back(this->lock_.condition());
   write.transaction.checks.push_back({key, this->services_.at(name).revision});
   write.transaction.puts.push_back({key, encodeRecord(record)});
-  const auto answer = co_await this->deps_.right.table.write(std::move(write));
+  const auto answer = co_await this->deps_.lock.table.write(std::move(write));
   const bool done = answer && answer->committed;
   const auto at = this->services_.find(name);
-  const bool same = this->rows_ && at != this->services_.end() && this->lock_.token() == token;
+  const bool same =
+      this->records_read_ && at != this->services_.end() && this->lock_.token() == token;
   if (!done) {
     LogEvent("scaling", "record_not_written")
         .text("service", name.str())
         .number("token", static_cast<std::int64_t>(token))
         .text("outcome", answer ? "conflict" : "no_answer");
     // Whether it was written is read before anything else is decided.
-    this->rows_.reset();
+    this->records_read_ = false;
     co_return false;
   }
   if (!same) co_return false;
@@ -204,7 +210,7 @@
   co_return true;
 }
 
-Task<bool> scaling_service::quiet(ServiceName name, ZoneName zone) {
+Task<bool> scaling_service::zoneIsQuiet(ServiceName name, ZoneName zone) {
   std::vector<std::pair<EngineId, Address>> engines;
   std::uint32_t slots = 0;
   for (const auto& [id, engine] : this->deps_.registry.all()) {
@@ -215,19 +221,20 @@
   }
   std::uint32_t load = 0;
   for (const auto& [id, address] : engines) {
-    const std::optional<std::uint32_t> told = co_await this->deps_.load(id, address);
-    if (!told) co_return false;
-    load += *told;
+    const std::optional<std::uint32_t> reported = co_await this->deps_.load(id, address);
+    if (!reported) co_return false;
+    load += *reported;
   }
-  co_return load <= slots* this->options_.quiet_share;
+  const double quiet_load = slots * this->options_.quiet_share;
+  co_return load <= quiet_load;
 }
 
 Task<void> scaling_service::carryOut(ServiceName name, count_decision decision) {
   const FencingToken token = this->lock_.token();
   if (decision.takesAway()) {
-    const bool calm = co_await this->quiet(name, decision.group.zone);
-    if (!this->rows_ || this->lock_.token() != token) co_return;
-    if (!calm) {
+    const bool quiet = co_await this->zoneIsQuiet(name, decision.group.zone);
+    if (!this->records_read_ || this->lock_.token() != token) co_return;
+    if (!quiet) {
       this->services_.at(name).policy.onBusy(steadyNow(), decision);
       LogEvent("scaling", "not_quiet")
           .text("service", name.str())
@@ -242,13 +249,17 @@
     const bool written = co_await this->writeRecord(name, changed);
     if (!written) co_return;
   }
+  co_await this->send(name, decision, token);
+}
+
+Task<void> scaling_service::send(ServiceName name, count_decision decision, FencingToken token) {
   const Instant sent_at = steadyNow();
   if (!this->lock_.mayAct(sent_at) || this->lock_.token() != token) co_return;
-  const usage::leader_proof right{this->deps_.holder, token, this->lock_.mayActUntil()};
+  const usage::leader_proof proof{this->deps_.holder, token, this->lock_.mayActUntil()};
   const count_order order{name, decision.group, decision.wanted};
   this->lock_.onActed(sent_at);
   ++this->totals_.sent;
-  const DutyAnswer answer = co_await this->deps_.port.orderCount(order, right);
+  const DutyAnswer answer = co_await this->deps_.port.orderCount(order, proof);
   if (answer == DutyAnswer::kUnknown) ++this->totals_.unanswered;
   if (answer == DutyAnswer::kFenced || answer == DutyAnswer::kRefused) ++this->totals_.refused;
   LogEvent("scaling", "ordered")
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -275,7 +275,7 @@
 
 bool Gateway::ownsWork() const {
   return owner_pool_.offers() || batches_.ownsAny() || orders_.holdsAny() || usage_.holdsRight() ||
-         scaling_.holdsRight();
+         scaling_.holdsLock();
 }
 
 void Gateway::onLeasesRead(bool answered) {
@@ -322,7 +322,7 @@
   } else if (key == table::kLockPrefix + "usage") {
     change.gone ? usage_.onRightGone() : usage_.onRightRow(change.row);
   } else if (key == table::kLockPrefix + "scaling") {
-    change.gone ? scaling_.onRightGone() : scaling_.onRightRow(change.row);
+    change.gone ? scaling_.onLockGone() : scaling_.onLockRow(change.row);
   } else if (key == table::kClockName && !change.gone) {
     usage_.onClockRow(change.row);
   }
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -5,6 +5,8 @@
 
 #include <criterion/criterion.h>
 
+#include "gateway/scaling/work_peak.h"
+
 using namespace linenpier;
 using fleet::engine_group;
 using fleet::EngineKind;
@@ -49,7 +51,7 @@
 
 scaling_record fourEach() {
   scaling_record record;
-  record.usual = {{kA, 4}, {kB, 4}, {kC, 4}};
+  record.baseline = {{kA, 4}, {kB, 4}, {kC, 4}};
   return record;
 }
 
@@ -111,7 +113,7 @@
   cr_assert_not(policy.learn(after(4), seen(4, 3, 4)).has_value());
   const auto learned = policy.learn(after(5), seen(4, 3, 4));
   cr_assert(learned.has_value());
-  cr_assert_eq(learned->usual.at(kB), 3U);
+  cr_assert_eq(learned->baseline.at(kB), 3U);
   policy.onRecord(*learned);
   cr_assert_not(policy.learn(after(6), seen(4, 3, 4)).has_value());
 }
@@ -123,7 +125,7 @@
   policy.decide(after(11), bounds(), seen(4, 6, 4));
   const auto learned = policy.learn(after(11), seen(4, 6, 4));
   cr_assert(learned.has_value());
-  cr_assert_eq(learned->usual.at(kB), 6U);
+  cr_assert_eq(learned->baseline.at(kB), 6U);
 }
 
 Test(scaling_policy, a_closed_zone_is_made_up_for_at_once_in_the_zones_that_are_left) {
@@ -137,7 +139,7 @@
 
 Test(scaling_policy, an_odd_engine_goes_to_the_cheaper_zone) {
   scaling_record record = fourEach();
-  record.usual[kC] = 3;
+  record.baseline[kC] = 3;
   scaling_policy policy(options(), kStart, record);
   const auto due = step(policy, 0, closing(seen(4, 4, 3), "c"));
   cr_assert_eq(wantedOf(due, kB), 6U);
@@ -184,7 +186,7 @@
 
 Test(scaling_policy, spot_engines_that_are_taken_back_are_made_up_for_at_their_notice) {
   scaling_record record = fourEach();
-  record.usual[kSpotB] = 3;
+  record.baseline[kSpotB] = 3;
   scaling_policy policy(options(), kStart, record);
   scaling_view view = seen(4, 4, 4);
   view.groups[kSpotB] = {0, 3, 3};
@@ -317,7 +319,7 @@
 
 Test(scaling_policy, an_order_that_was_carried_out_after_newer_ones_is_put_right) {
   scaling_options soon = options();
-  soon.hold = std::chrono::seconds(3);
+  soon.stabilization_window = std::chrono::seconds(3);
   scaling_policy policy(soon, kStart, fourEach());
   const scaling_view view = closing(seen(4, 4, 4), "c");
   step(policy, 0, view, DutyAnswer::kUnknown);
--- a/tests/gateway/service/scaling_test.cpp
+++ b/tests/gateway/service/scaling_test.cpp
@@ -17,12 +17,12 @@
   scaling::scaling_options options;
   options.mode = mode;
   options.settle = std::chrono::milliseconds(300);
-  options.loss_patience = std::chrono::milliseconds(500);
+  options.loss_timeout = std::chrono::milliseconds(500);
   options.boot_slack = std::chrono::milliseconds(400);
-  options.hold = std::chrono::milliseconds(1500);
-  options.shrink_gap = std::chrono::milliseconds(300);
+  options.stabilization_window = std::chrono::milliseconds(1500);
+  options.scale_down_interval = std::chrono::milliseconds(300);
   options.first_backoff = std::chrono::milliseconds(500);
-  options.reclaim_pause = std::chrono::milliseconds(1500);
+  options.reclaim_backoff = std::chrono::milliseconds(1500);
   return options;
 }
 
