--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -274,7 +274,7 @@
 }
 
 bool Gateway::ownsWork() const {
-  return owner_pool_.offers() || batches_.ownsAny() || orders_.holdsAny() || usage_.holdsRight() ||
+  return owner_pool_.offers() || batches_.ownsAny() || orders_.holdsAny() || usage_.holdsLock() ||
          scaling_.holdsLock();
 }
 
@@ -320,7 +320,7 @@
     change.gone ? suspects_.onRowGone(suspect, change.row.revision)
                 : suspects_.onRow(suspect, change.row);
   } else if (key == table::kLockPrefix + "usage") {
-    change.gone ? usage_.onRightGone() : usage_.onRightRow(change.row);
+    change.gone ? usage_.onLockGone() : usage_.onLockRow(change.row);
   } else if (key == table::kLockPrefix + "scaling") {
     change.gone ? scaling_.onLockGone() : scaling_.onLockRow(change.row);
   } else if (key == table::kClockName && !change.gone) {
--- a/src/gateway/usage/duty_port.h
+++ b/src/gateway/usage/duty_port.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /** @file
- * Calls to the platform that are one daemon's duty at a time.
+ * Port for calls to the platform that are one daemon's duty at a time, and what they have in
+ * common.
  */
 
 #include <string>
@@ -16,15 +17,15 @@
 enum class DutyAnswer {
   kTaken,
   kFenced,   ///< It has seen a higher token for the same subject.
-  kRefused,  ///< Not done; again later.
-  kUnknown,  ///< It may be carried out yet.
+  kRefused,  ///< Not done; may be sent again later.
+  kUnknown,  ///< No answer: it may be carried out yet.
 };
 
 const char* toText(DutyAnswer answer);
 
-/** Under which right a call is made. */
+/** As whom a leader makes a call, and how long it may. */
 struct leader_proof {
-  std::string holder;
+  std::string holder;  ///< The leader's name; the platform's calls say holder.
   FencingToken token = 0;
   Instant send_by{};  ///< The call is sent until then or not at all.
 };
@@ -41,7 +42,7 @@
  public:
   virtual ~duty_port() = default;
 
-  virtual Task<DutyAnswer> reportUsage(usage_report report, leader_proof right) = 0;
+  virtual Task<DutyAnswer> reportUsage(usage_report report, leader_proof proof) = 0;
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/run_recorder.h
+++ b/src/gateway/usage/run_recorder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Told of each request of a tenant that an engine began to run.
+ * Port through which requests that engines began to run are counted.
  */
 
 #include "common/ids.h"
@@ -13,7 +13,9 @@
  public:
   virtual ~run_recorder() = default;
 
-  /** Called once a request, however many engines ran it. */
+  /** An engine began to run a request of the tenant at that time. Called once a request, however
+   * many engines run it.
+   */
   virtual void onBegun(const TenantId& tenant, Instant at) = 0;
 };
 
--- /dev/null
+++ b/src/gateway/usage/true_clock.cpp
@@ -0,0 +1,80 @@
+#include "gateway/usage/true_clock.h"
+
+#include "common/event_log.h"
+#include "gateway/table/store_keys.h"
+
+namespace linenpier::usage {
+
+using logging::LogEvent;
+
+namespace {
+
+constexpr Duration kClockCheckInterval = std::chrono::seconds(10);  ///< Between two corrections.
+
+}  // namespace
+
+void true_clock::onRow(const table::Row& row) {
+  if (row.revision <= this->revision_) return;
+  this->revision_ = row.revision;
+  this->offset_ms_ = std::strtoll(row.value.c_str(), nullptr, 10);
+}
+
+std::optional<windows> true_clock::trueWindows() const {
+  if (!this->offset_ms_) return std::nullopt;
+  return windows(this->options_.window, *this->offset_ms_);
+}
+
+std::optional<window_number> true_clock::windowAt(Instant at) const {
+  const auto all = this->trueWindows();
+  const std::int64_t store_ms = this->keeper_.storeClock(at);
+  if (!all || store_ms == 0) return std::nullopt;
+  return all->at(store_ms);
+}
+
+bool true_clock::settleDue(Instant now) const {
+  return !this->known() || now - this->checked_at_ >= kClockCheckInterval;
+}
+
+Task<std::optional<std::vector<clock_sample>>> true_clock::readSamples() {
+  table::RowRange range{table::kClockTable, "", "", 0};
+  std::vector<clock_sample> samples;
+  for (;;) {
+    const auto page = co_await this->table_.read(range);
+    if (!page) co_return std::nullopt;
+    for (const table::Row& row : page->rows) {
+      if (const auto sample = decodeSample(row.value)) samples.push_back(*sample);
+    }
+    if (!table::moveBehind(*page, range)) break;
+  }
+  co_return samples;
+}
+
+Task<void> true_clock::settle(const lease::leader_lock& lock, Instant acquired_at) {
+  const Instant now = steadyNow();
+  if (!this->known() && now - acquired_at < this->options_.first_samples_wait) co_return;
+  const std::int64_t store_ms = this->keeper_.storeClock(now);
+  const auto samples = co_await this->readSamples();
+  if (!samples) co_return;
+  this->checked_at_ = now;
+  const std::int64_t lifetime_ms =
+      std::chrono::duration_cast<std::chrono::milliseconds>(this->options_.sample_lifetime).count();
+  const auto median = medianOffset(*samples, store_ms - lifetime_ms);
+  if (!median) co_return;
+  const bool good =
+      this->offset_ms_ && std::abs(*median - *this->offset_ms_) < this->options_.min_correction_ms;
+  if (good) co_return;
+  table::Write write;
+  write.transaction.checks.push_back(lock.condition());
+  write.transaction.checks.push_back({table::clockKey(), this->revision_});
+  write.transaction.puts.push_back({table::clockKey(), std::to_string(*median)});
+  const auto answer = co_await this->table_.write(std::move(write));
+  const bool done = answer && answer->committed;
+  LogEvent("usage", "true_time")
+      .number("samples", static_cast<std::int64_t>(samples->size()))
+      .number("offset_ms", *median)
+      .number("before_ms", this->offset_ms_.value_or(0))
+      .text("outcome", done ? "written" : "not_written");
+  if (done) this->onRow({table::clockKey(), answer->revision, std::to_string(*median)});
+}
+
+}  // namespace linenpier::usage
--- a/src/gateway/usage/true_time.cpp
+++ b/src/gateway/usage/true_time.cpp
@@ -6,21 +6,21 @@
 namespace linenpier::usage {
 
 std::string encodeSample(const clock_sample& sample) {
-  return std::to_string(sample.offset_ms) + " " + std::to_string(sample.told_ms);
+  return std::to_string(sample.offset_ms) + " " + std::to_string(sample.taken_ms);
 }
 
 std::optional<clock_sample> decodeSample(const std::string& text) {
   long long offset_ms = 0;
-  long long told_ms = 0;
-  if (std::sscanf(text.c_str(), "%lld %lld", &offset_ms, &told_ms) != 2) return std::nullopt;
-  return clock_sample{offset_ms, told_ms};
+  long long taken_ms = 0;
+  if (std::sscanf(text.c_str(), "%lld %lld", &offset_ms, &taken_ms) != 2) return std::nullopt;
+  return clock_sample{offset_ms, taken_ms};
 }
 
 std::optional<std::int64_t> medianOffset(const std::vector<clock_sample>& samples,
                                          std::int64_t since_ms) {
   std::vector<std::int64_t> offsets;
   for (const clock_sample& sample : samples) {
-    if (sample.told_ms >= since_ms) offsets.push_back(sample.offset_ms);
+    if (sample.taken_ms >= since_ms) offsets.push_back(sample.offset_ms);
   }
   if (offsets.empty()) return std::nullopt;
   const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -8,9 +8,11 @@
 using nlohmann::json;
 
 namespace {
-/// Of requests whose window is not known since the store has not answered this life yet: some
-/// minutes of a daemon's share at the users' peak.
+
+/// Requests whose window is not known, since this life has not reached the store yet: some minutes
+/// of a daemon's share at the peak.
 constexpr std::size_t kMaxWaiting = 20000;
+
 }  // namespace
 
 std::string encodeCounts(const tenant_counts& counts) {
--- a/src/gateway/usage/usage_counter.h
+++ b/src/gateway/usage/usage_counter.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /** @file
- * What this life of the daemon has counted: requests that began to run, by window and tenant. Pure.
+ * What this life of the daemon has counted: requests that began to run, by window and tenant. Pure;
+ * loop thread only.
  */
 
 #include <functional>
@@ -17,9 +18,11 @@
 
 using tenant_counts = std::map<TenantId, std::uint64_t>;
 
+/** @return the value of a row of counts. */
 std::string encodeCounts(const tenant_counts& counts);
 /** @return nothing if the text holds no counts. */
 std::optional<tenant_counts> decodeCounts(const std::string& text);
+/** Adds `more` to `sum`. */
 void addCounts(const tenant_counts& more, tenant_counts& sum);
 
 /** Counts of one window, and what of them is in the store.
@@ -41,15 +44,17 @@
   /** @return the window of a moment; nothing while that is not known yet. */
   using window_finder = std::function<std::optional<window_number>(Instant)>;
 
-  /** @return whether it was counted; else too many wait for their window. */
+  /** A request began to run. @return whether it was counted: not if too many wait for their window.
+   */
   bool onBegun(Instant at, const TenantId& tenant);
-  /** Puts what waits into its windows. */
+  /** Counts what waits in its windows, as far as these are known. */
   void assign(const window_finder& find);
   /** @return the windows with counts that are not in the store, oldest first. */
   std::vector<window_number> unsaved() const;
   window_counts& of(window_number window) { return this->windows_[window]; }
-  /** Forgets windows before this one that are in the store whole. */
+  /** Forgets windows before this one whose counts are all in the store. */
   void forgetBefore(window_number window);
+  /** @return whether nothing waits to be assigned or written. */
   bool idle() const;
 
  private:
@@ -57,7 +62,7 @@
     Instant at;
     TenantId tenant;
   };
-  std::vector<begun> waiting_;
+  std::vector<begun> waiting_;  ///< For their window to be known.
   std::map<window_number, window_counts> windows_;
 };
 
--- /dev/null
+++ b/src/gateway/usage/usage_writer.cpp
@@ -0,0 +1,133 @@
+#include "gateway/usage/usage_writer.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+#include "gateway/table/store_keys.h"
+
+namespace linenpier::usage {
+
+using logging::LogEvent;
+
+namespace {
+
+/// Without counts to write, it is checked this often whether a sample of the clock is due.
+constexpr Duration kIdleWriteInterval = std::chrono::seconds(1);
+/// The store takes 100 entries a write: a condition and a value a window, and a sample.
+constexpr std::size_t kMaxWindowsAtOnce = 20;
+/// Windows that stay in memory, for writes whose answer comes late.
+constexpr window_number kKeptWindows = 4;
+
+}  // namespace
+
+void usage_writer::start() {
+  spawn(this->deps_.loop, [this] { return this->writeLoop(); });
+}
+
+void usage_writer::onBegun(const TenantId& tenant, Instant at) {
+  if (!this->counter_.onBegun(at, tenant)) {
+    if (this->total_dropped_++ == 0) LogEvent("usage", "too_many_wait");
+    return;
+  }
+  ++this->total_counted_;
+  this->counted_.notifyAll();
+}
+
+Task<void> usage_writer::writeLoop() {
+  for (;;) {
+    if (this->counter_.idle()) {
+      co_await this->counted_.waitFor(kIdleWriteInterval);
+    }
+    const bool any = !this->counter_.idle();
+    co_await this->writeCounts();
+    if (!any) continue;
+    const bool saved = this->counter_.unsaved().empty();
+    co_await sleepFor(this->deps_.loop,
+                      saved ? this->options_.write_interval : this->options_.retry_backoff);
+  }
+}
+
+std::vector<usage_writer::written_window> usage_writer::addUnsaved(table::Write& write) {
+  std::vector<window_number> unsaved = this->counter_.unsaved();
+  if (unsaved.size() > kMaxWindowsAtOnce) unsaved.resize(kMaxWindowsAtOnce);
+  std::vector<written_window> added;
+  for (const window_number window : unsaved) {
+    const window_counts& counts = this->counter_.of(window);
+    const std::string key = table::usageKey(window, this->deps_.leases.own());
+    write.transaction.checks.push_back({key, counts.revision});
+    write.transaction.puts.push_back({key, encodeCounts(counts.counts)});
+    added.push_back({window, counts.changes});
+  }
+  return added;
+}
+
+bool usage_writer::addSample(Instant now, table::Write& write) {
+  const std::int64_t store_ms = this->deps_.keeper.storeClock(now);
+  const bool taken = this->sampled_at_ != Instant{};
+  const bool recent = taken && now - this->sampled_at_ < this->options_.sample_interval;
+  if (store_ms == 0 || recent) return false;
+  const clock_sample sample{this->deps_.time_of_day_ms() - store_ms, store_ms};
+  write.transaction.puts.push_back(
+      {table::clockSampleKey(this->deps_.holder), encodeSample(sample)});
+  return true;
+}
+
+Task<void> usage_writer::writeCounts() {
+  const Instant now = steadyNow();
+  this->counter_.assign([this](Instant at) { return this->deps_.clock.windowAt(at); });
+  table::Write write;
+  const std::vector<written_window> sent = this->addUnsaved(write);
+  const bool sampled = this->addSample(now, write);
+  if (write.transaction.puts.empty()) co_return;
+  const auto answer = co_await this->deps_.table.write(write);
+  std::optional<table::TransactionAnswer> settled;
+  if (answer) settled = *answer;
+  if (!settled && !sent.empty()) {
+    settled = co_await this->deps_.by_peer(std::move(write));
+  }
+  if (!settled) {
+    LogEvent("usage", "not_written")
+        .number("windows", static_cast<std::int64_t>(sent.size()))
+        .number("first", sent.empty() ? 0 : sent.front().window);
+    co_return;
+  }
+  if (settled->committed && sampled) this->sampled_at_ = now;
+  this->onWritten(sent, *settled);
+  if (const auto current = this->deps_.clock.windowAt(now)) {
+    this->counter_.forgetBefore(*current - kKeptWindows);
+  }
+}
+
+void usage_writer::onWritten(const std::vector<written_window>& written,
+                             const table::TransactionAnswer& answer) {
+  for (const written_window& each : written) {
+    if (!answer.committed) {
+      this->onConflict(each, answer);
+      continue;
+    }
+    window_counts& counts = this->counter_.of(each.window);
+    counts.revision = answer.revision;
+    counts.stored = std::max(counts.stored, each.changes);
+  }
+}
+
+void usage_writer::onConflict(const written_window& written,
+                              const table::TransactionAnswer& answer) {
+  window_counts& counts = this->counter_.of(written.window);
+  const std::string key = table::usageKey(written.window, this->deps_.leases.own());
+  const auto row = std::find_if(answer.conflicts.begin(), answer.conflicts.end(),
+                                [&key](const table::Row& each) { return each.key == key; });
+  const bool present = row != answer.conflicts.end();
+  if (!present && counts.revision > 0) {
+    // The window was added up and its rows were removed.
+    const std::uint64_t missed = counts.changes - counts.stored;
+    this->total_late_ += missed;
+    counts.stored = counts.changes;
+    LogEvent("usage", "counted_too_late")
+        .number("window", written.window)
+        .number("requests", static_cast<std::int64_t>(missed));
+  }
+  counts.revision = present ? row->revision : 0;
+}
+
+}  // namespace linenpier::usage
--- a/tests/gateway/service/usage_test.cpp
+++ b/tests/gateway/service/usage_test.cpp
@@ -21,9 +21,9 @@
   usage::usage_options usage;
   usage.window = std::chrono::seconds(1);
   usage.settle = std::chrono::milliseconds(700);
-  usage.latest = std::chrono::milliseconds(6000);
-  usage.write_gap = std::chrono::milliseconds(200);
-  usage.first_samples = std::chrono::milliseconds(300);
+  usage.max_settle = std::chrono::milliseconds(6000);
+  usage.write_interval = std::chrono::milliseconds(200);
+  usage.first_samples_wait = std::chrono::milliseconds(300);
   options.usage = usage;
   return options;
 }
