--- /dev/null
+++ b/tests/gateway/scaling/scaling_record_test.cpp
@@ -0,0 +1,32 @@
+/** @file
+ * The row of a service's number of engines.
+ */
+
+#include "gateway/scaling/scaling_record.h"
+
+#include <criterion/criterion.h>
+
+using namespace linenpier;
+using fleet::engine_group;
+using fleet::EngineKind;
+using scaling::scaling_record;
+
+namespace {
+
+const engine_group kA{ZoneName("a"), EngineKind::kOnDemand};
+const engine_group kB{ZoneName("b"), EngineKind::kOnDemand};
+const engine_group kC{ZoneName("c"), EngineKind::kOnDemand};
+const engine_group kSpotB{ZoneName("b"), EngineKind::kSpot};
+
+}  // namespace
+
+Test(scaling_record, is_read_as_written) {
+  scaling_record record;
+  record.baseline = {{kA, 4}, {kB, 4}, {kC, 4}};
+  record.ordered = {{kA, 6}, {kSpotB, 0}};
+  const auto read = scaling::decodeRecord(scaling::encodeRecord(record));
+  cr_assert(read.has_value());
+  cr_assert(*read == record);
+  cr_assert_not(scaling::decodeRecord("6").has_value());
+  cr_assert_not(scaling::decodeRecord("{}").has_value());
+}
--- /dev/null
+++ b/tests/gateway/scaling/work_peak_test.cpp
@@ -0,0 +1,28 @@
+/** @file
+ * How many engines the open work needs.
+ */
+
+#include "gateway/scaling/work_peak.h"
+
+#include <criterion/criterion.h>
+
+using namespace linenpier;
+using scaling::scaling_options;
+
+namespace {
+
+Instant after(int seconds) {
+  return Instant{std::chrono::seconds(100 + seconds)};
+}
+
+}  // namespace
+
+Test(scaling_policy, work_that_was_open_lately_counts) {
+  scaling::work_peak peak;
+  const scaling_options all;
+  cr_assert_not(peak.onOpenItems(after(0), all, 320, 8).has_value(), "it may be a pause");
+  cr_assert_not(peak.onOpenItems(after(4), all, 320, 8).has_value());
+  cr_assert_eq(*peak.onOpenItems(after(10), all, 0, 8), 10U);
+  cr_assert_eq(*peak.onOpenItems(after(13), all, 64, 8), 10U);
+  cr_assert_eq(*peak.onOpenItems(after(15), all, 0, 8), 2U);
+}
