--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -10,7 +10,6 @@
 using fleet::EngineKind;
 using fleet::scaling_bounds;
 using scaling::count_decision;
-using scaling::observed_engines;
 using scaling::OrderReason;
 using scaling::scaling_options;
 using scaling::scaling_policy;
@@ -75,7 +74,7 @@
 std::vector<count_decision> step(scaling_policy& policy, int second, const scaling_view& view,
                                  DutyAnswer answer = DutyAnswer::kTaken,
                                  const scaling_bounds& within = bounds()) {
-  const auto due = policy.decide(after(second), within, view);
+  auto due = policy.decide(after(second), within, view);
   for (const count_decision& each : due) {
     policy.onRecord(policy.withOrder(each));
     policy.onAnswer(after(second), each, answer);
