--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -6,100 +6,88 @@
 namespace linenpier::lease {
 
 namespace {
-/// Clocks of machines differ by at most a ms in so many seconds.
-constexpr std::int64_t kSecondsPerDriftMs = 10;
-/// No answer comes later than this: the store's clock began anew.
-constexpr std::int64_t kMaxLagMs = 5000;
-}  // namespace
 
-void LeaseKeeper::start(std::function<bool()> needed) {
-  needed_ = std::move(needed);
-  spawn(loop_, [this] { return run(); });
-}
+/// After a renewal that the store did not take: half of the renewal interval, so that another one
+/// fits into the validity.
+constexpr Duration kRenewalBackoff = std::chrono::milliseconds(200);
 
-table::Put LeaseKeeper::renewal() const {
-  const std::set<EngineId> awaited = awaited_ ? awaited_() : std::set<EngineId>();
-  return {table::leaseKey(leases_.own()),
-          encodeLease(pool_.capacity(), peer_, pool_.zone(), awaited)};
-}
+}  // namespace
 
-void LeaseKeeper::onRenewed(Instant sent_at) {
-  renewed_at_ = std::max(renewed_at_, sent_at);
+void lease_keeper::start(std::function<bool()> needed) {
+  this->needed_ = std::move(needed);
+  spawn(this->loop_, [this] { return this->run(); });
 }
 
-std::int64_t LeaseKeeper::storeClock(Instant now) const {
-  if (clock_ms_ == 0) return 0;
-  return clock_ms_ +
-         std::chrono::duration_cast<std::chrono::milliseconds>(now - clock_read_at_).count();
+table::Put lease_keeper::renewal() const {
+  lease_row row;
+  row.capacity = this->pool_.capacity();
+  row.peer = this->peer_;
+  row.zone = this->pool_.zone();
+  if (this->awaited_) row.awaited = this->awaited_();
+  return {table::leaseKey(this->leases_.own()), encodeLeaseRow(row)};
 }
 
-void LeaseKeeper::onStoreClock(Instant now, std::int64_t clock_ms) {
-  const std::int64_t expected_ms = storeClock(now);
-  const std::int64_t lag_ms = expected_ms - clock_ms;
-  const auto since = std::chrono::duration_cast<std::chrono::seconds>(now - clock_read_at_);
-  const std::int64_t drift_ms = since.count() / kSecondsPerDriftMs;
-  const bool later = clock_ms_ != 0 && lag_ms > drift_ms && lag_ms < kMaxLagMs;
-  if (later) return;
-  clock_ms_ = clock_ms;
-  clock_read_at_ = now;
+void lease_keeper::onRenewed(Instant sent_at) {
+  this->renewed_at_ = std::max(this->renewed_at_, sent_at);
 }
 
-Task<bool> LeaseKeeper::confirmSilent(LeaseId lease) {
-  if (lease.empty() || leases_.isEarlierSelf(lease)) co_return true;
+Task<bool> lease_keeper::confirmSilent(LeaseId lease) {
+  if (lease.empty() || this->leases_.isEarlierSelf(lease)) co_return true;
   const table::RowRange range = table::onlyRow(table::kLeaseTable, lease.str());
-  const auto page = co_await table_.read(range);
+  const auto page = co_await this->table_.read(range);
   if (!page) co_return false;
   if (page->rows.empty()) co_return true;
   const Revision revision = page->rows.front().revision;
-  if (revision <= leases_.seenRevision(lease)) co_return true;
-  leases_.onRow(steadyNow(), lease, revision);
+  if (revision <= this->leases_.seenRevision(lease)) co_return true;
+  this->leases_.onRow(steadyNow(), lease, revision);
   co_return false;
 }
 
-Task<bool> LeaseKeeper::renew() {
+Task<bool> lease_keeper::renew() {
   const Instant sent_at = steadyNow();
   table::Write write;
-  write.transaction.puts.push_back(renewal());
-  const auto answer = co_await table_.write(std::move(write));
+  write.transaction.puts.push_back(this->renewal());
+  const auto answer = co_await this->table_.write(std::move(write));
   const bool done = answer.has_value() && answer->committed;
-  if (done) onRenewed(sent_at);
+  if (done) this->onRenewed(sent_at);
   co_return done;
 }
 
-Task<void> LeaseKeeper::run() {
-  constexpr Duration kRetryPause = std::chrono::milliseconds(200);
-  while (!stopping_) {
-    Duration pause = leases_.times().renewal;
-    const Instant due = renewed_at_ + leases_.times().renewal;
+Task<void> lease_keeper::run() {
+  while (!this->stopping_) {
+    const Duration interval = this->leases_.times().renewal_interval;
+    Duration pause = interval;
+    const Instant due = this->renewed_at_ + interval;
     const Instant now = steadyNow();
-    const bool needed = needed_();
-    if (!needed && renewed_at_ != Instant{}) {
-      // A row that nobody needs is read by every daemon each second.
-      if (co_await removeRow()) renewed_at_ = Instant{};
+    const bool needed = this->needed_();
+    if (!needed && this->renewed_at_ != Instant{}) {
+      // Every daemon would go on reading a row that nobody needs.
+      if (co_await this->removeRow()) this->renewed_at_ = Instant{};
     } else if (needed && now >= due) {
-      if (!co_await renew()) pause = kRetryPause;
+      if (!co_await this->renew()) pause = kRenewalBackoff;
     } else if (now < due) {
       pause = due - now;
     }
     const Instant wake_at = steadyNow() + pause;
-    co_await sleepFor(loop_, pause);
-    // An item waits for the store as it waits for a late timer: both put off each of its steps.
-    const Duration way = storeDelay(leases_.allowance(), leases_.times());
-    pool_.onTimer(steadyNow() - wake_at + way);
+    co_await sleepFor(this->loop_, pause);
+    // A far store puts off each step of an item's run as a late timer does, so both count alike.
+    const Duration store_delay = storeDelay(this->leases_.allowance(), this->leases_.times());
+    this->pool_.onTimer(steadyNow() - wake_at + store_delay);
   }
 }
 
-Task<void> LeaseKeeper::stop() {
-  stopping_ = true;
-  if (renewed_at_ != Instant{}) {
-    co_await removeRow();
+Task<void> lease_keeper::stop() {
+  this->stopping_ = true;
+  if (this->renewed_at_ != Instant{}) {
+    // A row that stays is removed by others (`lease_table::removable`).
+    co_await this->removeRow();
   }
 }
 
-Task<bool> LeaseKeeper::removeRow() {
+Task<bool> lease_keeper::removeRow() {
   table::Write write;
-  write.removes.push_back(table::leaseKey(leases_.own()));
-  const auto answer = co_await table_.write(std::move(write));
+  write.removes.push_back(table::leaseKey(this->leases_.own()));
+  const auto answer = co_await this->table_.write(std::move(write));
   co_return answer.has_value() && answer->committed;
 }
 
--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -69,15 +69,15 @@
     change.gone ? batches.onRecordGone(id) : batches.onRecordRow(id, change.row);
   } else if (key.starts_with(table::kOrderPrefix)) {
     const ServiceName service(tail(table::kOrderPrefix));
-    change.gone ? orders.onRightGone(service) : orders.onRightRow(service, change.row);
+    change.gone ? orders.onLockGone(service) : orders.onLockRow(service, change.row);
   } else if (key.starts_with(table::kSuspectPrefix)) {
     const suspects::request_key suspect(tail(table::kSuspectPrefix));
     change.gone ? suspect_requests.onRowGone(suspect, change.row.revision)
                 : suspect_requests.onRow(suspect, change.row);
   } else if (key == table::kLockPrefix + "usage") {
-    change.gone ? usage.onRightGone() : usage.onRightRow(change.row);
+    change.gone ? usage.onLockGone() : usage.onLockRow(change.row);
   } else if (key == table::kLockPrefix + "scaling") {
-    change.gone ? scaling.onRightGone() : scaling.onRightRow(change.row);
+    change.gone ? scaling.onLockGone() : scaling.onLockRow(change.row);
   } else if (key == table::kClockName && !change.gone) {
     usage.onClockRow(change.row);
   }
--- a/src/gateway/service/coordination_feed.h
+++ b/src/gateway/service/coordination_feed.h
@@ -21,7 +21,7 @@
  public:
   struct readers {
     batch::BatchService& batches;
-    versions::OrderService& orders;
+    versions::order_service& orders;
     usage::usage_service& usage;
     scaling::scaling_service& scaling;
     suspects::suspect_service& suspects;
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -31,8 +31,8 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(since_1970).count();
 }
 
-versions::OrderOptions orderOptions(const GatewaySettings& settings) {
-  versions::OrderOptions options;
+versions::order_options orderOptions(const GatewaySettings& settings) {
+  versions::order_options options;
   options.handover = settings.handover;
   options.rollout = settings.rollout;
   return options;
@@ -250,8 +250,8 @@
 }
 
 bool Gateway::ownsWork() const {
-  return owner_pool_.offers() || batches_.ownsAny() || orders_.holdsAny() || usage_.holdsRight() ||
-         scaling_.holdsRight();
+  return owner_pool_.offers() || batches_.ownsAny() || orders_.holdsAny() || usage_.holdsLock() ||
+         scaling_.holdsLock();
 }
 
 Task<std::optional<std::uint32_t>> Gateway::loadOf(EngineId engine, Address address) {
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -75,16 +75,16 @@
   engines::engine_registry registry_;
   routing::weighted_round_robin round_robin_;
   lease::pool_demand demand_ = demandWithoutModels();  ///< Gateways that are to offer to own work.
-  lease::LeaseTable leases_;
-  lease::OwnerPool owner_pool_;
-  lease::LeaseKeeper keeper_;
+  lease::lease_table leases_;
+  lease::owner_pool owner_pool_;
+  lease::lease_keeper keeper_;
   lease::lease_watch lease_watch_;
   batch::JobStore job_store_;
   usage::usage_service usage_;
   suspects::suspect_service suspects_;
   forward::forwarder forwarder_;
   batch::BatchService batches_;
-  versions::OrderService orders_;
+  versions::order_service orders_;
   scaling::scaling_service scaling_;
   closed_zones_monitor closed_zones_;
   cold_engines_monitor cold_engines_;
--- a/src/gateway/service/metrics_page.cpp
+++ b/src/gateway/service/metrics_page.cpp
@@ -85,7 +85,7 @@
 
 void metrics_page::addLeadership(Instant now, metrics::GatewayState& state) const {
   state.lease_valid = this->sources_.keeper.valid(now);
-  state.order_rights_held = this->sources_.orders.rightsHeld();
+  state.order_rights_held = this->sources_.orders.locksHeld();
   state.orders_sent = this->sources_.orders.counts().sent;
   state.orders_unanswered = this->sources_.orders.counts().unanswered;
   state.usage_requests_counted = this->sources_.usage.totals().counted;
--- a/src/gateway/service/metrics_page.h
+++ b/src/gateway/service/metrics_page.h
@@ -33,9 +33,9 @@
     const cold_engines_monitor& cold_engines;
     const http::ConnectionPool& engine_connections;
     const http::Server& requests;
-    const lease::LeaseKeeper& keeper;
+    const lease::lease_keeper& keeper;
     const batch::BatchService& batches;
-    const versions::OrderService& orders;
+    const versions::order_service& orders;
     const scaling::scaling_service& scaling;
     const usage::usage_service& usage;
     const suspects::suspect_service& suspects;
--- a/src/gateway/service/peer_exchange.h
+++ b/src/gateway/service/peer_exchange.h
@@ -29,7 +29,7 @@
     boost::asio::io_context& loop;
     http::ConnectionPool& connections;
     table::AsyncTable& table;
-    lease::LeaseTable& leases;
+    lease::lease_table& leases;
     operator_feed& operators;
     engine_feed& engines;
     closed_zones_monitor& zones;
--- a/src/gateway/service/store_monitor.h
+++ b/src/gateway/service/store_monitor.h
@@ -25,7 +25,7 @@
   struct dependencies {
     boost::asio::io_context& loop;
     table::AsyncTable& table;
-    lease::LeaseTable& leases;
+    lease::lease_table& leases;
     lease::lease_watch& lease_watch;
     table::TableWatcher& coordination;
     std::vector<table::TableWatcher*> feeds;  ///< All of them.
