--- a/src/gateway/forward/attempt_race.cpp
+++ b/src/gateway/forward/attempt_race.cpp
@@ -56,7 +56,9 @@
 }
 
 Task<void> attempt_race::waitForChange(Duration limit) {
-  if (this->results_.empty()) co_await this->changed_.waitFor(limit);
+  if (this->results_.empty()) {
+    co_await this->changed_.waitFor(limit);
+  }
 }
 
 void attempt_race::abortAll() {
