--- a/src/testbed/standin/engine_sim.cpp
+++ b/src/testbed/standin/engine_sim.cpp
@@ -11,9 +11,7 @@
 namespace {
 
 constexpr std::size_t kCachedPrefixes = 64;
-constexpr std::size_t kEventsKept = 512;
 constexpr std::size_t kPrefixBytes = 256;
-constexpr double kEventLoss = 0.1;      ///< Share of cache events that are never published.
 constexpr double kBatchSlowdown = 0.5;  ///< A full batch makes each token this much slower.
 constexpr double kSlowFactor = 5;
 constexpr auto kLeavingGrace = std::chrono::seconds(3);
@@ -21,9 +19,8 @@
 
 }  // namespace
 
-EngineSim::EngineSim(EngineId id, const EnginePool& pool, const StoreLimits& limits, Faults& faults,
-                     std::uint64_t seed)
-    : id_(std::move(id)), pool_(pool), limits_(limits), faults_(faults), random_(seed) {}
+EngineSim::EngineSim(EngineId id, const EnginePool& pool, const StoreLimits& limits, Faults& faults)
+    : id_(std::move(id)), pool_(pool), limits_(limits), faults_(faults) {}
 
 SequenceSharedPtr EngineSim::start(const std::string& attempt, const std::string& prompt,
                                    std::uint32_t resume_tokens, std::uint32_t max_tokens,
@@ -111,28 +108,6 @@
   return report;
 }
 
-std::vector<CacheEvent> EngineSim::cacheEvents(std::uint64_t after) {
-  const std::lock_guard lock(mutex_);
-  std::vector<CacheEvent> result;
-  for (const CacheEvent& event : events_) {
-    if (event.number > after) result.push_back(event);
-  }
-  return result;
-}
-
-std::optional<std::pair<std::string, std::uint32_t>> EngineSim::exportKv(
-    const std::string& attempt) {
-  const std::lock_guard lock(mutex_);
-  const auto found = sequences_.find(attempt);
-  if (found == sequences_.end()) return std::nullopt;
-  return std::pair(id_.str() + "/" + attempt, found->second->position);
-}
-
-void EngineSim::importKv(const std::string& prompt) {
-  const std::lock_guard lock(mutex_);
-  touchPrefix(prompt);
-}
-
 void EngineSim::advance(Instant now, double elapsed_ms) {
   const EngineMode mode = faults_.engineMode(id_.str());
   const bool leaving = faults_.engineLeaving(id_.str());
@@ -250,16 +225,7 @@
   const bool cached = known != cached_prefixes_.end();
   if (cached) cached_prefixes_.erase(known);
   cached_prefixes_.push_front(hash);
-  const auto publish = [this](std::uint64_t prefix, bool stored) {
-    const CacheEvent event{next_event_++, prefix, stored};
-    if (random_.unit() >= kEventLoss) events_.push_back(event);
-    if (events_.size() > kEventsKept) events_.pop_front();
-  };
-  if (!cached) publish(hash, true);
-  if (cached_prefixes_.size() > kCachedPrefixes) {
-    publish(cached_prefixes_.back(), false);
-    cached_prefixes_.pop_back();
-  }
+  if (cached_prefixes_.size() > kCachedPrefixes) cached_prefixes_.pop_back();
   return cached;
 }
 
--- a/src/testbed/standin/engine_sim.h
+++ b/src/testbed/standin/engine_sim.h
@@ -2,8 +2,7 @@
 
 /// @file
 /// One stand-in model engine: continuous batching with priorities, a bounded prefix cache, lagging
-/// load, fenced orders, swaps that may fail, streams that can be resumed and cancelled, KV export
-/// and import.
+/// load, fenced orders, swaps that may fail, and streams that can be resumed and cancelled.
 
 #include <condition_variable>
 #include <deque>
@@ -12,7 +11,6 @@
 #include <memory>
 #include <mutex>
 #include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
@@ -39,20 +37,12 @@
 };
 using SequenceSharedPtr = std::shared_ptr<Sequence>;
 
-/// A cache event as published, late and with gaps.
-struct CacheEvent {
-  std::uint64_t number = 0;
-  std::uint64_t prefix_hash = 0;
-  bool stored = true;  ///< False: evicted.
-};
-
 enum class OrderAnswer { kDone, kFenced, kFailed };
 
 /// Thread-safe.
 class EngineSim {
  public:
-  EngineSim(EngineId id, const EnginePool& pool, const StoreLimits& limits, Faults& faults,
-            std::uint64_t seed);
+  EngineSim(EngineId id, const EnginePool& pool, const StoreLimits& limits, Faults& faults);
 
   const EngineId& id() const { return id_; }
   const EnginePool& pool() const { return pool_; }
@@ -68,12 +58,6 @@
   OrderAnswer order(const std::string& kind, FencingToken token, WeightVersion version);
   /// @return the load as it was some time ago.
   wire::EngineReport laggingLoad(Instant now);
-  /// @return cache events after `number`, some of them missing.
-  std::vector<CacheEvent> cacheEvents(std::uint64_t after);
-  /// @return a handle of the sequence's KV cache, and the tokens it covers.
-  std::optional<std::pair<std::string, std::uint32_t>> exportKv(const std::string& attempt);
-  /// Lets a later resumption with this prompt begin without prefill.
-  void importKv(const std::string& prompt);
 
   /// Moves time on; called by the fleet's thread.
   void advance(Instant now, double elapsed_ms);
@@ -85,15 +69,15 @@
   void crash();
   void admit();
   void generate(double elapsed_ms);
+  /// Marks the prompt's prefix as the one used last. @return whether it was cached already.
   bool touchPrefix(const std::string& prompt);
 
   const EngineId id_;
   const EnginePool pool_;
   const StoreLimits limits_;
   Faults& faults_;
-  mutable std::mutex mutex_;         ///< Guards all members below.
-  std::condition_variable changed_;  ///< Pieces came or an order may go on.
-  Random random_;
+  mutable std::mutex mutex_;                            ///< Guards all members below.
+  std::condition_variable changed_;                     ///< Pieces came or an order may go on.
   std::map<std::string, SequenceSharedPtr> sequences_;  ///< By attempt; waiting and running.
   std::uint64_t next_order_ = 1;
   WeightVersion version_ = 1;
@@ -103,8 +87,6 @@
   bool down_ = false;
   std::optional<Instant> leaving_since_;
   std::list<std::uint64_t> cached_prefixes_;  ///< Most recently used first.
-  std::uint64_t next_event_ = 1;
-  std::deque<CacheEvent> events_;
   std::deque<std::pair<Instant, wire::EngineReport>> load_history_;
   std::map<std::string, int> once_starts_;
   std::uint64_t starts_while_leaving_ = 0;
--- a/src/testbed/standin/platform_server.cpp
+++ b/src/testbed/standin/platform_server.cpp
@@ -59,12 +59,10 @@
       table_rate_(topology_.limits.table_rate),
       object_rate_(topology_.limits.object_rate),
       relay_(topology_.daemons, faults_) {
-  std::uint64_t engine_seed = seed;
   for (const EnginePool& pool : topology_.pools) {
     for (std::uint32_t i = 1; i <= pool.count; ++i) {
       const EngineId id(pool.name + "-" + std::to_string(i));
-      engines_[id.str()] =
-          std::make_unique<EngineSim>(id, pool, topology_.limits, faults_, ++engine_seed);
+      engines_[id.str()] = std::make_unique<EngineSim>(id, pool, topology_.limits, faults_);
     }
   }
   server_.new_task_queue = [] { return new api::ElasticTaskQueue(kMaxThreads); };
@@ -282,35 +280,9 @@
             {"prefetched", report.prefetched},
             {"leaving", report.leaving}});
   });
-  server_.Get(prefix + "/cache_events", [this](const Request& request, Response& response) {
-    EngineSim* engine = reachable(request, response);
-    if (engine == nullptr) return;
-    const std::string after = request.get_param_value("after");
-    json events = json::array();
-    for (const CacheEvent& event : engine->cacheEvents(std::strtoull(after.c_str(), nullptr, 10))) {
-      events.push_back(
-          {{"number", event.number}, {"prefix", event.prefix_hash}, {"stored", event.stored}});
-    }
-    answer(response, 200, events);
-  });
   server_.Post(prefix + "/orders", [this](const Request& request, Response& response) {
     if (EngineSim* engine = reachable(request, response)) orderEngine(*engine, request, response);
   });
-  server_.Post(prefix + "/kv/export", [this](const Request& request, Response& response) {
-    EngineSim* engine = reachable(request, response);
-    if (engine == nullptr) return;
-    const json body = json::parse(request.body, nullptr, false);
-    const auto handle = engine->exportKv(body.is_object() ? body.value("request_id", "") : "");
-    if (!handle) return answer(response, 404, {{"error", "no such request"}});
-    answer(response, 200, {{"handle", handle->first}, {"tokens", handle->second}});
-  });
-  server_.Post(prefix + "/kv/import", [this](const Request& request, Response& response) {
-    EngineSim* engine = reachable(request, response);
-    if (engine == nullptr) return;
-    const json body = json::parse(request.body, nullptr, false);
-    if (body.is_object()) engine->importKv(body.value("prompt", ""));
-    answer(response, 200, json::object());
-  });
 }
 
 void PlatformServer::generate(EngineSim& engine, const Request& request, Response& response) {
