--- a/src/testbed/standin/faults.cpp
+++ b/src/testbed/standin/faults.cpp
@@ -25,7 +25,6 @@
     if (!modes.contains(mode)) return tl::make_unexpected("unknown mode " + mode);
     store_mode_ = mode;
     store_probability_ = order.value("probability", 1.0);
-    store_delay_ms_ = order.value("delay_ms", 0.0);
     return {};
   }
   if (target == "cut") {
@@ -77,11 +76,6 @@
   return StoreTreatment::kLoseAnswer;
 }
 
-double Faults::storeDelayMs() {
-  const std::lock_guard lock(mutex_);
-  return store_delay_ms_;
-}
-
 bool Faults::cut(const std::string& zone, const std::string& other) const {
   const std::lock_guard lock(mutex_);
   return zone != other && cuts_.contains(ordered(zone, other));
--- a/src/testbed/standin/faults.h
+++ b/src/testbed/standin/faults.h
@@ -7,8 +7,8 @@
 #include <mutex>
 #include <set>
 #include <string>
+#include <tl/expected.hpp>
 
-#include "common/error.h"
 #include "common/random.h"
 
 namespace linenpier::standin {
@@ -35,8 +35,6 @@
 
   /// @param service "table", "objects", "weights" or "machines".
   StoreTreatment treatStore(const std::string& service, const std::string& caller_zone);
-  /// @return extra time that a store call takes, in milliseconds.
-  double storeDelayMs();
   bool cut(const std::string& zone, const std::string& other) const;
   EngineMode engineMode(const std::string& engine) const;
   bool engineLeaving(const std::string& engine) const;
@@ -51,7 +49,6 @@
   Random random_;
   std::string store_mode_ = "up";
   double store_probability_ = 1.0;  ///< Share of the calls that the mode hits.
-  double store_delay_ms_ = 0;
   std::set<std::pair<std::string, std::string>> cuts_;
   std::map<std::string, EngineMode> engine_modes_;
   std::set<std::string> leaving_;
--- a/src/testbed/standin/platform_server.cpp
+++ b/src/testbed/standin/platform_server.cpp
@@ -119,7 +119,7 @@
     return answer(response, 503, {{"error", "down"}});
   }
   if (!rate.allow(steadyNow())) return answer(response, 429, {{"error", "rate"}});
-  std::this_thread::sleep_for(fromSeconds((usual_ms + faults_.storeDelayMs()) / 1000));
+  std::this_thread::sleep_for(fromSeconds(usual_ms / 1000));
   try {
     work();
   } catch (const json::exception& error) {
