--- a/src/daemon/clients/http_engine_client.cpp
+++ b/src/daemon/clients/http_engine_client.cpp
@@ -58,15 +58,7 @@
 };
 
 const char* orderName(engine::FencedOrder::Kind kind) {
-  switch (kind) {
-    case engine::FencedOrder::Kind::kPrefetch:
-      return "prefetch";
-    case engine::FencedOrder::Kind::kFlip:
-      return "flip";
-    case engine::FencedOrder::Kind::kAssert:
-      return "assert";
-  }
-  return "assert";
+  return kind == engine::FencedOrder::Kind::kFlip ? "flip" : "prefetch";
 }
 
 }  // namespace
--- a/src/daemon/ports/engine_client.h
+++ b/src/daemon/ports/engine_client.h
@@ -47,8 +47,8 @@
 
 /// An order that the engine obeys only if `token` is not below the highest it has seen.
 struct FencedOrder {
-  enum class Kind { kPrefetch, kFlip, kAssert };
-  Kind kind = Kind::kAssert;  ///< kAssert only announces the token.
+  enum class Kind { kPrefetch, kFlip };
+  Kind kind = Kind::kPrefetch;
   FencingToken token = 0;
   ModelName model;
   WeightVersion version = 0;
--- a/src/daemon/weights/weight_rollout.h
+++ b/src/daemon/weights/weight_rollout.h
@@ -50,7 +50,7 @@
  private:
   struct Progress {
     bool busy = false;  ///< An order is under way.
-    engine::FencedOrder::Kind kind = engine::FencedOrder::Kind::kAssert;
+    engine::FencedOrder::Kind kind = engine::FencedOrder::Kind::kPrefetch;
     ModelName model;
     WeightVersion prefetched = 0;  ///< Confirmed by our own orders; reports lag behind.
     WeightVersion flipped = 0;
--- a/src/testbed/standin/engine_sim.cpp
+++ b/src/testbed/standin/engine_sim.cpp
@@ -79,8 +79,7 @@
     prefetched_ = std::max(prefetched_, version);
     return OrderAnswer::kDone;
   }
-  if (kind != "flip") return OrderAnswer::kDone;
-  if (prefetched_ < version) return OrderAnswer::kFailed;
+  if (kind != "flip" || prefetched_ < version) return OrderAnswer::kFailed;
   swap_left_ms_ = pool_.swap_ms;
   changed_.wait(lock, [this] { return swap_left_ms_ <= 0 || down_; });
   if (down_) return OrderAnswer::kFailed;
