--- a/src/daemon/upstream/routing_policy.cpp
+++ b/src/daemon/upstream/routing_policy.cpp
@@ -38,7 +38,6 @@
     const EngineState& engine = *candidates[random_.below(candidates.size())];
     return RoutingChoice{engine.seed.id, {{engine.seed.id, 0, "drawn at random"}}};
   }
-  const char* name() const override { return "random"; }
 
  private:
   Random random_;
@@ -53,7 +52,6 @@
     const EngineState& engine = *candidates[next_++ % candidates.size()];
     return RoutingChoice{engine.seed.id, {{engine.seed.id, 0, "next in turn"}}};
   }
-  const char* name() const override { return "round-robin"; }
 
  private:
   std::size_t next_ = 0;  ///< Turn counter over whatever candidates there are.
@@ -72,7 +70,6 @@
     }
     return chooseLowest(std::move(scores));
   }
-  const char* name() const override { return "least-reported"; }
 };
 
 /// The lower reported load of two random engines.
@@ -90,7 +87,6 @@
     }
     return chooseLowest(std::move(scores));
   }
-  const char* name() const override { return "two-choices"; }
 
  private:
   Random random_;
@@ -121,7 +117,6 @@
     }
     return chooseLowest(std::move(scores));
   }
-  const char* name() const override { return "corrected-load"; }
 
  private:
   static constexpr double kAffinityBonus =
--- a/src/daemon/upstream/routing_policy.h
+++ b/src/daemon/upstream/routing_policy.h
@@ -34,11 +34,10 @@
 class RoutingPolicy {
  public:
   virtual ~RoutingPolicy() = default;
-  /// @param candidates engines that may serve the request; each has room unless `force` is set.
+  /// @param candidates engines that may serve the request; each has room.
   /// @return the choice; nothing if there is no candidate.
   virtual std::optional<RoutingChoice> choose(const std::vector<const EngineState*>& candidates,
                                               const RoutingRequest& request) = 0;
-  virtual const char* name() const = 0;
 };
 
 using RoutingPolicyPtr = std::unique_ptr<RoutingPolicy>;
--- a/tests/daemon/upstream/routing_policy_test.cpp
+++ b/tests/daemon/upstream/routing_policy_test.cpp
@@ -22,8 +22,16 @@
 }  // namespace
 
 Test(routing_policy, every_name_makes_a_policy_and_no_other_does) {
+  const std::map<std::string, std::string> reasons = {{"corrected-load", "corrected load"},
+                                                      {"least-reported", "reported load"},
+                                                      {"random", "drawn at random"},
+                                                      {"round-robin", "next in turn"},
+                                                      {"two-choices", "one of two drawn"}};
+  const EngineState engine = engineWith("only", 0, 0);
+  cr_assert_eq(upstream::routingPolicyNames().size(), reasons.size());
   for (const std::string& name : upstream::routingPolicyNames()) {
-    cr_assert_str_eq(upstream::makeRoutingPolicy(name, 1)->name(), name.c_str());
+    const auto choice = upstream::makeRoutingPolicy(name, 1)->choose({&engine}, {});
+    cr_assert_str_eq(choice->scores.front().reason.c_str(), reasons.at(name).c_str());
   }
   cr_assert_null(upstream::makeRoutingPolicy("best", 1).get());
 }
