--- a/src/daemon/admission/admission_controller.cpp
+++ b/src/daemon/admission/admission_controller.cpp
@@ -75,15 +75,14 @@
 
 AdmissionOutput AdmissionController::onTick(Instant now) {
   AdmissionOutput out;
-  for (auto it = wish_sent_.begin(); it != wish_sent_.end();) {
-    if (now - it->second < options_.remote_timeout) {
+  for (auto it = wished_.begin(); it != wished_.end();) {
+    if (now - it->second.sent < options_.remote_timeout) {
       ++it;
       continue;
     }
-    // The zone did not answer: the ticket waits at home again.
-    const auto ticket = wished_.extract(it->first);
-    it = wish_sent_.erase(it);
-    queue_.push(ticket.mapped(), UINT32_MAX);
+    // The zone did not answer: the ticket goes back to this daemon's queue.
+    queue_.push(std::move(it->second.ticket), UINT32_MAX);
+    it = wished_.erase(it);
   }
   for (const Ticket& ticket : queue_.takeExpired(now)) {
     refuse(now, ticket, RefusalReason::kDeadline, out);
@@ -107,9 +106,8 @@
                                                        const wire::PlacementAnswer& answer) {
   AdmissionOutput out;
   auto wished = wished_.extract(answer.sequence);
-  wish_sent_.erase(answer.sequence);
   if (wished.empty()) return out;  // Too late: the ticket went back to the queue or is decided.
-  const Ticket& ticket = wished.mapped();
+  const Ticket& ticket = wished.mapped().ticket;
   if (answer.engine.empty()) {
     queue_.push(ticket, UINT32_MAX);
     drain(now, out);
@@ -147,8 +145,7 @@
   queue_.remove(request);
   last_wish_.erase(request);
   for (auto it = wished_.begin(); it != wished_.end(); ++it) {
-    if (it->second.request != request) continue;
-    wish_sent_.erase(it->first);
+    if (it->second.ticket.request != request) continue;
     wished_.erase(it);
     return;
   }
@@ -201,14 +198,11 @@
   const auto zones = directory_.zonesWith(now, ticket.model, ticket.minimum_version);
   const std::uint64_t sequence = next_sequence_++;
   last_wish_[ticket.request] = now;
-  wished_[sequence] = ticket;
-  wish_sent_[sequence] = now;
+  wished_[sequence] = {ticket, now};
   // Free zones come first; later tries of the same ticket go on to the next ones.
   const ZoneName zone = zones[sequence % std::min<std::size_t>(zones.size(), 2)].zone;
   out.remote_wishes.push_back(
-      {ticket.request,
-       zone,
-       {sequence, ticket.tenant, ticket.model, ticket.minimum_version, ticket.prefix_hash}});
+      {zone, {sequence, ticket.tenant, ticket.model, ticket.minimum_version, ticket.prefix_hash}});
 }
 
 void AdmissionController::drain(Instant now, AdmissionOutput& out) {
--- a/src/daemon/admission/admission_controller.h
+++ b/src/daemon/admission/admission_controller.h
@@ -46,7 +46,6 @@
 
 /// A wish to place a ticket in another zone.
 struct RemoteWish {
-  RequestId request;
   ZoneName zone;
   wire::PlacementRequest placement;
 };
@@ -100,6 +99,11 @@
   std::optional<Explanation> explain(const RequestId& request) const;
 
  private:
+  /// A ticket that another zone was asked to place.
+  struct SentWish {
+    Ticket ticket;
+    Instant sent{};
+  };
   void enqueue(Instant now, Ticket ticket, std::uint32_t tenant_bound, AdmissionOutput& out);
   bool tryStart(Instant now, const Ticket& ticket, AdmissionOutput& out);
   std::optional<upstream::RoutingChoice> chooseEngine(Instant now, const ModelName& model,
@@ -121,9 +125,8 @@
   RetryBudget retry_budget_{0.1, 10.0};
   std::map<TenantId, std::uint32_t> tenant_in_flight_;  ///< Streams of each tenant here.
   std::size_t total_in_flight_ = 0;
-  std::map<RequestId, Instant> last_wish_;  ///< Of tickets that wait.
-  std::map<std::uint64_t, Ticket> wished_;  ///< Tickets with a wish under way.
-  std::map<std::uint64_t, Instant> wish_sent_;
+  std::map<RequestId, Instant> last_wish_;    ///< Of tickets that wait.
+  std::map<std::uint64_t, SentWish> wished_;  ///< Wishes under way, by sequence.
   std::uint64_t next_sequence_ = 1;
   std::deque<Explanation> explanations_;  ///< Newest last.
   bool stopping_ = false;
