--- a/src/daemon/config/config_state.cpp
+++ b/src/daemon/config/config_state.cpp
@@ -64,11 +64,6 @@
   return answer;
 }
 
-const wire::ConfigItem* ConfigState::find(const std::string& key) const {
-  const auto found = items_.find(key);
-  return found == items_.end() ? nullptr : &found->second;
-}
-
 std::vector<wire::ConfigItem> ConfigState::list(const std::string& prefix) const {
   std::vector<wire::ConfigItem> result;
   for (const auto& [key, item] : items_) {
--- a/src/daemon/config/config_state.h
+++ b/src/daemon/config/config_state.h
@@ -52,7 +52,6 @@
 
   Revision revision() const { return revision_; }
   SnapshotSharedPtr snapshot() const { return snapshot_; }
-  const wire::ConfigItem* find(const std::string& key) const;
   /// @return all items that are not deleted and whose key begins with `prefix`.
   std::vector<wire::ConfigItem> list(const std::string& prefix) const;
 
--- a/src/daemon/node/node_core_tick.cpp
+++ b/src/daemon/node/node_core_tick.cpp
@@ -138,7 +138,7 @@
     auto& zones = result[model];
     const auto add = [&](const wire::ZoneDigest& digest) {
       const wire::PoolDigest* pool = upstream::findPool(digest, model);
-      if (pool != nullptr) zones.push_back({digest.zone, pool->slots, pool->highest});
+      if (pool != nullptr) zones.push_back({digest.zone, pool->slots});
     };
     add(own);
     for (const wire::ZoneDigest& digest : directory_.zonesWith(now, model, 0)) add(digest);
--- a/src/daemon/process/request_runner.cpp
+++ b/src/daemon/process/request_runner.cpp
@@ -49,7 +49,6 @@
       break;
     }
     const auto& placement = std::get<admission::Placement>(decision->verdict);
-    report.engine = placement.engine;
     ++report.tries;
     driver.onSend(placement.engine);
     const StreamEnd end = stream(work, placement, report.tries, driver, on_piece, report);
@@ -59,7 +58,6 @@
   report.complete = driver.complete();
   report.run_state = driver.runState();
   report.text = driver.text();
-  report.tokens = driver.tokens();
   report.pieces = driver.pieces();
   return report;
 }
@@ -102,8 +100,7 @@
       return false;
     }
     driver.onPiece(piece);
-    report.caller_gone = !on_piece(piece);
-    return !report.caller_gone;
+    return on_piece(piece);
   });
   if (end != StreamEnd::kComplete && end != StreamEnd::kNotStarted) {
     engines_->cancel(placement.url, request.attempt);
--- a/src/daemon/process/request_runner.h
+++ b/src/daemon/process/request_runner.h
@@ -3,12 +3,10 @@
 /// @file
 /// Carries one request through admission and streams on the calling thread.
 
-#include <atomic>
 #include <functional>
 #include <optional>
 #include <string>
 
-#include "common/random.h"
 #include "daemon/ports/engine_client.h"
 #include "daemon/process/node_handle.h"
 #include "daemon/upstream/request_driver.h"
@@ -38,11 +36,8 @@
   upstream::RunState run_state = upstream::RunState::kNotRun;
   std::optional<admission::Refusal> refusal;  ///< Set if an admission refused it.
   bool deadline_passed = false;
-  bool caller_gone = false;
   std::string text;
-  std::uint32_t tokens = 0;
   std::vector<wire::VersionPiece> pieces;
-  EngineId engine;  ///< The last one tried.
   int tries = 0;
 };
 
--- a/src/daemon/rollout/step_coordinator.h
+++ b/src/daemon/rollout/step_coordinator.h
@@ -32,7 +32,6 @@
 struct ZoneCapacity {
   ZoneName zone;
   std::uint32_t slots = 0;
-  WeightVersion highest = 0;  ///< Newest version held there.
 };
 
 /// An order for one sample; the shell picks a live daemon of the zone.
@@ -60,7 +59,7 @@
   void onStepRead(Instant now, const StepKey& step, const std::optional<StepRow>& row,
                   const std::optional<StepSpec>& spec, const std::vector<Sample>& samples,
                   std::uint32_t staleness_bound);
-  /// @return the ack, and the cancellation of attempts that are no longer wanted.
+  /// A maker finished a sample or gave it up.
   void onResult(Instant now, const wire::SampleResult& result);
   void onProgress(Instant now, const DaemonId& from, const wire::SampleProgress& progress);
   void onModelHead(const ModelName& model, WeightVersion version);
--- a/tests/daemon/rollout/step_coordinator_test.cpp
+++ b/tests/daemon/rollout/step_coordinator_test.cpp
@@ -15,8 +15,7 @@
 struct Fixture {
   StepCoordinator coordinator{{}};
   Instant now{std::chrono::seconds(100)};
-  std::map<ModelName, std::vector<rollout::ZoneCapacity>> capacity{
-      {kModel, {{ZoneName("z"), 8, 5}}}};
+  std::map<ModelName, std::vector<rollout::ZoneCapacity>> capacity{{kModel, {{ZoneName("z"), 8}}}};
 
   explicit Fixture(std::uint32_t samples, std::uint32_t bound = 1,
                    const std::vector<Sample>& stored = {}) {
