--- a/apps/linenpier_load.cpp
+++ b/apps/linenpier_load.cpp
@@ -25,7 +25,7 @@
   linenpier-load --help
 
 Options:
-  --json FILE   Write the result as JSON ("-" for standard output).
+  --json FILE   Write the result as JSON.
   --seed N      Overrides the scenario's seed.
   --duration S  Overrides the scenario's duration in seconds.
 
@@ -85,12 +85,7 @@
   const load::RunResult result = runScenario(*scenario);
   std::cout << load::toTable(result);
   if (arguments["--json"]) {
-    const std::string json_file = arguments["--json"].asString();
-    if (json_file == "-") {
-      std::cout << load::toJson(result) << "\n";
-    } else {
-      std::ofstream(json_file) << load::toJson(result) << "\n";
-    }
+    std::ofstream(arguments["--json"].asString()) << load::toJson(result) << "\n";
   }
   return load::judge(result).sum() == 0 ? 0 : 1;
 }
--- a/src/common/toml_table_reader.h
+++ b/src/common/toml_table_reader.h
@@ -31,7 +31,6 @@
     if (!value) report(key, "must be a number in range");
     return value.value_or(usual);
   }
-  bool flag(const char* key, bool usual) { return table_[key].value<bool>().value_or(usual); }
   Address address(const char* key, bool required) {
     const auto value = table_[key].value<std::string>();
     if (!value && !required) return {};
--- a/src/testbed/load/caller.cpp
+++ b/src/testbed/load/caller.cpp
@@ -108,7 +108,7 @@
   auto client = platform::makeClient(platform::serviceUrl(target),
                                      {std::chrono::milliseconds(300), std::min(left, kMaxSilence)});
   const bool once = !lookup.once_id.empty();
-  const bool stream = plan_.stream && !once;
+  const bool stream = !once;
   const auto left_ms = std::max<long>(1, left / std::chrono::milliseconds(1));
   httplib::Request call;
   call.method = "POST";
--- a/src/testbed/load/scenario.cpp
+++ b/src/testbed/load/scenario.cpp
@@ -18,7 +18,6 @@
   plan.tokens = reader.number("tokens", plan.tokens);
   plan.deadline_ms = reader.number("deadline_ms", plan.deadline_ms);
   plan.once_share = reader.number("once_share", plan.once_share);
-  plan.stream = reader.flag("stream", plan.stream);
   return plan;
 }
 
--- a/src/testbed/load/scenario.h
+++ b/src/testbed/load/scenario.h
@@ -21,8 +21,7 @@
   double rate = 5;            ///< Arrivals per second, at random (Poisson).
   std::uint32_t tokens = 20;  ///< Length of an answer.
   std::uint32_t deadline_ms = 3000;
-  double once_share = 0;  ///< Share of not-repeatable requests.
-  bool stream = true;
+  double once_share = 0;  ///< Share of not-repeatable requests; the others are streamed.
 };
 
 struct TrainerPlan {
--- a/src/testbed/standin/engine_sim.cpp
+++ b/src/testbed/standin/engine_sim.cpp
@@ -13,6 +13,8 @@
 constexpr std::size_t kCachedPrefixes = 64;
 constexpr std::size_t kPrefixBytes = 256;
 constexpr double kBatchSlowdown = 0.5;  ///< A full batch makes each token this much slower.
+/// Time to the first token of a prompt whose prefix is not cached.
+constexpr double kPrefillMs = 20;
 constexpr double kSlowFactor = 5;
 constexpr auto kLeavingGrace = std::chrono::seconds(3);
 constexpr std::size_t kLoadHistory = 400;
@@ -35,7 +37,7 @@
   sequence->length = answerLength(prompt, max_tokens);
   sequence->priority = priority;
   sequence->order = next_order_++;
-  sequence->credit = touchPrefix(prompt) ? 0 : -pool_.prefill_ms / pool_.token_ms;
+  sequence->credit = touchPrefix(prompt) ? 0 : -kPrefillMs / pool_.token_ms;
   sequences_[attempt] = sequence;
   const std::string once = onceId(prompt);
   if (!once.empty()) ++once_starts_[once];
--- a/src/testbed/standin/topology.cpp
+++ b/src/testbed/standin/topology.cpp
@@ -32,7 +32,6 @@
   pool.count = reader.number("count", pool.count);
   pool.slots = reader.number("slots", pool.slots);
   pool.token_ms = reader.number("token_ms", pool.token_ms);
-  pool.prefill_ms = reader.number("prefill_ms", pool.prefill_ms);
   pool.swap_ms = reader.number("swap_ms", pool.swap_ms);
   return pool;
 }
--- a/src/testbed/standin/topology.h
+++ b/src/testbed/standin/topology.h
@@ -20,9 +20,8 @@
   ZoneName zone;
   std::uint32_t count = 1;
   std::uint32_t slots = 8;
-  double token_ms = 10;    ///< Time for one token with an empty batch.
-  double prefill_ms = 20;  ///< Time to the first token without a cached prefix.
-  double swap_ms = 150;    ///< Pause of a flip.
+  double token_ms = 10;  ///< Time for one token with an empty batch.
+  double swap_ms = 150;  ///< Pause of a flip.
 };
 
 struct ListedDaemon {
