--- a/apps/linenpierd.cpp
+++ b/apps/linenpierd.cpp
@@ -67,11 +67,11 @@
 
 daemon::Services connect(const settings::DaemonSettings& settings) {
   const std::string caller = settings.zone.str() + "/" + settings.id.str();
-  const platform::CallTimeouts timeouts;
-  return {std::make_shared<platform::HttpTableClient>(settings.platform, caller, timeouts),
-          std::make_shared<platform::HttpObjectStoreClient>(settings.platform, caller, timeouts),
-          std::make_shared<platform::HttpEngineClient>(caller, platform::EngineTimeouts{}),
-          std::make_shared<platform::HttpPlatformDirectory>(settings.platform, caller, timeouts)};
+  const platform::PlatformService service(settings.platform, caller);
+  return {std::make_shared<platform::HttpTableClient>(service),
+          std::make_shared<platform::HttpObjectStoreClient>(service),
+          std::make_shared<platform::HttpEngineClient>(caller),
+          std::make_shared<platform::HttpPlatformDirectory>(service)};
 }
 
 /// Waits for a stop signal, then until open requests and samples have ended or the limit passes.
--- a/src/daemon/clients/http_call.cpp
+++ b/src/daemon/clients/http_call.cpp
@@ -5,7 +5,16 @@
 namespace linenpier::platform {
 
 namespace {
+
 constexpr int kConflictStatus = 409;
+
+CallFailure failureOfStatus(int status) {
+  if (status == 429) return CallFailure::kRateLimited;
+  if (status == 503) return CallFailure::kUnavailable;
+  if (status >= 400 && status < 500) return CallFailure::kRejected;
+  return CallFailure::kBadAnswer;
+}
+
 }  // namespace
 
 ServiceUrl parseServiceUrl(const std::string& url) {
@@ -23,8 +32,8 @@
   return result;
 }
 
-ServiceUrl serviceUrl(const Address& address, std::string path) {
-  return {ipText(address), address.port, std::move(path)};
+ServiceUrl serviceUrl(const Address& address) {
+  return {ipText(address), address.port, ""};
 }
 
 httplib::Client makeClient(const ServiceUrl& url, const CallTimeouts& timeouts) {
@@ -52,13 +61,6 @@
   }
 }
 
-CallFailure failureOfStatus(int status) {
-  if (status == 429) return CallFailure::kRateLimited;
-  if (status == 503) return CallFailure::kUnavailable;
-  if (status >= 400 && status < 500) return CallFailure::kRejected;
-  return CallFailure::kBadAnswer;
-}
-
 CallResult<httplib::Response> classify(httplib::Result result) {
   if (!result) {
     return tl::make_unexpected(
@@ -85,4 +87,25 @@
   return encoded;
 }
 
+PlatformService::PlatformService(const Address& address, const std::string& caller)
+    : url_(serviceUrl(address)), headers_{{"X-Caller", caller}} {}
+
+CallResult<httplib::Response> PlatformService::get(const std::string& path) const {
+  return classify(makeClient(url_, {}).Get(path, headers_));
+}
+
+CallResult<httplib::Response> PlatformService::put(const std::string& path,
+                                                   const std::string& body) const {
+  return classify(makeClient(url_, {}).Put(path, headers_, body, "application/octet-stream"));
+}
+
+CallResult<httplib::Response> PlatformService::post(const std::string& path,
+                                                    const std::string& json) const {
+  return classify(makeClient(url_, {}).Post(path, headers_, json, "application/json"));
+}
+
+CallResult<httplib::Response> PlatformService::remove(const std::string& path) const {
+  return classify(makeClient(url_, {}).Delete(path, headers_));
+}
+
 }  // namespace linenpier::platform
--- a/src/daemon/clients/http_call.h
+++ b/src/daemon/clients/http_call.h
@@ -5,6 +5,7 @@
 
 #include <httplib.h>
 
+#include <nlohmann/json.hpp>
 #include <string>
 
 #include "common/address.h"
@@ -28,7 +29,7 @@
 
 /// @param url "http://127.0.0.1:9000/engines/e1".
 ServiceUrl parseServiceUrl(const std::string& url);
-ServiceUrl serviceUrl(const Address& address, std::string path = "");
+ServiceUrl serviceUrl(const Address& address);
 
 /// @return a client for one call, with its timeouts set. Clients are not shared between threads.
 httplib::Client makeClient(const ServiceUrl& url, const CallTimeouts& timeouts);
@@ -36,9 +37,38 @@
 /// Classifies an outcome. @return the response if its status is 2xx or 409.
 CallResult<httplib::Response> classify(httplib::Result result);
 CallFailure failureOf(httplib::Error error);
-CallFailure failureOfStatus(int status);
 
 /// Encodes a query parameter.
 std::string urlEncode(const std::string& text);
 
+/// Reads a JSON answer with `read`. @return what it read; kBadAnswer if the JSON is not as
+/// expected.
+template <typename T, typename Read>
+CallResult<T> parseAnswer(const CallResult<httplib::Response>& response, Read read) {
+  if (!response) return tl::make_unexpected(response.error());
+  try {
+    return read(nlohmann::json::parse(response->body));
+  } catch (const nlohmann::json::exception& error) {
+    return tl::make_unexpected(CallError{CallFailure::kBadAnswer, error.what()});
+  }
+}
+
+/// The platform's services under one address. Immutable, so safe from any thread: each call opens a
+/// connection of its own.
+class PlatformService {
+ public:
+  /// @param caller named in each call, so that the platform knows which zone it comes from.
+  PlatformService(const Address& address, const std::string& caller);
+
+  /// @param path with its query.
+  CallResult<httplib::Response> get(const std::string& path) const;
+  CallResult<httplib::Response> put(const std::string& path, const std::string& body) const;
+  CallResult<httplib::Response> post(const std::string& path, const std::string& json) const;
+  CallResult<httplib::Response> remove(const std::string& path) const;
+
+ private:
+  ServiceUrl url_;
+  httplib::Headers headers_;
+};
+
 }  // namespace linenpier::platform
--- a/src/daemon/clients/http_engine_client.cpp
+++ b/src/daemon/clients/http_engine_client.cpp
@@ -1,7 +1,5 @@
 #include "daemon/clients/http_engine_client.h"
 
-#include <nlohmann/json.hpp>
-
 #include "daemon/clients/server_sent_events.h"
 
 namespace linenpier::platform {
@@ -13,6 +11,15 @@
 
 namespace {
 
+/// Engines that make a stream wait still send a comment twice a second, so a second without any
+/// byte means that the engine is frozen or cut off.
+const CallTimeouts kGenerateTimeouts{std::chrono::milliseconds(500),
+                                     std::chrono::milliseconds(1000)};
+const CallTimeouts kControlTimeouts{std::chrono::milliseconds(300),
+                                    std::chrono::milliseconds(1000)};
+/// A flip answers once the engine has swapped its weights.
+const CallTimeouts kOrderTimeouts{std::chrono::milliseconds(300), std::chrono::seconds(30)};
+
 /// Follows one stream and remembers how it stands.
 class StreamFollower {
  public:
@@ -63,13 +70,10 @@
 
 }  // namespace
 
-HttpEngineClient::HttpEngineClient(std::string caller, EngineTimeouts timeouts)
-    : caller_(std::move(caller)), timeouts_(timeouts) {}
-
 StreamEnd HttpEngineClient::generate(const std::string& url, const engine::GenerateRequest& request,
                                      const engine::PieceSink& sink) {
   const ServiceUrl service = parseServiceUrl(url);
-  auto client = makeClient(service, timeouts_.generate);
+  auto client = makeClient(service, kGenerateTimeouts);
   const json body = {
       {"model", request.model.str()},        {"prompt", request.prompt},
       {"resume_text", request.resume_text},  {"resume_tokens", request.resume_tokens},
@@ -103,18 +107,16 @@
 
 void HttpEngineClient::cancel(const std::string& url, const AttemptId& attempt) {
   const ServiceUrl service = parseServiceUrl(url);
-  auto client = makeClient(service, timeouts_.control);
+  auto client = makeClient(service, kControlTimeouts);
   client.Post(service.path + "/abort", {{"X-Caller", caller_}},
               json{{"request_id", attempt.str()}}.dump(), "application/json");
 }
 
 CallResult<wire::EngineReport> HttpEngineClient::load(const std::string& url) {
   const ServiceUrl service = parseServiceUrl(url);
-  auto client = makeClient(service, timeouts_.control);
+  auto client = makeClient(service, kControlTimeouts);
   const auto response = classify(client.Get(service.path + "/load", {{"X-Caller", caller_}}));
-  if (!response) return tl::make_unexpected(response.error());
-  try {
-    const json answer = json::parse(response->body);
+  return parseAnswer<wire::EngineReport>(response, [](const json& answer) {
     wire::EngineReport report;
     report.engine = EngineId(answer.at("engine").get<std::string>());
     report.running = answer.at("running").get<std::uint32_t>();
@@ -124,15 +126,13 @@
     report.prefetched = answer.at("prefetched").get<WeightVersion>();
     report.leaving = answer.at("leaving").get<bool>();
     return report;
-  } catch (const json::exception& error) {
-    return tl::make_unexpected(CallError{CallFailure::kBadAnswer, error.what()});
-  }
+  });
 }
 
 CallResult<OrderOutcome> HttpEngineClient::order(const std::string& url,
                                                  const engine::FencedOrder& order) {
   const ServiceUrl service = parseServiceUrl(url);
-  auto client = makeClient(service, timeouts_.order);
+  auto client = makeClient(service, kOrderTimeouts);
   const json body = {{"kind", orderName(order.kind)},
                      {"token", order.token},
                      {"model", order.model.str()},
--- a/src/daemon/clients/http_table_client.cpp
+++ b/src/daemon/clients/http_table_client.cpp
@@ -1,7 +1,5 @@
 #include "daemon/clients/http_table_client.h"
 
-#include <nlohmann/json.hpp>
-
 namespace linenpier::platform {
 
 using nlohmann::json;
@@ -13,22 +11,8 @@
           object.at("value").get<std::string>()};
 }
 
-/// Runs `read` over the answer's JSON.
-template <typename T, typename Read>
-CallResult<T> parseAnswer(const CallResult<httplib::Response>& response, Read read) {
-  if (!response) return tl::make_unexpected(response.error());
-  try {
-    return read(json::parse(response->body));
-  } catch (const json::exception& error) {
-    return tl::make_unexpected(CallError{CallFailure::kBadAnswer, error.what()});
-  }
-}
-
 }  // namespace
 
-HttpTableClient::HttpTableClient(const Address& address, std::string caller, CallTimeouts timeouts)
-    : url_(serviceUrl(address)), caller_(std::move(caller)), timeouts_(timeouts) {}
-
 CallResult<table::TransactionAnswer> HttpTableClient::transact(
     const table::Transaction& transaction) {
   json body = {{"checks", json::array()}, {"puts", json::array()}};
@@ -38,9 +22,7 @@
   for (const table::Put& put : transaction.puts) {
     body["puts"].push_back({{"key", put.key}, {"value", put.value}});
   }
-  auto client = makeClient(url_, timeouts_);
-  const auto response = classify(
-      client.Post("/table/transact", {{"X-Caller", caller_}}, body.dump(), "application/json"));
+  const auto response = service_.post("/table/transact", body.dump());
   return parseAnswer<table::TransactionAnswer>(response, [](const json& answer) {
     table::TransactionAnswer result;
     result.committed = answer.at("committed").get<bool>();
@@ -51,16 +33,11 @@
 }
 
 CallResult<table::Row> HttpTableClient::read(const std::string& key) {
-  auto client = makeClient(url_, timeouts_);
-  const auto response =
-      classify(client.Get("/table/row?key=" + urlEncode(key), {{"X-Caller", caller_}}));
-  return parseAnswer<table::Row>(response, rowFrom);
+  return parseAnswer<table::Row>(service_.get("/table/row?key=" + urlEncode(key)), rowFrom);
 }
 
 CallResult<std::vector<table::Row>> HttpTableClient::list(const std::string& prefix) {
-  auto client = makeClient(url_, timeouts_);
-  const auto response =
-      classify(client.Get("/table/rows?prefix=" + urlEncode(prefix), {{"X-Caller", caller_}}));
+  const auto response = service_.get("/table/rows?prefix=" + urlEncode(prefix));
   return parseAnswer<std::vector<table::Row>>(response, [](const json& answer) {
     std::vector<table::Row> rows;
     for (const json& row : answer) rows.push_back(rowFrom(row));
--- a/src/daemon/clients/platform_directory.cpp
+++ b/src/daemon/clients/platform_directory.cpp
@@ -1,22 +1,12 @@
 #include "daemon/clients/platform_directory.h"
 
-#include <nlohmann/json.hpp>
-
 namespace linenpier::platform {
 
 using nlohmann::json;
 
-HttpPlatformDirectory::HttpPlatformDirectory(const Address& address, std::string caller,
-                                             CallTimeouts timeouts)
-    : url_(serviceUrl(address)), caller_(std::move(caller)), timeouts_(timeouts) {}
-
 CallResult<MachineList> HttpPlatformDirectory::machines(const ZoneName& zone) {
-  auto client = makeClient(url_, timeouts_);
-  const auto response =
-      classify(client.Get("/machines?zone=" + urlEncode(zone.str()), {{"X-Caller", caller_}}));
-  if (!response) return tl::make_unexpected(response.error());
-  try {
-    const json answer = json::parse(response->body);
+  const auto response = service_.get("/machines?zone=" + urlEncode(zone.str()));
+  return parseAnswer<MachineList>(response, [](const json& answer) {
     MachineList list;
     for (const json& daemon : answer.at("daemons")) {
       const auto address = parseAddress(daemon.at("control").get<std::string>());
@@ -33,21 +23,13 @@
                               engine.at("leaving").get<bool>()});
     }
     return list;
-  } catch (const json::exception& error) {
-    return tl::make_unexpected(CallError{CallFailure::kBadAnswer, error.what()});
-  }
+  });
 }
 
 CallResult<WeightVersion> HttpPlatformDirectory::newestVersion(const ModelName& model) {
-  auto client = makeClient(url_, timeouts_);
-  const auto response =
-      classify(client.Get("/weights?model=" + urlEncode(model.str()), {{"X-Caller", caller_}}));
-  if (!response) return tl::make_unexpected(response.error());
-  const json answer = json::parse(response->body, nullptr, false);
-  if (!answer.is_object() || !answer.contains("version")) {
-    return tl::make_unexpected(CallError{CallFailure::kBadAnswer, "no version"});
-  }
-  return answer["version"].get<WeightVersion>();
+  return parseAnswer<WeightVersion>(
+      service_.get("/weights?model=" + urlEncode(model.str())),
+      [](const json& answer) { return answer.at("version").get<WeightVersion>(); });
 }
 
 }  // namespace linenpier::platform
--- a/src/daemon/clients/platform_directory.h
+++ b/src/daemon/clients/platform_directory.h
@@ -33,14 +33,12 @@
 /// `GET /machines?zone=`, `GET /weights?model=`.
 class HttpPlatformDirectory : public PlatformDirectory {
  public:
-  HttpPlatformDirectory(const Address& address, std::string caller, CallTimeouts timeouts);
+  explicit HttpPlatformDirectory(PlatformService service) : service_(std::move(service)) {}
   CallResult<MachineList> machines(const ZoneName& zone) override;
   CallResult<WeightVersion> newestVersion(const ModelName& model) override;
 
  private:
-  ServiceUrl url_;
-  std::string caller_;
-  CallTimeouts timeouts_;
+  PlatformService service_;
 };
 
 }  // namespace linenpier::platform
