--- a/apps/linenpier_load.cpp
+++ b/apps/linenpier_load.cpp
@@ -10,7 +10,6 @@
 #include <thread>
 
 #include "common/log.h"
-#include "daemon/settings/settings.h"
 #include "testbed/load/report.h"
 
 namespace {
@@ -72,10 +71,7 @@
   auto arguments = docopt::docopt(kUsage, {argv + 1, argv + argc});
   std::signal(SIGPIPE, SIG_IGN);
   setUpLogging("error");
-  const std::string file = arguments["SCENARIO"].asString();
-  const auto text = settings::readFile(file);
-  auto scenario = text ? load::parseScenario(file, *text)
-                       : tl::expected<load::Scenario, Findings>(tl::make_unexpected(text.error()));
+  auto scenario = load::readScenario(arguments["SCENARIO"].asString());
   if (!scenario) {
     std::cerr << describe(scenario.error());
     return 2;
--- a/apps/linenpier_platform.cpp
+++ b/apps/linenpier_platform.cpp
@@ -8,7 +8,6 @@
 #include <thread>
 
 #include "common/log.h"
-#include "daemon/settings/settings.h"
 #include "testbed/standin/platform_server.h"
 
 namespace {
@@ -37,11 +36,7 @@
 int main(int argc, char** argv) {
   auto arguments = docopt::docopt(kUsage, {argv + 1, argv + argc});
   setUpLogging(arguments["--log"].asString());
-  const std::string file = arguments["--settings"].asString();
-  const auto text = settings::readFile(file);
-  const auto topology =
-      text ? standin::parseTopology(file, *text)
-           : tl::expected<standin::Topology, Findings>(tl::make_unexpected(text.error()));
+  const auto topology = standin::readTopology(arguments["--settings"].asString());
   if (!topology) {
     std::cerr << describe(topology.error());
     return 2;
--- a/src/common/toml_table_reader.h
+++ b/src/common/toml_table_reader.h
@@ -10,6 +10,7 @@
 
 #include "common/address.h"
 #include "common/error.h"
+#include "common/read_file.h"
 
 namespace linenpier::settings {
 
@@ -63,15 +64,16 @@
   }
 }
 
-/// Parses `text` and lets `read` fill a value from its root table.
+/// Reads `file` and lets `read` fill a value from its root table.
 /// @return the value, or every finding.
 template <typename Value, typename Read>
-tl::expected<Value, Findings> readTomlFile(const std::string& file, const std::string& text,
-                                           Read read) {
+tl::expected<Value, Findings> readTomlFile(const std::string& file, Read read) {
+  const auto text = readFile(file);
+  if (!text) return tl::make_unexpected(text.error());
   Findings findings;
   Value value;
   try {
-    const toml::table root = toml::parse(text, file);
+    const toml::table root = toml::parse(*text, file);
     TableReader top(root, file, findings);
     read(root, top, value, findings);
   } catch (const toml::parse_error& error) {
--- a/src/testbed/load/scenario.cpp
+++ b/src/testbed/load/scenario.cpp
@@ -52,21 +52,19 @@
 
 }  // namespace
 
-tl::expected<Scenario, Findings> parseScenario(const std::string& file, const std::string& text) {
-  return settings::readTomlFile<Scenario>(
-      file, text,
-      [&file](const toml::table& root, TableReader& top, Scenario& scenario, Findings& findings) {
-        readTargets(root, top, scenario);
-        scenario.platform = top.address("platform", true);
-        scenario.duration_s = top.number("duration_s", scenario.duration_s);
-        scenario.seed = top.number("seed", scenario.seed);
-        readArray(root, "caller", file, findings, [&scenario](TableReader& reader) {
-          scenario.callers.push_back(readCaller(reader));
-        });
-        readArray(root, "trainer", file, findings, [&scenario](TableReader& reader) {
-          scenario.trainers.push_back(readTrainer(reader));
-        });
-      });
+tl::expected<Scenario, Findings> readScenario(const std::string& file) {
+  return settings::readTomlFile<Scenario>(file, [&file](const toml::table& root, TableReader& top,
+                                                        Scenario& scenario, Findings& findings) {
+    readTargets(root, top, scenario);
+    scenario.platform = top.address("platform", true);
+    scenario.duration_s = top.number("duration_s", scenario.duration_s);
+    scenario.seed = top.number("seed", scenario.seed);
+    readArray(root, "caller", file, findings,
+              [&scenario](TableReader& reader) { scenario.callers.push_back(readCaller(reader)); });
+    readArray(root, "trainer", file, findings, [&scenario](TableReader& reader) {
+      scenario.trainers.push_back(readTrainer(reader));
+    });
+  });
 }
 
 }  // namespace linenpier::load
--- a/src/testbed/load/scenario.h
+++ b/src/testbed/load/scenario.h
@@ -48,6 +48,6 @@
 };
 
 /// @return the scenario, or every finding with file and key.
-tl::expected<Scenario, Findings> parseScenario(const std::string& file, const std::string& text);
+tl::expected<Scenario, Findings> readScenario(const std::string& file);
 
 }  // namespace linenpier::load
--- a/src/testbed/standin/topology.cpp
+++ b/src/testbed/standin/topology.cpp
@@ -44,18 +44,16 @@
 
 }  // namespace
 
-tl::expected<Topology, Findings> parseTopology(const std::string& file, const std::string& text) {
-  return settings::readTomlFile<Topology>(
-      file, text,
-      [&file](const toml::table& root, TableReader& top, Topology& topology, Findings& findings) {
-        topology.listen = top.address("listen", true);
-        topology.limits = readLimits(root, file, findings);
-        readArray(root, "pool", file, findings,
-                  [&topology](TableReader& reader) { topology.pools.push_back(readPool(reader)); });
-        readArray(root, "daemon", file, findings, [&topology](TableReader& reader) {
-          topology.daemons.push_back(readDaemon(reader));
-        });
-      });
+tl::expected<Topology, Findings> readTopology(const std::string& file) {
+  return settings::readTomlFile<Topology>(file, [&file](const toml::table& root, TableReader& top,
+                                                        Topology& topology, Findings& findings) {
+    topology.listen = top.address("listen", true);
+    topology.limits = readLimits(root, file, findings);
+    readArray(root, "pool", file, findings,
+              [&topology](TableReader& reader) { topology.pools.push_back(readPool(reader)); });
+    readArray(root, "daemon", file, findings,
+              [&topology](TableReader& reader) { topology.daemons.push_back(readDaemon(reader)); });
+  });
 }
 
 }  // namespace linenpier::standin
--- a/src/testbed/standin/topology.h
+++ b/src/testbed/standin/topology.h
@@ -50,6 +50,6 @@
 };
 
 /// @return the topology, or every finding with file and key.
-tl::expected<Topology, Findings> parseTopology(const std::string& file, const std::string& text);
+tl::expected<Topology, Findings> readTopology(const std::string& file);
 
 }  // namespace linenpier::standin
