--- a/apps/linenpierctl.cpp
+++ b/apps/linenpierctl.cpp
@@ -8,6 +8,7 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
+#include "common/read_file.h"
 #include "daemon/clients/http_call.h"
 #include "daemon/config/documents.h"
 #include "daemon/settings/settings.h"
--- a/apps/linenpierd.cpp
+++ b/apps/linenpierd.cpp
@@ -7,6 +7,7 @@
 #include <iostream>
 
 #include "common/log.h"
+#include "common/read_file.h"
 #include "daemon/api/http_server.h"
 #include "daemon/clients/http_engine_client.h"
 #include "daemon/clients/http_object_store_client.h"
--- a/src/daemon/admission/fair_queue.h
+++ b/src/daemon/admission/fair_queue.h
@@ -9,7 +9,6 @@
 #include <cstdint>
 #include <deque>
 #include <map>
-#include <optional>
 #include <vector>
 
 #include "common/ids.h"
--- a/src/daemon/api/answers.h
+++ b/src/daemon/api/answers.h
@@ -5,7 +5,6 @@
 
 #include <httplib.h>
 
-#include <optional>
 #include <string>
 
 #include "common/ids.h"
--- a/src/daemon/api/caller_routes.h
+++ b/src/daemon/api/caller_routes.h
@@ -5,8 +5,6 @@
 
 #include <httplib.h>
 
-#include <memory>
-
 #include "daemon/api/api_context.h"
 #include "daemon/api/completion_request.h"
 #include "daemon/api/intent_guard.h"
--- a/src/daemon/api/elastic_task_queue.h
+++ b/src/daemon/api/elastic_task_queue.h
@@ -10,7 +10,6 @@
 #include <deque>
 #include <functional>
 #include <mutex>
-#include <thread>
 
 namespace linenpier::api {
 
--- a/src/daemon/api/http_server.cpp
+++ b/src/daemon/api/http_server.cpp
@@ -1,7 +1,5 @@
 #include "daemon/api/http_server.h"
 
-#include <nlohmann/json.hpp>
-
 #include "common/log.h"
 #include "daemon/api/elastic_task_queue.h"
 #include "daemon/clients/http_listen.h"
--- a/src/daemon/api/intent_guard.h
+++ b/src/daemon/api/intent_guard.h
@@ -3,8 +3,6 @@
 /// @file
 /// Obtains the right to run a not-repeatable request, and records how it ended.
 
-#include <functional>
-
 #include "daemon/intent/intent_row.h"
 #include "daemon/process/effect_runner.h"
 #include "daemon/process/services.h"
--- a/src/daemon/clients/platform_directory.h
+++ b/src/daemon/clients/platform_directory.h
@@ -9,7 +9,6 @@
 #include "daemon/clients/http_call.h"
 #include "daemon/membership/membership.h"
 #include "daemon/upstream/engine_directory.h"
-#include "daemon/wire/messages.h"
 
 namespace linenpier::platform {
 
--- a/src/daemon/config/config_state.h
+++ b/src/daemon/config/config_state.h
@@ -5,7 +5,6 @@
 
 #include <map>
 #include <memory>
-#include <optional>
 #include <set>
 #include <string>
 #include <vector>
--- a/src/daemon/config/documents.cpp
+++ b/src/daemon/config/documents.cpp
@@ -4,7 +4,6 @@
 
 #include <algorithm>
 #include <array>
-#include <limits>
 #include <nlohmann/json.hpp>
 #include <set>
 
--- a/src/daemon/config/documents.h
+++ b/src/daemon/config/documents.h
@@ -4,7 +4,6 @@
 /// Templates and tenant parameters: what operators edit, as typed documents.
 
 #include <cstdint>
-#include <map>
 #include <string>
 #include <tl/expected.hpp>
 #include <vector>
--- a/src/daemon/intent/intent_row.h
+++ b/src/daemon/intent/intent_row.h
@@ -10,9 +10,7 @@
 
 #include <optional>
 #include <string>
-#include <tl/expected.hpp>
 
-#include "common/error.h"
 #include "common/ids.h"
 #include "daemon/ports/conditional_write.h"
 
--- a/src/daemon/node/node_core.h
+++ b/src/daemon/node/node_core.h
@@ -6,7 +6,6 @@
 
 #include <cstdint>
 #include <map>
-#include <memory>
 #include <set>
 #include <string>
 #include <vector>
--- a/src/daemon/node/node_core_receive.cpp
+++ b/src/daemon/node/node_core_receive.cpp
@@ -1,8 +1,6 @@
 /// @file
 /// How a daemon's core reacts to each message from another daemon.
 
-#include <algorithm>
-
 #include "daemon/node/node_core.h"
 #include "daemon/node/table_grace.h"
 
--- a/src/daemon/ports/conditional_write.h
+++ b/src/daemon/ports/conditional_write.h
@@ -8,8 +8,6 @@
 /// fails, the row is compared with the attempt id: our own id there means that an earlier try
 /// committed. The machine never assumes either outcome.
 
-#include <string>
-
 #include "common/ids.h"
 #include "daemon/ports/table_client.h"
 
--- a/src/daemon/ports/engine_client.h
+++ b/src/daemon/ports/engine_client.h
@@ -7,7 +7,6 @@
 #include <functional>
 #include <memory>
 #include <string>
-#include <vector>
 
 #include "common/error.h"
 #include "common/ids.h"
--- a/src/daemon/process/config_store.h
+++ b/src/daemon/process/config_store.h
@@ -3,7 +3,6 @@
 /// @file
 /// The configuration in the table: one row an item and one head row that counts all changes.
 
-#include <optional>
 #include <string>
 #include <vector>
 
--- a/src/daemon/process/daemon.cpp
+++ b/src/daemon/process/daemon.cpp
@@ -2,8 +2,6 @@
 
 #include <ctime>
 
-#include "common/log.h"
-
 namespace linenpier::daemon {
 
 namespace {
--- a/src/daemon/process/daemon.h
+++ b/src/daemon/process/daemon.h
@@ -3,7 +3,6 @@
 /// @file
 /// One whole daemon, assembled from its parts; the API is added by the main.
 
-#include <atomic>
 #include <caf/all.hpp>
 #include <memory>
 
--- a/src/daemon/process/udp_transport.h
+++ b/src/daemon/process/udp_transport.h
@@ -5,7 +5,6 @@
 
 #include <atomic>
 #include <functional>
-#include <string>
 #include <string_view>
 #include <thread>
 
--- a/src/daemon/settings/settings.h
+++ b/src/daemon/settings/settings.h
@@ -3,15 +3,12 @@
 /// @file
 /// A daemon's settings: a TOML file, overridden by flags, checked as a whole.
 
-#include <map>
 #include <string>
 #include <tl/expected.hpp>
-#include <vector>
 
 #include "common/address.h"
 #include "common/error.h"
 #include "common/ids.h"
-#include "common/read_file.h"
 #include "common/time.h"
 #include "common/toml_reader.h"
 
--- a/src/daemon/upstream/engine_directory.h
+++ b/src/daemon/upstream/engine_directory.h
@@ -6,7 +6,6 @@
 
 #include <cstdint>
 #include <map>
-#include <optional>
 #include <string>
 #include <vector>
 
--- a/src/daemon/upstream/routing_policy.cpp
+++ b/src/daemon/upstream/routing_policy.cpp
@@ -5,6 +5,7 @@
 #include <map>
 
 #include "common/hash.h"
+#include "common/random.h"
 
 namespace linenpier::upstream {
 
--- a/src/daemon/upstream/routing_policy.h
+++ b/src/daemon/upstream/routing_policy.h
@@ -8,7 +8,6 @@
 #include <string>
 #include <vector>
 
-#include "common/random.h"
 #include "daemon/upstream/engine_directory.h"
 
 namespace linenpier::upstream {
--- a/src/daemon/weights/weight_rollout.h
+++ b/src/daemon/weights/weight_rollout.h
@@ -4,7 +4,6 @@
 /// Moves the engines that this daemon commands to the newest weights: prefetch, then flip.
 
 #include <map>
-#include <optional>
 #include <set>
 #include <vector>
 
--- a/src/testbed/standin/platform_server.h
+++ b/src/testbed/standin/platform_server.h
@@ -7,7 +7,6 @@
 #include <httplib.h>
 
 #include <atomic>
-#include <deque>
 #include <memory>
 #include <thread>
 
