--- a/src/daemon/api/operator_routes.h
+++ b/src/daemon/api/operator_routes.h
@@ -27,10 +27,10 @@
   void handlePut(const httplib::Request& request, httplib::Response& response);
   void handleStatus(const httplib::Request& request, httplib::Response& response);
   void handleExplain(const httplib::Request& request, httplib::Response& response);
-  /// @return what is wrong with a document under `key`, by itself and with what is in force.
   /// Waits until an accepted edit is in force at this daemon, so that the operator's next edit may
   /// build on it. Gives up after a moment: the edit is accepted all the same.
   void waitInForce(Revision revision) const;
+  /// @return what is wrong with a document under `key`, by itself and with what is in force.
   Findings check(const std::string& key, const std::string& document) const;
 
   ApiContext& context_;
