--- a/apps/linenpier_load.cpp
+++ b/apps/linenpier_load.cpp
@@ -10,7 +10,6 @@
 #include <thread>
 
 #include "common/log.h"
-#include "daemon/settings/settings.h"
 #include "testbed/load/report.h"
 
 namespace {
@@ -25,7 +24,7 @@
   linenpier-load --help
 
 Options:
-  --json FILE   Write the result as JSON ("-" for standard output).
+  --json FILE   Write the result as JSON.
   --seed N      Overrides the scenario's seed.
   --duration S  Overrides the scenario's duration in seconds.
 
@@ -72,10 +71,7 @@
   auto arguments = docopt::docopt(kUsage, {argv + 1, argv + argc});
   std::signal(SIGPIPE, SIG_IGN);
   setUpLogging("error");
-  const std::string file = arguments["SCENARIO"].asString();
-  const auto text = settings::readFile(file);
-  auto scenario = text ? load::parseScenario(file, *text)
-                       : tl::expected<load::Scenario, Findings>(tl::make_unexpected(text.error()));
+  auto scenario = load::readScenario(arguments["SCENARIO"].asString());
   if (!scenario) {
     std::cerr << describe(scenario.error());
     return 2;
@@ -85,12 +81,7 @@
   const load::RunResult result = runScenario(*scenario);
   std::cout << load::toTable(result);
   if (arguments["--json"]) {
-    const std::string json_file = arguments["--json"].asString();
-    if (json_file == "-") {
-      std::cout << load::toJson(result) << "\n";
-    } else {
-      std::ofstream(json_file) << load::toJson(result) << "\n";
-    }
+    std::ofstream(arguments["--json"].asString()) << load::toJson(result) << "\n";
   }
   return load::judge(result).sum() == 0 ? 0 : 1;
 }
--- a/src/common/toml_table_reader.h
+++ b/src/common/toml_table_reader.h
@@ -10,6 +10,7 @@
 
 #include "common/address.h"
 #include "common/error.h"
+#include "common/read_file.h"
 
 namespace linenpier::settings {
 
@@ -31,7 +32,6 @@
     if (!value) report(key, "must be a number in range");
     return value.value_or(usual);
   }
-  bool flag(const char* key, bool usual) { return table_[key].value<bool>().value_or(usual); }
   Address address(const char* key, bool required) {
     const auto value = table_[key].value<std::string>();
     if (!value && !required) return {};
@@ -64,15 +64,16 @@
   }
 }
 
-/// Parses `text` and lets `read` fill a value from its root table.
+/// Reads `file` and lets `read` fill a value from its root table.
 /// @return the value, or every finding.
 template <typename Value, typename Read>
-tl::expected<Value, Findings> readTomlFile(const std::string& file, const std::string& text,
-                                           Read read) {
+tl::expected<Value, Findings> readTomlFile(const std::string& file, Read read) {
+  const auto text = readFile(file);
+  if (!text) return tl::make_unexpected(text.error());
   Findings findings;
   Value value;
   try {
-    const toml::table root = toml::parse(text, file);
+    const toml::table root = toml::parse(*text, file);
     TableReader top(root, file, findings);
     read(root, top, value, findings);
   } catch (const toml::parse_error& error) {
--- a/src/daemon/clients/platform_directory.h
+++ b/src/daemon/clients/platform_directory.h
@@ -9,7 +9,6 @@
 #include "daemon/clients/http_call.h"
 #include "daemon/membership/membership.h"
 #include "daemon/upstream/engine_directory.h"
-#include "daemon/wire/messages.h"
 
 namespace linenpier::platform {
 
@@ -33,14 +32,12 @@
 /// `GET /machines?zone=`, `GET /weights?model=`.
 class HttpPlatformDirectory : public PlatformDirectory {
  public:
-  HttpPlatformDirectory(const Address& address, std::string caller, CallTimeouts timeouts);
+  explicit HttpPlatformDirectory(PlatformService service) : service_(std::move(service)) {}
   CallResult<MachineList> machines(const ZoneName& zone) override;
   CallResult<WeightVersion> newestVersion(const ModelName& model) override;
 
  private:
-  ServiceUrl url_;
-  std::string caller_;
-  CallTimeouts timeouts_;
+  PlatformService service_;
 };
 
 }  // namespace linenpier::platform
--- a/src/testbed/standin/topology.cpp
+++ b/src/testbed/standin/topology.cpp
@@ -32,7 +32,6 @@
   pool.count = reader.number("count", pool.count);
   pool.slots = reader.number("slots", pool.slots);
   pool.token_ms = reader.number("token_ms", pool.token_ms);
-  pool.prefill_ms = reader.number("prefill_ms", pool.prefill_ms);
   pool.swap_ms = reader.number("swap_ms", pool.swap_ms);
   return pool;
 }
@@ -45,18 +44,16 @@
 
 }  // namespace
 
-tl::expected<Topology, Findings> parseTopology(const std::string& file, const std::string& text) {
-  return settings::readTomlFile<Topology>(
-      file, text,
-      [&file](const toml::table& root, TableReader& top, Topology& topology, Findings& findings) {
-        topology.listen = top.address("listen", true);
-        topology.limits = readLimits(root, file, findings);
-        readArray(root, "pool", file, findings,
-                  [&topology](TableReader& reader) { topology.pools.push_back(readPool(reader)); });
-        readArray(root, "daemon", file, findings, [&topology](TableReader& reader) {
-          topology.daemons.push_back(readDaemon(reader));
-        });
-      });
+tl::expected<Topology, Findings> readTopology(const std::string& file) {
+  return settings::readTomlFile<Topology>(file, [&file](const toml::table& root, TableReader& top,
+                                                        Topology& topology, Findings& findings) {
+    topology.listen = top.address("listen", true);
+    topology.limits = readLimits(root, file, findings);
+    readArray(root, "pool", file, findings,
+              [&topology](TableReader& reader) { topology.pools.push_back(readPool(reader)); });
+    readArray(root, "daemon", file, findings,
+              [&topology](TableReader& reader) { topology.daemons.push_back(readDaemon(reader)); });
+  });
 }
 
 }  // namespace linenpier::standin
