--- a/src/gateway/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -63,9 +63,9 @@
   choice.candidates = deps_.pool.ranked(now);
   choice.items = record.total;
   choice.max_open_items = options_.max_open_items;
-  const std::vector<JobId> earlier = earlierJobs(record);
+  const std::vector<JobId> earlier = jobs_.earlierJobs(record, options_.earlier_jobs);
   if (!earlier.empty()) {
-    const LeaseId& owner = jobs_.at(earlier.front()).record.owner;
+    const LeaseId& owner = jobs_.find(earlier.front())->record.owner;
     if (!owner.empty() && deps_.leases.alive(now, owner)) choice.previous = owner;
     const bool own = owner == deps_.leases.own();
     choice.previous_zone = own ? deps_.pool.zone() : deps_.leases.zoneOf(owner);
@@ -73,7 +73,7 @@
   const std::optional<fleet::data_residency> residency = residencyOf(record);
   if (residency)
     choice = withinResidency(std::move(choice), *residency, deps_.engines.registry.layout());
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_.all()) {
     if (job.record.ended) continue;
     if (job.record.owner == choice.previous) choice.previous_items += job.record.total;
     if (job.record.model != record.model) choice.busy.insert(job.record.owner);
@@ -105,8 +105,8 @@
     co_await answer(writer, kBadRequest, "The job has no id.");
     co_return;
   }
-  if (const auto at = jobs_.find(id); at != jobs_.end()) {
-    co_await answer(writer, mayAccess(at->second.record, from) ? kAccepted : kConflict);
+  if (known_job* at = jobs_.find(id)) {
+    co_await answer(writer, mayAccess(at->record, from) ? kAccepted : kConflict);
     co_return;
   }
   LeaseId owner;
@@ -193,7 +193,7 @@
   if (accepted.outcome == FencedOutcome::kFenceLost) {
     std::optional<JobRecord> known;
     if (accepted.current) {
-      onRecordRow(id, *accepted.current);
+      jobs_.onRow(id, *accepted.current);
       known = decodeRecord(id, accepted.current->value);
     }
     const unsigned status = !known || mayAccess(*known, from) ? kAccepted : kConflict;
@@ -203,7 +203,7 @@
   }
   ++counts_.accepted;
   logOutcome("accepted", kAccepted);
-  Job& mine = jobs_[id];
+  known_job& mine = jobs_.obtain(id);
   if (accepted.revision > mine.revision && !mine.activating && !mine.active) {
     mine.record = record;
     mine.revision = accepted.revision;
@@ -228,7 +228,7 @@
   unsigned status = kUnavailable;
   // What the feed told, or the store with its refusal of a write: it is asked only without either.
   std::optional<table::Row> told;
-  if (const Job* job = find(id)) told = toldRow(job->record, job->revision);
+  if (const known_job* job = jobs_.find(id)) told = toldRow(job->record, job->revision);
   while (steadyNow() < deadline && !writer.cancellation().requested()) {
     CallResult<table::Row> row = told.value_or(table::Row{});
     if (!told) {
@@ -245,7 +245,7 @@
       break;
     }
     if (record && record->ended) {
-      onRecordRow(id, *row);
+      jobs_.onRow(id, *row);
       status = kOk;
       break;
     }
@@ -254,7 +254,7 @@
       const FencedAnswer answer = co_await deps_.store.putRecord(*record, row->revision, {});
       if (answer.outcome == FencedOutcome::kDone) {
         table::Row ended{row->key, answer.revision, encodeRecord(*record)};
-        onRecordRow(id, ended);
+        jobs_.onRow(id, ended);
         status = kOk;
         break;
       }
--- a/src/gateway/batch/batch_carry_over.cpp
+++ b/src/gateway/batch/batch_carry_over.cpp
@@ -12,22 +12,6 @@
 
 using logging::LogEvent;
 
-std::vector<JobId> BatchService::earlierJobs(const JobRecord& record) const {
-  std::vector<std::pair<std::int64_t, JobId>> earlier;
-  for (const auto& [id, job] : jobs_) {
-    const JobRecord& other = job.record;
-    if (other.tenant != record.tenant) continue;
-    if (id == record.id || other.host != record.host || other.model != record.model) continue;
-    if (other.accepted_ms <= record.accepted_ms) earlier.emplace_back(other.accepted_ms, id);
-  }
-  std::sort(earlier.rbegin(), earlier.rend());
-  if (earlier.size() > options_.earlier_jobs) earlier.resize(options_.earlier_jobs);
-  std::vector<JobId> ids;
-  ids.reserve(earlier.size());
-  for (const auto& [accepted_ms, id] : earlier) ids.push_back(id);
-  return ids;
-}
-
 namespace {
 
 /// @return the text that a completed result has.
@@ -99,15 +83,15 @@
 }
 
 Task<void> BatchService::carryOver(ActivePtr active) {
-  const std::vector<JobId> earlier = earlierJobs(active->record);
+  const std::vector<JobId> earlier = jobs_.earlierJobs(active->record, options_.earlier_jobs);
   if (earlier.empty()) co_return;
   boost::intrusive_ptr<carry_over_search> search(
       new carry_over_search(deps_.loop, active->run.job()));
   const Instant begun = steadyNow();
   for (const JobId& id : earlier) {
     // Its homes may be others than those of the job that follows.
-    if (!mayOwn(jobs_.at(id).record)) continue;
-    const ActivePtr other = jobs_.at(id).active;
+    if (!mayOwn(jobs_.find(id)->record)) continue;
+    const ActivePtr other = jobs_.find(id)->active;
     if (other) {
       const BatchJob& job = other->run.job();
       if (!search->sharesItems(job)) continue;
@@ -116,7 +100,7 @@
       continue;
     }
     ++search->unanswered;
-    const JobRecord& record = jobs_.at(id).record;
+    const JobRecord& record = jobs_.find(id)->record;
     spawn(deps_.loop, [this, record, search] { return readEarlierJob(record, search); });
   }
   const std::size_t asked = search->unanswered;
--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -33,7 +33,7 @@
 
 std::vector<BatchService::startable_item> BatchService::startableItems() {
   std::vector<startable_item> jobs;
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     startable_item each;
     each.active = job.active;
@@ -59,7 +59,7 @@
 }
 
 void BatchService::pump() {
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : jobs_.all()) {
     if (job.active && !job.active->stopped) scorer_.start(job.active);
   }
   std::vector<startable_item> jobs = startableItems();
@@ -283,7 +283,7 @@
 
 std::set<EngineId> BatchService::awaitedEngines() const {
   std::set<EngineId> engines;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     for (const ItemIndex item : awaitedRuns(job.active->run, lengths_)) {
       engines.insert(job.active->run.progress(item).last_engine);
@@ -298,7 +298,7 @@
 
 void BatchService::moveSlowRuns(Instant now) {
   moves_planned moves(options_.moves_per_tick);
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     Active& active = *job.active;
     routing::RouteTablePtr table;
--- a/src/gateway/batch/batch_leaving.cpp
+++ b/src/gateway/batch/batch_leaving.cpp
@@ -22,7 +22,7 @@
                                                         std::vector<run_there>& there) const {
   const engines::EngineRegistry& registry = deps_.engines.registry;
   std::vector<placed_run> placed;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     for (const auto& [item, call] : job.active->calls) {
       const engines::EngineState* engine = registry.find(call->engine());
@@ -41,7 +41,7 @@
 
 std::size_t BatchService::runsIn(const ZoneName& zone) const {
   std::size_t runs = 0;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     for (const auto& [item, call] : job.active->calls) {
       const engines::EngineState* engine = deps_.engines.registry.find(call->engine());
--- a/src/gateway/batch/batch_listing.cpp
+++ b/src/gateway/batch/batch_listing.cpp
@@ -139,7 +139,7 @@
   const Revision fence = active->fence;
   std::optional<JobRecord> release;
   if (pending.release) {
-    const Job* job = find(id);
+    const known_job* job = jobs_.find(id);
     release = job == nullptr ? active->record : job->record;
     release->released = *pending.release;
     release->begun = true;
@@ -149,7 +149,7 @@
   if (active->stopped) co_return false;
   const bool done = answer.outcome == FencedOutcome::kDone || releasedBefore(answer, *active);
   if (!done && answer.outcome == FencedOutcome::kFenceLost && answer.current) {
-    onRecordRow(id, *answer.current);
+    jobs_.onRow(id, *answer.current);
     co_return false;
   }
   if (!done) {
@@ -160,9 +160,9 @@
     co_return false;
   }
   if (answer.current) {
-    onRecordRow(id, *answer.current);
+    jobs_.onRow(id, *answer.current);
   } else if (release) {
-    onRecordRow(id, {table::jobKey(id), answer.revision, encodeRecord(*release)});
+    jobs_.onRow(id, {table::jobKey(id), answer.revision, encodeRecord(*release)});
   }
   onPendingWritten(*active);
   co_return true;
--- a/src/gateway/batch/batch_reading.cpp
+++ b/src/gateway/batch/batch_reading.cpp
@@ -22,19 +22,19 @@
 }  // namespace
 
 bool BatchService::isPublic(const JobId& id) const {
-  const Job* job = find(id);
+  const known_job* job = jobs_.find(id);
   return job != nullptr && job->record.tenant.empty();
 }
 
 Task<bool> BatchService::knows(JobId id, tenants::caller from, std::optional<JobRecord>& record) {
-  if (const auto at = jobs_.find(id); at != jobs_.end()) {
-    if (mayAccess(at->second.record, from)) record = at->second.record;
+  if (known_job* at = jobs_.find(id)) {
+    if (mayAccess(at->record, from)) record = at->record;
     co_return true;
   }
   const auto row = co_await deps_.store.getRecord(id);
   if (!row) co_return false;
   if (row->revision > 0) {
-    onRecordRow(id, *row);
+    jobs_.onRow(id, *row);
     const auto known = decodeRecord(id, row->value);
     if (known && mayAccess(*known, from)) record = known;
   }
@@ -63,13 +63,8 @@
   }
 };
 
-const BatchService::Job* BatchService::find(const JobId& id) const {
-  const auto at = jobs_.find(id);
-  return at == jobs_.end() ? nullptr : &at->second;
-}
-
 bool BatchService::readFromMemory(const JobId& id, ReadAhead& page) const {
-  const Job* job = find(id);
+  const known_job* job = jobs_.find(id);
   if (job == nullptr || !job->active) return false;
   const Active& active = *job->active;
   const std::size_t released = releasedOf(id);
@@ -90,7 +85,7 @@
 }
 
 std::size_t BatchService::releasedOf(const JobId& id) const {
-  const Job* job = find(id);
+  const known_job* job = jobs_.find(id);
   if (job == nullptr) return 0;
   // The feed may tell of a release before the answer to its write does.
   if (job->active && !job->active->stopped) return job->active->released;
@@ -98,12 +93,12 @@
 }
 
 Task<void> BatchService::waitForRelease(JobId id, Duration limit) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) {
+  known_job* at = jobs_.find(id);
+  if (at == nullptr) {
     co_await sleepFor(deps_.loop, std::min(limit, options_.poll_gap));
     co_return;
   }
-  Job& job = at->second;
+  known_job& job = *at;
   if (job.active && !job.active->stopped) {
     co_await job.active->released_changed.waitFor(limit);
     co_return;
@@ -114,7 +109,7 @@
   co_await changed->waitFor(std::min(limit, told ? options_.read_ahead_gap : options_.poll_gap));
   if (told) co_return;
   const auto row = co_await deps_.store.getRecord(id);
-  if (row && row->revision > 0) onRecordRow(id, *row);
+  if (row && row->revision > 0) jobs_.onRow(id, *row);
 }
 
 Task<void> BatchService::readResults(JobId id, tenants::caller from, std::size_t position,
@@ -131,7 +126,7 @@
   }
   ReadAhead page{position, {}, 0};
   for (;;) {
-    const std::size_t released = find(id) == nullptr ? record->released : releasedOf(id);
+    const std::size_t released = jobs_.find(id) == nullptr ? record->released : releasedOf(id);
     const bool from_memory = readFromMemory(id, page);
     if (!from_memory && page.next() < record->total) {
       const bool read = co_await readFromStore(id, page);
@@ -182,10 +177,10 @@
     co_await answer(writer, sure ? kNotFound : kUnavailable);
     co_return;
   }
-  const auto at = jobs_.find(id);
+  known_job* at = jobs_.find(id);
   std::optional<std::string> body;
-  if (at != jobs_.end() && at->second.active) {
-    body = bodyOf(at->second.active->run.job(), item);
+  if (at != nullptr && at->active) {
+    body = bodyOf(at->active->run.job(), item);
   } else {
     const auto bytes = co_await deps_.store.getJob(*record);
     if (!bytes) {
--- a/src/gateway/batch/batch_removal.cpp
+++ b/src/gateway/batch/batch_removal.cpp
@@ -12,7 +12,7 @@
 std::optional<JobId> BatchService::nextToRemove(Instant now) const {
   const std::int64_t clock_ms = deps_.keeper.storeClock(now);
   if (clock_ms == 0 || !deps_.leases.storeHealthy()) return std::nullopt;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_.all()) {
     if (!job.record.ended || job.active) continue;
     const Duration age = std::chrono::milliseconds(clock_ms - job.record.accepted_ms);
     const bool own = job.record.owner == deps_.leases.own();
@@ -28,9 +28,9 @@
     co_await sleepFor(deps_.loop, options_.removal_period + 5 * removal_delay);
     const auto id = nextToRemove(steadyNow());
     if (!id) continue;
-    const Revision revision = jobs_.at(*id).revision;
+    const Revision revision = jobs_.find(*id)->revision;
     const bool done = co_await deps_.store.removeJob(*id, revision);
-    if (done) jobs_.erase(*id);
+    if (done) jobs_.onRemoved(*id);
     LogEvent("batch", "job_removed")
         .text("batch", id->str())
         .number("revision", static_cast<std::int64_t>(revision))
--- a/src/gateway/batch/batch_residency.cpp
+++ b/src/gateway/batch/batch_residency.cpp
@@ -104,7 +104,7 @@
   return false;
 }
 
-bool BatchService::settleResidency(const JobId& id, Job& job) {
+bool BatchService::settleResidency(const JobId& id, known_job& job) {
   const bool open = !job.record.ended && job.record.released < job.record.total;
   if (!open || job.activating || stopping_ || job.record.owner != deps_.leases.own()) return true;
   const std::optional<fleet::data_residency> residency = residencyOf(job.record);
@@ -122,9 +122,9 @@
 }
 
 Task<void> BatchService::giveUp(JobId id) {
-  const auto known = jobs_.find(id);
-  if (known == jobs_.end()) co_return;
-  const std::optional<fleet::data_residency> residency = residencyOf(known->second.record);
+  known_job* known = jobs_.find(id);
+  if (known == nullptr) co_return;
+  const std::optional<fleet::data_residency> residency = residencyOf(known->record);
   LogEvent("batch", "given_up")
       .text("batch", id.str())
       .text("reason", "not_at_home")
@@ -132,17 +132,17 @@
       .text("region", ownRegion().str());
   ++counts_.given_up_for_residency;
   co_await handOverJob(id);
-  const auto at = jobs_.find(id);
-  const bool still_owned = at != jobs_.end() && at->second.record.owner == deps_.leases.own();
+  known_job* at = jobs_.find(id);
+  const bool still_owned = at != nullptr && at->record.owner == deps_.leases.own();
   if (still_owned) {
     // The store did not take it. Homes may change back until it does.
-    at->second.resumes_within_residency = true;
+    at->resumes_within_residency = true;
     co_await sleepFor(deps_.loop, options_.store_pause);
   }
-  if (const auto job = jobs_.find(id); job != jobs_.end()) job->second.activating = false;
+  if (known_job* job = jobs_.find(id)) job->activating = false;
 }
 
-void BatchService::noteAwaitsResidency(Instant now, const JobId& id, Job& job) {
+void BatchService::noteAwaitsResidency(Instant now, const JobId& id, known_job& job) {
   const bool open = job.record.released < job.record.total;
   if (!open || now - job.orphaned_at < kResidencySilence) return;
   ++awaiting_residency_;
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -35,7 +35,7 @@
 }
 
 bool BatchService::ownsAny() const {
-  return std::any_of(jobs_.begin(), jobs_.end(), [this](const auto& each) {
+  return std::any_of(jobs_.all().begin(), jobs_.all().end(), [this](const auto& each) {
     return !each.second.record.ended && each.second.record.owner == deps_.leases.own();
   });
 }
@@ -67,22 +67,13 @@
 
 // --- Rows ---------------------------------------------------------------------------------------
 
-void BatchService::onRecordRow(const JobId& id, const table::Row& row) {
-  const auto record = decodeRecord(id, row.value);
-  if (!record) {
-    LogEvent("batch", "bad_record").text("batch", id.str());
-    return;
-  }
-  Job& job = jobs_[id];
-  if (row.revision <= job.revision) return;
-  job.record = *record;
-  job.revision = row.revision;
+void BatchService::onJobChanged(const JobId& id, known_job& job) {
+  const JobRecord* record = &job.record;
   job.orphaned_at = Instant{};
-  if (job.changed) job.changed->notifyAll();
   if (job.active && (record->ended || record->owner != deps_.leases.own())) {
     deactivate(job, record->ended ? "ended" : "taken_by_another");
-  } else if (job.active && job.active->fence != row.revision) {
-    job.active->fence = row.revision;
+  } else if (job.active && job.active->fence != job.revision) {
+    job.active->fence = job.revision;
   } else if (!job.active && !job.activating && !record->ended && !stopping_ &&
              record->owner == deps_.leases.own()) {
     resumeOwn(id, job);
@@ -92,7 +83,7 @@
   }
 }
 
-void BatchService::resumeOwn(const JobId& id, Job& job) {
+void BatchService::resumeOwn(const JobId& id, known_job& job) {
   // The next look settles whether this daemon is at home for it.
   job.resumes_within_residency = !mayOwn(job.record);
   if (job.resumes_within_residency) return;
@@ -100,7 +91,7 @@
   spawn(deps_.loop, [this, id] { return resume(id); });
 }
 
-void BatchService::deactivate(Job& job, const char* reason) {
+void BatchService::deactivate(known_job& job, const char* reason) {
   if (!job.active || job.active->stopped) return;
   LogEvent("batch", "job_stopped")
       .text("batch", job.record.id.str())
@@ -122,7 +113,7 @@
   // What may be removed from the store need not be kept in memory.
   const Duration keep = std::min(options_.keep_ended, options_.keep_jobs);
   awaiting_residency_ = 0;
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : jobs_.all()) {
     if (!settleResidency(id, job)) continue;
     if (job.active && job.active->stopped && job.active->calls.empty() &&
         job.active->scorings.empty() && now - job.active->stopped_at > keep) {
@@ -155,18 +146,18 @@
 }
 
 Task<void> BatchService::takeOver(JobId id) {
-  const auto known = jobs_.find(id);
-  if (known == jobs_.end()) co_return;
-  const LeaseId silent = known->second.record.owner;
+  known_job* known = jobs_.find(id);
+  if (known == nullptr) co_return;
+  const LeaseId silent = known->record.owner;
   const bool confirmed = co_await deps_.keeper.confirmSilent(silent);
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) co_return;
-  if (!confirmed || at->second.record.owner != silent) {
-    at->second.activating = false;
+  known_job* at = jobs_.find(id);
+  if (at == nullptr) co_return;
+  if (!confirmed || at->record.owner != silent) {
+    at->activating = false;
     co_return;
   }
-  JobRecord record = at->second.record;
-  const Revision fence = at->second.revision;
+  JobRecord record = at->record;
+  const Revision fence = at->revision;
   const std::string from = record.owner.str();
   record.owner = deps_.leases.own();
   record.begun = true;
@@ -174,23 +165,23 @@
   std::vector<table::Put> renewal;
   renewal.push_back(deps_.keeper.renewal());
   const FencedAnswer answer = co_await deps_.store.putRecord(record, fence, std::move(renewal));
-  const auto job = jobs_.find(id);
-  if (job == jobs_.end()) co_return;
+  known_job* job = jobs_.find(id);
+  if (job == nullptr) co_return;
   LogEvent("batch", "takeover")
       .text("batch", id.str())
       .text("from", from)
       .number("fence", static_cast<std::int64_t>(fence))
       .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
   if (answer.outcome != FencedOutcome::kDone) {
-    job->second.activating = false;
-    if (answer.current) onRecordRow(id, *answer.current);
+    job->activating = false;
+    if (answer.current) jobs_.onRow(id, *answer.current);
     co_return;
   }
   ++counts_.taken_over;
   deps_.keeper.onRenewed(sent_at);
-  if (answer.revision > job->second.revision) {
-    job->second.record = record;
-    job->second.revision = answer.revision;
+  if (answer.revision > job->revision) {
+    job->record = record;
+    job->revision = answer.revision;
   }
   co_await resume(id);
 }
@@ -198,21 +189,21 @@
 /// Continues a job that this daemon owns by the store's word: reads what it is and what is listed.
 Task<void> BatchService::resume(JobId id) {
   for (;;) {
-    const auto known = jobs_.find(id);
-    if (known == jobs_.end()) break;
-    const JobRecord record = known->second.record;
+    known_job* known = jobs_.find(id);
+    if (known == nullptr) break;
+    const JobRecord record = known->record;
     if (!mayOwn(record)) {
-      known->second.resumes_within_residency = true;
+      known->resumes_within_residency = true;
       break;
     }
     const auto bytes = co_await deps_.store.getJob(record);
-    auto at = jobs_.find(id);
+    known_job* at = jobs_.find(id);
     const auto stillOwned = [&] {
-      return at != jobs_.end() && !at->second.record.ended && !stopping_ &&
-             at->second.record.owner == deps_.leases.own();
+      return at != nullptr && !at->record.ended && !stopping_ &&
+             at->record.owner == deps_.leases.own();
     };
     if (!stillOwned()) break;
-    const auto inheritance = co_await inherit(at->second.record);
+    const auto inheritance = co_await inherit(at->record);
     const bool whole = bytes.has_value() && inheritance.has_value();
     at = jobs_.find(id);
     if (!stillOwned()) break;
@@ -220,14 +211,14 @@
       auto job = deps_.codec.parseJob(id, *bytes);
       if (!job) break;
       const Duration age =
-          std::chrono::milliseconds(inheritance->clock_ms - at->second.record.accepted_ms);
+          std::chrono::milliseconds(inheritance->clock_ms - at->record.accepted_ms);
       activate(id, std::move(*job), *inheritance, steadyNow() - std::max(age, Duration::zero()));
       break;
     }
     co_await sleepFor(deps_.loop, options_.store_pause);
   }
-  const auto at = jobs_.find(id);
-  if (at != jobs_.end()) at->second.activating = false;
+  known_job* at = jobs_.find(id);
+  if (at != nullptr) at->activating = false;
 }
 
 Task<CallResult<BatchService::Inheritance>> BatchService::inherit(JobRecord record) {
@@ -256,7 +247,7 @@
 
 void BatchService::activate(const JobId& id, BatchJob parsed, const Inheritance& inheritance,
                             Instant accepted_at) {
-  Job& job = jobs_[id];
+  known_job& job = jobs_.obtain(id);
   job.active = std::make_shared<Active>(deps_.loop, job.record, std::move(parsed), RunRules{},
                                         options_.listing);
   job.active->fence = job.revision;
@@ -302,7 +293,7 @@
     co_await sleepFor(deps_.loop, idle ? kIdleTick : kTick);
     const Instant now = steadyNow();
     checkOwners(now);
-    for (auto& [id, job] : jobs_) {
+    for (auto& [id, job] : jobs_.all()) {
       if (!job.active || job.active->stopped) continue;
       applyRules(*job.active);
       if (job.active->run.onTick(now)) job.active->finished.notifyAll();
@@ -316,7 +307,7 @@
 BatchService::Work BatchService::work() const {
   Work work;
   work.awaiting_residency = awaiting_residency_;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     ++work.jobs;
     work.waiting += job.active->run.waiting();
@@ -331,7 +322,7 @@
 
 versions::open_work_by_model BatchService::openWork() const {
   versions::open_work_by_model work;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : jobs_.all()) {
     if (job.record.ended || job.record.model.empty()) continue;
     versions::open_work& open = work[job.record.model];
     open.items += job.record.total;
@@ -345,7 +336,7 @@
 Task<void> BatchService::handOver() {
   stopping_ = true;
   std::vector<JobId> owned;
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : jobs_.all()) {
     if (!job.record.ended && job.record.owner == deps_.leases.own()) owned.push_back(id);
   }
   for (const JobId& id : owned) {
@@ -354,13 +345,13 @@
 }
 
 Task<void> BatchService::handOverJob(JobId id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || at->second.record.owner != deps_.leases.own()) co_return;
-  JobRecord record = at->second.record;
+  known_job* at = jobs_.find(id);
+  if (at == nullptr || at->record.owner != deps_.leases.own()) co_return;
+  JobRecord record = at->record;
   record.owner = LeaseId();
   record.begun = true;
-  const Revision fence = at->second.revision;
-  const ActivePtr active = at->second.active;
+  const Revision fence = at->revision;
+  const ActivePtr active = at->active;
   if (active && !active->stopped) {
     active->stop(steadyNow());
     // Also where one was sent just now: it may come too late, after the job was given up.
@@ -371,7 +362,7 @@
       .text("batch", id.str())
       .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
   if (answer.outcome == FencedOutcome::kDone) {
-    onRecordRow(id, {table::jobKey(id), answer.revision, encodeRecord(record)});
+    jobs_.onRow(id, {table::jobKey(id), answer.revision, encodeRecord(record)});
   }
 }
 
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -21,6 +21,7 @@
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/item_scorer.h"
 #include "gateway/batch/job_store.h"
+#include "gateway/batch/known_jobs.h"
 #include "gateway/batch/length_estimate.h"
 #include "gateway/batch/moves_planned.h"
 #include "gateway/batch/run_moves.h"
@@ -63,6 +64,7 @@
         scorer_({deps_.loop, deps_.engines.names, deps_.rewards, deps_.routes, counts_, sampler_,
                  [this] { pump(); }}) {
     setOptions(options);
+    jobs_.setListener([this](const JobId& id, known_job& job) { onJobChanged(id, job); });
   }
   ~BatchService();
 
@@ -84,8 +86,8 @@
   bool isPublic(const JobId& id) const;
 
   /// A job's row as the feed tells it.
-  void onRecordRow(const JobId& id, const table::Row& row);
-  void onRecordGone(const JobId& id) { jobs_.erase(id); }
+  void onRecordRow(const JobId& id, const table::Row& row) { jobs_.onRow(id, row); }
+  void onRecordGone(const JobId& id) { jobs_.onRemoved(id); }
 
   /// @return whether readers wait here for results to be released.
   bool hasWaitingReaders() const { return waiting_readers_ > 0; }
@@ -117,17 +119,8 @@
   using Active = active_job;
   using ActivePtr = active_job_ptr;
 
-  /// A job as this daemon knows it.
-  struct Job {
-    JobRecord record;
-    Revision revision = 0;
-    ActivePtr active;  ///< Set while this daemon owns and runs it.
-    bool activating = false;
-    /// It was given to this daemon, or kept by it, while it was not known to be at home.
-    bool resumes_within_residency = false;
-    Instant orphaned_at{};            ///< When its owner was first seen to be gone.
-    std::shared_ptr<Signal> changed;  ///< The row has changed; set while readers wait.
-  };
+  /// A newer row of a job was read.
+  void onJobChanged(const JobId& id, known_job& job);
 
   /// Looks a job up, in the store if need be.
   /// @param record stays empty if there is no job, or none that the caller may know of.
@@ -167,10 +160,10 @@
   /// Gives the job up if this daemon owns it and it must not be here; goes on with it where that
   /// was not known.
   /// @return whether it was left alone.
-  bool settleResidency(const JobId& id, Job& job);
+  bool settleResidency(const JobId& id, known_job& job);
   Task<void> giveUp(JobId id);
   /// Nobody owns the job, and this daemon must not.
-  void noteAwaitsResidency(Instant now, const JobId& id, Job& job);
+  void noteAwaitsResidency(Instant now, const JobId& id, known_job& job);
 
   /// @return who should run a job that is handed in here; nobody, if those who may are not known.
   LeaseId ownerFor(Instant now, const JobRecord& record) const;
@@ -178,8 +171,6 @@
   std::size_t modelIndex(const JobRecord& record) const;
   /// Finds what earlier jobs left, and lets the job go on with it.
   Task<void> carryOver(ActivePtr active);
-  /// @return the newest jobs of the same route and model that were accepted before.
-  std::vector<JobId> earlierJobs(const JobRecord& record) const;
   struct carry_over_search;
   Task<void> readEarlierJob(JobRecord record, boost::intrusive_ptr<carry_over_search> search);
   Task<void> takeOver(JobId id);
@@ -187,8 +178,8 @@
   Task<void> handOverJob(JobId id);
   Task<void> resume(JobId id);
   /// Begins to run a job that is this daemon's by its row.
-  void resumeOwn(const JobId& id, Job& job);
-  void deactivate(Job& job, const char* reason);
+  void resumeOwn(const JobId& id, known_job& job);
+  void deactivate(known_job& job, const char* reason);
   void checkOwners(Instant now);
   Task<void> tickLoop();
   /// Removes jobs that nobody may ask for any more.
@@ -267,8 +258,6 @@
     std::size_t released = 0;
     bool from_memory = false;
   };
-  /// @return the job, or nullptr if it is not known here.
-  const Job* find(const JobId& id) const;
   std::size_t releasedOf(const JobId& id) const;
   /// Adds released results from this daemon's memory. @return whether it has them.
   bool readFromMemory(const JobId& id, ReadAhead& page) const;
@@ -284,7 +273,7 @@
 
   Dependencies deps_;
   BatchOptions options_;
-  std::map<JobId, Job> jobs_;
+  known_jobs jobs_;
   BatchCounts counts_;
   length_estimate lengths_;
   runs_leaving leaving_;
--- /dev/null
+++ b/src/gateway/batch/known_jobs.cpp
@@ -0,0 +1,51 @@
+#include "gateway/batch/known_jobs.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+
+namespace linenpier::batch {
+
+using logging::LogEvent;
+
+void known_jobs::onRow(const JobId& id, const table::Row& row) {
+  const auto record = decodeRecord(id, row.value);
+  if (!record) {
+    LogEvent("batch", "bad_record").text("batch", id.str());
+    return;
+  }
+  known_job& job = this->jobs_[id];
+  if (row.revision <= job.revision) return;
+  job.record = *record;
+  job.revision = row.revision;
+  if (job.changed) job.changed->notifyAll();
+  this->on_changed_(id, job);
+}
+
+known_job* known_jobs::find(const JobId& id) {
+  const auto at = this->jobs_.find(id);
+  return at == this->jobs_.end() ? nullptr : &at->second;
+}
+
+const known_job* known_jobs::find(const JobId& id) const {
+  const auto at = this->jobs_.find(id);
+  return at == this->jobs_.end() ? nullptr : &at->second;
+}
+
+std::vector<JobId> known_jobs::earlierJobs(const JobRecord& record, std::size_t max_jobs) const {
+  std::vector<std::pair<std::int64_t, JobId>> earlier;
+  for (const auto& [id, job] : this->jobs_) {
+    const JobRecord& other = job.record;
+    if (other.tenant != record.tenant) continue;
+    if (id == record.id || other.host != record.host || other.model != record.model) continue;
+    if (other.accepted_ms <= record.accepted_ms) earlier.emplace_back(other.accepted_ms, id);
+  }
+  std::sort(earlier.rbegin(), earlier.rend());
+  if (earlier.size() > max_jobs) earlier.resize(max_jobs);
+  std::vector<JobId> ids;
+  ids.reserve(earlier.size());
+  for (const auto& [accepted_ms, id] : earlier) ids.push_back(id);
+  return ids;
+}
+
+}  // namespace linenpier::batch
