--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -31,7 +31,7 @@
 
 void BatchService::start() {
   spawn(deps_.loop, [this] { return tickLoop(); });
-  spawn(deps_.loop, [this] { return removalLoop(); });
+  removal_.start();
 }
 
 bool BatchService::ownsAny() const {
@@ -335,6 +335,7 @@
 
 Task<void> BatchService::handOver() {
   stopping_ = true;
+  removal_.stop();
   std::vector<JobId> owned;
   for (auto& [id, job] : jobs_.all()) {
     if (!job.record.ended && job.record.owner == deps_.leases.own()) owned.push_back(id);
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -20,6 +20,7 @@
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/item_scorer.h"
+#include "gateway/batch/job_removal.h"
 #include "gateway/batch/job_store.h"
 #include "gateway/batch/known_jobs.h"
 #include "gateway/batch/length_estimate.h"
@@ -182,9 +183,6 @@
   void deactivate(known_job& job, const char* reason);
   void checkOwners(Instant now);
   Task<void> tickLoop();
-  /// Removes jobs that nobody may ask for any more.
-  Task<void> removalLoop();
-  std::optional<JobId> nextToRemove(Instant now) const;
 
   struct startable_item;
   /// Starts reward requests and items, as far as engines have room.
@@ -283,6 +281,7 @@
   bool stopping_ = false;
   logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
   item_scorer scorer_;
+  job_removal removal_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, jobs_, options_}};
 };
 
 }  // namespace linenpier::batch
