--- a/src/gateway/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -21,16 +21,6 @@
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(150);
 }  // namespace
 
-Task<void> BatchService::answer(http::ResponseWriter& writer, unsigned status,
-                                std::string body) const {
-  http::Response response(static_cast<boost::beast::http::status>(status), 11);
-  if (status == kUnavailable || status == kTooMany) {
-    response.set(deps_.engines.names.retry_after, "0.3");
-  }
-  response.body() = std::move(body);
-  co_await writer.send(std::move(response));
-}
-
 // --- Handing in ---------------------------------------------------------------------------------
 
 Task<FencedAnswer> BatchService::acceptRecord(JobRecord record, std::vector<table::Put> body,
@@ -102,11 +92,12 @@
   const JobId id(http::fieldText(request, deps_.engines.names.request_id));
   const Instant deadline = received + options_.accept_time;
   if (id.empty()) {
-    co_await answer(writer, kBadRequest, "The job has no id.");
+    co_await sendStatus(writer, deps_.engines.names, kBadRequest, "The job has no id.");
     co_return;
   }
   if (known_job* at = jobs_.find(id)) {
-    co_await answer(writer, mayAccess(at->record, from) ? kAccepted : kConflict);
+    co_await sendStatus(writer, deps_.engines.names,
+                        mayAccess(at->record, from) ? kAccepted : kConflict, {});
     co_return;
   }
   LeaseId owner;
@@ -129,7 +120,7 @@
   if (stopping_ || !answers) {
     ++counts_.refused;
     logOutcome(stopping_ ? "stopping" : "store_away", kUnavailable);
-    co_await answer(writer, kUnavailable);
+    co_await sendStatus(writer, deps_.engines.names, kUnavailable, {});
     co_return;
   }
   // A daemon that has just started may not have heard the store's clock. A job that it dated would
@@ -137,13 +128,13 @@
   if (deps_.keeper.storeClock(steadyNow()) == 0) {
     ++counts_.refused;
     logOutcome("clock_unknown", kUnavailable);
-    co_await answer(writer, kUnavailable);
+    co_await sendStatus(writer, deps_.engines.names, kUnavailable, {});
     co_return;
   }
   auto job = deps_.codec.parseJob(id, request.body());
   if (!job) {
     logOutcome("malformed", kBadRequest);
-    co_await answer(writer, kBadRequest, describe(job.error()));
+    co_await sendStatus(writer, deps_.engines.names, kBadRequest, describe(job.error()));
     co_return;
   }
   JobRecord record;
@@ -159,7 +150,7 @@
     ++counts_.refused;
     ++counts_.refused_for_residency;
     logOutcome("no_engine_at_home", kUnavailable);
-    co_await answer(writer, kUnavailable);
+    co_await sendStatus(writer, deps_.engines.names, kUnavailable, {});
     co_return;
   }
   std::vector<table::Put> body = deps_.store.bodyRows(id, request.body());
@@ -171,7 +162,7 @@
     // Without its row the object means nothing: the job has not been taken.
     ++counts_.refused;
     logOutcome("object_not_stored", kUnavailable);
-    co_await answer(writer, kUnavailable);
+    co_await sendStatus(writer, deps_.engines.names, kUnavailable, {});
     co_return;
   }
   record.body_rows = body.size();
@@ -182,12 +173,12 @@
   if (accepted.outcome == FencedOutcome::kNotDone) {
     ++counts_.refused;
     logOutcome("row_not_stored", kUnavailable);
-    co_await answer(writer, kUnavailable);
+    co_await sendStatus(writer, deps_.engines.names, kUnavailable, {});
     co_return;
   }
   if (accepted.outcome == FencedOutcome::kUnknown) {
     logOutcome("row_unknown", kUnknown);
-    co_await answer(writer, kUnknown);
+    co_await sendStatus(writer, deps_.engines.names, kUnknown, {});
     co_return;
   }
   if (accepted.outcome == FencedOutcome::kFenceLost) {
@@ -198,7 +189,7 @@
     }
     const unsigned status = !known || mayAccess(*known, from) ? kAccepted : kConflict;
     logOutcome("known_already", status);
-    co_await answer(writer, status);
+    co_await sendStatus(writer, deps_.engines.names, status, {});
     co_return;
   }
   ++counts_.accepted;
@@ -209,7 +200,7 @@
     mine.revision = accepted.revision;
     if (record.owner == deps_.leases.own()) activate(id, std::move(*job), Inheritance{}, received);
   }
-  co_await answer(writer, kAccepted);
+  co_await sendStatus(writer, deps_.engines.names, kAccepted, {});
 }
 
 // --- Ending -------------------------------------------------------------------------------------
@@ -271,7 +262,7 @@
       .text("tenant", from.tenant.str())
       .number("status", status)
       .milliseconds("took_ms", steadyNow() - begun);
-  co_await answer(writer, status);
+  co_await sendStatus(writer, deps_.engines.names, status, {});
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -34,6 +34,11 @@
   removal_.start();
 }
 
+bool BatchService::isPublic(const JobId& id) const {
+  const known_job* job = jobs_.find(id);
+  return job != nullptr && job->record.tenant.empty();
+}
+
 bool BatchService::ownsAny() const {
   return std::any_of(jobs_.all().begin(), jobs_.all().end(), [this](const auto& each) {
     return !each.second.record.ended && each.second.record.owner == deps_.leases.own();
@@ -335,6 +340,7 @@
 
 Task<void> BatchService::handOver() {
   stopping_ = true;
+  reader_.stop();
   removal_.stop();
   std::vector<JobId> owned;
   for (auto& [id, job] : jobs_.all()) {
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -20,6 +20,7 @@
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/item_scorer.h"
+#include "gateway/batch/job_reader.h"
 #include "gateway/batch/job_removal.h"
 #include "gateway/batch/job_store.h"
 #include "gateway/batch/known_jobs.h"
@@ -80,8 +81,12 @@
                     Instant received, http::ResponseWriter& writer);
   /// Calls about a job of another tenant are answered as if there were no such job.
   Task<void> readResults(JobId id, tenants::caller from, std::size_t position, Duration wait,
-                         http::ResponseWriter& writer);
-  Task<void> readItem(JobId id, tenants::caller from, ItemId item, http::ResponseWriter& writer);
+                         http::ResponseWriter& writer) {
+    return reader_.readResults(std::move(id), std::move(from), position, wait, writer);
+  }
+  Task<void> readItem(JobId id, tenants::caller from, ItemId item, http::ResponseWriter& writer) {
+    return reader_.readItem(std::move(id), std::move(from), std::move(item), writer);
+  }
   Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer);
   /// @return whether this daemon knows the job as one that needs no key.
   bool isPublic(const JobId& id) const;
@@ -91,7 +96,7 @@
   void onRecordGone(const JobId& id) { jobs_.onRemoved(id); }
 
   /// @return whether readers wait here for results to be released.
-  bool hasWaitingReaders() const { return waiting_readers_ > 0; }
+  bool hasWaitingReaders() const { return reader_.hasWaitingReaders(); }
   /// @return whether this daemon owns jobs that are not wholly listed.
   bool ownsAny() const;
   /// @return the work of jobs under way at any daemon.
@@ -123,10 +128,6 @@
   /// A newer row of a job was read.
   void onJobChanged(const JobId& id, known_job& job);
 
-  /// Looks a job up, in the store if need be.
-  /// @param record stays empty if there is no job, or none that the caller may know of.
-  /// @return whether that is sure.
-  Task<bool> knows(JobId id, tenants::caller from, std::optional<JobRecord>& record);
   /// @param body rows to be written with the job's row.
   Task<FencedAnswer> acceptRecord(JobRecord record, std::vector<table::Put> body, Instant deadline);
   /// Keeps a job that is too large for rows. @return whether it is kept.
@@ -249,25 +250,6 @@
   RunRules rulesFor(const routing::Route* route, Instant accepted_at) const;
   void applyRules(Active& active) const;
   const routing::Route* routeOf(const JobRecord& record, routing::RouteTablePtr& table) const;
-  struct ReadAhead;
-  /// What a reader's answer is made under.
-  struct ReadState {
-    std::size_t total = 0;
-    std::size_t released = 0;
-    bool from_memory = false;
-  };
-  std::size_t releasedOf(const JobId& id) const;
-  /// Adds released results from this daemon's memory. @return whether it has them.
-  bool readFromMemory(const JobId& id, ReadAhead& page) const;
-  /// Adds results from the store, also such as are not released yet.
-  Task<bool> readFromStore(const JobId& id, ReadAhead& page);
-  /// Waits until more may be released.
-  Task<void> waitForRelease(JobId id, Duration limit);
-  Task<void> answerRead(http::ResponseWriter& writer, const JobId& id, const ReadAhead& page,
-                        ReadState state) const;
-  Task<void> answer(http::ResponseWriter& writer, unsigned status, std::string body = {}) const;
-  Task<void> answerPage(http::ResponseWriter& writer, std::size_t total, std::size_t next,
-                        const std::vector<std::string>& results) const;
 
   Dependencies deps_;
   BatchOptions options_;
@@ -275,12 +257,13 @@
   BatchCounts counts_;
   length_estimate lengths_;
   runs_leaving leaving_;
-  std::size_t waiting_readers_ = 0;
   std::size_t awaiting_residency_ = 0;  ///< Jobs that nobody at home takes up, at the last look.
   Instant next_wait_line_{};            ///< When the next line on them may be written.
   bool stopping_ = false;
   logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
   item_scorer scorer_;
+  job_reader reader_{
+      {deps_.loop, deps_.store, deps_.leases, deps_.codec, deps_.engines.names, jobs_, options_}};
   job_removal removal_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, jobs_, options_}};
 };
 
--- /dev/null
+++ b/src/gateway/batch/call_status.cpp
@@ -0,0 +1,18 @@
+#include "gateway/batch/call_status.h"
+
+namespace linenpier::batch {
+
+namespace {
+/// Seconds, as the field says them: a caller asks again soon, also while nothing is known of when.
+constexpr const char* kRetryAfter = "0.3";
+}  // namespace
+
+Task<void> sendStatus(http::ResponseWriter& writer, const forward::FieldNames& names,
+                      unsigned status, std::string body) {
+  http::Response response(static_cast<boost::beast::http::status>(status), 11);
+  if (status == kUnavailable) response.set(names.retry_after, kRetryAfter);
+  response.body() = std::move(body);
+  co_await writer.send(std::move(response));
+}
+
+}  // namespace linenpier::batch
--- /dev/null
+++ b/src/gateway/batch/job_reader.cpp
@@ -0,0 +1,200 @@
+#include "gateway/batch/job_reader.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/call_status.h"
+
+namespace linenpier::batch {
+
+using logging::LogEvent;
+
+namespace {
+std::optional<std::string> bodyOf(const BatchJob& job, const ItemId& item) {
+  const auto found = std::find_if(job.items.begin(), job.items.end(),
+                                  [&](const BatchItem& each) { return each.id == item; });
+  if (found == job.items.end()) return std::nullopt;
+  return found->body;
+}
+}  // namespace
+
+Task<bool> job_reader::lookUp(JobId id, tenants::caller from, std::optional<JobRecord>& record) {
+  if (known_job* at = this->deps_.jobs.find(id)) {
+    if (mayAccess(at->record, from)) record = at->record;
+    co_return true;
+  }
+  const auto row = co_await this->deps_.store.getRecord(id);
+  if (!row) co_return false;
+  if (row->revision > 0) {
+    this->deps_.jobs.onRow(id, *row);
+    const auto known = decodeRecord(id, row->value);
+    if (known && mayAccess(*known, from)) record = known;
+  }
+  co_return true;
+}
+
+/** Results that a reader may get with its answer, from the position that it asked for on. */
+struct job_reader::read_ahead {
+  std::size_t position = 0;
+  std::vector<StoredResult> results;
+  std::size_t bytes = 0;
+
+  std::size_t next() const { return position + results.size(); }
+  void add(StoredResult result) {
+    bytes += result.encoded.size();
+    results.push_back(std::move(result));
+  }
+};
+
+Task<void> job_reader::answer(http::ResponseWriter& writer, unsigned status,
+                              std::string body) const {
+  co_await sendStatus(writer, this->deps_.names, status, std::move(body));
+}
+
+Task<void> job_reader::answerPage(http::ResponseWriter& writer, std::size_t total, std::size_t next,
+                                  const std::vector<std::string>& results) const {
+  http::Response response(boost::beast::http::status::ok, 11);
+  response.set(boost::beast::http::field::content_type, "application/json");
+  response.body() = this->deps_.codec.encodePage(total, next, results);
+  co_await writer.send(std::move(response));
+}
+
+std::size_t job_reader::publishedOf(const JobId& id) const {
+  const known_job* job = this->deps_.jobs.find(id);
+  if (job == nullptr) return 0;
+  // The feed may show a publish before the answer to its write does.
+  if (job->active && !job->active->stopped) return job->active->released;
+  return job->record.released;
+}
+
+bool job_reader::readFromMemory(const JobId& id, read_ahead& page) const {
+  const known_job* job = this->deps_.jobs.find(id);
+  if (job == nullptr || !job->active) return false;
+  const active_job& active = *job->active;
+  const std::size_t published = this->publishedOf(id);
+  // A job that was taken by another daemon may have more results than are known here.
+  if (active.listed.size() < published) return false;
+  for (std::size_t i = page.next(); i < published && page.bytes < this->deps_.options.page_bytes;
+       ++i) {
+    page.add(active.listed[i]);
+  }
+  return true;
+}
+
+Task<bool> job_reader::readFromStore(const JobId& id, read_ahead& page) {
+  if (page.bytes >= this->deps_.options.page_bytes) co_return true;
+  auto stored = co_await this->deps_.store.results(id, page.next(), 0);
+  if (!stored) co_return false;
+  for (StoredResult& each : stored->results) page.add(std::move(each));
+  co_return true;
+}
+
+Task<void> job_reader::waitForPublish(JobId id, Duration limit) {
+  known_job* at = this->deps_.jobs.find(id);
+  if (at == nullptr) {
+    co_await sleepFor(this->deps_.loop, std::min(limit, this->deps_.options.poll_gap));
+    co_return;
+  }
+  known_job& job = *at;
+  if (job.active && !job.active->stopped) {
+    co_await job.active->released_changed.waitFor(limit);
+    co_return;
+  }
+  if (!job.changed) job.changed = std::make_shared<Signal>(this->deps_.loop);
+  const std::shared_ptr<Signal> changed = job.changed;
+  const bool healthy = this->deps_.leases.storeHealthy();
+  co_await changed->waitFor(
+      std::min(limit, healthy ? this->deps_.options.read_ahead_gap : this->deps_.options.poll_gap));
+  if (healthy) co_return;
+  const auto row = co_await this->deps_.store.getRecord(id);
+  if (row && row->revision > 0) this->deps_.jobs.onRow(id, *row);
+}
+
+Task<void> job_reader::answerRead(http::ResponseWriter& writer, const JobId& id,
+                                  const read_ahead& page, read_state state) const {
+  std::vector<std::string> shown;
+  std::size_t bytes = 0;
+  const std::size_t end = std::min(page.next(), state.published);
+  for (std::size_t i = page.position; i < end; ++i) {
+    const std::string& result = page.results[i - page.position].encoded;
+    bytes += result.size();
+    if (!shown.empty() && bytes >= this->deps_.options.page_bytes) break;
+    shown.push_back(result);
+  }
+  if (!shown.empty()) {
+    LogEvent("batch", "page_read")
+        .text("batch", id.str())
+        .number("position", static_cast<std::int64_t>(page.position))
+        .number("results", static_cast<std::int64_t>(shown.size()))
+        .text("from", state.from_memory ? "memory" : "store");
+  }
+  co_await this->answerPage(writer, state.total, page.position + shown.size(), shown);
+}
+
+Task<void> job_reader::readResults(JobId id, tenants::caller from, std::size_t position,
+                                   Duration wait, http::ResponseWriter& writer) {
+  const Instant deadline = steadyNow() + wait;
+  std::optional<JobRecord> record;
+  const bool sure = co_await this->lookUp(id, from, record);
+  if (!record) {
+    LogEvent("batch", "read_refused")
+        .text("batch", id.str())
+        .text("why", sure ? "no such job" : "store away");
+    co_await this->answer(writer, sure ? kNotFound : kUnavailable);
+    co_return;
+  }
+  read_ahead page{position, {}, 0};
+  for (;;) {
+    const std::size_t published =
+        this->deps_.jobs.find(id) == nullptr ? record->released : this->publishedOf(id);
+    const bool from_memory = this->readFromMemory(id, page);
+    if (!from_memory && page.next() < record->total) {
+      const bool read = co_await this->readFromStore(id, page);
+      if (!read && position < published) {
+        co_await this->answer(writer, kUnavailable);
+        co_return;
+      }
+    }
+    const Instant now = steadyNow();
+    const bool more = position < published;
+    const bool over = position >= record->total || now >= deadline;
+    if (more || over || this->stopping_ || writer.cancellation().requested()) {
+      co_await this->answerRead(writer, id, page, {record->total, published, from_memory});
+      co_return;
+    }
+    ++this->waiting_readers_;
+    co_await this->waitForPublish(id, deadline - now);
+    --this->waiting_readers_;
+  }
+}
+
+Task<void> job_reader::readItem(JobId id, tenants::caller from, ItemId item,
+                                http::ResponseWriter& writer) {
+  std::optional<JobRecord> record;
+  const bool sure = co_await this->lookUp(id, from, record);
+  if (!record) {
+    co_await this->answer(writer, sure ? kNotFound : kUnavailable);
+    co_return;
+  }
+  known_job* at = this->deps_.jobs.find(id);
+  std::optional<std::string> body;
+  if (at != nullptr && at->active) {
+    body = bodyOf(at->active->run.job(), item);
+  } else {
+    const auto bytes = co_await this->deps_.store.getJob(*record);
+    if (!bytes) {
+      co_await this->answer(writer, kUnavailable);
+      co_return;
+    }
+    const auto job = this->deps_.codec.parseJob(id, *bytes);
+    if (job) body = bodyOf(*job, item);
+  }
+  if (body) {
+    co_await this->answer(writer, kOk, std::move(*body));
+  } else {
+    co_await this->answer(writer, kNotFound);
+  }
+}
+
+}  // namespace linenpier::batch
