--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -109,7 +109,8 @@
   // Its unfinished groups may come again in a later job.
   job.active->fence = job.revision;
   const ActivePtr active = job.active;
-  spawn(deps_.loop, [this, active] { return writeCheckpoint(active, CheckpointNeed::kAlways); });
+  spawn(deps_.loop,
+        [this, active] { return checkpoints_.write(active, checkpoint_writer::Need::kAlways); });
 }
 
 // --- Taking over --------------------------------------------------------------------------------
@@ -285,8 +286,8 @@
       .number("checkpoint", static_cast<std::int64_t>(inheritance.checkpoint.texts.size()))
       .number("minimum_version", static_cast<std::int64_t>(job.active->run.job().minimum_version));
   const ActivePtr active = job.active;
-  spawn(deps_.loop, [this, active] { return listLoop(active); });
-  spawn(deps_.loop, [this, active] { return checkpointLoop(active); });
+  results_.start(active);
+  checkpoints_.start(active);
   spawn(deps_.loop, [this, active] { return carryOver(active); });
   pump();
 }
@@ -362,7 +363,7 @@
   if (active && !active->stopped) {
     active->stop(steadyNow());
     // Also where one was sent just now: it may come too late, after the job was given up.
-    co_await writeCheckpoint(active, CheckpointNeed::kAlways);
+    co_await checkpoints_.write(active, checkpoint_writer::Need::kAlways);
   }
   const FencedAnswer answer = co_await deps_.store.putRecord(record, fence, {});
   LogEvent("batch", "handed_over")
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -19,6 +19,7 @@
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/batch_run.h"
+#include "gateway/batch/checkpoint_writer.h"
 #include "gateway/batch/item_scorer.h"
 #include "gateway/batch/job_reader.h"
 #include "gateway/batch/job_removal.h"
@@ -26,6 +27,7 @@
 #include "gateway/batch/known_jobs.h"
 #include "gateway/batch/length_estimate.h"
 #include "gateway/batch/moves_planned.h"
+#include "gateway/batch/result_writer.h"
 #include "gateway/batch/run_moves.h"
 #include "gateway/batch/runs_leaving.h"
 #include "gateway/fleet/data_residency.h"
@@ -229,24 +231,6 @@
   http::Request itemRequest(const Active& active, ItemIndex item) const;
   suspects::request_key keyOf(const Active& active, ItemIndex item) const;
 
-  Task<void> checkpointLoop(ActivePtr active);
-  enum class CheckpointNeed { kAlways, kIfMuchIsNew };
-  Task<void> writeCheckpoint(ActivePtr active, CheckpointNeed need);
-  /// @return whether what is finished fills an append.
-  bool fillsAppend(const BatchRun& run) const;
-  bool releaseUrgent(const Active& active) const;
-  /// @return when readers should be shown what there is; when to look again, if all is shown.
-  Instant nextReleaseAt(const Active& active, Instant now) const;
-  Instant nextAppendAt(const Active& active, Instant now) const;
-  Task<void> listLoop(ActivePtr active);
-  /// Chooses what the next append writes and releases. It stays as it is until the store settles
-  /// it.
-  void preparePending(Active& active, Instant now) const;
-  Task<bool> writePending(ActivePtr active);
-  /// @return whether an earlier try of the pending write, which was not answered, was done.
-  bool releasedBefore(const FencedAnswer& answer, const Active& active) const;
-  void onPendingWritten(Active& active);
-
   RunRules rulesFor(const routing::Route* route, Instant accepted_at) const;
   void applyRules(Active& active) const;
   const routing::Route* routeOf(const JobRecord& record, routing::RouteTablePtr& table) const;
@@ -262,6 +246,9 @@
   bool stopping_ = false;
   logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
   item_scorer scorer_;
+  result_writer results_{
+      {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
+  checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
   job_reader reader_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, deps_.engines.names, jobs_, options_}};
   job_removal removal_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, jobs_, options_}};
--- /dev/null
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -0,0 +1,69 @@
+#include "gateway/batch/checkpoint_writer.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/checkpoint_rows.h"
+
+namespace linenpier::batch {
+
+using logging::LogEvent;
+
+namespace {
+constexpr int kCheckpointRest = 3;  ///< Pause between two, in times that the last one took.
+}  // namespace
+
+void checkpoint_writer::start(const active_job_ptr& active) {
+  spawn(this->deps_.loop, [this, active] { return this->checkpointLoop(active); });
+}
+
+Task<void> checkpoint_writer::write(active_job_ptr active, Need need) {
+  // What a write under way adds is not known yet.
+  if (active->checkpoint_in_progress) active->kept_texts.onUnsettled();
+  const checkpoint_part part = active->kept_texts.next(active->run);
+  const bool much = part.events >= this->deps_.options.checkpoint_events;
+  if (part.texts.empty() || (need == Need::kIfMuchIsNew && !much)) co_return;
+  CheckpointWrite write;
+  write.rows = toRows(part.texts, this->deps_.store.rowBytes());
+  write.first_row = active->checkpoint_next_row;
+  write.obsolete_from = part.whole ? active->checkpoint_first_row : write.first_row;
+  const std::size_t rows = write.rows.size();
+  const std::size_t first_row = write.first_row;
+  active->checkpoint_next_row += rows;
+  active->checkpoint_in_progress = true;
+  const Instant begun = steadyNow();
+  const FencedAnswer answer =
+      co_await this->deps_.store.putCheckpoint(active->record.id, active->fence, std::move(write));
+  active->checkpoint_in_progress = false;
+  const bool done = answer.outcome == FencedOutcome::kDone;
+  if (done) {
+    active->kept_texts.onWritten(part);
+    if (part.whole) active->checkpoint_first_row = first_row;
+  } else {
+    active->kept_texts.onUnsettled();
+  }
+  LogEvent("batch", "checkpoint")
+      .text("batch", active->record.id.str())
+      .number("row", static_cast<std::int64_t>(first_row))
+      .number("rows", static_cast<std::int64_t>(rows))
+      .number("events", static_cast<std::int64_t>(part.events))
+      .text("part", part.whole ? "whole" : "addition")
+      .text("outcome", done ? "done" : "not_done")
+      .milliseconds("took_ms", steadyNow() - begun);
+}
+
+Task<void> checkpoint_writer::checkpointLoop(active_job_ptr active) {
+  Duration pause = this->deps_.options.checkpoint_gap;
+  for (;;) {
+    co_await sleepFor(this->deps_.loop, pause);
+    if (active->stopped || active->run.allListed()) co_return;
+    const Instant begun = steadyNow();
+    co_await this->write(active, Need::kIfMuchIsNew);
+    // A store that is slow has results and renewals to take first.
+    pause = std::max<Duration>(this->deps_.options.checkpoint_gap,
+                               kCheckpointRest * (steadyNow() - begun));
+  }
+}
+
+}  // namespace linenpier::batch
--- /dev/null
+++ b/src/gateway/batch/result_writer.cpp
@@ -0,0 +1,150 @@
+#include "gateway/batch/result_writer.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/table/store_keys.h"
+
+namespace linenpier::batch {
+
+using logging::LogEvent;
+
+namespace {
+constexpr Duration kIdleWait = std::chrono::seconds(1);  ///< While nothing is finished.
+}  // namespace
+
+void result_writer::start(const active_job_ptr& active) {
+  spawn(this->deps_.loop, [this, active] { return this->appendLoop(active); });
+}
+
+bool result_writer::fillsAppend(const BatchRun& run) const {
+  return run.finished().size() >= this->deps_.options.write_rows ||
+         run.finishedBytes() >= this->deps_.options.write_bytes;
+}
+
+bool result_writer::publishUrgent(const active_job& active) const {
+  return active.run.releaseUrgent() || active.held_back_bytes >= this->deps_.options.release_bytes;
+}
+
+Instant result_writer::nextPublishAt(const active_job& active, Instant now) const {
+  const bool held_back = active.released < active.listed.size() || !active.run.finished().empty();
+  if (!held_back) return now + kIdleWait;
+  return active.schedule.releaseAt(now, this->publishUrgent(active));
+}
+
+Instant result_writer::nextAppendAt(const active_job& active, Instant now) const {
+  const Instant publish_at = this->nextPublishAt(active, now);
+  if (active.run.finished().empty()) return publish_at;
+  return std::min(publish_at, active.schedule.appendAt(now, this->fillsAppend(active.run)));
+}
+
+Task<void> result_writer::appendLoop(active_job_ptr active) {
+  while (!active->stopped && active->released < active->run.job().items.size()) {
+    if (active->pending.empty()) {
+      const Instant now = steadyNow();
+      const Instant due = this->nextAppendAt(*active, now);
+      if (due > now) {
+        co_await active->finished.waitFor(due - now);
+        continue;
+      }
+      this->preparePending(*active, now);
+    }
+    const bool done = co_await this->writePending(active);
+    if (active->stopped) break;
+    if (!done) {
+      co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+    }
+  }
+  if (!active->stopped) {
+    LogEvent("batch", "job_listed")
+        .text("batch", active->record.id.str())
+        .number("results", static_cast<std::int64_t>(active->listed.size()));
+    active->stop(steadyNow());
+  }
+}
+
+void result_writer::preparePending(active_job& active, Instant now) const {
+  const BatchOptions& options = this->deps_.options;
+  active_job::Pending& pending = active.pending;
+  pending.position = active.listed.size();
+  std::size_t bytes = 0;
+  for (const ItemIndex item : active.run.finished()) {
+    if (pending.results.size() >= options.write_rows || bytes >= options.write_bytes) break;
+    StoredResult result{item, this->deps_.codec.encodeResult(active.run.result(item))};
+    bytes += result.encoded.size();
+    pending.items.push_back(item);
+    pending.results.push_back(std::move(result));
+  }
+  // What one write does not take follows at once; readers are shown all of it together.
+  const bool takes_all = pending.items.size() == active.run.finished().size();
+  if (takes_all && this->nextPublishAt(active, now) <= now) {
+    pending.release = pending.position + pending.results.size();
+  }
+}
+
+Task<bool> result_writer::writePending(active_job_ptr active) {
+  const active_job::Pending& pending = active->pending;
+  const JobId id = active->record.id;
+  const Revision fence = active->fence;
+  std::optional<JobRecord> publish;
+  if (pending.release) {
+    const known_job* job = this->deps_.jobs.find(id);
+    publish = job == nullptr ? active->record : job->record;
+    publish->released = *pending.release;
+    publish->begun = true;
+  }
+  const FencedAnswer answer =
+      co_await this->deps_.store.append(id, fence, pending.position, pending.results, publish);
+  if (active->stopped) co_return false;
+  const bool done =
+      answer.outcome == FencedOutcome::kDone || this->publishedBefore(answer, *active);
+  if (!done && answer.outcome == FencedOutcome::kFenceLost && answer.current) {
+    this->deps_.jobs.onRow(id, *answer.current);
+    co_return false;
+  }
+  if (!done) {
+    LogEvent("batch", "list_failed")
+        .text("batch", id.str())
+        .number("position", static_cast<std::int64_t>(pending.position))
+        .text("outcome", answer.outcome == FencedOutcome::kUnknown ? "unknown" : "not_done");
+    co_return false;
+  }
+  if (answer.current) {
+    this->deps_.jobs.onRow(id, *answer.current);
+  } else if (publish) {
+    this->deps_.jobs.onRow(id, {table::jobKey(id), answer.revision, encodeRecord(*publish)});
+  }
+  this->onPendingWritten(*active);
+  co_return true;
+}
+
+bool result_writer::publishedBefore(const FencedAnswer& answer, const active_job& active) const {
+  if (answer.outcome != FencedOutcome::kFenceLost || !answer.current) return false;
+  const auto record = decodeRecord(active.record.id, answer.current->value);
+  if (!record || record->ended || record->owner != this->deps_.leases.own()) return false;
+  return active.pending.release && record->released == *active.pending.release;
+}
+
+void result_writer::onPendingWritten(active_job& active) {
+  const Instant now = steadyNow();
+  active_job::Pending& pending = active.pending;
+  for (std::size_t i = 0; i < pending.items.size(); ++i) {
+    const bool completed = active.run.progress(pending.items[i]).outcome == ResultState::kCompleted;
+    ++(completed ? this->deps_.counts.completed : this->deps_.counts.terminated);
+    active.run.onListed(pending.items[i]);
+    active.held_back_bytes += pending.results[i].encoded.size();
+    active.listed.push_back(std::move(pending.results[i]));
+  }
+  const std::optional<std::size_t> publish = pending.release;
+  pending = active_job::Pending{};
+  active.schedule.onAppended(now);
+  if (!publish) return;
+  active.released = *publish;
+  active.held_back_bytes = 0;
+  active.schedule.onReleased(now);
+  active.noteReleased();
+  active.released_changed.notifyAll();
+}
+
+}  // namespace linenpier::batch
