--- a/src/gateway/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -60,7 +60,7 @@
     const bool own = owner == deps_.leases.own();
     choice.previous_zone = own ? deps_.pool.zone() : deps_.leases.zoneOf(owner);
   }
-  const std::optional<fleet::data_residency> residency = residencyOf(record);
+  const std::optional<fleet::data_residency> residency = residency_.of(record);
   if (residency)
     choice = withinResidency(std::move(choice), *residency, deps_.engines.registry.layout());
   for (const auto& [id, job] : jobs_.all()) {
@@ -69,7 +69,7 @@
     if (job.record.model != record.model) choice.busy.insert(job.record.owner);
   }
   choice.model_index = modelIndex(record);
-  const LeaseId fallback = mayOwn(record) ? deps_.leases.own() : LeaseId();
+  const LeaseId fallback = residency_.mayOwn(record) ? deps_.leases.own() : LeaseId();
   return chooseOwner(choice, fallback);
 }
 
@@ -146,7 +146,7 @@
   if (!job->items.empty()) record.model = job->items.front().model;
   const routing::RouteTablePtr table = deps_.routes();
   record.other_routes = otherRoutes(*table, route, record.host, *job);
-  if (!servedWithinResidency(route, record)) {
+  if (!residency_.servedWithinResidency(route, record)) {
     ++counts_.refused;
     ++counts_.refused_for_residency;
     logOutcome("no_engine_at_home", kUnavailable);
--- a/src/gateway/batch/batch_carry_over.cpp
+++ b/src/gateway/batch/batch_carry_over.cpp
@@ -90,7 +90,7 @@
   const Instant begun = steadyNow();
   for (const JobId& id : earlier) {
     // Its homes may be others than those of the job that follows.
-    if (!mayOwn(jobs_.find(id)->record)) continue;
+    if (!residency_.mayOwn(jobs_.find(id)->record)) continue;
     const ActivePtr other = jobs_.find(id)->active;
     if (other) {
       const BatchJob& job = other->run.job();
--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -8,6 +8,7 @@
 #include "gateway/batch/awaited_runs.h"
 #include "gateway/batch/batch_service.h"
 #include "gateway/batch/item_placement.h"
+#include "gateway/batch/job_rules.h"
 #include "gateway/tenants/caller.h"
 
 namespace linenpier::batch {
@@ -37,6 +38,7 @@
     if (!job.active || job.active->stopped) continue;
     startable_item each;
     each.active = job.active;
+    each.table = deps_.routes();
     each.route = routeOf(job.active->record, each.table);
     if (each.route != nullptr && findNext(each)) jobs.push_back(std::move(each));
   }
@@ -100,19 +102,10 @@
   return suspects::keyOf(active.record.tenant, active.record.host, each.path, each.body);
 }
 
-engines::PickRequest BatchService::pickFor(const Active& active, ItemIndex item,
-                                           const routing::Route& route) const {
-  const routing::RouteTablePtr table = deps_.routes();
-  engines::PickRequest wanted =
-      pickRequestFor(active.run, item, route, *table, options_.requests_per_slot);
-  wanted.residency = residencyOfItem(active, item, *table, route);
-  return wanted;
-}
-
 bool BatchService::startItem(const ActivePtr& active, ItemIndex item, const routing::Route& route) {
   const Instant now = steadyNow();
   const BatchItem& each = active->run.job().items[item];
-  const engines::PickRequest wanted = pickFor(*active, item, route);
+  const engines::PickRequest wanted = picks_.pickFor(*active, item, route);
   const item_placement placement =
       placeItem(now, deps_.engines.registry, active->run.progress(item), wanted);
   if (placement.discard_text) active->run.discardText(item);
@@ -301,7 +294,7 @@
   for (auto& [id, job] : jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     Active& active = *job.active;
-    routing::RouteTablePtr table;
+    const routing::RouteTablePtr table = deps_.routes();
     const routing::Route* route = routeOf(active.record, table);
     if (route == nullptr || route->single_version || active.run.waiting() > 0) continue;
     std::vector<item_run> runs;
@@ -320,7 +313,7 @@
 void BatchService::moveRun(Instant now, Active& active, const item_run& run,
                            const routing::Route& route, moves_planned& moves) {
   engines::EngineRegistry& registry = deps_.engines.registry;
-  engines::PickRequest wanted = pickFor(active, run.item, route);
+  engines::PickRequest wanted = picks_.pickFor(active, run.item, route);
   wanted.excluded = moves.full();
   wanted.excluded.insert(run.engine);
   const auto move = planMove(now, registry, lengths_, active.run, run, wanted, moveRules());
--- a/src/gateway/batch/batch_leaving.cpp
+++ b/src/gateway/batch/batch_leaving.cpp
@@ -6,6 +6,7 @@
 #include "common/event_log.h"
 #include "gateway/batch/active_job.h"
 #include "gateway/batch/batch_service.h"
+#include "gateway/batch/job_rules.h"
 
 namespace linenpier::batch {
 
@@ -52,10 +53,10 @@
 }
 
 bool BatchService::leaveEngine(Instant now, const run_there& run, moves_planned& moves) {
-  routing::RouteTablePtr table;
+  const routing::RouteTablePtr table = deps_.routes();
   const routing::Route* route = routeOf(run.active->record, table);
   if (route == nullptr) return false;
-  engines::PickRequest wanted = pickFor(*run.active, run.item, *route);
+  engines::PickRequest wanted = picks_.pickFor(*run.active, run.item, *route);
   wanted.excluded = moves.full();
   const engines::EngineState* target = deps_.engines.registry.pick(now, wanted);
   if (target == nullptr) return false;
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -4,6 +4,7 @@
 
 #include "common/event_log.h"
 #include "gateway/batch/active_job.h"
+#include "gateway/batch/job_rules.h"
 #include "gateway/table/store_keys.h"
 
 namespace linenpier::batch {
@@ -19,11 +20,6 @@
 constexpr Duration kIdleTick = std::chrono::milliseconds(250);
 /// A daemon that started just now may have to take up what its earlier life owned.
 constexpr Duration kStartTime = std::chrono::seconds(5);
-/// Results that are read this long after they are due count as in time (the users allow 0.7 s, of
-/// which the way to the reader takes a part). A step that is whole by then is read in one piece.
-constexpr Duration kDueGrace = std::chrono::milliseconds(450);
-constexpr Duration kGiveUpSlack = std::chrono::milliseconds(1500);
-constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< Without a route.
 
 }  // namespace
 
@@ -45,31 +41,6 @@
   });
 }
 
-const routing::Route* BatchService::routeOf(const JobRecord& record,
-                                            routing::RouteTablePtr& table) const {
-  table = deps_.routes();
-  return table ? table->find(record.host, record.path) : nullptr;
-}
-
-RunRules BatchService::rulesFor(const routing::Route* route, Instant accepted_at) const {
-  RunRules rules;
-  rules.give_up_at = accepted_at + kGiveUpSlack + kDefaultQueueLimit;
-  if (route != nullptr) {
-    rules.give_up_at = accepted_at + kGiveUpSlack + route->queue_limit;
-    rules.max_failures = std::max(1, route->max_attempts);
-    rules.single_version = route->single_version;
-  }
-  return rules;
-}
-
-void BatchService::applyRules(Active& active) const {
-  routing::RouteTablePtr table;
-  const routing::Route* route = routeOf(active.record, table);
-  active.run.setRules(rulesFor(route, active.accepted_at));
-  if (route != nullptr)
-    active.schedule.setDue(active.accepted_at + route->target_finish + kDueGrace);
-}
-
 // --- Rows ---------------------------------------------------------------------------------------
 
 void BatchService::onJobChanged(const JobId& id, known_job& job) {
@@ -90,7 +61,7 @@
 
 void BatchService::resumeOwn(const JobId& id, known_job& job) {
   // The next look settles whether this daemon is at home for it.
-  job.resumes_within_residency = !mayOwn(job.record);
+  job.resumes_within_residency = !residency_.mayOwn(job.record);
   if (job.resumes_within_residency) return;
   job.activating = true;
   spawn(deps_.loop, [this, id] { return resume(id); });
@@ -135,7 +106,7 @@
     }
     if (!deps_.leases.storeHealthy() || !deps_.leases.expired(job.record.owner)) continue;
     if (job.orphaned_at == Instant{}) job.orphaned_at = now;
-    if (!mayOwn(job.record)) {
+    if (!residency_.mayOwn(job.record)) {
       noteAwaitsResidency(now, id, job);
       continue;
     }
@@ -198,7 +169,7 @@
     known_job* known = jobs_.find(id);
     if (known == nullptr) break;
     const JobRecord record = known->record;
-    if (!mayOwn(record)) {
+    if (!residency_.mayOwn(record)) {
       known->resumes_within_residency = true;
       break;
     }
@@ -258,7 +229,7 @@
                                         options_.listing);
   job.active->fence = job.revision;
   job.active->accepted_at = accepted_at;
-  applyRules(*job.active);
+  applyRules(*job.active, deps_.routes());
   for (const StoredResult& each : inheritance.listed) {
     if (each.item_index < job.active->run.job().items.size()) {
       job.active->run.onAlreadyListed(each.item_index);
@@ -301,7 +272,7 @@
     checkOwners(now);
     for (auto& [id, job] : jobs_.all()) {
       if (!job.active || job.active->stopped) continue;
-      applyRules(*job.active);
+      applyRules(*job.active, deps_.routes());
       if (job.active->run.onTick(now)) job.active->finished.notifyAll();
     }
     leaveClosedZones(now);
@@ -332,7 +303,7 @@
     if (job.record.ended || job.record.model.empty()) continue;
     versions::open_work& open = work[job.record.model];
     open.items += job.record.total;
-    routing::RouteTablePtr table;
+    const routing::RouteTablePtr table = deps_.routes();
     const routing::Route* route = routeOf(job.record, table);
     if (route != nullptr && route->single_version) open.single_version = true;
   }
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -20,9 +20,11 @@
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/checkpoint_writer.h"
+#include "gateway/batch/item_pick.h"
 #include "gateway/batch/item_scorer.h"
 #include "gateway/batch/job_reader.h"
 #include "gateway/batch/job_removal.h"
+#include "gateway/batch/job_residency.h"
 #include "gateway/batch/job_store.h"
 #include "gateway/batch/known_jobs.h"
 #include "gateway/batch/length_estimate.h"
@@ -146,21 +148,6 @@
   Task<CallResult<Inheritance>> inheritTexts(JobId id);
   void activate(const JobId& id, BatchJob job, const Inheritance& inheritance, Instant accepted_at);
 
-  /// @return the routes of items and scorers that are not the job's own.
-  std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
-                                  const std::string& host, const BatchJob& job) const;
-  /// @return where the job may be; nothing before there is a configuration.
-  std::optional<fleet::data_residency> residencyOf(const JobRecord& record) const;
-  /// @return where an item of the job may be served.
-  fleet::data_residency residencyOfItem(const Active& active, ItemIndex item,
-                                        const routing::RouteTable& table,
-                                        const routing::Route& route) const;
-  RegionName ownRegion() const;
-  /// @return whether the job may be here.
-  bool mayOwn(const JobRecord& record) const;
-  /// @return whether the job may be owned somewhere, and an engine of the route's service is where
-  ///     its items may be.
-  bool servedWithinResidency(const routing::Route& route, const JobRecord& record) const;
   /// Gives the job up if this daemon owns it and it must not be here; goes on with it where that
   /// was not known.
   /// @return whether it was left alone.
@@ -205,9 +192,6 @@
   void moveRun(Instant now, Active& active, const item_run& run, const routing::Route& route,
                moves_planned& moves);
   run_move_rules moveRules() const;
-  /// What an item asks of an engine.
-  engines::PickRequest pickFor(const Active& active, ItemIndex item,
-                               const routing::Route& route) const;
   bool startItem(const ActivePtr& active, ItemIndex item, const routing::Route& route);
   /// @return nothing if the item must wait, since engines ended under it.
   std::optional<suspects::sent_attempt> leaveToRun(Active& active, ItemIndex item);
@@ -231,10 +215,6 @@
   http::Request itemRequest(const Active& active, ItemIndex item) const;
   suspects::request_key keyOf(const Active& active, ItemIndex item) const;
 
-  RunRules rulesFor(const routing::Route* route, Instant accepted_at) const;
-  void applyRules(Active& active) const;
-  const routing::Route* routeOf(const JobRecord& record, routing::RouteTablePtr& table) const;
-
   Dependencies deps_;
   BatchOptions options_;
   known_jobs jobs_;
@@ -246,6 +226,8 @@
   bool stopping_ = false;
   logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
   item_scorer scorer_;
+  job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
+  item_pick picks_{{residency_, deps_.routes, options_}};
   result_writer results_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
   checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
--- /dev/null
+++ b/src/gateway/batch/job_rules.h
@@ -0,0 +1,25 @@
+#pragma once
+
+/** @file
+ * The rules that a job runs under, from its route in the newest table. Pure.
+ */
+
+#include "gateway/batch/batch_run.h"
+#include "gateway/routing/route_table.h"
+
+namespace linenpier::batch {
+
+struct active_job;
+
+/** @return the route that the job was handed in under; nullptr without a table or such a route. */
+const routing::Route* routeOf(const JobRecord& record, const routing::RouteTablePtr& table);
+
+/** @param route nullptr: the defaults.
+ * @param accepted_at when the job was accepted, by this daemon's clock.
+ */
+RunRules rulesFor(const routing::Route* route, Instant accepted_at);
+
+/** Applies the newest table to a job that runs: its rules, and when its results are due. */
+void applyRules(active_job& active, const routing::RouteTablePtr& table);
+
+}  // namespace linenpier::batch
