--- a/src/gateway/batch/batch_items.cpp
+++ b/src/gateway/batch/batch_items.cpp
@@ -285,48 +285,4 @@
   return engines;
 }
 
-run_move_rules BatchService::moveRules() const {
-  return {options_.move_gain, options_.move_saving, options_.move_after};
-}
-
-void BatchService::moveSlowRuns(Instant now) {
-  moves_planned moves(options_.moves_per_tick);
-  for (auto& [id, job] : jobs_.all()) {
-    if (!job.active || job.active->stopped) continue;
-    Active& active = *job.active;
-    const routing::RouteTablePtr table = deps_.routes();
-    const routing::Route* route = routeOf(active.record, table);
-    if (route == nullptr || route->single_version || active.run.waiting() > 0) continue;
-    std::vector<item_run> runs;
-    for (const auto& [item, call] : active.calls) {
-      runs.push_back({item, call->engine(), call->startedAt()});
-    }
-    const auto movable = movableRuns(now, deps_.engines.registry, route->services.front().service,
-                                     active.run.job(), runs, moveRules());
-    for (const item_run& run : movable) {
-      if (moves.exhausted()) return;
-      moveRun(now, active, run, *route, moves);
-    }
-  }
-}
-
-void BatchService::moveRun(Instant now, Active& active, const item_run& run,
-                           const routing::Route& route, moves_planned& moves) {
-  engines::EngineRegistry& registry = deps_.engines.registry;
-  engines::PickRequest wanted = picks_.pickFor(active, run.item, route);
-  wanted.excluded = moves.full();
-  wanted.excluded.insert(run.engine);
-  const auto move = planMove(now, registry, lengths_, active.run, run, wanted, moveRules());
-  if (!move) return;
-  LogEvent("batch", "run_moved")
-      .text("item", active.run.job().items[run.item].id.str())
-      .text("from", run.engine.str())
-      .text("towards", move->target.str())
-      .real("events_left", move->events_left)
-      .real("slowness", move->latency_ratio)
-      .real("slowness_there", move->latency_ratio_there);
-  moves.onMove(move->target, registry.room(now, move->target));
-  active.calls.at(run.item)->abort();
-}
-
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -275,8 +275,8 @@
       applyRules(*job.active, deps_.routes());
       if (job.active->run.onTick(now)) job.active->finished.notifyAll();
     }
-    leaveClosedZones(now);
-    moveSlowRuns(now);
+    closed_zone_mover_.leaveClosedZones(now);
+    slow_run_mover_.moveSlowRuns(now);
     pump();
   }
 }
@@ -292,7 +292,7 @@
     work.unscored += job.active->run.unscored();
   }
   for (const auto& [zone, revision] : deps_.engines.registry.closedZones().all()) {
-    work.in_closed_zones += runsIn(zone);
+    work.in_closed_zones += closed_zone_mover_.runsIn(zone);
   }
   return work;
 }
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -20,6 +20,7 @@
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/checkpoint_writer.h"
+#include "gateway/batch/closed_zone_mover.h"
 #include "gateway/batch/item_pick.h"
 #include "gateway/batch/item_scorer.h"
 #include "gateway/batch/job_reader.h"
@@ -28,10 +29,8 @@
 #include "gateway/batch/job_store.h"
 #include "gateway/batch/known_jobs.h"
 #include "gateway/batch/length_estimate.h"
-#include "gateway/batch/moves_planned.h"
 #include "gateway/batch/result_writer.h"
-#include "gateway/batch/run_moves.h"
-#include "gateway/batch/runs_leaving.h"
+#include "gateway/batch/slow_run_mover.h"
 #include "gateway/fleet/data_residency.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/forward/internal_requests.h"
@@ -77,7 +76,7 @@
   void start();
   void setOptions(const BatchOptions& options) {
     options_ = options;
-    leaving_.setOptions(options.leaving);
+    closed_zone_mover_.setOptions(options.leaving);
   }
 
   /// The job belongs to the tenant that hands it in.
@@ -123,7 +122,7 @@
   };
   Work work() const;
   /// @return runs of owned jobs at engines of the zone.
-  std::size_t runsIn(const ZoneName& zone) const;
+  std::size_t runsIn(const ZoneName& zone) const { return closed_zone_mover_.runsIn(zone); }
 
  private:
   using Active = active_job;
@@ -180,18 +179,6 @@
   std::vector<startable_item> startableItems();
   /// @return whether the job has an item that may start; it is then set.
   bool findNext(startable_item& job) const;
-  struct run_there;
-  /// Lets runs leave engines of closed zones as far as there is room elsewhere.
-  void leaveClosedZones(Instant now);
-  /// @param there the same runs, in the same order.
-  std::vector<placed_run> runsInClosedZones(Instant now, std::vector<run_there>& there) const;
-  /// Stops the run, which goes on elsewhere. @return whether there was room.
-  bool leaveEngine(Instant now, const run_there& run, moves_planned& moves);
-  /// Moves runs from slow engines to clearly faster ones that have room.
-  void moveSlowRuns(Instant now);
-  void moveRun(Instant now, Active& active, const item_run& run, const routing::Route& route,
-               moves_planned& moves);
-  run_move_rules moveRules() const;
   bool startItem(const ActivePtr& active, ItemIndex item, const routing::Route& route);
   /// @return nothing if the item must wait, since engines ended under it.
   std::optional<suspects::sent_attempt> leaveToRun(Active& active, ItemIndex item);
@@ -220,7 +207,6 @@
   known_jobs jobs_;
   BatchCounts counts_;
   length_estimate lengths_;
-  runs_leaving leaving_;
   std::size_t awaiting_residency_ = 0;  ///< Jobs that nobody at home takes up, at the last look.
   Instant next_wait_line_{};            ///< When the next line on them may be written.
   bool stopping_ = false;
@@ -228,6 +214,10 @@
   item_scorer scorer_;
   job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
   item_pick picks_{{residency_, deps_.routes, options_}};
+  slow_run_mover slow_run_mover_{
+      {deps_.engines.registry, jobs_, lengths_, picks_, deps_.routes, options_}};
+  closed_zone_mover closed_zone_mover_{
+      {deps_.engines.registry, jobs_, lengths_, picks_, deps_.routes}};
   result_writer results_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
   checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
--- a/src/gateway/batch/batch_leaving.cpp
+++ b/src/gateway/batch/closed_zone_mover.cpp
@@ -1,35 +1,33 @@
-/// @file
-/// Runs of owned jobs leave the engines of closed zones, with the text made so far.
+#include "gateway/batch/closed_zone_mover.h"
 
 #include <limits>
 
 #include "common/event_log.h"
 #include "gateway/batch/active_job.h"
-#include "gateway/batch/batch_service.h"
 #include "gateway/batch/job_rules.h"
 
 namespace linenpier::batch {
 
 using logging::LogEvent;
 
-/// A run at an engine of a closed zone, as `runs_leaving` has it and as this daemon has it.
-struct BatchService::run_there {
-  ActivePtr active;
+/** A run at an engine of a closed zone, as `runs_leaving` has it and as this daemon has it. */
+struct closed_zone_mover::run_there {
+  active_job_ptr active;
   ItemIndex item = 0;
   double events_left = 0;
 };
 
-std::vector<placed_run> BatchService::runsInClosedZones(Instant now,
-                                                        std::vector<run_there>& there) const {
-  const engines::EngineRegistry& registry = deps_.engines.registry;
+std::vector<placed_run> closed_zone_mover::runsInClosedZones(Instant now,
+                                                             std::vector<run_there>& there) const {
+  const engines::EngineRegistry& registry = this->deps_.registry;
   std::vector<placed_run> placed;
-  for (const auto& [id, job] : jobs_.all()) {
+  for (const auto& [id, job] : this->deps_.jobs.all()) {
     if (!job.active || job.active->stopped) continue;
     for (const auto& [item, call] : job.active->calls) {
       const engines::EngineState* engine = registry.find(call->engine());
       if (engine == nullptr || !registry.closedZones().contains(engine->record.zone)) continue;
-      const double events = lengths_.remainingEvents(job.active->run.job().items[item].length_hint,
-                                                     job.active->run.progress(item).last_event);
+      const double events = this->deps_.lengths.remainingEvents(
+          job.active->run.job().items[item].length_hint, job.active->run.progress(item).last_event);
       const double event_time = registry.expectedEventTime(now, call->engine());
       const double seconds =
           event_time > 0 ? events * event_time : std::numeric_limits<double>::infinity();
@@ -40,44 +38,44 @@
   return placed;
 }
 
-std::size_t BatchService::runsIn(const ZoneName& zone) const {
+std::size_t closed_zone_mover::runsIn(const ZoneName& zone) const {
   std::size_t runs = 0;
-  for (const auto& [id, job] : jobs_.all()) {
+  for (const auto& [id, job] : this->deps_.jobs.all()) {
     if (!job.active || job.active->stopped) continue;
     for (const auto& [item, call] : job.active->calls) {
-      const engines::EngineState* engine = deps_.engines.registry.find(call->engine());
+      const engines::EngineState* engine = this->deps_.registry.find(call->engine());
       if (engine != nullptr && engine->record.zone == zone) ++runs;
     }
   }
   return runs;
 }
 
-bool BatchService::leaveEngine(Instant now, const run_there& run, moves_planned& moves) {
-  const routing::RouteTablePtr table = deps_.routes();
+bool closed_zone_mover::leaveEngine(Instant now, const run_there& run, moves_planned& moves) {
+  const routing::RouteTablePtr table = this->deps_.routes();
   const routing::Route* route = routeOf(run.active->record, table);
   if (route == nullptr) return false;
-  engines::PickRequest wanted = picks_.pickFor(*run.active, run.item, *route);
+  engines::PickRequest wanted = this->deps_.picks.pickFor(*run.active, run.item, *route);
   wanted.excluded = moves.full();
-  const engines::EngineState* target = deps_.engines.registry.pick(now, wanted);
+  const engines::EngineState* target = this->deps_.registry.pick(now, wanted);
   if (target == nullptr) return false;
   const EngineId towards = target->record.id;
-  moves.onMove(towards, deps_.engines.registry.room(now, towards));
+  moves.onMove(towards, this->deps_.registry.room(now, towards));
   run.active->calls.at(run.item)->abort();
   return true;
 }
 
-void BatchService::leaveClosedZones(Instant now) {
-  const fleet::closed_zones& closed = deps_.engines.registry.closedZones();
-  if (closed.empty() && leaving_.idle()) return;
+void closed_zone_mover::leaveClosedZones(Instant now) {
+  const fleet::closed_zones& closed = this->deps_.registry.closedZones();
+  if (closed.empty() && this->leaving_.idle()) return;
   std::vector<run_there> there;
-  const std::vector<placed_run> placed = runsInClosedZones(now, there);
-  leaving_.onZones(now, closed, placed);
+  const std::vector<placed_run> placed = this->runsInClosedZones(now, there);
+  this->leaving_.onZones(now, closed, placed);
   moves_planned moves(placed.size());
   std::map<ZoneName, std::size_t> left;
   std::map<ZoneName, std::size_t> longest;
-  for (const std::size_t i : leaving_.due(now, placed)) {
-    if (!leaveEngine(now, there[i], moves)) continue;
-    leaving_.onLeft(placed[i].zone);
+  for (const std::size_t i : this->leaving_.due(now, placed)) {
+    if (!this->leaveEngine(now, there[i], moves)) continue;
+    this->leaving_.onLeft(placed[i].zone);
     ++left[placed[i].zone];
     longest.try_emplace(placed[i].zone, i);
   }
@@ -87,11 +85,11 @@
         .text("zone", zone.str())
         .number("revision", static_cast<std::int64_t>(closed.all().at(zone)))
         .number("leaving", static_cast<std::int64_t>(runs))
-        .number("there", static_cast<std::int64_t>(runsIn(zone)))
+        .number("there", static_cast<std::int64_t>(this->runsIn(zone)))
         .text("longest", first.active->run.job().items[first.item].id.str())
         .real("events_left", first.events_left);
   }
-  for (const emptied_zone& each : leaving_.takeEmptied(now, placed)) {
+  for (const emptied_zone& each : this->leaving_.takeEmptied(now, placed)) {
     LogEvent("batch", "zone_empty")
         .text("zone", each.zone.str())
         .milliseconds("after_ms", each.took)
--- /dev/null
+++ b/src/gateway/batch/slow_run_mover.cpp
@@ -0,0 +1,62 @@
+#include "gateway/batch/slow_run_mover.h"
+
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/job_rules.h"
+
+namespace linenpier::batch {
+
+using logging::LogEvent;
+
+run_move_rules slow_run_mover::moveRules() const {
+  return {this->deps_.options.move_gain, this->deps_.options.move_saving,
+          this->deps_.options.move_after};
+}
+
+void slow_run_mover::moveSlowRuns(Instant now) {
+  moves_planned moves(this->deps_.options.moves_per_tick);
+  for (auto& [id, job] : this->deps_.jobs.all()) {
+    if (!job.active || job.active->stopped) continue;
+    this->moveRunsOf(now, *job.active, moves);
+    if (moves.exhausted()) return;
+  }
+}
+
+void slow_run_mover::moveRunsOf(Instant now, active_job& active, moves_planned& moves) {
+  const routing::RouteTablePtr table = this->deps_.routes();
+  const routing::Route* route = routeOf(active.record, table);
+  // Items that wait need the room more.
+  if (route == nullptr || route->single_version || active.run.waiting() > 0) return;
+  std::vector<item_run> runs;
+  for (const auto& [item, call] : active.calls) {
+    runs.push_back({item, call->engine(), call->startedAt()});
+  }
+  const auto movable = movableRuns(now, this->deps_.registry, route->services.front().service,
+                                   active.run.job(), runs, this->moveRules());
+  for (const item_run& run : movable) {
+    if (moves.exhausted()) return;
+    this->moveRun(now, active, run, *route, moves);
+  }
+}
+
+void slow_run_mover::moveRun(Instant now, active_job& active, const item_run& run,
+                             const routing::Route& route, moves_planned& moves) {
+  engines::EngineRegistry& registry = this->deps_.registry;
+  engines::PickRequest wanted = this->deps_.picks.pickFor(active, run.item, route);
+  wanted.excluded = moves.full();
+  wanted.excluded.insert(run.engine);
+  const auto move =
+      planMove(now, registry, this->deps_.lengths, active.run, run, wanted, this->moveRules());
+  if (!move) return;
+  LogEvent("batch", "run_moved")
+      .text("item", active.run.job().items[run.item].id.str())
+      .text("from", run.engine.str())
+      .text("towards", move->target.str())
+      .real("events_left", move->events_left)
+      .real("slowness", move->latency_ratio)
+      .real("slowness_there", move->latency_ratio_there);
+  moves.onMove(move->target, registry.room(now, move->target));
+  active.calls.at(run.item)->abort();
+}
+
+}  // namespace linenpier::batch
--- /dev/null
+++ b/src/gateway/batch/slow_run_mover.h
@@ -0,0 +1,44 @@
+#pragma once
+
+/** @file
+ * Moves runs of owned jobs from slow engines to clearly faster ones that have room. Which runs, and
+ * whether a move is worth its cost, is decided by `run_moves.h`; this class stops the run, and the
+ * item then waits for an engine as any other.
+ */
+
+#include <functional>
+
+#include "gateway/batch/item_pick.h"
+#include "gateway/batch/known_jobs.h"
+#include "gateway/batch/length_estimate.h"
+#include "gateway/batch/moves_planned.h"
+#include "gateway/batch/run_moves.h"
+
+namespace linenpier::batch {
+
+/** Holds no state of its own. Loop thread only. */
+class slow_run_mover {
+ public:
+  struct dependencies {
+    engines::EngineRegistry& registry;
+    known_jobs& jobs;
+    const length_estimate& lengths;
+    const item_pick& picks;
+    std::function<routing::RouteTablePtr()> routes;
+    const BatchOptions& options;
+  };
+
+  explicit slow_run_mover(dependencies deps) : deps_(std::move(deps)) {}
+
+  void moveSlowRuns(Instant now);
+
+ private:
+  void moveRunsOf(Instant now, active_job& active, moves_planned& moves);
+  void moveRun(Instant now, active_job& active, const item_run& run, const routing::Route& route,
+               moves_planned& moves);
+  run_move_rules moveRules() const;
+
+  dependencies deps_;
+};
+
+}  // namespace linenpier::batch
