--- a/src/gateway/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -198,7 +198,8 @@
   if (accepted.revision > mine.revision && !mine.activating && !mine.active) {
     mine.record = record;
     mine.revision = accepted.revision;
-    if (record.owner == deps_.leases.own()) activate(id, std::move(*job), Inheritance{}, received);
+    if (record.owner == deps_.leases.own())
+      activate(id, std::move(*job), StoredProgress{}, received);
   }
   co_await sendStatus(writer, deps_.engines.names, kAccepted, {});
 }
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -180,16 +180,15 @@
              at->record.owner == deps_.leases.own();
     };
     if (!stillOwned()) break;
-    const auto inheritance = co_await inherit(at->record);
-    const bool whole = bytes.has_value() && inheritance.has_value();
+    const auto progress = co_await inherit(at->record);
+    const bool whole = bytes.has_value() && progress.has_value();
     at = jobs_.find(id);
     if (!stillOwned()) break;
     if (whole) {
       auto job = deps_.codec.parseJob(id, *bytes);
       if (!job) break;
-      const Duration age =
-          std::chrono::milliseconds(inheritance->clock_ms - at->record.accepted_ms);
-      activate(id, std::move(*job), *inheritance, steadyNow() - std::max(age, Duration::zero()));
+      const Duration age = std::chrono::milliseconds(progress->clock_ms - at->record.accepted_ms);
+      activate(id, std::move(*job), *progress, steadyNow() - std::max(age, Duration::zero()));
       break;
     }
     co_await sleepFor(deps_.loop, options_.store_pause);
@@ -198,31 +197,16 @@
   if (at != nullptr) at->activating = false;
 }
 
-Task<CallResult<BatchService::Inheritance>> BatchService::inherit(JobRecord record) {
-  Inheritance inheritance;
+Task<CallResult<StoredProgress>> BatchService::inherit(JobRecord record) {
+  StoredProgress progress;
   if (!record.begun) {
-    inheritance.clock_ms = deps_.keeper.storeClock(steadyNow());
-    co_return inheritance;
+    progress.clock_ms = deps_.keeper.storeClock(steadyNow());
+    co_return progress;
   }
-  co_return co_await inheritTexts(record.id);
+  co_return co_await deps_.store.getProgress(record.id);
 }
 
-Task<CallResult<BatchService::Inheritance>> BatchService::inheritTexts(JobId id) {
-  Inheritance inheritance;
-  for (;;) {
-    auto page = co_await deps_.store.results(id, inheritance.listed.size(), 0);
-    if (!page) co_return tl::make_unexpected(page.error());
-    inheritance.clock_ms = page->clock_ms;
-    if (page->results.empty()) break;
-    for (StoredResult& each : page->results) inheritance.listed.push_back(std::move(each));
-  }
-  auto checkpoint = co_await deps_.store.getCheckpoint(id);
-  if (!checkpoint) co_return tl::make_unexpected(checkpoint.error());
-  inheritance.checkpoint = std::move(*checkpoint);
-  co_return inheritance;
-}
-
-void BatchService::activate(const JobId& id, BatchJob parsed, const Inheritance& inheritance,
+void BatchService::activate(const JobId& id, BatchJob parsed, const StoredProgress& progress,
                             Instant accepted_at) {
   known_job& job = jobs_.obtain(id);
   job.active = std::make_shared<Active>(deps_.loop, job.record, std::move(parsed), RunRules{},
@@ -230,7 +214,7 @@
   job.active->fence = job.revision;
   job.active->accepted_at = accepted_at;
   applyRules(*job.active, deps_.routes());
-  for (const StoredResult& each : inheritance.listed) {
+  for (const StoredResult& each : progress.results) {
     if (each.item_index < job.active->run.job().items.size()) {
       job.active->run.onAlreadyListed(each.item_index);
     }
@@ -240,9 +224,9 @@
   for (std::size_t i = job.active->released; i < job.active->listed.size(); ++i) {
     job.active->held_back_bytes += job.active->listed[i].encoded.size();
   }
-  job.active->checkpoint_first_row = inheritance.checkpoint.first_row;
-  job.active->checkpoint_next_row = inheritance.checkpoint.next_row;
-  for (const ItemCheckpoint& kept : inheritance.checkpoint.texts) {
+  job.active->checkpoint_first_row = progress.checkpoint.first_row;
+  job.active->checkpoint_next_row = progress.checkpoint.next_row;
+  for (const ItemCheckpoint& kept : progress.checkpoint.texts) {
     if (kept.item_index >= job.active->run.job().items.size()) continue;
     job.active->run.onCheckpoint(kept.item_index, kept);
   }
@@ -253,13 +237,13 @@
       .number("desired_groups", static_cast<std::int64_t>(job.active->run.job().desired_groups))
       .number("fence", static_cast<std::int64_t>(job.active->fence))
       .number("items", static_cast<std::int64_t>(job.record.total))
-      .number("listed", static_cast<std::int64_t>(inheritance.listed.size()))
-      .number("checkpoint", static_cast<std::int64_t>(inheritance.checkpoint.texts.size()))
+      .number("listed", static_cast<std::int64_t>(progress.results.size()))
+      .number("checkpoint", static_cast<std::int64_t>(progress.checkpoint.texts.size()))
       .number("minimum_version", static_cast<std::int64_t>(job.active->run.job().minimum_version));
   const ActivePtr active = job.active;
   results_.start(active);
   checkpoints_.start(active);
-  spawn(deps_.loop, [this, active] { return carryOver(active); });
+  reuse_.start(active);
   pump();
 }
 
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -29,6 +29,7 @@
 #include "gateway/batch/job_store.h"
 #include "gateway/batch/known_jobs.h"
 #include "gateway/batch/length_estimate.h"
+#include "gateway/batch/partial_result_reuse.h"
 #include "gateway/batch/result_writer.h"
 #include "gateway/batch/slow_run_mover.h"
 #include "gateway/fleet/data_residency.h"
@@ -136,16 +137,9 @@
   /// Keeps a job that is too large for rows. @return whether it is kept.
   Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
 
-  /// What an earlier owner left of a job.
-  struct Inheritance {
-    std::vector<StoredResult> listed;
-    StoredCheckpoint checkpoint;
-    std::int64_t clock_ms = 0;
-  };
-  Task<CallResult<Inheritance>> inherit(JobRecord record);
-  /// Reads the results and the checkpoint of a job.
-  Task<CallResult<Inheritance>> inheritTexts(JobId id);
-  void activate(const JobId& id, BatchJob job, const Inheritance& inheritance, Instant accepted_at);
+  /// @return what earlier owners wrote of the job.
+  Task<CallResult<StoredProgress>> inherit(JobRecord record);
+  void activate(const JobId& id, BatchJob job, const StoredProgress& progress, Instant accepted_at);
 
   /// Gives the job up if this daemon owns it and it must not be here; goes on with it where that
   /// was not known.
@@ -159,10 +153,6 @@
   LeaseId ownerFor(Instant now, const JobRecord& record) const;
   /// @return the position of the job's model among those of the configuration.
   std::size_t modelIndex(const JobRecord& record) const;
-  /// Finds what earlier jobs left, and lets the job go on with it.
-  Task<void> carryOver(ActivePtr active);
-  struct carry_over_search;
-  Task<void> readEarlierJob(JobRecord record, boost::intrusive_ptr<carry_over_search> search);
   Task<void> takeOver(JobId id);
   /// Gives up an owned job with the text made so far.
   Task<void> handOverJob(JobId id);
@@ -221,6 +211,8 @@
   result_writer results_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
   checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
+  partial_result_reuse reuse_{
+      {deps_.loop, deps_.store, deps_.codec, jobs_, residency_, options_, [this] { pump(); }}};
   job_reader reader_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, deps_.engines.names, jobs_, options_}};
   job_removal removal_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, jobs_, options_}};
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -324,4 +324,19 @@
   co_return found;
 }
 
+Task<CallResult<StoredProgress>> JobStore::getProgress(JobId id) {
+  StoredProgress progress;
+  for (;;) {
+    auto page = co_await results(id, progress.results.size(), 0);
+    if (!page) co_return tl::make_unexpected(page.error());
+    progress.clock_ms = page->clock_ms;
+    if (page->results.empty()) break;
+    for (StoredResult& each : page->results) progress.results.push_back(std::move(each));
+  }
+  auto checkpoint = co_await getCheckpoint(id);
+  if (!checkpoint) co_return tl::make_unexpected(checkpoint.error());
+  progress.checkpoint = std::move(*checkpoint);
+  co_return progress;
+}
+
 }  // namespace linenpier::batch
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -39,6 +39,13 @@
   std::size_t next_row = 0;  ///< Behind the last one.
 };
 
+/// All that an owner of a job has written of it.
+struct StoredProgress {
+  std::vector<StoredResult> results;  ///< By position, from the first on.
+  StoredCheckpoint checkpoint;
+  std::int64_t clock_ms = 0;  ///< The store's clock when it was read.
+};
+
 /// A part of a checkpoint on its way into the store.
 struct CheckpointWrite {
   std::vector<std::string> rows;  ///< See `toRows`.
@@ -104,6 +111,8 @@
   Task<CallResult<StoredCheckpoint>> getCheckpoint(JobId id);
   /// Reads results from `position` on, at most `limit` rows (0: as many as one answer holds).
   Task<CallResult<StoredResults>> results(JobId id, std::size_t position, std::size_t limit);
+  /// Reads all results and the checkpoint of a job.
+  Task<CallResult<StoredProgress>> getProgress(JobId id);
 
  private:
   /// Removes the job's rows of a table that has many of each job. @return whether none is left.
--- a/src/gateway/batch/batch_carry_over.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -1,12 +1,10 @@
-/// @file
-/// What a job takes over from earlier ones of the same route and model.
+#include "gateway/batch/partial_result_reuse.h"
 
 #include <algorithm>
 #include <boost/smart_ptr/intrusive_ref_counter.hpp>
 
 #include "common/event_log.h"
 #include "gateway/batch/active_job.h"
-#include "gateway/batch/batch_service.h"
 
 namespace linenpier::batch {
 
@@ -33,9 +31,9 @@
 }  // namespace
 
 /** Reads under way of what earlier jobs left. */
-struct BatchService::carry_over_search
-    : boost::intrusive_ref_counter<carry_over_search, boost::thread_unsafe_counter> {
-  carry_over_search(boost::asio::io_context& loop, const BatchJob& job) : changed(loop) {
+struct partial_result_reuse::search_state
+    : boost::intrusive_ref_counter<search_state, boost::thread_unsafe_counter> {
+  search_state(boost::asio::io_context& loop, const BatchJob& job) : changed(loop) {
     for (const BatchItem& item : job.items) wanted.insert(item.id);
   }
 
@@ -67,54 +65,67 @@
   Signal changed;
 };
 
-Task<void> BatchService::readEarlierJob(JobRecord record,
-                                        boost::intrusive_ptr<carry_over_search> search) {
+void partial_result_reuse::start(const active_job_ptr& active) {
+  spawn(this->deps_.loop, [this, active] { return this->reuse(active); });
+}
+
+Task<void> partial_result_reuse::readEarlierJob(JobRecord record, search_ptr search) {
   const JobId id = record.id;
-  const auto bytes = co_await deps_.store.getJob(record);
+  const auto bytes = co_await this->deps_.store.getJob(record);
   if (bytes) {
-    const auto job = deps_.codec.parseJob(id, *bytes);
+    const auto job = this->deps_.codec.parseJob(id, *bytes);
     if (job && search->sharesItems(*job)) {
-      const auto stored = co_await inheritTexts(id);
-      if (stored) search->add(*job, stored->checkpoint.texts, stored->listed, deps_.codec);
+      const auto stored = co_await this->deps_.store.getProgress(id);
+      if (stored) search->add(*job, stored->checkpoint.texts, stored->results, this->deps_.codec);
     }
   }
   --search->unanswered;
   search->changed.notifyAll();
 }
 
-Task<void> BatchService::carryOver(ActivePtr active) {
-  const std::vector<JobId> earlier = jobs_.earlierJobs(active->record, options_.earlier_jobs);
-  if (earlier.empty()) co_return;
-  boost::intrusive_ptr<carry_over_search> search(
-      new carry_over_search(deps_.loop, active->run.job()));
-  const Instant begun = steadyNow();
-  for (const JobId& id : earlier) {
-    // Its homes may be others than those of the job that follows.
-    if (!residency_.mayOwn(jobs_.find(id)->record)) continue;
-    const ActivePtr other = jobs_.find(id)->active;
-    if (other) {
-      const BatchJob& job = other->run.job();
-      if (!search->sharesItems(job)) continue;
-      const Checkpoint texts = checkpoint_log{}.next(other->run).texts;
-      search->add(job, texts, other->listed, deps_.codec);
-      continue;
+void partial_result_reuse::searchJob(const JobId& id, const search_ptr& search) {
+  const known_job& earlier = *this->deps_.jobs.find(id);
+  // It may be bound to other regions than the job that follows.
+  if (!this->deps_.residency.mayOwn(earlier.record)) return;
+  const active_job_ptr active = earlier.active;
+  if (active) {
+    const BatchJob& job = active->run.job();
+    if (!search->sharesItems(job)) return;
+    const Checkpoint texts = checkpoint_log{}.next(active->run).texts;
+    search->add(job, texts, active->listed, this->deps_.codec);
+    return;
+  }
+  ++search->unanswered;
+  const JobRecord record = earlier.record;
+  spawn(this->deps_.loop, [this, record, search] { return this->readEarlierJob(record, search); });
+}
+
+std::vector<std::size_t> partial_result_reuse::apply(active_job& active,
+                                                     const search_state& search) {
+  std::vector<ItemIndex> obsolete = active.run.onCarriedOver(search.found);
+  for (const ItemIndex item : obsolete) {
+    if (const auto call = active.calls.find(item); call != active.calls.end()) {
+      call->second->abort();
     }
-    ++search->unanswered;
-    const JobRecord& record = jobs_.find(id)->record;
-    spawn(deps_.loop, [this, record, search] { return readEarlierJob(record, search); });
   }
+  return obsolete;
+}
+
+Task<void> partial_result_reuse::reuse(active_job_ptr active) {
+  const BatchOptions& options = this->deps_.options;
+  const std::vector<JobId> earlier =
+      this->deps_.jobs.earlierJobs(active->record, options.earlier_jobs);
+  if (earlier.empty()) co_return;
+  const search_ptr search(new search_state(this->deps_.loop, active->run.job()));
+  const Instant begun = steadyNow();
+  for (const JobId& id : earlier) this->searchJob(id, search);
   const std::size_t asked = search->unanswered;
-  const Instant deadline = begun + options_.carry_over_time;
+  const Instant deadline = begun + options.carry_over_time;
   while (search->unanswered > 0 && steadyNow() < deadline) {
     co_await search->changed.waitFor(deadline - steadyNow());
   }
   if (active->stopped) co_return;
-  const std::vector<ItemIndex> obsolete = active->run.onCarriedOver(search->found);
-  for (const ItemIndex item : obsolete) {
-    if (const auto call = active->calls.find(item); call != active->calls.end()) {
-      call->second->abort();
-    }
-  }
+  const std::vector<ItemIndex> obsolete = this->apply(*active, *search);
   LogEvent("batch", "carried_over")
       .text("batch", active->record.id.str())
       .number("groups", static_cast<std::int64_t>(active->run.carriedGroups()))
@@ -124,7 +135,7 @@
       .number("unanswered", static_cast<std::int64_t>(search->unanswered))
       .milliseconds("took_ms", steadyNow() - begun);
   active->finished.notifyAll();
-  pump();
+  this->deps_.on_reused();
 }
 
 }  // namespace linenpier::batch
