--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -244,7 +244,7 @@
   results_.start(active);
   checkpoints_.start(active);
   reuse_.start(active);
-  pump();
+  runner_.startRunnableItems();
 }
 
 Task<void> BatchService::tickLoop() {
@@ -261,7 +261,7 @@
     }
     closed_zone_mover_.leaveClosedZones(now);
     slow_run_mover_.moveSlowRuns(now);
-    pump();
+    runner_.startRunnableItems();
   }
 }
 
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -15,20 +15,18 @@
 #include <map>
 #include <memory>
 
-#include "common/success_sampler.h"
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/checkpoint_writer.h"
 #include "gateway/batch/closed_zone_mover.h"
 #include "gateway/batch/item_pick.h"
-#include "gateway/batch/item_scorer.h"
+#include "gateway/batch/item_runner.h"
 #include "gateway/batch/job_reader.h"
 #include "gateway/batch/job_removal.h"
 #include "gateway/batch/job_residency.h"
 #include "gateway/batch/job_store.h"
 #include "gateway/batch/known_jobs.h"
-#include "gateway/batch/length_estimate.h"
 #include "gateway/batch/partial_result_reuse.h"
 #include "gateway/batch/result_writer.h"
 #include "gateway/batch/slow_run_mover.h"
@@ -45,10 +43,6 @@
 
 namespace linenpier::batch {
 
-/// Lines about finished items that a daemon writes in full each second, and one in how many then.
-inline constexpr std::uint32_t kFullLinesPerSecond = 60;
-inline constexpr std::uint32_t kSampleOneIn = 10;
-
 /// Loop thread only.
 class BatchService {
  public:
@@ -65,10 +59,7 @@
     std::function<routing::RouteTablePtr()> routes;  ///< The newest table; empty before the first.
   };
 
-  BatchService(Dependencies dependencies, BatchOptions options)
-      : deps_(std::move(dependencies)),
-        scorer_({deps_.loop, deps_.engines.names, deps_.rewards, deps_.routes, counts_, sampler_,
-                 [this] { pump(); }}) {
+  BatchService(Dependencies dependencies, BatchOptions options) : deps_(std::move(dependencies)) {
     setOptions(options);
     jobs_.setListener([this](const JobId& id, known_job& job) { onJobChanged(id, job); });
   }
@@ -106,7 +97,7 @@
   /// @return the work of jobs under way at any daemon.
   versions::open_work_by_model openWork() const;
   /// @return the engines with runs that the steps of owned jobs wait for.
-  std::set<EngineId> awaitedEngines() const;
+  std::set<EngineId> awaitedEngines() const { return runner_.awaitedEngines(); }
   /// Gives up every owned job so that others take it at once.
   Task<void> handOver();
 
@@ -163,56 +154,26 @@
   void checkOwners(Instant now);
   Task<void> tickLoop();
 
-  struct startable_item;
-  /// Starts reward requests and items, as far as engines have room.
-  void pump();
-  std::vector<startable_item> startableItems();
-  /// @return whether the job has an item that may start; it is then set.
-  bool findNext(startable_item& job) const;
-  bool startItem(const ActivePtr& active, ItemIndex item, const routing::Route& route);
-  /// @return nothing if the item must wait, since engines ended under it.
-  std::optional<suspects::sent_attempt> leaveToRun(Active& active, ItemIndex item);
-  Task<void> runItem(ActivePtr active, ItemIndex item, std::shared_ptr<forward::EngineCall> call,
-                     std::string model, suspects::sent_attempt attempt);
-  /// Tells what a run has shown of the item.
-  void settleSuspicion(const Active& active, ItemIndex item, const forward::EngineCall& call,
-                       forward::AttemptVerdict verdict, const suspects::sent_attempt& attempt,
-                       bool engine_ended);
-  /// How a run went, for the log.
-  struct RunTimes {
-    std::optional<Duration> to_first_event;
-    Duration max_gap{};         ///< Between two of its events.
-    bool engine_ended = false;  ///< Its engine ended under it.
-  };
-  Task<forward::AttemptVerdict> readItemEvents(Active& active, ItemIndex item,
-                                               forward::EngineCall& call, const ModelName& model,
-                                               RunTimes& times);
-  void settleItem(Active& active, ItemIndex item, forward::EngineCall& call,
-                  forward::AttemptVerdict verdict, const ModelName& model, const RunTimes& times);
-  http::Request itemRequest(const Active& active, ItemIndex item) const;
-  suspects::request_key keyOf(const Active& active, ItemIndex item) const;
-
   Dependencies deps_;
   BatchOptions options_;
   known_jobs jobs_;
   BatchCounts counts_;
-  length_estimate lengths_;
   std::size_t awaiting_residency_ = 0;  ///< Jobs that nobody at home takes up, at the last look.
   Instant next_wait_line_{};            ///< When the next line on them may be written.
   bool stopping_ = false;
-  logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
-  item_scorer scorer_;
   job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
   item_pick picks_{{residency_, deps_.routes, options_}};
+  item_runner runner_{{deps_.loop, deps_.engines, deps_.rewards, deps_.suspects, jobs_, picks_,
+                       deps_.routes, counts_, options_}};
   slow_run_mover slow_run_mover_{
-      {deps_.engines.registry, jobs_, lengths_, picks_, deps_.routes, options_}};
+      {deps_.engines.registry, jobs_, runner_.lengths(), picks_, deps_.routes, options_}};
   closed_zone_mover closed_zone_mover_{
-      {deps_.engines.registry, jobs_, lengths_, picks_, deps_.routes}};
+      {deps_.engines.registry, jobs_, runner_.lengths(), picks_, deps_.routes}};
   result_writer results_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
   checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
-  partial_result_reuse reuse_{
-      {deps_.loop, deps_.store, deps_.codec, jobs_, residency_, options_, [this] { pump(); }}};
+  partial_result_reuse reuse_{{deps_.loop, deps_.store, deps_.codec, jobs_, residency_, options_,
+                               [this] { runner_.startRunnableItems(); }}};
   job_reader reader_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, deps_.engines.names, jobs_, options_}};
   job_removal removal_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, jobs_, options_}};
--- /dev/null
+++ b/src/gateway/batch/item_runner.cpp
@@ -0,0 +1,243 @@
+#include "gateway/batch/item_runner.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/awaited_runs.h"
+#include "gateway/batch/item_placement.h"
+#include "gateway/batch/item_request.h"
+#include "gateway/batch/job_rules.h"
+
+namespace linenpier::batch {
+
+using forward::AttemptVerdict;
+using logging::LogEvent;
+
+namespace {
+/// Between two polls of a suspect item whose like runs just now.
+constexpr Duration kTriedPause = std::chrono::milliseconds(100);
+/// The same of a suspect item that is barred: another daemon's answer may clear it.
+constexpr Duration kHeldPause = std::chrono::seconds(1);
+
+/// Statuses of an engine's answer.
+constexpr unsigned kFirstFailure = 300;
+constexpr unsigned kNeverPossible = 422;  ///< The item can never be done.
+
+const BatchItem& itemOf(const active_job& active, ItemIndex item) {
+  return active.run.job().items[item];
+}
+}  // namespace
+
+/** A job with an item that waits, while items are started. */
+struct item_runner::startable_item {
+  active_job_ptr active;
+  routing::RouteTablePtr table;  ///< Keeps `route` alive.
+  const routing::Route* route = nullptr;
+  ItemIndex item = 0;
+  Instant latest_start{};  ///< Of that item, if its job is to be complete when it is due.
+};
+
+item_runner::item_runner(dependencies deps)
+    : deps_(std::move(deps)),
+      scorer_({deps_.loop, deps_.engines.names, deps_.rewards, deps_.routes, deps_.counts, sampler_,
+               [this] { this->startRunnableItems(); }}),
+      reader_({deps_.engines.registry, deps_.engines.names, deps_.options}) {}
+
+// --- Starting -----------------------------------------------------------------------------------
+
+std::vector<item_runner::startable_item> item_runner::startableItems() {
+  std::vector<startable_item> jobs;
+  for (auto& [id, job] : this->deps_.jobs.all()) {
+    if (!job.active || job.active->stopped) continue;
+    startable_item each;
+    each.active = job.active;
+    each.table = this->deps_.routes();
+    each.route = routeOf(job.active->record, each.table);
+    if (each.route != nullptr && this->findNext(each)) jobs.push_back(std::move(each));
+  }
+  return jobs;
+}
+
+bool item_runner::findNext(startable_item& job) const {
+  const Instant now = steadyNow();
+  const auto item = job.active->run.nextToStart(now);
+  if (!item) return false;
+  const double events = this->lengths_.remainingEvents(itemOf(*job.active, *item).length_hint,
+                                                       job.active->run.progress(*item).last_event);
+  const ServiceName& service = job.route->services.front().service;
+  const double event_time = this->deps_.engines.registry.medianEventTime(now, service);
+  job.item = *item;
+  job.latest_start =
+      job.active->accepted_at + job.route->target_finish - fromSeconds(events * event_time);
+  return true;
+}
+
+void item_runner::startRunnableItems() {
+  for (auto& [id, job] : this->deps_.jobs.all()) {
+    if (job.active && !job.active->stopped) this->scorer_.start(job.active);
+  }
+  std::vector<startable_item> jobs = this->startableItems();
+  // The item that is latest begins first, of whichever job: a long text decides when its step ends.
+  while (!jobs.empty()) {
+    const auto next = std::min_element(jobs.begin(), jobs.end(),
+                                       [](const startable_item& one, const startable_item& other) {
+                                         return one.latest_start < other.latest_start;
+                                       });
+    const bool started = this->startItem(next->active, next->item, *next->route);
+    if (!started || !this->findNext(*next)) jobs.erase(next);
+  }
+}
+
+bool item_runner::startItem(const active_job_ptr& active, ItemIndex item,
+                            const routing::Route& route) {
+  const Instant now = steadyNow();
+  engines::EngineRegistry& registry = this->deps_.engines.registry;
+  const engines::PickRequest wanted = this->deps_.picks.pickFor(*active, item, route);
+  const item_placement placement = placeItem(now, registry, active->run.progress(item), wanted);
+  if (placement.discard_text) active->run.discardText(item);
+  if (placement.engine == nullptr) return false;
+  const auto admission = this->admitSuspect(*active, item);
+  if (!admission) return true;  // It waits, and others may start.
+  const auto call = std::make_shared<forward::EngineCall>(
+      this->deps_.engines, *placement.engine,
+      itemRequest(*active, item, this->deps_.engines.names, this->deps_.routes()));
+  active->run.onStarted(now, item, placement.engine->record.id);
+  active->calls[item] = call;
+  registry.onTokens(call->engine(), wanted.tokens);
+  ++this->deps_.counts.attempts;
+  const item_attempt run{active, item, call, itemOf(*active, item).model, *admission};
+  spawn(this->deps_.loop, [this, run] { return this->runItem(run); });
+  return true;
+}
+
+std::optional<suspects::sent_attempt> item_runner::admitSuspect(active_job& active,
+                                                                ItemIndex item) {
+  suspects::sent_attempt attempt;
+  if (!this->deps_.suspects.any()) return attempt;
+  const std::string id = itemOf(active, item).id.str();
+  const suspects::verdict admission =
+      this->deps_.suspects.beginOwnTrial(keyOf(active, item), suspects::Asker::kItem, id);
+  attempt.ends = admission.ends;
+  attempt.trial = admission.is == suspects::Standing::kMayTry;
+  if (attempt.trial || admission.is == suspects::Standing::kClear) return attempt;
+  const bool tried = admission.is == suspects::Standing::kTried;
+  const Duration wait = std::min(admission.wait, tried ? kTriedPause : kHeldPause);
+  active.run.onHeld(item, steadyNow() + wait);
+  return std::nullopt;
+}
+
+// --- Running and judging ------------------------------------------------------------------------
+
+Task<void> item_runner::runItem(item_attempt run) {
+  run_course course;
+  const AttemptVerdict verdict =
+      co_await this->reader_.read(*run.active, run.item, *run.call, run.model, course);
+  if (verdict == AttemptVerdict::kBroken) {
+    course.engine_ended = co_await run.call->engineHasEnded();
+  }
+  this->settleSuspicion(run, verdict, course.engine_ended);
+  run.active->calls.erase(run.item);
+  this->deps_.engines.registry.onTokens(run.call->engine(),
+                                        -expectedTokens(itemOf(*run.active, run.item)));
+  if (run.active->stopped) co_return;
+  this->settleItem(run, verdict, course);
+  this->startRunnableItems();
+}
+
+void item_runner::settleSuspicion(const item_attempt& run, AttemptVerdict verdict,
+                                  bool engine_ended) {
+  suspects::suspect_gate& gate = this->deps_.suspects;
+  if (engine_ended) {
+    gate.onEngineEnded(run.sent, keyOf(*run.active, run.item), run.call->engine(),
+                       run.call->startedAt(), suspects::Asker::kItem,
+                       itemOf(*run.active, run.item).id.str());
+  } else if (verdict != AttemptVerdict::kAnswered) {
+    if (run.sent.trial) gate.onUnproved(keyOf(*run.active, run.item));
+  } else if (gate.any()) {
+    gate.onAnswered(keyOf(*run.active, run.item));
+  }
+}
+
+void item_runner::settleItem(const item_attempt& run, AttemptVerdict verdict,
+                             const run_course& course) {
+  const Instant now = steadyNow();
+  active_job& active = *run.active;
+  const unsigned status = verdict == AttemptVerdict::kAnswered ? run.call->status() : 0;
+  const std::uint64_t events = active.run.progress(run.item).last_event;
+  this->applyVerdict(now, run, verdict, status, events, course);
+  const ItemState state = active.run.progress(run.item).state;
+  if (state == ItemState::kFinished) active.finished.notifyAll();
+  active.noteWhole(run.item);
+  const bool success = verdict == AttemptVerdict::kAnswered && status < kFirstFailure;
+  if (success && !this->sampler_.admit(now)) return;
+  this->logAttempt(now, run, verdict, status, events, course);
+}
+
+void item_runner::applyVerdict(Instant now, const item_attempt& run, AttemptVerdict verdict,
+                               unsigned status, std::uint64_t events, const run_course& course) {
+  BatchRun& state = run.active->run;
+  const bool answered = verdict == AttemptVerdict::kAnswered;
+  if (answered && status == kNeverPossible) {
+    state.onRejected(run.item);
+  } else if (answered && status >= kFirstFailure) {
+    state.onFailed(now, run.item);
+  } else if (answered && events > 0) {
+    state.onCompleted(now, run.item);
+    this->lengths_.onFinished(itemOf(*run.active, run.item).length_hint, events);
+  } else {
+    this->noteInterrupted(now, run, verdict, course);
+  }
+}
+
+void item_runner::noteInterrupted(Instant now, const item_attempt& run, AttemptVerdict verdict,
+                                  const run_course& course) {
+  engines::EngineRegistry& registry = this->deps_.engines.registry;
+  const BatchOptions& options = this->deps_.options;
+  BatchRun& state = run.active->run;
+  const bool rejected = verdict == AttemptVerdict::kNotExecuted;
+  const bool silent = verdict == AttemptVerdict::kSilent;
+  // A silent engine is full, or stands still while it loads.
+  if ((rejected || silent) && !run.model.empty()) {
+    registry.onModelRefused(now, run.call->engine(), run.model);
+  }
+  if (silent && !course.to_first_event) state.onLateStart(run.item);
+  if (verdict == AttemptVerdict::kBroken && !run.model.empty()) {
+    registry.onModelReset(now, run.call->engine(), run.model);
+  }
+  const Duration pause = rejected ? options.refused_pause : options.broken_pause;
+  state.onInterrupted(now, run.item, pause);
+}
+
+void item_runner::logAttempt(Instant now, const item_attempt& run, AttemptVerdict verdict,
+                             unsigned status, std::uint64_t events, const run_course& course) {
+  const BatchItem& item = itemOf(*run.active, run.item);
+  LogEvent event("batch", "attempt_ended");
+  event.text("batch", run.active->record.id.str())
+      .text("item", item.id.str())
+      .text("engine", run.call->engine().str())
+      .text("verdict", forward::toText(verdict))
+      .number("status", status)
+      .number("events", static_cast<std::int64_t>(events))
+      .number("hint", static_cast<std::int64_t>(item.length_hint))
+      .milliseconds("first_event_ms", course.to_first_event.value_or(Duration::zero()))
+      .milliseconds("longest_gap_ms", course.max_gap)
+      .milliseconds("took_ms", now - run.call->startedAt());
+  if (verdict == AttemptVerdict::kBroken) {
+    event.text("key", keyOf(*run.active, run.item).str())
+        .text("engine_ended", course.engine_ended ? "yes" : "no");
+  }
+}
+
+std::set<EngineId> item_runner::awaitedEngines() const {
+  std::set<EngineId> engines;
+  for (const auto& [id, job] : this->deps_.jobs.all()) {
+    if (!job.active || job.active->stopped) continue;
+    for (const ItemIndex item : awaitedRuns(job.active->run, this->lengths_)) {
+      engines.insert(job.active->run.progress(item).last_engine);
+    }
+  }
+  return engines;
+}
+
+}  // namespace linenpier::batch
--- /dev/null
+++ b/src/gateway/batch/run_reader.cpp
@@ -0,0 +1,94 @@
+#include "gateway/batch/run_reader.h"
+
+#include <algorithm>
+
+#include "gateway/batch/active_job.h"
+
+namespace linenpier::batch {
+
+using forward::AttemptVerdict;
+
+/** A run whose answer is read, and how far. */
+struct run_reader::reading {
+  active_job& active;
+  ItemIndex item;
+  forward::EngineCall& call;
+  const ModelName& model;
+  WeightVersion version;  ///< That makes the events now.
+  Instant started;
+  Instant last;       ///< When events came last.
+  bool first = true;  ///< None has come yet.
+};
+
+void run_reader::noteVersion(const reading& run) {
+  if (run.model.empty()) return;
+  this->deps_.registry.onVersionSeen(run.call.engine(), run.model, run.version);
+}
+
+Duration run_reader::gapOf(const reading& run, Duration first_limit) const {
+  if (run.first) return first_limit;
+  const double event_time = this->deps_.registry.measuredEventTime(steadyNow(), run.call.engine());
+  return this->deps_.options.timeouts.forGap(event_time);
+}
+
+bool run_reader::takeEvents(Instant now, reading& run,
+                            const std::vector<forward::StreamEvent>& events) {
+  for (const forward::StreamEvent& event : events) {
+    if (event.version) {
+      run.version = *event.version;
+      this->noteVersion(run);
+    }
+    const EventVerdict taken =
+        run.active.run.onEvent(now, run.item, event.id.value_or(0), event.data, run.version);
+    if (taken == EventVerdict::kTaken) run.active.noteFirstEvent();
+    if (taken == EventVerdict::kUnfit) return false;
+  }
+  return true;
+}
+
+void run_reader::noteTimes(Instant now, reading& run, std::size_t events, run_course& course) {
+  if (run.first) {
+    course.to_first_event = now - run.started;
+  } else {
+    course.max_gap = std::max(course.max_gap, now - run.last);
+    this->deps_.registry.onEventTime(now, run.call.engine(),
+                                     (now - run.last) / static_cast<int>(events));
+  }
+  run.first = false;
+  run.last = now;
+}
+
+Task<AttemptVerdict> run_reader::read(active_job& active, ItemIndex item, forward::EngineCall& call,
+                                      const ModelName& model, run_course& course) {
+  const BatchOptions& options = this->deps_.options;
+  const Instant started = steadyNow();
+  const Duration first_limit =
+      options.timeouts.forFirstEvent(active.run.progress(item).late_starts);
+  forward::AttemptLimits limits{started + options.connect_time, started + first_limit, false,
+                                engines::AttemptEnd::kRefused};
+  AttemptVerdict verdict = co_await call.start(limits);
+  if (verdict != AttemptVerdict::kAnswered) co_return verdict;
+  if (call.status() >= 300) {
+    std::string ignored;
+    co_return co_await call.readWhole(ignored, steadyNow() + options.timeouts.max_gap);
+  }
+  reading run{active, item, call, model, call.headVersion(), started, steadyNow()};
+  this->noteVersion(run);
+  forward::EventParser parser(this->deps_.names.weight_versions);
+  std::vector<forward::StreamEvent> events;
+  while (!call.finished()) {
+    const Duration gap = this->gapOf(run, first_limit);
+    verdict = co_await call.readEvents(parser, events, steadyNow() + gap);
+    if (active.stopped) co_return AttemptVerdict::kAborted;
+    const Instant now = steadyNow();
+    if (!this->takeEvents(now, run, events)) {
+      call.abort();
+      co_return AttemptVerdict::kBroken;
+    }
+    if (!events.empty()) this->noteTimes(now, run, events.size(), course);
+    if (verdict != AttemptVerdict::kAnswered) co_return verdict;
+  }
+  co_return parser.rest().empty() ? AttemptVerdict::kAnswered : AttemptVerdict::kBroken;
+}
+
+}  // namespace linenpier::batch
--- /dev/null
+++ b/src/gateway/batch/run_reader.h
@@ -0,0 +1,58 @@
+#pragma once
+
+/** @file
+ * Reads what an engine answers to an item's request, event by event, into the state of the job.
+ */
+
+#include <optional>
+#include <vector>
+
+#include "gateway/batch/batch_options.h"
+#include "gateway/batch/batch_run.h"
+#include "gateway/forward/engine_call.h"
+
+namespace linenpier::batch {
+
+struct active_job;
+
+/** How a run went, for its judgement and for the log. */
+struct run_course {
+  std::optional<Duration> to_first_event;
+  Duration max_gap{};         ///< Between two of its events.
+  bool engine_ended = false;  ///< Its engine crashed under it.
+};
+
+/** Holds no state of its own; tells the registry of versions and event times seen. Loop thread
+ * only.
+ */
+class run_reader {
+ public:
+  struct dependencies {
+    engines::EngineRegistry& registry;
+    const forward::FieldNames& names;
+    const BatchOptions& options;
+  };
+
+  explicit run_reader(dependencies deps) : deps_(deps) {}
+
+  /** Sends the request and reads its answer to the end, or until an event does not come in time.
+   * The caller keeps the job, the call and `course` alive.
+   * @param model empty: the item names none.
+   */
+  Task<forward::AttemptVerdict> read(active_job& active, ItemIndex item, forward::EngineCall& call,
+                                     const ModelName& model, run_course& course);
+
+ private:
+  struct reading;
+
+  /** @return whether all events fit the item; otherwise the run is broken. */
+  bool takeEvents(Instant now, reading& run, const std::vector<forward::StreamEvent>& events);
+  /** Notes when the events came; some did. */
+  void noteTimes(Instant now, reading& run, std::size_t events, run_course& course);
+  void noteVersion(const reading& run);
+  Duration gapOf(const reading& run, Duration first_limit) const;
+
+  dependencies deps_;
+};
+
+}  // namespace linenpier::batch
