--- a/src/gateway/batch/batch_calls.cpp
+++ b/src/gateway/batch/batch_calls.cpp
@@ -199,7 +199,7 @@
     mine.record = record;
     mine.revision = accepted.revision;
     if (record.owner == deps_.leases.own())
-      activate(id, std::move(*job), StoredProgress{}, received);
+      activation_.activate(id, std::move(*job), StoredProgress{}, received);
   }
   co_await sendStatus(writer, deps_.engines.names, kAccepted, {});
 }
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -22,6 +22,8 @@
 #include "gateway/batch/closed_zone_mover.h"
 #include "gateway/batch/item_pick.h"
 #include "gateway/batch/item_runner.h"
+#include "gateway/batch/job_activation.h"
+#include "gateway/batch/job_ownership.h"
 #include "gateway/batch/job_reader.h"
 #include "gateway/batch/job_removal.h"
 #include "gateway/batch/job_residency.h"
@@ -61,7 +63,8 @@
 
   BatchService(Dependencies dependencies, BatchOptions options) : deps_(std::move(dependencies)) {
     setOptions(options);
-    jobs_.setListener([this](const JobId& id, known_job& job) { onJobChanged(id, job); });
+    jobs_.setListener(
+        [this](const JobId& id, known_job& job) { ownership_.onJobChanged(id, job); });
   }
   ~BatchService();
 
@@ -93,7 +96,7 @@
   /// @return whether readers wait here for results to be released.
   bool hasWaitingReaders() const { return reader_.hasWaitingReaders(); }
   /// @return whether this daemon owns jobs that are not wholly listed.
-  bool ownsAny() const;
+  bool ownsAny() const { return ownership_.ownsAny(); }
   /// @return the work of jobs under way at any daemon.
   versions::open_work_by_model openWork() const;
   /// @return the engines with runs that the steps of owned jobs wait for.
@@ -120,46 +123,21 @@
   using Active = active_job;
   using ActivePtr = active_job_ptr;
 
-  /// A newer row of a job was read.
-  void onJobChanged(const JobId& id, known_job& job);
-
   /// @param body rows to be written with the job's row.
   Task<FencedAnswer> acceptRecord(JobRecord record, std::vector<table::Put> body, Instant deadline);
   /// Keeps a job that is too large for rows. @return whether it is kept.
   Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
 
-  /// @return what earlier owners wrote of the job.
-  Task<CallResult<StoredProgress>> inherit(JobRecord record);
-  void activate(const JobId& id, BatchJob job, const StoredProgress& progress, Instant accepted_at);
-
-  /// Gives the job up if this daemon owns it and it must not be here; goes on with it where that
-  /// was not known.
-  /// @return whether it was left alone.
-  bool settleResidency(const JobId& id, known_job& job);
-  Task<void> giveUp(JobId id);
-  /// Nobody owns the job, and this daemon must not.
-  void noteAwaitsResidency(Instant now, const JobId& id, known_job& job);
-
   /// @return who should run a job that is handed in here; nobody, if those who may are not known.
   LeaseId ownerFor(Instant now, const JobRecord& record) const;
   /// @return the position of the job's model among those of the configuration.
   std::size_t modelIndex(const JobRecord& record) const;
-  Task<void> takeOver(JobId id);
-  /// Gives up an owned job with the text made so far.
-  Task<void> handOverJob(JobId id);
-  Task<void> resume(JobId id);
-  /// Begins to run a job that is this daemon's by its row.
-  void resumeOwn(const JobId& id, known_job& job);
-  void deactivate(known_job& job, const char* reason);
-  void checkOwners(Instant now);
   Task<void> tickLoop();
 
   Dependencies deps_;
   BatchOptions options_;
   known_jobs jobs_;
   BatchCounts counts_;
-  std::size_t awaiting_residency_ = 0;  ///< Jobs that nobody at home takes up, at the last look.
-  Instant next_wait_line_{};            ///< When the next line on them may be written.
   bool stopping_ = false;
   job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
   item_pick picks_{{residency_, deps_.routes, options_}};
@@ -174,6 +152,11 @@
   checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
   partial_result_reuse reuse_{{deps_.loop, deps_.store, deps_.codec, jobs_, residency_, options_,
                                [this] { runner_.startRunnableItems(); }}};
+  job_activation activation_{
+      {deps_.loop, jobs_, results_, checkpoints_, reuse_, runner_, deps_.routes, options_}};
+  job_ownership ownership_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, deps_.pool,
+                            deps_.codec, jobs_, residency_, checkpoints_, activation_, counts_,
+                            options_}};
   job_reader reader_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, deps_.engines.names, jobs_, options_}};
   job_removal removal_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, jobs_, options_}};
--- /dev/null
+++ b/src/gateway/batch/job_activation.cpp
@@ -0,0 +1,66 @@
+#include "gateway/batch/job_activation.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/job_rules.h"
+
+namespace linenpier::batch {
+
+using logging::LogEvent;
+
+namespace {
+
+void restore(active_job& active, const StoredProgress& progress) {
+  const std::size_t items = active.run.job().items.size();
+  for (const StoredResult& each : progress.results) {
+    if (each.item_index < items) active.run.onAlreadyListed(each.item_index);
+    active.listed.push_back(each);
+  }
+  active.released = std::min(active.record.released, active.listed.size());
+  for (std::size_t i = active.released; i < active.listed.size(); ++i) {
+    active.held_back_bytes += active.listed[i].encoded.size();
+  }
+  active.checkpoint_first_row = progress.checkpoint.first_row;
+  active.checkpoint_next_row = progress.checkpoint.next_row;
+  for (const ItemCheckpoint& kept : progress.checkpoint.texts) {
+    if (kept.item_index < items) active.run.onCheckpoint(kept.item_index, kept);
+  }
+}
+
+void logActive(const active_job& active, const StoredProgress& progress) {
+  const BatchJob& job = active.run.job();
+  LogEvent("batch", "job_active")
+      .text("batch", active.record.id.str())
+      .text("model", active.record.model.str())
+      .number("step", static_cast<std::int64_t>(job.step.value_or(0)))
+      .number("desired_groups", static_cast<std::int64_t>(job.desired_groups))
+      .number("fence", static_cast<std::int64_t>(active.fence))
+      .number("items", static_cast<std::int64_t>(active.record.total))
+      .number("listed", static_cast<std::int64_t>(progress.results.size()))
+      .number("checkpoint", static_cast<std::int64_t>(progress.checkpoint.texts.size()))
+      .number("minimum_version", static_cast<std::int64_t>(job.minimum_version));
+}
+
+}  // namespace
+
+void job_activation::activate(const JobId& id, BatchJob parsed, const StoredProgress& progress,
+                              Instant accepted_at) {
+  known_job& job = this->deps_.jobs.obtain(id);
+  const auto active = std::make_shared<active_job>(this->deps_.loop, job.record, std::move(parsed),
+                                                   RunRules{}, this->deps_.options.listing);
+  job.active = active;
+  active->fence = job.revision;
+  active->accepted_at = accepted_at;
+  // Before the texts: whether they fit depends on the rules.
+  applyRules(*active, this->deps_.routes());
+  restore(*active, progress);
+  logActive(*active, progress);
+  this->deps_.results.start(active);
+  this->deps_.checkpoints.start(active);
+  this->deps_.reuse.start(active);
+  this->deps_.runner.startRunnableItems();
+}
+
+}  // namespace linenpier::batch
--- /dev/null
+++ b/src/gateway/batch/job_activation.h
@@ -0,0 +1,43 @@
+#pragma once
+
+/** @file
+ * Makes a job that this daemon owns run here: builds its state from what earlier owners wrote, and
+ * starts everything that works on it.
+ */
+
+#include <functional>
+
+#include "gateway/batch/checkpoint_writer.h"
+#include "gateway/batch/item_runner.h"
+#include "gateway/batch/partial_result_reuse.h"
+#include "gateway/batch/result_writer.h"
+
+namespace linenpier::batch {
+
+/** Holds no state of its own. Loop thread only. */
+class job_activation {
+ public:
+  struct dependencies {
+    boost::asio::io_context& loop;
+    known_jobs& jobs;
+    result_writer& results;
+    checkpoint_writer& checkpoints;
+    partial_result_reuse& reuse;
+    item_runner& runner;
+    std::function<routing::RouteTablePtr()> routes;
+    const BatchOptions& options;
+  };
+
+  explicit job_activation(dependencies deps) : deps_(std::move(deps)) {}
+
+  /** The job's row, as it is known, must name this daemon as its owner.
+   * @param progress what earlier owners wrote; empty for a new job.
+   * @param accepted_at when the job was accepted, by this daemon's clock.
+   */
+  void activate(const JobId& id, BatchJob job, const StoredProgress& progress, Instant accepted_at);
+
+ private:
+  dependencies deps_;
+};
+
+}  // namespace linenpier::batch
--- /dev/null
+++ b/src/gateway/batch/job_ownership.cpp
@@ -0,0 +1,301 @@
+#include "gateway/batch/job_ownership.h"
+
+#include <algorithm>
+
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/table/store_keys.h"
+
+namespace linenpier::batch {
+
+using logging::LogEvent;
+
+namespace {
+/// A job that nobody takes for this long has no owner within its residency: those who are there
+/// take it within a second or two.
+constexpr Duration kResidencySilence = std::chrono::seconds(3);
+constexpr Duration kWaitLinePeriod = std::chrono::seconds(10);  ///< Between two lines on such jobs.
+}  // namespace
+
+bool job_ownership::isOwn(const known_job& job) const {
+  return job.record.owner == this->deps_.leases.own();
+}
+
+bool job_ownership::ownsAny() const {
+  return std::any_of(
+      this->deps_.jobs.all().begin(), this->deps_.jobs.all().end(), [this](const auto& each) {
+        return !each.second.record.ended && each.second.record.owner == this->deps_.leases.own();
+      });
+}
+
+// --- Rows ---------------------------------------------------------------------------------------
+
+void job_ownership::onJobChanged(const JobId& id, known_job& job) {
+  const JobRecord& record = job.record;
+  job.orphaned_at = Instant{};
+  if (job.active && (record.ended || record.owner != this->deps_.leases.own())) {
+    this->deactivate(job, record.ended ? "ended" : "taken_by_another");
+  } else if (job.active && job.active->fence != job.revision) {
+    job.active->fence = job.revision;
+  } else if (!job.active && !job.activating && !record.ended && !this->stopping_ &&
+             record.owner == this->deps_.leases.own()) {
+    this->resumeOwn(id, job);
+  } else if (this->stopping_ && !job.active && !record.ended &&
+             record.owner == this->deps_.leases.own()) {
+    // It was given to this daemon before anybody knew that it stops.
+    spawn(this->deps_.loop, [this, id] { return this->handOverJob(id); });
+  }
+}
+
+void job_ownership::resumeOwn(const JobId& id, known_job& job) {
+  // The next look settles whether this daemon is at home for it.
+  job.resumes_within_residency = !this->deps_.residency.mayOwn(job.record);
+  if (job.resumes_within_residency) return;
+  job.activating = true;
+  spawn(this->deps_.loop, [this, id] { return this->resume(id); });
+}
+
+void job_ownership::deactivate(known_job& job, const char* reason) {
+  if (!job.active || job.active->stopped) return;
+  LogEvent("batch", "job_stopped")
+      .text("batch", job.record.id.str())
+      .text("reason", reason)
+      .number("revision", static_cast<std::int64_t>(job.revision))
+      .number("listed", static_cast<std::int64_t>(job.active->listed.size()));
+  if (!job.record.ended) ++this->deps_.counts.lost;
+  job.active->stop(steadyNow());
+  if (!job.record.ended || job.active->run.allListed()) return;
+  // Its unfinished groups may come again in a later job.
+  job.active->fence = job.revision;
+  const active_job_ptr active = job.active;
+  spawn(this->deps_.loop, [this, active] {
+    return this->deps_.checkpoints.write(active, checkpoint_writer::Need::kAlways);
+  });
+}
+
+// --- Taking over --------------------------------------------------------------------------------
+
+void job_ownership::checkOwners(Instant now) {
+  this->awaiting_residency_ = 0;
+  for (auto& [id, job] : this->deps_.jobs.all()) this->checkOwner(now, id, job);
+}
+
+void job_ownership::checkOwner(Instant now, const JobId& id, known_job& job) {
+  if (!this->settleResidency(id, job)) return;
+  this->forgetStopped(now, job);
+  if (job.record.ended || this->stopping_ || job.activating) return;
+  if (job.active && !job.active->stopped) return;
+  if (this->isOwn(job)) {
+    // The feed brought a takeover while its answer was waited for, which then did not come. This
+    // life never counts as lost, so that nobody else would run the job.
+    if (!job.active) this->resumeOwn(id, job);
+    return;
+  }
+  this->considerTakeover(now, id, job);
+}
+
+void job_ownership::forgetStopped(Instant now, known_job& job) const {
+  if (!job.active || !job.active->stopped) return;
+  if (!job.active->calls.empty() || !job.active->scorings.empty()) return;
+  // What may be removed from the store need not be kept in memory.
+  const BatchOptions& options = this->deps_.options;
+  const Duration keep = std::min(options.keep_ended, options.keep_jobs);
+  if (now - job.active->stopped_at > keep) job.active.reset();
+}
+
+void job_ownership::considerTakeover(Instant now, const JobId& id, known_job& job) {
+  lease::LeaseTable& leases = this->deps_.leases;
+  if (!leases.storeHealthy() || !leases.expired(job.record.owner)) return;
+  if (job.orphaned_at == Instant{}) job.orphaned_at = now;
+  if (!this->deps_.residency.mayOwn(job.record)) {
+    this->noteAwaitsResidency(now, id, job);
+    return;
+  }
+  const bool own = leases.isEarlierSelf(job.record.owner);
+  // One daemon takes all jobs of a model.
+  const std::string& what = job.record.model.empty() ? id.str() : job.record.model.str();
+  const Duration delay = own ? Duration::zero() : this->deps_.pool.takeoverDelay(now, what);
+  if (now - job.orphaned_at < delay) return;
+  job.activating = true;
+  job.orphaned_at = Instant{};
+  const JobId job_id = id;
+  spawn(this->deps_.loop, [this, job_id] { return this->takeOver(job_id); });
+}
+
+Task<void> job_ownership::takeOver(JobId id) {
+  known_job* known = this->deps_.jobs.find(id);
+  if (known == nullptr) co_return;
+  const LeaseId silent = known->record.owner;
+  const bool confirmed = co_await this->deps_.keeper.confirmSilent(silent);
+  known_job* at = this->deps_.jobs.find(id);
+  if (at == nullptr) co_return;
+  if (!confirmed || at->record.owner != silent) {
+    at->activating = false;
+    co_return;
+  }
+  JobRecord record = at->record;
+  const Revision fence = at->revision;
+  const std::string from = record.owner.str();
+  record.owner = this->deps_.leases.own();
+  record.begun = true;
+  const Instant sent_at = steadyNow();
+  std::vector<table::Put> renewal;
+  renewal.push_back(this->deps_.keeper.renewal());
+  const FencedAnswer answer =
+      co_await this->deps_.store.putRecord(record, fence, std::move(renewal));
+  known_job* job = this->deps_.jobs.find(id);
+  if (job == nullptr) co_return;
+  LogEvent("batch", "takeover")
+      .text("batch", id.str())
+      .text("from", from)
+      .number("fence", static_cast<std::int64_t>(fence))
+      .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
+  if (answer.outcome != FencedOutcome::kDone) {
+    job->activating = false;
+    if (answer.current) this->deps_.jobs.onRow(id, *answer.current);
+    co_return;
+  }
+  ++this->deps_.counts.taken_over;
+  this->deps_.keeper.onRenewed(sent_at);
+  if (answer.revision > job->revision) {
+    job->record = record;
+    job->revision = answer.revision;
+  }
+  co_await this->resume(id);
+}
+
+Task<void> job_ownership::resume(JobId id) {
+  for (;;) {
+    known_job* known = this->deps_.jobs.find(id);
+    if (known == nullptr) break;
+    const JobRecord record = known->record;
+    if (!this->deps_.residency.mayOwn(record)) {
+      known->resumes_within_residency = true;
+      break;
+    }
+    const auto bytes = co_await this->deps_.store.getJob(record);
+    known_job* at = this->deps_.jobs.find(id);
+    const auto stillOwned = [&] {
+      return at != nullptr && !at->record.ended && !this->stopping_ &&
+             at->record.owner == this->deps_.leases.own();
+    };
+    if (!stillOwned()) break;
+    const auto progress = co_await this->inherit(at->record);
+    const bool whole = bytes.has_value() && progress.has_value();
+    at = this->deps_.jobs.find(id);
+    if (!stillOwned()) break;
+    if (whole) {
+      auto job = this->deps_.codec.parseJob(id, *bytes);
+      if (!job) break;
+      const Duration age = std::chrono::milliseconds(progress->clock_ms - at->record.accepted_ms);
+      this->deps_.activation.activate(id, std::move(*job), *progress,
+                                      steadyNow() - std::max(age, Duration::zero()));
+      break;
+    }
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+  }
+  known_job* at = this->deps_.jobs.find(id);
+  if (at != nullptr) at->activating = false;
+}
+
+Task<CallResult<StoredProgress>> job_ownership::inherit(JobRecord record) {
+  StoredProgress progress;
+  if (!record.begun) {
+    progress.clock_ms = this->deps_.keeper.storeClock(steadyNow());
+    co_return progress;
+  }
+  co_return co_await this->deps_.store.getProgress(record.id);
+}
+
+// --- Residency ----------------------------------------------------------------------------------
+
+bool job_ownership::settleResidency(const JobId& id, known_job& job) {
+  const bool open = !job.record.ended && job.record.released < job.record.total;
+  if (!open || job.activating || this->stopping_ || job.record.owner != this->deps_.leases.own())
+    return true;
+  const std::optional<fleet::data_residency> residency = this->deps_.residency.of(job.record);
+  if (!residency) return true;
+  const bool within_residency = residency->allows(this->deps_.residency.ownRegion());
+  if (within_residency && !job.resumes_within_residency) return true;
+  job.activating = true;
+  job.resumes_within_residency = false;
+  if (within_residency) {
+    spawn(this->deps_.loop, [this, id] { return this->resume(id); });
+  } else {
+    spawn(this->deps_.loop, [this, id] { return this->giveUp(id); });
+  }
+  return false;
+}
+
+Task<void> job_ownership::giveUp(JobId id) {
+  known_job* known = this->deps_.jobs.find(id);
+  if (known == nullptr) co_return;
+  const std::optional<fleet::data_residency> residency = this->deps_.residency.of(known->record);
+  LogEvent("batch", "given_up")
+      .text("batch", id.str())
+      .text("reason", "not_at_home")
+      .text("homes", namesOf(residency))
+      .text("region", this->deps_.residency.ownRegion().str());
+  ++this->deps_.counts.given_up_for_residency;
+  co_await this->handOverJob(id);
+  known_job* at = this->deps_.jobs.find(id);
+  const bool still_owned = at != nullptr && at->record.owner == this->deps_.leases.own();
+  if (still_owned) {
+    // The store did not take it. Homes may change back until it does.
+    at->resumes_within_residency = true;
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+  }
+  if (known_job* job = this->deps_.jobs.find(id)) job->activating = false;
+}
+
+void job_ownership::noteAwaitsResidency(Instant now, const JobId& id, known_job& job) {
+  const bool open = job.record.released < job.record.total;
+  if (!open || now - job.orphaned_at < kResidencySilence) return;
+  ++this->awaiting_residency_;
+  if (now < this->next_wait_line_) return;
+  this->next_wait_line_ = now + kWaitLinePeriod;
+  const std::optional<fleet::data_residency> residency = this->deps_.residency.of(job.record);
+  LogEvent("batch", "waits_for_home")
+      .text("batch", id.str())
+      .text("homes", namesOf(residency))
+      .text("region", this->deps_.residency.ownRegion().str())
+      .text("owner", job.record.owner.str())
+      .milliseconds("waits_ms", now - job.orphaned_at);
+}
+
+// --- Handing over -------------------------------------------------------------------------------
+
+Task<void> job_ownership::handOver() {
+  this->stopping_ = true;
+  std::vector<JobId> owned;
+  for (auto& [id, job] : this->deps_.jobs.all()) {
+    if (!job.record.ended && job.record.owner == this->deps_.leases.own()) owned.push_back(id);
+  }
+  for (const JobId& id : owned) {
+    co_await this->handOverJob(id);
+  }
+}
+
+Task<void> job_ownership::handOverJob(JobId id) {
+  known_job* at = this->deps_.jobs.find(id);
+  if (at == nullptr || at->record.owner != this->deps_.leases.own()) co_return;
+  JobRecord record = at->record;
+  record.owner = LeaseId();
+  record.begun = true;
+  const Revision fence = at->revision;
+  const active_job_ptr active = at->active;
+  if (active && !active->stopped) {
+    active->stop(steadyNow());
+    // Also where one was sent just now: it may come too late, after the job was given up.
+    co_await this->deps_.checkpoints.write(active, checkpoint_writer::Need::kAlways);
+  }
+  const FencedAnswer answer = co_await this->deps_.store.putRecord(record, fence, {});
+  LogEvent("batch", "handed_over")
+      .text("batch", id.str())
+      .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
+  if (answer.outcome == FencedOutcome::kDone) {
+    this->deps_.jobs.onRow(id, {table::jobKey(id), answer.revision, encodeRecord(record)});
+  }
+}
+
+}  // namespace linenpier::batch
