--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -84,7 +84,7 @@
 }
 
 Task<void> BatchService::handOver() {
-  stopping_ = true;
+  acceptance_.stop();
   reader_.stop();
   removal_.stop();
   co_await ownership_.handOver();
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -22,6 +22,7 @@
 #include "gateway/batch/closed_zone_mover.h"
 #include "gateway/batch/item_pick.h"
 #include "gateway/batch/item_runner.h"
+#include "gateway/batch/job_acceptance.h"
 #include "gateway/batch/job_activation.h"
 #include "gateway/batch/job_ownership.h"
 #include "gateway/batch/job_reader.h"
@@ -76,7 +77,9 @@
 
   /// The job belongs to the tenant that hands it in.
   Task<void> submit(const routing::Route& route, tenants::caller from, const http::Request& request,
-                    Instant received, http::ResponseWriter& writer);
+                    Instant received, http::ResponseWriter& writer) {
+    return acceptance_.submit(route, std::move(from), request, received, writer);
+  }
   /// Calls about a job of another tenant are answered as if there were no such job.
   Task<void> readResults(JobId id, tenants::caller from, std::size_t position, Duration wait,
                          http::ResponseWriter& writer) {
@@ -85,7 +88,9 @@
   Task<void> readItem(JobId id, tenants::caller from, ItemId item, http::ResponseWriter& writer) {
     return reader_.readItem(std::move(id), std::move(from), std::move(item), writer);
   }
-  Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer);
+  Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
+    return acceptance_.end(std::move(id), std::move(from), writer);
+  }
   /// @return whether this daemon knows the job as one that needs no key.
   bool isPublic(const JobId& id) const;
 
@@ -120,25 +125,12 @@
   std::size_t runsIn(const ZoneName& zone) const { return closed_zone_mover_.runsIn(zone); }
 
  private:
-  using Active = active_job;
-  using ActivePtr = active_job_ptr;
-
-  /// @param body rows to be written with the job's row.
-  Task<FencedAnswer> acceptRecord(JobRecord record, std::vector<table::Put> body, Instant deadline);
-  /// Keeps a job that is too large for rows. @return whether it is kept.
-  Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
-
-  /// @return who should run a job that is handed in here; nobody, if those who may are not known.
-  LeaseId ownerFor(Instant now, const JobRecord& record) const;
-  /// @return the position of the job's model among those of the configuration.
-  std::size_t modelIndex(const JobRecord& record) const;
   Task<void> tickLoop();
 
   Dependencies deps_;
   BatchOptions options_;
   known_jobs jobs_;
   BatchCounts counts_;
-  bool stopping_ = false;
   job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
   item_pick picks_{{residency_, deps_.routes, options_}};
   item_runner runner_{{deps_.loop, deps_.engines, deps_.rewards, deps_.suspects, jobs_, picks_,
@@ -157,6 +149,9 @@
   job_ownership ownership_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, deps_.pool,
                             deps_.codec, jobs_, residency_, checkpoints_, activation_, counts_,
                             options_}};
+  job_acceptance acceptance_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, deps_.pool,
+                              deps_.engines.registry, deps_.codec, deps_.engines.names, jobs_,
+                              residency_, activation_, deps_.routes, counts_, options_}};
   job_reader reader_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, deps_.engines.names, jobs_, options_}};
   job_removal removal_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, jobs_, options_}};
--- /dev/null
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -0,0 +1,265 @@
+#include "gateway/batch/job_acceptance.h"
+
+#include "common/event_log.h"
+#include "gateway/batch/active_job.h"
+#include "gateway/batch/call_status.h"
+#include "gateway/batch/owner_choice.h"
+#include "gateway/table/store_keys.h"
+
+namespace linenpier::batch {
+
+using logging::LogEvent;
+
+namespace {
+constexpr int kPutTries = 2;
+/// For a question to a store that may be away, before a job is refused: many times its usual
+/// answer.
+constexpr Duration kAnswerTimeout = std::chrono::milliseconds(150);
+
+/// @return the row as it is known, so that the store need not be asked for it.
+std::optional<table::Row> rowOf(const known_job* job) {
+  if (job == nullptr || job->revision == 0) return std::nullopt;
+  return table::Row{table::jobKey(job->record.id), job->revision, encodeRecord(job->record)};
+}
+}  // namespace
+
+// --- Handing in ---------------------------------------------------------------------------------
+
+Task<void> job_acceptance::submit(const routing::Route& route, tenants::caller from,
+                                  const http::Request& request, Instant received,
+                                  http::ResponseWriter& writer) {
+  const forward::FieldNames& names = this->deps_.names;
+  hand_in call{route,    request,
+               from,     JobId(http::fieldText(request, names.request_id)),
+               received, received + this->deps_.options.accept_time};
+  if (call.id.empty()) {
+    co_await sendStatus(writer, names, kBadRequest, "The job has no id.");
+    co_return;
+  }
+  if (const known_job* known = this->deps_.jobs.find(call.id)) {
+    const unsigned status = mayAccess(known->record, from) ? kAccepted : kConflict;
+    co_await sendStatus(writer, names, status, {});
+    co_return;
+  }
+  hand_in_outcome outcome = co_await this->take(call);
+  if (outcome.status == kUnavailable) ++this->deps_.counts.refused;
+  if (outcome.revision) ++this->deps_.counts.accepted;
+  this->logOutcome(call, outcome);
+  if (outcome.revision) this->onAccepted(call, *outcome.revision);
+  co_await sendStatus(writer, names, outcome.status, std::move(outcome.text));
+}
+
+Task<const char*> job_acceptance::whyClosed(JobId id) {
+  // A feed that is lost says little: the store may be back, or turn its feeds away only.
+  bool answers = this->deps_.leases.storeHealthy();
+  if (!this->stopping_ && !answers) {
+    answers = co_await this->deps_.store.answers(id, kAnswerTimeout);
+  }
+  if (this->stopping_) co_return "stopping";
+  if (!answers) co_return "store_away";
+  // A daemon that has just started may not know the store's clock. A job that it dated would seem
+  // as old as the store, and its items would be given up at once.
+  if (this->deps_.keeper.storeClock(steadyNow()) == 0) co_return "clock_unknown";
+  co_return nullptr;
+}
+
+Task<job_acceptance::hand_in_outcome> job_acceptance::take(hand_in& call) {
+  const char* closed = co_await this->whyClosed(call.id);
+  if (closed != nullptr) co_return hand_in_outcome{closed, kUnavailable};
+  auto job = this->deps_.codec.parseJob(call.id, call.request.body());
+  if (!job) {
+    hand_in_outcome malformed{"malformed", kBadRequest, describe(job.error())};
+    co_return malformed;
+  }
+  call.record = this->recordOf(call, *job);
+  if (!this->deps_.residency.servedWithinResidency(call.route, call.record)) {
+    ++this->deps_.counts.refused_for_residency;
+    co_return hand_in_outcome{"no_engine_at_home", kUnavailable};
+  }
+  std::vector<table::Put> body = this->deps_.store.bodyRows(call.id, call.request.body());
+  if (body.empty()) {
+    const bool stored = co_await this->storeObject(call.id, call.request.body(), call.deadline);
+    // Without its row the object means nothing: the job has not been taken.
+    if (!stored) co_return hand_in_outcome{"object_not_stored", kUnavailable};
+  }
+  call.record.body_rows = body.size();
+  call.record.accepted_ms = this->deps_.keeper.storeClock(steadyNow());
+  call.record.owner = this->ownerFor(steadyNow(), call.record);
+  call.job = std::move(*job);
+  const FencedAnswer accepted =
+      co_await this->acceptRecord(call.record, std::move(body), call.deadline);
+  co_return this->judge(call, accepted);
+}
+
+JobRecord job_acceptance::recordOf(const hand_in& call, const BatchJob& job) const {
+  JobRecord record;
+  record.id = call.id;
+  record.host = http::fieldText(call.request, "Host");
+  record.path = std::string(call.request.target().substr(0, call.request.target().find('?')));
+  record.tenant = call.from.tenant;
+  record.total = job.items.size();
+  if (!job.items.empty()) record.model = job.items.front().model;
+  const routing::RouteTablePtr table = this->deps_.routes();
+  record.other_routes = otherRoutes(*table, call.route, record.host, job);
+  return record;
+}
+
+Task<bool> job_acceptance::storeObject(JobId id, std::string bytes, Instant deadline) {
+  for (int tries = 1;; ++tries) {
+    const auto stored = co_await this->deps_.store.putJob(id, bytes);
+    if (stored) co_return true;
+    if (tries == kPutTries || steadyNow() >= deadline) co_return false;
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+  }
+}
+
+Task<FencedAnswer> job_acceptance::acceptRecord(JobRecord record, std::vector<table::Put> body,
+                                                Instant deadline) {
+  for (;;) {
+    const Instant sent_at = steadyNow();
+    const bool own = record.owner == this->deps_.leases.own();
+    std::vector<table::Put> also = body;
+    if (own) also.push_back(this->deps_.keeper.renewal());
+    const FencedAnswer answer = co_await this->deps_.store.putRecord(record, 0, std::move(also));
+    if (own && answer.outcome == FencedOutcome::kDone) this->deps_.keeper.onRenewed(sent_at);
+    if (answer.outcome != FencedOutcome::kUnknown) co_return answer;
+    // It may be done yet. Only a row that is there settles it; the same write may follow.
+    if (steadyNow() + this->deps_.options.store_pause >= deadline) co_return answer;
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+  }
+}
+
+job_acceptance::hand_in_outcome job_acceptance::judge(const hand_in& call,
+                                                      const FencedAnswer& answer) {
+  switch (answer.outcome) {
+    case FencedOutcome::kNotDone:
+      return {"row_not_stored", kUnavailable};
+    case FencedOutcome::kUnknown:
+      return {"row_unknown", kUnknown};
+    case FencedOutcome::kDone:
+      return {"accepted", kAccepted, {}, answer.revision};
+    case FencedOutcome::kFenceLost:
+      break;
+  }
+  std::optional<JobRecord> known;
+  if (answer.current) {
+    this->deps_.jobs.onRow(call.id, *answer.current);
+    known = decodeRecord(call.id, answer.current->value);
+  }
+  const bool accessible = !known || mayAccess(*known, call.from);
+  return {"known_already", accessible ? kAccepted : kConflict};
+}
+
+void job_acceptance::onAccepted(hand_in& call, Revision revision) {
+  known_job& mine = this->deps_.jobs.obtain(call.id);
+  if (revision <= mine.revision || mine.activating || mine.active) return;
+  mine.record = call.record;
+  mine.revision = revision;
+  if (call.record.owner != this->deps_.leases.own()) return;
+  this->deps_.activation.activate(call.id, std::move(*call.job), StoredProgress{}, call.received);
+}
+
+void job_acceptance::logOutcome(const hand_in& call, const hand_in_outcome& outcome) const {
+  LogEvent("batch", "submitted")
+      .text("batch", call.id.str())
+      .text("route", call.route.name.str())
+      .text("tenant", call.from.tenant.str())
+      .text("outcome", outcome.name)
+      .number("status", outcome.status)
+      .text("owner", call.record.owner.str())
+      .number("bytes", static_cast<std::int64_t>(call.request.body().size()))
+      .milliseconds("took_ms", steadyNow() - call.received);
+}
+
+LeaseId job_acceptance::ownerFor(Instant now, const JobRecord& record) const {
+  OwnerChoice choice;
+  choice.candidates = this->deps_.pool.ranked(now);
+  choice.items = record.total;
+  choice.max_open_items = this->deps_.options.max_open_items;
+  const std::vector<JobId> earlier =
+      this->deps_.jobs.earlierJobs(record, this->deps_.options.earlier_jobs);
+  if (!earlier.empty()) {
+    const LeaseId& owner = this->deps_.jobs.find(earlier.front())->record.owner;
+    if (!owner.empty() && this->deps_.leases.alive(now, owner)) choice.previous = owner;
+    const bool own = owner == this->deps_.leases.own();
+    choice.previous_zone = own ? this->deps_.pool.zone() : this->deps_.leases.zoneOf(owner);
+  }
+  const std::optional<fleet::data_residency> residency = this->deps_.residency.of(record);
+  if (residency)
+    choice = withinResidency(std::move(choice), *residency, this->deps_.registry.layout());
+  for (const auto& [id, job] : this->deps_.jobs.all()) {
+    if (job.record.ended) continue;
+    if (job.record.owner == choice.previous) choice.previous_items += job.record.total;
+    if (job.record.model != record.model) choice.busy.insert(job.record.owner);
+  }
+  choice.model_index = this->modelIndex(record);
+  const LeaseId fallback =
+      this->deps_.residency.mayOwn(record) ? this->deps_.leases.own() : LeaseId();
+  return chooseOwner(choice, fallback);
+}
+
+std::size_t job_acceptance::modelIndex(const JobRecord& record) const {
+  const routing::RouteTablePtr table = this->deps_.routes();
+  std::size_t index = 0;
+  if (!table) return index;
+  for (const auto& [name, service] : table->services) {
+    for (const ModelName& model : service.models) {
+      if (model == record.model) return index;
+      ++index;
+    }
+  }
+  return index;
+}
+
+// --- Ending -------------------------------------------------------------------------------------
+
+Task<unsigned> job_acceptance::endBy(JobId id, tenants::caller from, Instant deadline,
+                                     http::ResponseWriter& writer) {
+  // What the feed brought, or the store with its refusal of a write: it is asked only without
+  // either.
+  std::optional<table::Row> known = rowOf(this->deps_.jobs.find(id));
+  while (steadyNow() < deadline && !writer.cancellation().requested()) {
+    CallResult<table::Row> row = known.value_or(table::Row{});
+    if (!known) {
+      row = co_await this->deps_.store.getRecord(id);
+    }
+    known.reset();
+    if (row && row->revision == 0) co_return kNotFound;
+    auto record = row ? decodeRecord(id, row->value) : std::nullopt;
+    if (record && !mayAccess(*record, from)) co_return kNotFound;
+    if (record && record->ended) {
+      this->deps_.jobs.onRow(id, *row);
+      co_return kOk;
+    }
+    if (record) {
+      record->ended = true;
+      const FencedAnswer answer = co_await this->deps_.store.putRecord(*record, row->revision, {});
+      if (answer.outcome == FencedOutcome::kDone) {
+        const table::Row ended{row->key, answer.revision, encodeRecord(*record)};
+        this->deps_.jobs.onRow(id, ended);
+        co_return kOk;
+      }
+      if (answer.outcome == FencedOutcome::kFenceLost) {
+        known = answer.current;
+        continue;
+      }
+    }
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+  }
+  co_return kUnavailable;
+}
+
+Task<void> job_acceptance::end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
+  const Instant begun = steadyNow();
+  const Instant deadline = begun + this->deps_.options.end_time;
+  const unsigned status = co_await this->endBy(id, from, deadline, writer);
+  if (status == kOk) ++this->deps_.counts.ended;
+  LogEvent("batch", "end_asked")
+      .text("batch", id.str())
+      .text("tenant", from.tenant.str())
+      .number("status", status)
+      .milliseconds("took_ms", steadyNow() - begun);
+  co_await sendStatus(writer, this->deps_.names, status, {});
+}
+
+}  // namespace linenpier::batch
--- /dev/null
+++ b/src/gateway/batch/job_acceptance.h
@@ -0,0 +1,105 @@
+#pragma once
+
+/** @file
+ * Calls that hand batch jobs in and end them. Any daemon takes any job in; who is to run it is
+ * decided by `chooseOwner`.
+ *
+ * A job is accepted only after it and its row are in the store: whoever got 202 may rely on it.
+ */
+
+#include <functional>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "gateway/batch/batch_codec.h"
+#include "gateway/batch/job_activation.h"
+#include "gateway/batch/job_residency.h"
+#include "gateway/batch/known_jobs.h"
+#include "gateway/http/server.h"
+#include "gateway/lease/lease_keeper.h"
+#include "gateway/lease/lease_table.h"
+#include "gateway/lease/owner_pool.h"
+#include "gateway/tenants/caller.h"
+
+namespace linenpier::batch {
+
+/** Keeps nothing between calls. Loop thread only. */
+class job_acceptance {
+ public:
+  struct dependencies {
+    boost::asio::io_context& loop;
+    JobStore& store;
+    lease::LeaseTable& leases;
+    lease::LeaseKeeper& keeper;
+    const lease::OwnerPool& pool;
+    engines::EngineRegistry& registry;
+    const BatchCodec& codec;
+    const forward::FieldNames& names;
+    known_jobs& jobs;
+    const job_residency& residency;
+    job_activation& activation;
+    std::function<routing::RouteTablePtr()> routes;
+    BatchCounts& counts;
+    const BatchOptions& options;
+  };
+
+  explicit job_acceptance(dependencies deps) : deps_(std::move(deps)) {}
+
+  /** The job belongs to the tenant that hands it in. The caller keeps route, request and writer
+   * alive until the end.
+   */
+  Task<void> submit(const routing::Route& route, tenants::caller from, const http::Request& request,
+                    Instant received, http::ResponseWriter& writer);
+  Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer);
+  /** No job is accepted from now on. */
+  void stop() { this->stopping_ = true; }
+
+ private:
+  /** A job that is being handed in, and what is known of it so far. */
+  struct hand_in {
+    const routing::Route& route;
+    const http::Request& request;
+    tenants::caller from;
+    JobId id;
+    Instant received;
+    Instant deadline;       ///< For writing it to the store.
+    JobRecord record = {};  ///< The owner is set once it is chosen.
+    std::optional<BatchJob> job = {};
+  };
+  /** What came of it, as the log and the caller get it. */
+  struct hand_in_outcome {
+    const char* name = "";
+    unsigned status = 0;
+    std::string text = {};                  ///< For the caller.
+    std::optional<Revision> revision = {};  ///< Of the row, if the job was accepted.
+  };
+
+  /** @return why no job can be accepted now, as the log names it; nullptr if one can. */
+  Task<const char*> whyClosed(JobId id);
+  Task<hand_in_outcome> take(hand_in& call);
+  JobRecord recordOf(const hand_in& call, const BatchJob& job) const;
+  /** Keeps a job that is too large for rows. @return whether it is kept. */
+  Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
+  /** @param body rows to be written with the job's row. */
+  Task<FencedAnswer> acceptRecord(JobRecord record, std::vector<table::Put> body, Instant deadline);
+  hand_in_outcome judge(const hand_in& call, const FencedAnswer& answer);
+  void logOutcome(const hand_in& call, const hand_in_outcome& outcome) const;
+  /** Takes the job in, and runs it if it is this daemon's. */
+  void onAccepted(hand_in& call, Revision revision);
+
+  /** @return who should run a job that is handed in here; nobody, if those who may are not known.
+   */
+  LeaseId ownerFor(Instant now, const JobRecord& record) const;
+  /** @return the position of the job's model among those of the configuration. */
+  std::size_t modelIndex(const JobRecord& record) const;
+
+  /** @return the status of the answer. */
+  Task<unsigned> endBy(JobId id, tenants::caller from, Instant deadline,
+                       http::ResponseWriter& writer);
+
+  dependencies deps_;
+  bool stopping_ = false;
+};
+
+}  // namespace linenpier::batch
