--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -9,6 +9,7 @@
 
 #include "common/time.h"
 #include "gateway/batch/listing_schedule.h"
+#include "gateway/batch/run_move_rules.h"
 #include "gateway/batch/run_timeouts.h"
 #include "gateway/batch/runs_leaving.h"
 
@@ -46,11 +47,7 @@
   /// Beyond that the events of all of them would take more than a small machine's processor.
   std::size_t max_open_items = 1000;
   double requests_per_slot = 1.0;
-  double move_gain = 1.15;  ///< An engine must be this much faster for a run to move there.
-  /// A move must save more than this; reading a prompt and the text so far again costs less.
-  Duration move_saving = std::chrono::milliseconds(250);
-  Duration move_after = std::chrono::milliseconds(1000);  ///< Shorter runs stay.
-  std::size_t moves_per_tick = 6;
+  run_move_rules moves;
   leaving_options leaving;  ///< Of closed zones.
   std::size_t page_bytes = 900 * 1024;
   std::size_t write_bytes = 640 * 1024;
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -10,16 +10,11 @@
 
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/length_estimate.h"
+#include "gateway/batch/run_move_rules.h"
 #include "gateway/engines/engine_registry.h"
 
 namespace linenpier::batch {
 
-struct run_move_rules {
-  double gain = 1.15;  ///< An engine must be this much faster for a run to move there.
-  Duration saving{};   ///< A move must save more than this.
-  Duration min_run{};  ///< Runs that began later stay.
-};
-
 /** An item's run on an engine. */
 struct item_run {
   ItemIndex item = 0;
--- a/src/gateway/batch/slow_run_mover.h
+++ b/src/gateway/batch/slow_run_mover.h
@@ -36,7 +36,6 @@
   void moveRunsOf(Instant now, active_job& active, moves_planned& moves);
   void moveRun(Instant now, active_job& active, const item_run& run, const routing::Route& route,
                moves_planned& moves);
-  run_move_rules moveRules() const;
 
   dependencies deps_;
 };
