--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -3,7 +3,7 @@
 #include "common/event_log.h"
 #include "gateway/batch/active_job.h"
 #include "gateway/batch/call_status.h"
-#include "gateway/batch/owner_choice.h"
+#include "gateway/batch/new_job_owner.h"
 #include "gateway/table/store_keys.h"
 
 namespace linenpier::batch {
@@ -172,7 +172,7 @@
 }
 
 LeaseId job_acceptance::ownerFor(Instant now, const JobRecord& record) const {
-  OwnerChoice choice;
+  new_job_owner_inputs choice;
   choice.candidates = this->deps_.pool.ranked(now);
   choice.items = record.total;
   choice.max_open_items = this->deps_.options.max_open_items;
@@ -195,7 +195,7 @@
   choice.model_index = this->modelIndex(record);
   const LeaseId fallback =
       this->deps_.residency.mayOwn(record) ? this->deps_.leases.own() : LeaseId();
-  return chooseOwner(choice, fallback);
+  return chooseNewJobOwner(choice, fallback);
 }
 
 std::size_t job_acceptance::modelIndex(const JobRecord& record) const {
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -2,7 +2,7 @@
 
 /** @file
  * Calls that hand batch jobs in and end them. Any daemon takes any job in; who is to run it is
- * decided by `chooseOwner`.
+ * decided by `chooseNewJobOwner`.
  *
  * A job is accepted only after it and its row are in the store: whoever got 202 may rely on it.
  */
--- a/src/gateway/batch/owner_choice.cpp
+++ b/src/gateway/batch/new_job_owner.cpp
@@ -1,4 +1,4 @@
-#include "gateway/batch/owner_choice.h"
+#include "gateway/batch/new_job_owner.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
   return at == candidates.end() ? 0 : at->capacity;
 }
 
-bool keepsPrevious(const OwnerChoice& choice) {
+bool keepsPrevious(const new_job_owner_inputs& choice) {
   if (choice.previous.empty()) return false;
   if (choice.previous_items + choice.items > choice.max_open_items) return false;
   if (choice.candidates.empty()) return true;
@@ -28,8 +28,9 @@
 
 }  // namespace
 
-OwnerChoice withinResidency(OwnerChoice choice, const fleet::data_residency& residency,
-                            const fleet::fleet_layout& layout) {
+new_job_owner_inputs withinResidency(new_job_owner_inputs choice,
+                                     const fleet::data_residency& residency,
+                                     const fleet::fleet_layout& layout) {
   std::erase_if(choice.candidates, [&](const lease::OwnerCandidate& each) {
     return !residency.allows(layout.regionOf(each.zone));
   });
@@ -37,7 +38,7 @@
   return choice;
 }
 
-LeaseId chooseOwner(const OwnerChoice& choice, const LeaseId& own) {
+LeaseId chooseNewJobOwner(const new_job_owner_inputs& choice, const LeaseId& own) {
   if (keepsPrevious(choice)) return choice.previous;
   if (choice.candidates.empty()) return own;
   const double least = kAsGood * choice.candidates.front().capacity;
--- a/src/gateway/batch/owner_choice.h
+++ b/src/gateway/batch/new_job_owner.h
@@ -1,7 +1,9 @@
 #pragma once
 
-/// @file
-/// Which daemon is to own a job that is handed in. Pure.
+/** @file
+ * Which daemon is to own a job that is handed in. Pure. Who goes on with a job whose owner is lost
+ * is another question: `job_ownership`.
+ */
 
 #include <set>
 #include <vector>
@@ -13,7 +15,7 @@
 
 namespace linenpier::batch {
 
-struct OwnerChoice {
+struct new_job_owner_inputs {
   /// Live daemons that told what they can carry, best first.
   std::vector<lease::OwnerCandidate> candidates;
   /// Owner of the model's newest job, if it lives: it has connections to the engines, and knows
@@ -28,10 +30,11 @@
 };
 
 /// @return the choice without those that are elsewhere, or that told no zone of the layout.
-OwnerChoice withinResidency(OwnerChoice choice, const fleet::data_residency& residency,
-                            const fleet::fleet_layout& layout);
+new_job_owner_inputs withinResidency(new_job_owner_inputs choice,
+                                     const fleet::data_residency& residency,
+                                     const fleet::fleet_layout& layout);
 
 /// @return the owner; `own` where nobody offers.
-LeaseId chooseOwner(const OwnerChoice& choice, const LeaseId& own);
+LeaseId chooseNewJobOwner(const new_job_owner_inputs& choice, const LeaseId& own);
 
 }  // namespace linenpier::batch
--- a/tests/gateway/batch/owner_choice_test.cpp
+++ b/tests/gateway/batch/new_job_owner_test.cpp
@@ -1,10 +1,10 @@
-#include "gateway/batch/owner_choice.h"
+#include "gateway/batch/new_job_owner.h"
 
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using batch::chooseOwner;
-using batch::OwnerChoice;
+using batch::chooseNewJobOwner;
+using batch::new_job_owner_inputs;
 
 namespace {
 
@@ -12,8 +12,8 @@
 const LeaseId kFast("fast#1");
 const LeaseId kOther("other#1");
 
-OwnerChoice choiceOf(std::vector<lease::OwnerCandidate> candidates) {
-  OwnerChoice choice;
+new_job_owner_inputs choiceOf(std::vector<lease::OwnerCandidate> candidates) {
+  new_job_owner_inputs choice;
   choice.candidates = std::move(candidates);
   choice.items = 200;
   choice.max_open_items = 1000;
@@ -23,62 +23,62 @@
 }  // namespace
 
 Test(owner_choice, a_job_handed_in_at_a_slow_machine_is_owned_by_a_fast_one) {
-  cr_assert_eq(chooseOwner(choiceOf({{kFast, 0.5}, {kOwn, 0.06}}), kOwn), kFast);
+  cr_assert_eq(chooseNewJobOwner(choiceOf({{kFast, 0.5}, {kOwn, 0.06}}), kOwn), kFast);
 }
 
 Test(owner_choice, where_nobody_offers_the_daemon_keeps_the_job) {
-  cr_assert_eq(chooseOwner(choiceOf({}), kOwn), kOwn);
+  cr_assert_eq(chooseNewJobOwner(choiceOf({}), kOwn), kOwn);
 }
 
 Test(owner_choice, jobs_of_a_model_stay_with_their_owner_while_it_can_carry_them) {
-  OwnerChoice choice = choiceOf({{kFast, 0.5}, {kOther, 0.4}});
+  new_job_owner_inputs choice = choiceOf({{kFast, 0.5}, {kOther, 0.4}});
   choice.previous = kOther;
-  cr_assert_eq(chooseOwner(choice, kOwn), kOther);
+  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kOther);
   choice.previous_items = 900;
-  cr_assert_eq(chooseOwner(choice, kOwn), kFast, "it has enough to do");
+  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kFast, "it has enough to do");
 }
 
 Test(owner_choice, an_owner_that_became_slow_is_left) {
-  OwnerChoice choice = choiceOf({{kFast, 0.5}, {kOther, 0.2}});
+  new_job_owner_inputs choice = choiceOf({{kFast, 0.5}, {kOther, 0.2}});
   choice.previous = kOther;
-  cr_assert_eq(chooseOwner(choice, kOwn), kFast);
+  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kFast);
 }
 
 Test(owner_choice, owners_of_other_models_are_spared_while_there_are_others) {
-  OwnerChoice choice = choiceOf({{kFast, 0.5}, {kOther, 0.45}});
+  new_job_owner_inputs choice = choiceOf({{kFast, 0.5}, {kOther, 0.45}});
   choice.busy = {kFast};
-  cr_assert_eq(chooseOwner(choice, kOwn), kOther);
+  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kOther);
   choice.busy = {kFast, kOther};
-  cr_assert_eq(chooseOwner(choice, kOwn), kFast);
+  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kFast);
 }
 
 Test(owner_choice, daemons_elsewhere_are_left_out_before_the_choice) {
   const fleet::fleet_layout layout(
       {{ZoneName("a"), RegionName("near")}, {ZoneName("b"), RegionName("far")}});
   const fleet::data_residency far({RegionName("far")});
-  OwnerChoice choice =
+  new_job_owner_inputs choice =
       choiceOf({{kFast, 0.5, ZoneName("a")}, {kOther, 0.1, ZoneName("b")}, {kOwn, 0.4}});
   choice.previous = kFast;
   choice.previous_zone = ZoneName("a");
-  const OwnerChoice kept = batch::withinResidency(choice, far, layout);
+  const new_job_owner_inputs kept = batch::withinResidency(choice, far, layout);
   cr_assert_eq(kept.candidates.size(), 1U, "one that told no zone is at home nowhere");
   cr_assert(kept.previous.empty());
-  cr_assert_eq(chooseOwner(kept, kOwn), kOther);
+  cr_assert_eq(chooseNewJobOwner(kept, kOwn), kOther);
   cr_assert_eq(batch::withinResidency(choice, {}, layout).candidates.size(), 3U,
                "without homes all stay");
   cr_assert_eq(batch::withinResidency(choice, {}, layout).previous, kFast);
 }
 
 Test(owner_choice, where_nobody_at_home_is_known_and_the_daemon_is_not_nobody_is_named) {
-  const OwnerChoice choice = choiceOf({{kFast, 0.5, ZoneName("a")}});
-  const OwnerChoice kept =
+  const new_job_owner_inputs choice = choiceOf({{kFast, 0.5, ZoneName("a")}});
+  const new_job_owner_inputs kept =
       batch::withinResidency(choice, fleet::data_residency({RegionName("far")}), {});
-  cr_assert(chooseOwner(kept, LeaseId()).empty());
+  cr_assert(chooseNewJobOwner(kept, LeaseId()).empty());
 }
 
 Test(owner_choice, first_jobs_of_several_models_take_different_owners) {
-  OwnerChoice choice = choiceOf({{kFast, 0.5}, {kOther, 0.5}});
-  const LeaseId first = chooseOwner(choice, kOwn);
+  new_job_owner_inputs choice = choiceOf({{kFast, 0.5}, {kOther, 0.5}});
+  const LeaseId first = chooseNewJobOwner(choice, kOwn);
   choice.model_index = 1;
-  cr_assert_neq(chooseOwner(choice, kOwn), first);
+  cr_assert_neq(chooseNewJobOwner(choice, kOwn), first);
 }
