--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -40,7 +40,7 @@
   Duration removal_delay = std::chrono::seconds(30);
   Duration removal_period = std::chrono::seconds(2);  ///< Between two looks for such jobs.
   /// What earlier jobs left is of little use to a job later.
-  Duration carry_over_time = std::chrono::seconds(2);
+  Duration reuse_timeout = std::chrono::seconds(2);
   /// Trainers ask for the next step while one or two are under way.
   std::size_t earlier_jobs = 3;
   /// Items of open jobs that one daemon is given: four steps of the largest deployments' trainers.
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -28,35 +28,35 @@
   order_.resize(job_.items.size());
   for (ItemIndex item = 0; item < order_.size(); ++item) order_[item] = item;
   std::stable_sort(order_.begin(), order_.end(), [&](ItemIndex one, ItemIndex other) {
-    const bool one_carried = groups_[group_of_[one]].carried;
-    const bool other_carried = groups_[group_of_[other]].carried;
-    if (one_carried != other_carried) return one_carried;
+    const bool one_reused = groups_[group_of_[one]].reused;
+    const bool other_reused = groups_[group_of_[other]].reused;
+    if (one_reused != other_reused) return one_reused;
     return job_.items[one].length_hint > job_.items[other].length_hint;
   });
 }
 
-std::vector<ItemIndex> BatchRun::onCarriedOver(const carry_over& carried) {
+std::vector<ItemIndex> BatchRun::onPartialResults(const partial_results& reused) {
   std::vector<ItemIndex> obsolete;
   for (ItemIndex item = 0; item < job_.items.size(); ++item) {
-    if (!carried.contains(job_.items[item].id)) continue;
-    groups_[group_of_[item]].carried = true;
-    const ItemCheckpoint* kept = carried.textOf(job_.items[item].id);
+    if (!reused.contains(job_.items[item].id)) continue;
+    groups_[group_of_[item]].reused = true;
+    const ItemCheckpoint* kept = reused.textOf(job_.items[item].id);
     if (kept != nullptr && onCheckpoint(item, *kept)) obsolete.push_back(item);
   }
-  if (carriedGroups() > 0) orderItems();
+  if (reusedGroups() > 0) orderItems();
   return obsolete;
 }
 
-std::size_t BatchRun::carriedGroups() const {
-  return static_cast<std::size_t>(std::count_if(groups_.begin(), groups_.end(),
-                                                [](const Group& each) { return each.carried; }));
+std::size_t BatchRun::reusedGroups() const {
+  return static_cast<std::size_t>(
+      std::count_if(groups_.begin(), groups_.end(), [](const Group& each) { return each.reused; }));
 }
 
 bool BatchRun::stepWhole() const {
   std::size_t whole = 0;
   for (const Group& group : groups_) {
     if (group.open == 0) ++whole;
-    if (group.open > 0 && group.carried) return false;
+    if (group.open > 0 && group.reused) return false;
   }
   const std::size_t wanted = job_.desired_groups == 0 ? groups_.size() : job_.desired_groups;
   return whole >= std::min(wanted, groups_.size());
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -8,7 +8,7 @@
 
 #include "common/ids.h"
 #include "gateway/batch/batch_types.h"
-#include "gateway/batch/carry_over.h"
+#include "gateway/batch/partial_results.h"
 
 namespace linenpier::batch {
 
@@ -72,11 +72,11 @@
   /// @return whether an attempt that runs is of no use any more: it must be stopped.
   bool onCheckpoint(ItemIndex item, const ItemCheckpoint& kept);
 
-  /// Groups that come again from earlier jobs are waited for in any case; what is kept of them is
+  /// Groups that were handed in before are waited for in any case; what is kept of them is
   /// gone on with if its versions fit.
   /// @return the items whose running attempts must be stopped.
-  std::vector<ItemIndex> onCarriedOver(const carry_over& carried);
-  std::size_t carriedGroups() const;
+  std::vector<ItemIndex> onPartialResults(const partial_results& reused);
+  std::size_t reusedGroups() const;
   /// @return whether every group that the trainer waits for is whole.
   bool stepWhole() const;
   /// @return whether readers should be shown at once what there is.
@@ -134,7 +134,7 @@
   /// Invariant: `open` is the number of its items that are neither finished nor listed.
   struct Group {
     std::size_t open = 0;
-    bool carried = false;  ///< It comes again from an earlier job.
+    bool reused = false;  ///< An earlier job had it already.
   };
 
   void findGroups();
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -60,7 +60,7 @@
   }
 
   std::set<ItemId> wanted;  ///< Of the job that looks for texts.
-  carry_over found;
+  partial_results found;
   std::size_t unanswered = 0;
   Signal changed;
 };
@@ -102,7 +102,7 @@
 
 std::vector<std::size_t> partial_result_reuse::apply(active_job& active,
                                                      const search_state& search) {
-  std::vector<ItemIndex> obsolete = active.run.onCarriedOver(search.found);
+  std::vector<ItemIndex> obsolete = active.run.onPartialResults(search.found);
   for (const ItemIndex item : obsolete) {
     if (const auto call = active.calls.find(item); call != active.calls.end()) {
       call->second->abort();
@@ -120,7 +120,7 @@
   const Instant begun = steadyNow();
   for (const JobId& id : earlier) this->searchJob(id, search);
   const std::size_t asked = search->unanswered;
-  const Instant deadline = begun + options.carry_over_time;
+  const Instant deadline = begun + options.reuse_timeout;
   while (search->unanswered > 0 && steadyNow() < deadline) {
     co_await search->changed.waitFor(deadline - steadyNow());
   }
@@ -128,7 +128,7 @@
   const std::vector<ItemIndex> obsolete = this->apply(*active, *search);
   LogEvent("batch", "carried_over")
       .text("batch", active->record.id.str())
-      .number("groups", static_cast<std::int64_t>(active->run.carriedGroups()))
+      .number("groups", static_cast<std::int64_t>(active->run.reusedGroups()))
       .number("runs_replaced", static_cast<std::int64_t>(obsolete.size()))
       .number("earlier_jobs", static_cast<std::int64_t>(earlier.size()))
       .number("asked", static_cast<std::int64_t>(asked))
--- a/src/gateway/batch/carry_over.cpp
+++ b/src/gateway/batch/partial_results.cpp
@@ -1,8 +1,8 @@
-#include "gateway/batch/carry_over.h"
+#include "gateway/batch/partial_results.h"
 
 namespace linenpier::batch {
 
-void carry_over::addJob(const BatchJob& earlier, const Checkpoint& kept) {
+void partial_results::addJob(const BatchJob& earlier, const Checkpoint& kept) {
   for (const BatchItem& item : earlier.items) this->items_.insert(item.id);
   for (const ItemCheckpoint& text : kept) {
     if (text.item_index >= earlier.items.size()) continue;
@@ -11,7 +11,7 @@
   }
 }
 
-const ItemCheckpoint* carry_over::textOf(const ItemId& item) const {
+const ItemCheckpoint* partial_results::textOf(const ItemId& item) const {
   const auto at = this->texts_.find(item);
   return at == this->texts_.end() ? nullptr : &at->second;
 }
--- a/src/gateway/batch/carry_over.h
+++ b/src/gateway/batch/partial_results.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Groups that a trainer hands in again because an earlier job ended before they were whole. A job
- * waits for every one of them, and what they had so far may be gone on with. Pure.
+ * Groups that a trainer hands in again because an earlier job ended before they were complete. A job
+ * waits for every one of them, and may go on with the text that they had so far. Pure.
  */
 
 #include <map>
@@ -14,16 +14,16 @@
 namespace linenpier::batch {
 
 /** What earlier jobs of the same route and model left. */
-class carry_over {
+class partial_results {
  public:
   /** Adds an earlier job. Of two texts of one item the longer one stays.
    * @param kept text of its items that were not finished.
    */
   void addJob(const BatchJob& earlier, const Checkpoint& kept);
 
-  /// @return whether the item was handed in before.
+  /** @return whether the item was handed in before. */
   bool contains(const ItemId& item) const { return this->items_.contains(item); }
-  /// @return what is kept of the item, or nullptr.
+  /** @return what is kept of the item, or nullptr. */
   const ItemCheckpoint* textOf(const ItemId& item) const;
   bool empty() const { return this->items_.empty(); }
 
--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -132,10 +132,10 @@
 namespace {
 
 /// An earlier job from which the group `g2` comes again; `text` is kept of its item "c".
-batch::carry_over leftBehind(const std::set<WeightVersion>& versions) {
+batch::partial_results leftBehind(const std::set<WeightVersion>& versions) {
   BatchJob earlier;
   earlier.items = {item("c", "g2", 90), item("d", "g2", 5)};
-  batch::carry_over carried;
+  batch::partial_results carried;
   carried.addJob(earlier, {{0, 2, versions, "one\ntwo"}});
   return carried;
 }
@@ -154,8 +154,8 @@
   one_group.items[0].length_hint = 200;
   BatchRun run(one_group, rules());
   cr_assert_eq(*run.nextToStart(kStart), 0U, "the longest item, while nothing is known");
-  run.onCarriedOver(leftBehind({2}));
-  cr_assert_eq(run.carriedGroups(), 1U);
+  run.onPartialResults(leftBehind({2}));
+  cr_assert_eq(run.reusedGroups(), 1U);
   cr_assert_eq(*run.nextToStart(kStart), 2U, "the group that comes again");
   finishItem(run, 0);
   finishItem(run, 1);
@@ -167,20 +167,20 @@
 
 Test(batch_run, text_of_a_group_that_comes_again_is_gone_on_with_if_its_versions_fit) {
   BatchRun fitting(job(), rules());
-  cr_assert(fitting.onCarriedOver(leftBehind({3, 4})).empty());
+  cr_assert(fitting.onPartialResults(leftBehind({3, 4})).empty());
   cr_assert_eq(fitting.progress(2).last_event, 2U);
   cr_assert_eq(fitting.progress(2).text, "one\ntwo");
   BatchRun too_old(job(), rules());
-  too_old.onCarriedOver(leftBehind({2, 3}));
+  too_old.onPartialResults(leftBehind({2, 3}));
   cr_assert_eq(too_old.progress(2).last_event, 0U);
-  cr_assert_eq(too_old.carriedGroups(), 1U, "it is waited for all the same");
+  cr_assert_eq(too_old.reusedGroups(), 1U, "it is waited for all the same");
 }
 
 Test(batch_run, an_attempt_that_has_less_than_what_was_kept_is_of_no_use) {
   BatchRun run(job(), rules());
   run.onStarted(kStart, 2, kEngine);
   run.onEvent(kStart, 2, 1, "one", 4);
-  const std::vector<batch::ItemIndex> obsolete = run.onCarriedOver(leftBehind({3}));
+  const std::vector<batch::ItemIndex> obsolete = run.onPartialResults(leftBehind({3}));
   cr_assert_eq(obsolete.size(), 1U);
   cr_assert_eq(run.progress(2).text, "one\ntwo");
   cr_assert_eq(run.onEvent(kStart, 2, 2, "other", 4), EventVerdict::kUnfit);
--- a/tests/gateway/batch/carry_over_test.cpp
+++ b/tests/gateway/batch/partial_results_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/batch/carry_over.h"
+#include "gateway/batch/partial_results.h"
 
 #include <criterion/criterion.h>
 
@@ -21,7 +21,7 @@
 }  // namespace
 
 Test(carry_over, of_several_earlier_jobs_the_longest_text_stays) {
-  batch::carry_over carried;
+  batch::partial_results carried;
   cr_assert(carried.empty());
   carried.addJob(jobOf({"a", "b"}), {{1, 7, {2}, "seven"}});
   carried.addJob(jobOf({"b", "c"}), {{0, 3, {3}, "three"}});
@@ -33,7 +33,7 @@
 }
 
 Test(carry_over, text_of_an_item_that_the_job_has_not_is_left_out) {
-  batch::carry_over carried;
+  batch::partial_results carried;
   carried.addJob(jobOf({"a"}), {{5, 7, {2}, "seven"}});
   cr_assert_eq(carried.textOf(ItemId("a")), nullptr);
 }
