--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -42,10 +42,10 @@
   Revision fence = 0;  ///< Revision of the job's row under which this daemon owns it.
   BatchRun run;
   listing_schedule schedule;
-  Instant accepted_at{};             ///< By this daemon's clock.
-  std::vector<StoredResult> listed;  ///< By position; all in the store.
-  std::size_t released = 0;          ///< Those of them that readers are shown.
-  std::size_t held_back_bytes = 0;   ///< Of those that they are not.
+  Instant accepted_at{};               ///< By this daemon's clock.
+  std::vector<StoredResult> appended;  ///< By position; all in the store.
+  std::size_t released = 0;            ///< Those of them that readers are shown.
+  std::size_t held_back_bytes = 0;     ///< Of those that they are not.
   Pending pending;
   std::map<ItemIndex, std::shared_ptr<forward::EngineCall>> calls;    ///< By the item they run.
   std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;  ///< Reward requests.
@@ -55,22 +55,22 @@
   std::size_t checkpoint_first_row = 0;  ///< Of the last whole part, or of what was inherited.
   std::size_t checkpoint_next_row = 0;
   bool checkpoint_in_progress = false;
-  bool first_event_told = false;  ///< Lines that are written once a job and owner.
-  bool whole_told = false;
-  bool listed_told = false;
+  bool first_event_noted = false;  ///< Lines that are written once a job and owner.
+  bool complete_noted = false;
+  bool published_noted = false;
   bool stopped = false;
   Instant stopped_at{};
 
   void noteFirstEvent() {
-    if (first_event_told) return;
-    first_event_told = true;
+    if (first_event_noted) return;
+    first_event_noted = true;
     logging::LogEvent("batch", "first_event").text("batch", record.id.str());
   }
 
   /// @param item that was finished last.
   void noteWhole(ItemIndex item) {
-    if (whole_told || !run.stepWhole()) return;
-    whole_told = true;
+    if (complete_noted || !run.stepWhole()) return;
+    complete_noted = true;
     logging::LogEvent("batch", "step_whole")
         .text("batch", record.id.str())
         .text("item", run.job().items[item].id.str())
@@ -82,8 +82,8 @@
   }
 
   void noteReleased() {
-    if (listed_told || !run.stepWhole()) return;
-    listed_told = true;
+    if (published_noted || !run.stepWhole()) return;
+    published_noted = true;
     logging::LogEvent("batch", "step_listed")
         .text("batch", record.id.str())
         .number("results", static_cast<std::int64_t>(released))
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -63,7 +63,7 @@
 }
 
 bool BatchRun::releaseUrgent() const {
-  if (job_.desired_groups == 0 || stepWhole() || allListed()) return true;
+  if (job_.desired_groups == 0 || stepWhole() || allAppended()) return true;
   return std::any_of(finished_.begin(), finished_.end(), [this](ItemIndex item) {
     return progress_[item].outcome == ResultState::kTerminated;
   });
@@ -75,11 +75,11 @@
   return bytes;
 }
 
-void BatchRun::onAlreadyListed(ItemIndex item) {
-  if (progress_[item].state == ItemState::kListed) return;
-  progress_[item].state = ItemState::kListed;
+void BatchRun::onAlreadyAppended(ItemIndex item) {
+  if (progress_[item].state == ItemState::kAppended) return;
+  progress_[item].state = ItemState::kAppended;
   onItemClosed(item);
-  ++listed_;
+  ++appended_;
 }
 
 bool BatchRun::onCheckpoint(ItemIndex item, const ItemCheckpoint& kept) {
@@ -154,7 +154,7 @@
 
 void BatchRun::finish(ItemIndex item, ResultState outcome) {
   ItemProgress& progress = progress_[item];
-  if (progress.state == ItemState::kFinished || progress.state == ItemState::kListed) return;
+  if (progress.state == ItemState::kFinished || progress.state == ItemState::kAppended) return;
   progress.state = ItemState::kFinished;
   progress.outcome = outcome;
   onItemClosed(item);
@@ -269,13 +269,13 @@
   return result;
 }
 
-void BatchRun::onListed(ItemIndex item) {
+void BatchRun::onAppended(ItemIndex item) {
   ItemProgress& progress = progress_[item];
-  if (progress.state == ItemState::kListed) return;
-  progress.state = ItemState::kListed;
+  if (progress.state == ItemState::kAppended) return;
+  progress.state = ItemState::kAppended;
   progress.text = std::string();
   std::erase(finished_, item);
-  ++listed_;
+  ++appended_;
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -27,7 +27,7 @@
   kWhole,    ///< All of its text is there; its score is not.
   kScoring,  ///< The same, and its reward request is under way.
   kFinished,
-  kListed,
+  kAppended,
 };
 
 /// Invariant: `text` holds exactly the data of events 1 to `last_event`, each once, made under
@@ -65,8 +65,8 @@
   const ItemProgress& progress(ItemIndex item) const { return progress_[item]; }
   void setRules(const RunRules& rules) { rules_ = rules; }
 
-  /// An item that was listed before this daemon took the job over.
-  void onAlreadyListed(ItemIndex item);
+  /// An item that was appended before this daemon took the job over.
+  void onAlreadyAppended(ItemIndex item);
 
   /// Text that an earlier owner kept; taken if its versions fit and the item has less.
   /// @return whether an attempt that runs is of no use any more: it must be stopped.
@@ -81,7 +81,7 @@
   bool stepWhole() const;
   /// @return whether readers should be shown at once what there is.
   bool releaseUrgent() const;
-  /// @return bytes of the texts that are finished and not listed.
+  /// @return bytes of the texts that are finished and not appended.
   std::size_t finishedBytes() const;
 
   /// @return the waiting item that should start next, if any may start now.
@@ -122,16 +122,15 @@
   bool onTick(Instant now);
   void giveUpAll();
 
-  /// @return finished items that are not listed, in the order in which they finished.
+  /// @return finished items that are not appended, in the order in which they finished.
   const std::vector<ItemIndex>& finished() const { return finished_; }
   BatchResult result(ItemIndex item) const;
   /// The item stands at its position for good: its text is no longer needed.
-  void onListed(ItemIndex item);
-  std::size_t listedCount() const { return listed_; }
-  bool allListed() const { return listed_ == progress_.size(); }
+  void onAppended(ItemIndex item);
+  bool allAppended() const { return appended_ == progress_.size(); }
 
  private:
-  /// Invariant: `open` is the number of its items that are neither finished nor listed.
+  /// Invariant: `open` is the number of its items that are neither finished nor appended.
   struct Group {
     std::size_t open = 0;
     bool reused = false;  ///< An earlier job had it already.
@@ -150,8 +149,8 @@
   std::vector<Group> groups_;
   std::vector<std::size_t> group_of_;  ///< Index into `groups_`, by item.
   std::vector<ItemIndex> order_;       ///< Most urgent first.
-  std::vector<ItemIndex> finished_;    ///< Not listed yet.
-  std::size_t listed_ = 0;
+  std::vector<ItemIndex> finished_;    ///< Not appended yet.
+  std::size_t appended_ = 0;
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -100,7 +100,7 @@
 
   /// @return whether readers wait here for results to be released.
   bool hasWaitingReaders() const { return reader_.hasWaitingReaders(); }
-  /// @return whether this daemon owns jobs that are not wholly listed.
+  /// @return whether this daemon owns jobs that are not ended.
   bool ownsAny() const { return ownership_.ownsAny(); }
   /// @return the work of jobs under way at any daemon.
   versions::open_work_by_model openWork() const;
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Batch jobs: many requests handed in together, run afterwards, and listed one by one at positions
-/// that never change.
+/// Batch jobs: many requests handed in together, run afterwards, and appended one by one at
+/// positions that never change.
 
 #include <cstdint>
 #include <optional>
@@ -78,7 +78,7 @@
   std::size_t body_rows = 0;  ///< That hold the job as handed in; 0: an object does.
   std::size_t released = 0;   ///< Results that readers are shown; those behind are kept back.
   bool ended = false;
-  bool begun = false;            ///< An owner may have listed or kept something already.
+  bool begun = false;            ///< An owner may have appended or kept something already.
   std::int64_t accepted_ms = 0;  ///< By the store's clock.
 };
 
--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Text of items that are not listed, for whoever goes on with them. It is kept in parts: each holds
- * what was added since the one before, so that a long text is not written again and again.
+ * Text of items that are not appended, for whoever goes on with them. It is kept in parts: each
+ * holds what was added since the one before, so that a long text is not written again and again.
  */
 
 #include <optional>
@@ -18,7 +18,7 @@
   std::uint64_t last_event = 0;
   std::set<WeightVersion> versions;        ///< That made the text's events.
   std::string text;                        ///< Data of the events up to `last_event`.
-  bool finished = false;                   ///< The text is whole, but was not listed.
+  bool finished = false;                   ///< The text is whole, but was not appended.
   std::optional<reward_score> score = {};  ///< Of a whole text.
   /// The text begins behind this event, as an addition to what an earlier part has; 0: it is all.
   std::uint64_t after_event = 0;
--- a/src/gateway/batch/checkpoint_log.cpp
+++ b/src/gateway/batch/checkpoint_log.cpp
@@ -16,7 +16,7 @@
 }
 
 bool isWorthKeeping(const ItemProgress& progress) {
-  if (progress.state == ItemState::kListed) return false;
+  if (progress.state == ItemState::kAppended) return false;
   if (isWhole(progress)) return progress.outcome == ResultState::kCompleted;
   return progress.last_event >= kFewestEventsKept;
 }
--- a/src/gateway/batch/checkpoint_log.h
+++ b/src/gateway/batch/checkpoint_log.h
@@ -25,8 +25,9 @@
 
 class checkpoint_log {
  public:
-  /** @return what the texts of items that are not listed have gained; all of them in the first part
-   * and, now and then, later, since whoever reads them reads all parts from the last whole one on.
+  /** @return what the texts of items that are not appended have gained; all of them in the first
+   * part and, now and then, later, since whoever reads them reads all parts from the last whole one
+   * on.
    */
   checkpoint_part next(const BatchRun& run) const;
 
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -57,7 +57,7 @@
   Duration pause = this->deps_.options.checkpoint_gap;
   for (;;) {
     co_await sleepFor(this->deps_.loop, pause);
-    if (active->stopped || active->run.allListed()) co_return;
+    if (active->stopped || active->run.allAppended()) co_return;
     const Instant begun = steadyNow();
     co_await this->write(active, Need::kIfMuchIsNew);
     // A store that is slow has results and renewals to take first.
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Reward requests: a text that is whole is scored before it is listed.
+ * Reward requests: a text that is whole is scored before it is appended.
  */
 
 #include <functional>
--- a/src/gateway/batch/job_activation.cpp
+++ b/src/gateway/batch/job_activation.cpp
@@ -15,12 +15,12 @@
 void restore(active_job& active, const StoredProgress& progress) {
   const std::size_t items = active.run.job().items.size();
   for (const StoredResult& each : progress.results) {
-    if (each.item_index < items) active.run.onAlreadyListed(each.item_index);
-    active.listed.push_back(each);
+    if (each.item_index < items) active.run.onAlreadyAppended(each.item_index);
+    active.appended.push_back(each);
   }
-  active.released = std::min(active.record.released, active.listed.size());
-  for (std::size_t i = active.released; i < active.listed.size(); ++i) {
-    active.held_back_bytes += active.listed[i].encoded.size();
+  active.released = std::min(active.record.released, active.appended.size());
+  for (std::size_t i = active.released; i < active.appended.size(); ++i) {
+    active.held_back_bytes += active.appended[i].encoded.size();
   }
   active.checkpoint_first_row = progress.checkpoint.first_row;
   active.checkpoint_next_row = progress.checkpoint.next_row;
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -61,10 +61,10 @@
       .text("batch", job.record.id.str())
       .text("reason", reason)
       .number("revision", static_cast<std::int64_t>(job.revision))
-      .number("listed", static_cast<std::int64_t>(job.active->listed.size()));
+      .number("listed", static_cast<std::int64_t>(job.active->appended.size()));
   if (!job.record.ended) ++this->deps_.counts.lost;
   job.active->stop(steadyNow());
-  if (!job.record.ended || job.active->run.allListed()) return;
+  if (!job.record.ended || job.active->run.allAppended()) return;
   // Its unfinished groups may come again in a later job.
   job.active->fence = job.revision;
   const active_job_ptr active = job.active;
--- a/src/gateway/batch/job_reader.cpp
+++ b/src/gateway/batch/job_reader.cpp
@@ -74,10 +74,10 @@
   const active_job& active = *job->active;
   const std::size_t published = this->publishedOf(id);
   // A job that was taken by another daemon may have more results than are known here.
-  if (active.listed.size() < published) return false;
+  if (active.appended.size() < published) return false;
   for (std::size_t i = page.next(); i < published && page.bytes < this->deps_.options.page_bytes;
        ++i) {
-    page.add(active.listed[i]);
+    page.add(active.appended[i]);
   }
   return true;
 }
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -42,12 +42,12 @@
                        [this](const BatchItem& item) { return wanted.contains(item.id); });
   }
 
-  /** @param texts of the earlier job's items that are not listed.
-   * @param listed its results; those of wanted items count as texts, too.
+  /** @param texts of the earlier job's items that are not appended.
+   * @param appended its results; completed ones of wanted items count as texts, too.
    */
-  void add(const BatchJob& earlier, Checkpoint texts, const std::vector<StoredResult>& listed,
+  void add(const BatchJob& earlier, Checkpoint texts, const std::vector<StoredResult>& appended,
            const BatchCodec& codec) {
-    for (const StoredResult& result : listed) {
+    for (const StoredResult& result : appended) {
       if (result.item_index >= earlier.items.size()) continue;
       const BatchItem& item = earlier.items[result.item_index];
       if (!wanted.contains(item.id)) continue;
@@ -92,7 +92,7 @@
     const BatchJob& job = active->run.job();
     if (!search->sharesItems(job)) return;
     const Checkpoint texts = checkpoint_log{}.next(active->run).texts;
-    search->add(job, texts, active->listed, this->deps_.codec);
+    search->add(job, texts, active->appended, this->deps_.codec);
     return;
   }
   ++search->unanswered;
--- a/src/gateway/batch/partial_results.h
+++ b/src/gateway/batch/partial_results.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Groups that a trainer hands in again because an earlier job ended before they were complete. A job
- * waits for every one of them, and may go on with the text that they had so far. Pure.
+ * Groups that a trainer hands in again because an earlier job ended before they were complete. A
+ * job waits for every one of them, and may go on with the text that they had so far. Pure.
  */
 
 #include <map>
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -28,7 +28,7 @@
 }
 
 Instant result_writer::nextPublishAt(const active_job& active, Instant now) const {
-  const bool held_back = active.released < active.listed.size() || !active.run.finished().empty();
+  const bool held_back = active.released < active.appended.size() || !active.run.finished().empty();
   if (!held_back) return now + kIdleWait;
   return active.schedule.releaseAt(now, this->publishUrgent(active));
 }
@@ -59,7 +59,7 @@
   if (!active->stopped) {
     LogEvent("batch", "job_listed")
         .text("batch", active->record.id.str())
-        .number("results", static_cast<std::int64_t>(active->listed.size()));
+        .number("results", static_cast<std::int64_t>(active->appended.size()));
     active->stop(steadyNow());
   }
 }
@@ -67,7 +67,7 @@
 void result_writer::preparePending(active_job& active, Instant now) const {
   const BatchOptions& options = this->deps_.options;
   active_job::Pending& pending = active.pending;
-  pending.position = active.listed.size();
+  pending.position = active.appended.size();
   std::size_t bytes = 0;
   for (const ItemIndex item : active.run.finished()) {
     if (pending.results.size() >= options.write_rows || bytes >= options.write_bytes) break;
@@ -132,9 +132,9 @@
   for (std::size_t i = 0; i < pending.items.size(); ++i) {
     const bool completed = active.run.progress(pending.items[i]).outcome == ResultState::kCompleted;
     ++(completed ? this->deps_.counts.completed : this->deps_.counts.terminated);
-    active.run.onListed(pending.items[i]);
+    active.run.onAppended(pending.items[i]);
     active.held_back_bytes += pending.results[i].encoded.size();
-    active.listed.push_back(std::move(pending.results[i]));
+    active.appended.push_back(std::move(pending.results[i]));
   }
   const std::optional<std::size_t> publish = pending.release;
   pending = active_job::Pending{};
--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -118,13 +118,14 @@
 
 Test(batch_run, listed_items_stay_listed) {
   BatchRun run(job(), rules());
-  run.onAlreadyListed(2);
+  run.onAlreadyAppended(2);
   cr_assert_eq(*run.nextToStart(kStart), 1U);
   run.onStarted(kStart, 1, kEngine);
   run.onEvent(kStart, 1, 1, "x", 3);
   run.onCompleted(kStart, 1);
-  run.onListed(1);
-  cr_assert_eq(run.listedCount(), 2U);
+  run.onAppended(1);
+  cr_assert(run.progress(1).state == batch::ItemState::kAppended);
+  cr_assert(run.progress(2).state == batch::ItemState::kAppended);
   run.giveUpAll();
   cr_assert_eq(run.finished().size(), 2U, "listed items are not given up");
 }
--- a/tests/gateway/batch/checkpoint_log_test.cpp
+++ b/tests/gateway/batch/checkpoint_log_test.cpp
@@ -118,6 +118,6 @@
   BatchRun run = runOf(1);
   addEvents(run, 0, 1, 6);
   run.onCompleted(kStart, 0);
-  run.onListed(0);
+  run.onAppended(0);
   cr_assert(checkpoint_log{}.next(run).texts.empty());
 }
