--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -13,7 +13,7 @@
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/checkpoint_log.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/listing_schedule.h"
+#include "gateway/batch/result_schedule.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/http/http_types.h"
 
@@ -21,36 +21,36 @@
 
 struct active_job {
   active_job(boost::asio::io_context& loop, JobRecord job_record, BatchJob job, RunRules rules,
-             listing_times times)
+             result_times times)
       : record(std::move(job_record)),
         run(std::move(job), rules),
         schedule(steadyNow(), times),
         finished(loop),
-        released_changed(loop) {}
+        published_changed(loop) {}
 
   /// An append that was sent; it stays as it is until the store has settled it.
   struct Pending {
     std::size_t position = 0;
     std::vector<ItemIndex> items;
     std::vector<StoredResult> results;
-    std::optional<std::size_t> release;  ///< Results that readers are shown then.
+    std::optional<std::size_t> publish;  ///< Results that readers are shown then.
 
-    bool empty() const { return results.empty() && !release; }
+    bool empty() const { return results.empty() && !publish; }
   };
 
   JobRecord record;
   Revision fence = 0;  ///< Revision of the job's row under which this daemon owns it.
   BatchRun run;
-  listing_schedule schedule;
+  result_schedule schedule;
   Instant accepted_at{};               ///< By this daemon's clock.
   std::vector<StoredResult> appended;  ///< By position; all in the store.
-  std::size_t released = 0;            ///< Those of them that readers are shown.
+  std::size_t published = 0;           ///< Those of them that readers are shown.
   std::size_t held_back_bytes = 0;     ///< Of those that they are not.
   Pending pending;
   std::map<ItemIndex, std::shared_ptr<forward::EngineCall>> calls;    ///< By the item they run.
   std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;  ///< Reward requests.
-  Signal finished;          ///< There is something to list, or the job stops.
-  Signal released_changed;  ///< `released` has grown, or the job stops.
+  Signal finished;           ///< There is something to list, or the job stops.
+  Signal published_changed;  ///< `published` has grown, or the job stops.
   checkpoint_log kept_texts;
   std::size_t checkpoint_first_row = 0;  ///< Of the last whole part, or of what was inherited.
   std::size_t checkpoint_next_row = 0;
@@ -81,12 +81,12 @@
         .milliseconds("took_ms", steadyNow() - accepted_at);
   }
 
-  void noteReleased() {
+  void notePublished() {
     if (published_noted || !run.stepWhole()) return;
     published_noted = true;
     logging::LogEvent("batch", "step_listed")
         .text("batch", record.id.str())
-        .number("results", static_cast<std::int64_t>(released))
+        .number("results", static_cast<std::int64_t>(published))
         .milliseconds("took_ms", steadyNow() - accepted_at);
   }
 
@@ -97,7 +97,7 @@
     for (const auto& [item, call] : calls) call->abort();
     for (const auto& [item, cancellation] : scorings) cancellation->request();
     finished.notifyAll();
-    released_changed.notifyAll();
+    published_changed.notifyAll();
   }
 };
 
--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -8,7 +8,7 @@
 #include <cstdint>
 
 #include "common/time.h"
-#include "gateway/batch/listing_schedule.h"
+#include "gateway/batch/result_schedule.h"
 #include "gateway/batch/run_move_rules.h"
 #include "gateway/batch/run_timeouts.h"
 #include "gateway/batch/runs_leaving.h"
@@ -20,14 +20,14 @@
   run_timeouts timeouts;
   Duration refused_pause = std::chrono::milliseconds(40);
   Duration broken_pause{};
-  listing_times listing;
+  result_times results;
   Duration checkpoint_gap = std::chrono::milliseconds(500);
   std::uint64_t checkpoint_events = 10;  ///< Fewer new ones are not worth a checkpoint.
   Duration store_pause = std::chrono::milliseconds(150);  ///< Before a write is sent again.
-  /// Of a reader that waits while the feed of jobs does not say what is released.
+  /// Of a reader that waits while the feed of jobs does not say what is published.
   Duration poll_gap = std::chrono::milliseconds(100);
   /// Of a reader that waits elsewhere than at the owner: it reads what is held back in the
-  /// meantime, so that little is left to read when it is released.
+  /// meantime, so that little is left to read when it is published.
   Duration read_ahead_gap = std::chrono::milliseconds(300);
   Duration accept_time = std::chrono::milliseconds(2500);
   Duration end_time = std::chrono::milliseconds(3500);
@@ -53,7 +53,7 @@
   std::size_t write_bytes = 640 * 1024;
   /// Results that are held back for longer are more than one page, which a trainer reads half a
   /// second apart.
-  std::size_t release_bytes = 640 * 1024;
+  std::size_t publish_bytes = 640 * 1024;
   /// The store takes 100 entries a write: the condition on the job's row, and a value each.
   std::size_t write_rows = 96;
 };
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -62,7 +62,7 @@
   return whole >= std::min(wanted, groups_.size());
 }
 
-bool BatchRun::releaseUrgent() const {
+bool BatchRun::publishUrgent() const {
   if (job_.desired_groups == 0 || stepWhole() || allAppended()) return true;
   return std::any_of(finished_.begin(), finished_.end(), [this](ItemIndex item) {
     return progress_[item].outcome == ResultState::kTerminated;
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -80,7 +80,7 @@
   /// @return whether every group that the trainer waits for is whole.
   bool stepWhole() const;
   /// @return whether readers should be shown at once what there is.
-  bool releaseUrgent() const;
+  bool publishUrgent() const;
   /// @return bytes of the texts that are finished and not appended.
   std::size_t finishedBytes() const;
 
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -98,7 +98,7 @@
   void onRecordRow(const JobId& id, const table::Row& row) { jobs_.onRow(id, row); }
   void onRecordGone(const JobId& id) { jobs_.onRemoved(id); }
 
-  /// @return whether readers wait here for results to be released.
+  /// @return whether readers wait here for results to be published.
   bool hasWaitingReaders() const { return reader_.hasWaitingReaders(); }
   /// @return whether this daemon owns jobs that are not ended.
   bool ownsAny() const { return ownership_.ownsAny(); }
--- a/src/gateway/batch/job_activation.cpp
+++ b/src/gateway/batch/job_activation.cpp
@@ -18,8 +18,8 @@
     if (each.item_index < items) active.run.onAlreadyAppended(each.item_index);
     active.appended.push_back(each);
   }
-  active.released = std::min(active.record.released, active.appended.size());
-  for (std::size_t i = active.released; i < active.appended.size(); ++i) {
+  active.published = std::min(active.record.published, active.appended.size());
+  for (std::size_t i = active.published; i < active.appended.size(); ++i) {
     active.held_back_bytes += active.appended[i].encoded.size();
   }
   active.checkpoint_first_row = progress.checkpoint.first_row;
@@ -49,7 +49,7 @@
                               Instant accepted_at) {
   known_job& job = this->deps_.jobs.obtain(id);
   const auto active = std::make_shared<active_job>(this->deps_.loop, job.record, std::move(parsed),
-                                                   RunRules{}, this->deps_.options.listing);
+                                                   RunRules{}, this->deps_.options.results);
   job.active = active;
   active->fence = job.revision;
   active->accepted_at = accepted_at;
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -210,7 +210,7 @@
 // --- Residency ----------------------------------------------------------------------------------
 
 bool job_ownership::settleResidency(const JobId& id, known_job& job) {
-  const bool open = !job.record.ended && job.record.released < job.record.total;
+  const bool open = !job.record.ended && job.record.published < job.record.total;
   if (!open || job.activating || this->stopping_ || job.record.owner != this->deps_.leases.own())
     return true;
   const std::optional<fleet::data_residency> residency = this->deps_.residency.of(job.record);
@@ -249,7 +249,7 @@
 }
 
 void job_ownership::noteAwaitsResidency(Instant now, const JobId& id, known_job& job) {
-  const bool open = job.record.released < job.record.total;
+  const bool open = job.record.published < job.record.total;
   if (!open || now - job.orphaned_at < kResidencySilence) return;
   ++this->awaiting_residency_;
   if (now < this->next_wait_line_) return;
--- a/src/gateway/batch/job_reader.cpp
+++ b/src/gateway/batch/job_reader.cpp
@@ -64,8 +64,8 @@
   const known_job* job = this->deps_.jobs.find(id);
   if (job == nullptr) return 0;
   // The feed may show a publish before the answer to its write does.
-  if (job->active && !job->active->stopped) return job->active->released;
-  return job->record.released;
+  if (job->active && !job->active->stopped) return job->active->published;
+  return job->record.published;
 }
 
 bool job_reader::readFromMemory(const JobId& id, read_ahead& page) const {
@@ -98,7 +98,7 @@
   }
   known_job& job = *at;
   if (job.active && !job.active->stopped) {
-    co_await job.active->released_changed.waitFor(limit);
+    co_await job.active->published_changed.waitFor(limit);
     co_return;
   }
   if (!job.changed) job.changed = std::make_shared<Signal>(this->deps_.loop);
@@ -147,7 +147,7 @@
   read_ahead page{position, {}, 0};
   for (;;) {
     const std::size_t published =
-        this->deps_.jobs.find(id) == nullptr ? record->released : this->publishedOf(id);
+        this->deps_.jobs.find(id) == nullptr ? record->published : this->publishedOf(id);
     const bool from_memory = this->readFromMemory(id, page);
     if (!from_memory && page.next() < record->total) {
       const bool read = co_await this->readFromStore(id, page);
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -49,7 +49,7 @@
                    {"tenant", record.tenant.str()},
                    {"total", record.total},
                    {"body_rows", record.body_rows},
-                   {"released", record.released},
+                   {"released", record.published},
                    {"ended", record.ended},
                    {"begun", record.begun},
                    {"accepted_ms", record.accepted_ms}};
@@ -75,7 +75,7 @@
     }
     record.total = document.at("total").get<std::size_t>();
     record.body_rows = document.value("body_rows", std::size_t{0});
-    record.released = document.value("released", std::size_t{0});
+    record.published = document.value("released", std::size_t{0});
     record.ended = document.at("ended").get<bool>();
     record.begun = document.value("begun", true);
     record.accepted_ms = document.at("accepted_ms").get<std::int64_t>();
@@ -184,11 +184,11 @@
 
 Task<FencedAnswer> JobStore::append(JobId id, Revision fence, std::size_t position,
                                     std::vector<StoredResult> results,
-                                    std::optional<JobRecord> release) {
+                                    std::optional<JobRecord> publish) {
   const std::string job_key = jobKey(id);
   table::Write write;
   write.transaction.checks.push_back({job_key, fence});
-  if (release) write.transaction.puts.push_back({job_key, encodeRecord(*release)});
+  if (publish) write.transaction.puts.push_back({job_key, encodeRecord(*publish)});
   for (const StoredResult& result : results) {
     std::string value = std::to_string(result.item_index);
     if (result.encoded.size() + value.size() + 1 <= row_bytes_) {
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -10,7 +10,7 @@
 ///   owner's revision;
 /// - results: a row a position, written only while the job's row has the owner's revision and the
 ///   position is empty. So a position has one content for ever, whoever believes to be the owner.
-///   Readers are shown those that the job's row releases.
+///   Readers are shown those that the job's row publishes.
 
 #include <memory>
 
@@ -96,10 +96,10 @@
   Task<CallResult<table::Row>> getRecord(JobId id);
 
   /// Appends results from `position` on under the fence.
-  /// @param release the job's row with what readers are shown from then on, in the same write: it
+  /// @param publish the job's row with what readers are shown from then on, in the same write: it
   ///     gets a new revision, which is the fence then.
   Task<FencedAnswer> append(JobId id, Revision fence, std::size_t position,
-                            std::vector<StoredResult> results, std::optional<JobRecord> release);
+                            std::vector<StoredResult> results, std::optional<JobRecord> publish);
   /// @return how much of a part of a checkpoint a row takes, in bytes.
   std::size_t rowBytes() const { return row_bytes_; }
   /// Keeps what unfinished items have so far.
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -24,13 +24,14 @@
 }
 
 bool result_writer::publishUrgent(const active_job& active) const {
-  return active.run.releaseUrgent() || active.held_back_bytes >= this->deps_.options.release_bytes;
+  return active.run.publishUrgent() || active.held_back_bytes >= this->deps_.options.publish_bytes;
 }
 
 Instant result_writer::nextPublishAt(const active_job& active, Instant now) const {
-  const bool held_back = active.released < active.appended.size() || !active.run.finished().empty();
+  const bool held_back =
+      active.published < active.appended.size() || !active.run.finished().empty();
   if (!held_back) return now + kIdleWait;
-  return active.schedule.releaseAt(now, this->publishUrgent(active));
+  return active.schedule.publishAt(now, this->publishUrgent(active));
 }
 
 Instant result_writer::nextAppendAt(const active_job& active, Instant now) const {
@@ -40,7 +41,7 @@
 }
 
 Task<void> result_writer::appendLoop(active_job_ptr active) {
-  while (!active->stopped && active->released < active->run.job().items.size()) {
+  while (!active->stopped && active->published < active->run.job().items.size()) {
     if (active->pending.empty()) {
       const Instant now = steadyNow();
       const Instant due = this->nextAppendAt(*active, now);
@@ -79,7 +80,7 @@
   // What one write does not take follows at once; readers are shown all of it together.
   const bool takes_all = pending.items.size() == active.run.finished().size();
   if (takes_all && this->nextPublishAt(active, now) <= now) {
-    pending.release = pending.position + pending.results.size();
+    pending.publish = pending.position + pending.results.size();
   }
 }
 
@@ -88,10 +89,10 @@
   const JobId id = active->record.id;
   const Revision fence = active->fence;
   std::optional<JobRecord> publish;
-  if (pending.release) {
+  if (pending.publish) {
     const known_job* job = this->deps_.jobs.find(id);
     publish = job == nullptr ? active->record : job->record;
-    publish->released = *pending.release;
+    publish->published = *pending.publish;
     publish->begun = true;
   }
   const FencedAnswer answer =
@@ -123,7 +124,7 @@
   if (answer.outcome != FencedOutcome::kFenceLost || !answer.current) return false;
   const auto record = decodeRecord(active.record.id, answer.current->value);
   if (!record || record->ended || record->owner != this->deps_.leases.own()) return false;
-  return active.pending.release && record->released == *active.pending.release;
+  return active.pending.publish && record->published == *active.pending.publish;
 }
 
 void result_writer::onPendingWritten(active_job& active) {
@@ -136,15 +137,15 @@
     active.held_back_bytes += pending.results[i].encoded.size();
     active.appended.push_back(std::move(pending.results[i]));
   }
-  const std::optional<std::size_t> publish = pending.release;
+  const std::optional<std::size_t> publish = pending.publish;
   pending = active_job::Pending{};
   active.schedule.onAppended(now);
   if (!publish) return;
-  active.released = *publish;
+  active.published = *publish;
   active.held_back_bytes = 0;
-  active.schedule.onReleased(now);
-  active.noteReleased();
-  active.released_changed.notifyAll();
+  active.schedule.onPublished(now);
+  active.notePublished();
+  active.published_changed.notifyAll();
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/result_writer.h
+++ b/src/gateway/batch/result_writer.h
@@ -2,7 +2,7 @@
 
 /** @file
  * Appends finished items of owned jobs to their results, and publishes results to readers. When is
- * decided by `listing_schedule`; this class carries it out and goes on until the store has settled
+ * decided by `result_schedule`; this class carries it out and goes on until the store has settled
  * each write.
  */
 
--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -201,18 +201,18 @@
   BatchJob one_group = job();
   one_group.desired_groups = 1;
   BatchRun run(one_group, rules());
-  cr_assert_not(run.releaseUrgent(), "nothing is finished");
+  cr_assert_not(run.publishUrgent(), "nothing is finished");
   finishItem(run, 0);
-  cr_assert_not(run.releaseUrgent());
+  cr_assert_not(run.publishUrgent());
   finishItem(run, 1);
-  cr_assert(run.releaseUrgent(), "the group is whole");
+  cr_assert(run.publishUrgent(), "the group is whole");
   BatchRun given_up(one_group, rules());
   given_up.onStarted(kStart, 3, kEngine);
   given_up.onRejected(3);
-  cr_assert(given_up.releaseUrgent());
+  cr_assert(given_up.publishUrgent());
   BatchRun without_step(job(), rules());
   finishItem(without_step, 0);
-  cr_assert(without_step.releaseUrgent(), "nobody waits for groups");
+  cr_assert(without_step.publishUrgent(), "nobody waits for groups");
 }
 
 Test(batch_run, a_kept_text_of_one_version_fits_a_single_version_route) {
--- a/tests/gateway/batch/listing_schedule_test.cpp
+++ b/tests/gateway/batch/result_schedule_test.cpp
@@ -1,9 +1,9 @@
-#include "gateway/batch/listing_schedule.h"
+#include "gateway/batch/result_schedule.h"
 
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using batch::listing_schedule;
+using batch::result_schedule;
 
 namespace {
 constexpr Instant kBegun{std::chrono::seconds(50)};
@@ -12,49 +12,49 @@
 }  // namespace
 
 Test(listing_schedule, results_are_gathered_until_they_are_due) {
-  listing_schedule schedule(kBegun, {kGather});
+  result_schedule schedule(kBegun, {kGather});
   schedule.setDue(kBegun + 5 * kGather);
   const Instant now = kBegun + kMoment;
-  cr_assert(schedule.releaseAt(now, false) == kBegun + 5 * kGather);
-  cr_assert(schedule.releaseAt(now, true) == now);
-  schedule.onReleased(now);
-  cr_assert(schedule.releaseAt(now, false) == kBegun + 5 * kGather);
+  cr_assert(schedule.publishAt(now, false) == kBegun + 5 * kGather);
+  cr_assert(schedule.publishAt(now, true) == now);
+  schedule.onPublished(now);
+  cr_assert(schedule.publishAt(now, false) == kBegun + 5 * kGather);
 }
 
 Test(listing_schedule, results_without_a_due_time_are_gathered_unless_they_are_urgent) {
-  listing_schedule schedule(kBegun, {kGather});
+  result_schedule schedule(kBegun, {kGather});
   const Instant now = kBegun + kMoment;
-  cr_assert(schedule.releaseAt(now, false) == kBegun + kGather);
-  cr_assert(schedule.releaseAt(now, true) == now);
-  schedule.onReleased(now);
-  cr_assert(schedule.releaseAt(now, false) == now + kGather);
+  cr_assert(schedule.publishAt(now, false) == kBegun + kGather);
+  cr_assert(schedule.publishAt(now, true) == now);
+  schedule.onPublished(now);
+  cr_assert(schedule.publishAt(now, false) == now + kGather);
   const Instant late = now + 3 * kGather;
-  cr_assert(schedule.releaseAt(late, false) == late, "nothing is held back for longer");
+  cr_assert(schedule.publishAt(late, false) == late, "nothing is held back for longer");
 }
 
 Test(listing_schedule, what_is_finished_when_results_are_due_is_released_then) {
-  listing_schedule schedule(kBegun, {kGather});
+  result_schedule schedule(kBegun, {kGather});
   schedule.setDue(kBegun + kMoment);
-  cr_assert(schedule.releaseAt(kBegun, false) == kBegun + kMoment);
-  cr_assert(schedule.releaseAt(kBegun + 2 * kMoment, false) == kBegun + 2 * kMoment);
-  schedule.onReleased(kBegun + 2 * kMoment);
-  cr_assert(schedule.releaseAt(kBegun + 2 * kMoment, false) == kBegun + 2 * kMoment + kGather);
+  cr_assert(schedule.publishAt(kBegun, false) == kBegun + kMoment);
+  cr_assert(schedule.publishAt(kBegun + 2 * kMoment, false) == kBegun + 2 * kMoment);
+  schedule.onPublished(kBegun + 2 * kMoment);
+  cr_assert(schedule.publishAt(kBegun + 2 * kMoment, false) == kBegun + 2 * kMoment + kGather);
 }
 
 Test(listing_schedule, finished_items_are_appended_soon_whether_or_not_they_are_released) {
-  const batch::listing_times times;
-  listing_schedule schedule(kBegun, times);
+  const batch::result_times times;
+  result_schedule schedule(kBegun, times);
   schedule.setDue(kBegun + std::chrono::seconds(8));
   cr_assert(schedule.appendAt(kBegun, false) == kBegun + times.append_gap);
   cr_assert(schedule.appendAt(kBegun, true) == kBegun, "they fill an append");
   schedule.onAppended(kBegun + kMoment);
   cr_assert(schedule.appendAt(kBegun + kMoment, false) == kBegun + kMoment + times.append_gap);
-  cr_assert(schedule.releaseAt(kBegun + kMoment, false) == kBegun + std::chrono::seconds(8));
+  cr_assert(schedule.publishAt(kBegun + kMoment, false) == kBegun + std::chrono::seconds(8));
 }
 
 Test(listing_schedule, urgent_releases_keep_a_small_distance) {
-  const batch::listing_times times;
-  listing_schedule schedule(kBegun, times);
-  schedule.onReleased(kBegun);
-  cr_assert(schedule.releaseAt(kBegun, true) == kBegun + times.release_gap);
+  const batch::result_times times;
+  result_schedule schedule(kBegun, times);
+  schedule.onPublished(kBegun);
+  cr_assert(schedule.publishAt(kBegun, true) == kBegun + times.publish_gap);
 }
