--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -68,8 +68,8 @@
   }
 
   /// @param item that was finished last.
-  void noteWhole(ItemIndex item) {
-    if (complete_noted || !run.stepWhole()) return;
+  void noteComplete(ItemIndex item) {
+    if (complete_noted || !run.stepComplete()) return;
     complete_noted = true;
     logging::LogEvent("batch", "step_whole")
         .text("batch", record.id.str())
@@ -82,7 +82,7 @@
   }
 
   void notePublished() {
-    if (published_noted || !run.stepWhole()) return;
+    if (published_noted || !run.stepComplete()) return;
     published_noted = true;
     logging::LogEvent("batch", "step_listed")
         .text("batch", record.id.str())
--- a/src/gateway/batch/awaited_runs.cpp
+++ b/src/gateway/batch/awaited_runs.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::batch {
 
 std::vector<ItemIndex> awaitedRuns(const BatchRun& run, const length_estimate& lengths) {
-  if (run.stepWhole()) return {};
+  if (run.stepComplete()) return {};
   std::vector<std::pair<double, ItemIndex>> by_rest;
   for (ItemIndex item = 0; item < run.job().items.size(); ++item) {
     const ItemProgress& progress = run.progress(item);
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -52,7 +52,7 @@
       std::count_if(groups_.begin(), groups_.end(), [](const Group& each) { return each.reused; }));
 }
 
-bool BatchRun::stepWhole() const {
+bool BatchRun::stepComplete() const {
   std::size_t whole = 0;
   for (const Group& group : groups_) {
     if (group.open == 0) ++whole;
@@ -63,7 +63,7 @@
 }
 
 bool BatchRun::publishUrgent() const {
-  if (job_.desired_groups == 0 || stepWhole() || allAppended()) return true;
+  if (job_.desired_groups == 0 || stepComplete() || allAppended()) return true;
   return std::any_of(finished_.begin(), finished_.end(), [this](ItemIndex item) {
     return progress_[item].outcome == ResultState::kTerminated;
   });
@@ -96,7 +96,7 @@
   const std::optional<reward_request>& scorer = job_.items[item].scorer;
   const bool score_fits = kept.score && scorer && kept.score->request_id == scorer->id;
   if (kept.finished && score_fits) progress.score = kept.score->signature;
-  if (kept.finished) onTextWhole(item);
+  if (kept.finished) onTextComplete(item);
   return running;
 }
 
@@ -123,7 +123,7 @@
 }
 
 std::size_t BatchRun::unscored() const {
-  return countIn(ItemState::kWhole) + countIn(ItemState::kScoring);
+  return countIn(ItemState::kTextComplete) + countIn(ItemState::kScoring);
 }
 
 void BatchRun::onStarted(Instant now, ItemIndex item, const EngineId& engine) {
@@ -164,10 +164,10 @@
 void BatchRun::onCompleted(Instant now, ItemIndex item) {
   progress_[item].last_progress = now;
   --progress_[item].attempts_running;
-  onTextWhole(item);
+  onTextComplete(item);
 }
 
-void BatchRun::onTextWhole(ItemIndex item) {
+void BatchRun::onTextComplete(ItemIndex item) {
   ItemProgress& progress = progress_[item];
   const bool open = progress.state == ItemState::kWaiting || progress.state == ItemState::kRunning;
   if (!open) return;
@@ -175,14 +175,14 @@
     finish(item, ResultState::kCompleted);
     return;
   }
-  progress.state = ItemState::kWhole;
+  progress.state = ItemState::kTextComplete;
   progress.not_before = Instant{};
 }
 
 std::optional<ItemIndex> BatchRun::nextToScore(Instant now) const {
   for (const ItemIndex item : order_) {
     const ItemProgress& progress = progress_[item];
-    if (progress.state == ItemState::kWhole && now >= progress.not_before) return item;
+    if (progress.state == ItemState::kTextComplete && now >= progress.not_before) return item;
   }
   return std::nullopt;
 }
@@ -207,7 +207,7 @@
     finish(item, ResultState::kTerminated);
     return;
   }
-  progress.state = ItemState::kWhole;
+  progress.state = ItemState::kTextComplete;
   progress.not_before = now + pause;
 }
 
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -24,15 +24,15 @@
 enum class ItemState {
   kWaiting,
   kRunning,
-  kWhole,    ///< All of its text is there; its score is not.
-  kScoring,  ///< The same, and its reward request is under way.
+  kTextComplete,  ///< All of its text is there; its score is not.
+  kScoring,       ///< The same, and its reward request is under way.
   kFinished,
   kAppended,
 };
 
 /// Invariant: `text` holds exactly the data of events 1 to `last_event`, each once, made under
-/// `versions`, none below the job's minimum. `score` is set only for a whole text, and a completed
-/// item with a scorer has one.
+/// `versions`, none below the job's minimum. `score` is set only for a complete text, and a
+/// completed item with a scorer has one.
 struct ItemProgress {
   ItemState state = ItemState::kWaiting;
   int attempts_running = 0;
@@ -77,8 +77,8 @@
   /// @return the items whose running attempts must be stopped.
   std::vector<ItemIndex> onPartialResults(const partial_results& reused);
   std::size_t reusedGroups() const;
-  /// @return whether every group that the trainer waits for is whole.
-  bool stepWhole() const;
+  /// @return whether every group that the trainer waits for is complete.
+  bool stepComplete() const;
   /// @return whether readers should be shown at once what there is.
   bool publishUrgent() const;
   /// @return bytes of the texts that are finished and not appended.
@@ -96,7 +96,7 @@
   /// The attempt brought the item's end. The item is finished, or waits for its score.
   void onCompleted(Instant now, ItemIndex item);
 
-  /// @return a whole text whose reward request should be sent now, if any.
+  /// @return a complete text whose reward request should be sent now, if any.
   std::optional<ItemIndex> nextToScore(Instant now) const;
   void onScoringStarted(ItemIndex item);
   void onScored(ItemIndex item, std::string score);
@@ -137,7 +137,7 @@
   };
 
   void findGroups();
-  void onTextWhole(ItemIndex item);
+  void onTextComplete(ItemIndex item);
   std::size_t countIn(ItemState state) const;
   void orderItems();
   void onItemClosed(ItemIndex item) { --groups_[group_of_[item]].open; }
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -16,7 +16,7 @@
 
 namespace linenpier::batch {
 
-/** The request that scores an item's text once it is whole. */
+/** The request that scores an item's text once it is complete. */
 struct reward_request {
   std::string id;
   std::string host;
@@ -52,7 +52,7 @@
   std::vector<BatchItem> items;
   std::optional<std::uint64_t> step;
   WeightVersion minimum_version = 0;
-  std::size_t desired_groups = 0;  ///< Whole groups that the trainer waits for; 0: all.
+  std::size_t desired_groups = 0;  ///< Complete groups that the trainer waits for; 0: all.
 };
 
 enum class ResultState { kCompleted, kTerminated };
--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -18,8 +18,8 @@
   std::uint64_t last_event = 0;
   std::set<WeightVersion> versions;        ///< That made the text's events.
   std::string text;                        ///< Data of the events up to `last_event`.
-  bool finished = false;                   ///< The text is whole, but was not appended.
-  std::optional<reward_score> score = {};  ///< Of a whole text.
+  bool finished = false;                   ///< The text is complete, but was not appended.
+  std::optional<reward_score> score = {};  ///< Of a complete text.
   /// The text begins behind this event, as an addition to what an earlier part has; 0: it is all.
   std::uint64_t after_event = 0;
 
--- a/src/gateway/batch/checkpoint_log.cpp
+++ b/src/gateway/batch/checkpoint_log.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxParts = 16;
 
 bool isWhole(const ItemProgress& progress) {
-  return progress.state == ItemState::kFinished || progress.state == ItemState::kWhole ||
+  return progress.state == ItemState::kFinished || progress.state == ItemState::kTextComplete ||
          progress.state == ItemState::kScoring;
 }
 
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -168,7 +168,7 @@
   this->applyVerdict(now, run, verdict, status, events, course);
   const ItemState state = active.run.progress(run.item).state;
   if (state == ItemState::kFinished) active.finished.notifyAll();
-  active.noteWhole(run.item);
+  active.noteComplete(run.item);
   const bool success = verdict == AttemptVerdict::kAnswered && status < kFirstFailure;
   if (success && !this->sampler_.admit(now)) return;
   this->logAttempt(now, run, verdict, status, events, course);
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -107,7 +107,7 @@
     ++this->deps_.counts.scorings_failed;
   }
   if (active.run.progress(item).state == ItemState::kFinished) active.finished.notifyAll();
-  active.noteWhole(item);
+  active.noteComplete(item);
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Reward requests: a text that is whole is scored before it is appended.
+ * Reward requests: a text that is complete is scored before it is appended.
  */
 
 #include <functional>
@@ -34,7 +34,8 @@
 
   explicit item_scorer(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** Sends reward requests for the job's whole texts, as many as this daemon may have under way. */
+  /** Sends reward requests for the job's complete texts, as many as this daemon may have under way.
+   */
   void start(const active_job_ptr& active);
 
  private:
--- a/src/gateway/batch/result_schedule.h
+++ b/src/gateway/batch/result_schedule.h
@@ -5,10 +5,10 @@
  * Pure.
  *
  * Results are appended soon, in the background: that keeps them, and leaves little to write when
- * the step ends. A trainer can use its step only once enough groups are whole, and it reads again
- * and again until then. A read that finds nothing new waits at the daemon and hears of the step's
- * end at once; one that was answered with a part comes again later. So results are published when
- * the step is whole, or are due.
+ * the step ends. A trainer can use its step only once enough groups are complete, and it reads
+ * again and again until then. A read that finds nothing new waits at the daemon and hears of the
+ * step's end at once; one that was answered with a part comes again later. So results are published
+ * when the step is complete, or are due.
  */
 
 #include "common/time.h"
--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -160,10 +160,10 @@
   cr_assert_eq(*run.nextToStart(kStart), 2U, "the group that comes again");
   finishItem(run, 0);
   finishItem(run, 1);
-  cr_assert_not(run.stepWhole(), "one group is whole, but not the one that came again");
+  cr_assert_not(run.stepComplete(), "one group is whole, but not the one that came again");
   finishItem(run, 2);
   finishItem(run, 3);
-  cr_assert(run.stepWhole());
+  cr_assert(run.stepComplete());
 }
 
 Test(batch_run, text_of_a_group_that_comes_again_is_gone_on_with_if_its_versions_fit) {
@@ -249,7 +249,7 @@
 Test(batch_run, a_whole_text_is_finished_only_with_its_score) {
   BatchRun run = runWithWholeText();
   cr_assert(run.finished().empty());
-  cr_assert(run.progress(0).state == ItemState::kWhole);
+  cr_assert(run.progress(0).state == ItemState::kTextComplete);
   cr_assert_eq(*run.nextToScore(kStart), 0U);
   run.onScoringStarted(0);
   cr_assert_not(run.nextToScore(kStart).has_value());
@@ -288,13 +288,13 @@
 Test(batch_run, a_kept_whole_text_is_not_made_again_and_a_kept_score_not_asked_again) {
   BatchRun run(scoredJob(), rules());
   run.onCheckpoint(0, {0, 2, {3}, "one\ntwo", true});
-  cr_assert(run.progress(0).state == ItemState::kWhole);
+  cr_assert(run.progress(0).state == ItemState::kTextComplete);
   cr_assert_eq(*run.nextToScore(kStart), 0U);
   run.onCheckpoint(1, {1, 1, {3}, "one", true, batch::reward_score{"r-b", "kept"}});
   cr_assert(run.progress(1).state == ItemState::kFinished);
   cr_assert_eq(run.result(1).score, "kept");
   run.onCheckpoint(2, {2, 1, {3}, "one", true, batch::reward_score{"other", "kept"}});
-  cr_assert(run.progress(2).state == ItemState::kWhole, "another request earned that score");
+  cr_assert(run.progress(2).state == ItemState::kTextComplete, "another request earned that score");
   run.onCheckpoint(3, {3, 1, {2}, "old", true, batch::reward_score{"r-d", "kept"}});
   cr_assert(run.progress(3).state == ItemState::kWaiting, "its text is too old");
   cr_assert(run.progress(3).score.empty());
@@ -308,8 +308,8 @@
   run.onStarted(kStart, 0, kEngine);
   run.onEvent(kStart, 0, 1, "one", 3);
   run.onCompleted(kStart, 0);
-  cr_assert_not(run.stepWhole());
+  cr_assert_not(run.stepComplete());
   run.onScoringStarted(0);
   run.onScored(0, "signature");
-  cr_assert(run.stepWhole());
+  cr_assert(run.stepComplete());
 }
