--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -1,7 +1,11 @@
 #pragma once
 
-/// @file
-/// A job at its owner. Used within this folder only.
+/** @file
+ * A job at its owner: everything that works on it shares this. Used within this folder only.
+ *
+ * Held by shared pointers: each coroutine that works on the job keeps it alive, also after the job
+ * has stopped. Whoever goes on running the job checks `stopped` after each wait.
+ */
 
 #include <map>
 #include <memory>
@@ -19,10 +23,11 @@
 
 namespace linenpier::batch {
 
+/** Loop thread only. */
 struct active_job {
-  active_job(boost::asio::io_context& loop, JobRecord job_record, BatchJob job, RunRules rules,
+  active_job(boost::asio::io_context& loop, JobRecord row, BatchJob job, RunRules rules,
              result_times times)
-      : record(std::move(job_record)),
+      : record(std::move(row)),
         run(std::move(job), rules),
         schedule(steadyNow(), times),
         finished(loop),
--- a/src/gateway/batch/batch_codec.h
+++ b/src/gateway/batch/batch_codec.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// @file
-/// How batch jobs look to those who hand them in and read them. Implemented where the product meets
-/// its platform.
+/** @file
+ * How batch jobs look to those who hand them in and read them. Implemented by the platform.
+ */
 
 #include <optional>
 #include <string>
--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * What the batch service is set to, and what it counts.
+ * Options of batch jobs, and the counters that their metrics are made of.
  */
 
 #include <cstddef>
@@ -16,12 +16,12 @@
 namespace linenpier::batch {
 
 struct BatchOptions {
-  Duration connect_time = std::chrono::milliseconds(200);
+  Duration connect_time = std::chrono::milliseconds(200);  ///< To connect to an engine.
   run_timeouts timeouts;
-  Duration refused_pause = std::chrono::milliseconds(40);
-  Duration broken_pause{};
+  Duration refused_pause = std::chrono::milliseconds(40);  ///< Of an item that an engine rejected.
+  Duration broken_pause{};  ///< Of an item whose run was stopped or broken.
   result_times results;
-  Duration checkpoint_gap = std::chrono::milliseconds(500);
+  Duration checkpoint_gap = std::chrono::milliseconds(500);  ///< Between two checkpoints of a job.
   std::uint64_t checkpoint_events = 10;  ///< Fewer new ones are not worth a checkpoint.
   Duration store_pause = std::chrono::milliseconds(150);  ///< Before a write is sent again.
   /// Of a reader that waits while the feed of jobs does not say what is published.
@@ -29,7 +29,9 @@
   /// Of a reader that waits elsewhere than at the owner: it reads what is held back in the
   /// meantime, so that little is left to read when it is published.
   Duration read_ahead_gap = std::chrono::milliseconds(300);
+  /// From the receipt of a job until the store must have taken it.
   Duration accept_time = std::chrono::milliseconds(2500);
+  /// From the call that ends a job until the store must have taken that.
   Duration end_time = std::chrono::milliseconds(3500);
   /// Results of an ended job in memory. A trainer's next but one step, asked for some eight seconds
   /// later, may hold groups of it.
@@ -38,19 +40,20 @@
   Duration keep_jobs = std::chrono::seconds(120);
   /// Until daemons that did not own an ended job remove it.
   Duration removal_delay = std::chrono::seconds(30);
-  Duration removal_period = std::chrono::seconds(2);  ///< Between two looks for such jobs.
+  Duration removal_period = std::chrono::seconds(2);  ///< Between two polls for such jobs.
   /// What earlier jobs left is of little use to a job later.
   Duration reuse_timeout = std::chrono::seconds(2);
   /// Trainers ask for the next step while one or two are under way.
   std::size_t earlier_jobs = 3;
-  /// Items of open jobs that one daemon is given: four steps of the largest deployments' trainers.
-  /// Beyond that the events of all of them would take more than a small machine's processor.
+  /// Items of open jobs that one daemon is given: some four steps of a large trainer. Beyond that
+  /// the events of all of them would take more than a small machine's processor.
   std::size_t max_open_items = 1000;
+  /// Requests a slot that an engine may have, counting others', for items to start there.
   double requests_per_slot = 1.0;
   run_move_rules moves;
-  leaving_options leaving;  ///< Of closed zones.
-  std::size_t page_bytes = 900 * 1024;
-  std::size_t write_bytes = 640 * 1024;
+  leaving_options leaving;               ///< Of closed zones.
+  std::size_t page_bytes = 900 * 1024;   ///< Of results in one answer to a reader.
+  std::size_t write_bytes = 640 * 1024;  ///< Of results in one append.
   /// Results that are held back for longer are more than one page, which a trainer reads half a
   /// second apart.
   std::size_t publish_bytes = 640 * 1024;
@@ -63,8 +66,9 @@
   std::uint64_t refused = 0;
   std::uint64_t taken_over = 0;
   std::uint64_t lost = 0;
-  std::uint64_t refused_for_residency = 0;   ///< Of `refused`: no engine at home.
-  std::uint64_t given_up_for_residency = 0;  ///< Jobs given up since this daemon is not at home.
+  std::uint64_t refused_for_residency = 0;  ///< Of `refused`: no engine within residency.
+  std::uint64_t given_up_for_residency =
+      0;  ///< Jobs given up since this daemon is outside their residency.
   std::uint64_t ended = 0;
   std::uint64_t completed = 0;
   std::uint64_t terminated = 0;
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// @file
-/// The state of a job at its owner: which items wait, run, are finished, and which comes next.
-/// Pure; fed with what attempts did.
+/** @file
+ * The state of a job's items at its owner: which wait, run or are finished, and which comes next.
+ * Pure; fed with what attempts did.
+ */
 
 #include <vector>
 
@@ -44,7 +45,7 @@
   int failures = 0;
   std::string score;
   int score_failures = 0;
-  int late_starts = 0;  ///< Runs in a row that were left since no event came.
+  int late_starts = 0;  ///< Runs in a row that were stopped since no event came.
   Instant not_before{};
   Instant last_progress{};
   EngineId last_engine;
@@ -102,15 +103,15 @@
   void onScored(ItemIndex item, std::string score);
   /// No score came.
   /// @param failures answers to this request that said that scoring failed.
-  /// @param most_failures of all its requests after which the item is given up; 0: never.
+  /// @param max_failures of all its requests after which the item is given up; 0: never.
   void onNotScored(Instant now, ItemIndex item, int failures, int max_failures, Duration pause);
   std::size_t unscored() const;
 
-  /// A run was left since it brought no event in time.
+  /// A run was stopped since it brought no event in time.
   void onLateStart(ItemIndex item) { ++progress_[item].late_starts; }
   /// The attempt ended without it; the item goes on from what it has.
   void onInterrupted(Instant now, ItemIndex item, Duration pause);
-  /// The item must not run before `until`, since engines ended under it.
+  /// The item must not run before `until`, since engines crashed under it.
   void onHeld(ItemIndex item, Instant until) { progress_[item].not_before = until; }
   /// The engine ran the item and failed.
   void onFailed(Instant now, ItemIndex item);
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -1,32 +1,22 @@
 #include "gateway/batch/batch_service.h"
 
-#include <algorithm>
-
-#include "common/event_log.h"
 #include "gateway/batch/active_job.h"
 #include "gateway/batch/job_rules.h"
-#include "gateway/table/store_keys.h"
 
 namespace linenpier::batch {
 
-using logging::LogEvent;
-
 namespace {
-/// Between two looks at owned jobs: shorter than an event takes, so that a free slot is not left
-/// empty for long.
-constexpr Duration kTick = std::chrono::milliseconds(50);
-/// The same at a daemon that runs no job and is not the first to take one over. Each look wakes the
-/// process, in a large fleet on hundreds of machines.
-constexpr Duration kIdleTick = std::chrono::milliseconds(250);
+/// Poll interval: shorter than an event takes, so that a free slot is not left empty for long.
+constexpr Duration kPollInterval = std::chrono::milliseconds(50);
+/// The same at a daemon that owns no job and is not among those that take one over first: each poll
+/// wakes the process, in a large fleet on hundreds of machines.
+constexpr Duration kIdlePollInterval = std::chrono::milliseconds(250);
 /// A daemon that started just now may have to take up what its earlier life owned.
 constexpr Duration kStartTime = std::chrono::seconds(5);
-
 }  // namespace
 
-BatchService::~BatchService() = default;
-
 void BatchService::start() {
-  spawn(deps_.loop, [this] { return tickLoop(); });
+  spawn(deps_.loop, [this] { return pollLoop(); });
   removal_.start();
 }
 
@@ -35,12 +25,12 @@
   return job != nullptr && job->record.tenant.empty();
 }
 
-Task<void> BatchService::tickLoop() {
+Task<void> BatchService::pollLoop() {
   const Instant begun = steadyNow();
   for (;;) {
     const bool idle =
         !deps_.pool.offers() && !ownership_.ownsAny() && steadyNow() - begun > kStartTime;
-    co_await sleepFor(deps_.loop, idle ? kIdleTick : kTick);
+    co_await sleepFor(deps_.loop, idle ? kIdlePollInterval : kPollInterval);
     const Instant now = steadyNow();
     ownership_.checkOwners(now);
     for (auto& [id, job] : jobs_.all()) {
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -1,23 +1,20 @@
 #pragma once
 
-/// @file
-/// Batch jobs as a whole: takes them in, owns and runs some, answers for all, and takes over those
-/// whose owner is gone.
-///
-/// What may be relied on:
-/// - a job is accepted only after its object and its row are in the store;
-/// - a reader is shown only results that are in the store;
-/// - items are run by the owner alone, as far as it knows; positions are given only under the
-/// fence.
+/** @file
+ * The batch jobs of this daemon: composes the parts of this folder, and polls them.
+ *
+ * What callers may rely on:
+ * - a job is accepted only after it and its row are in the store (`job_acceptance`);
+ * - a reader is shown only results that are in the store (`job_reader`);
+ * - items are run by the owner alone, as far as it knows (`job_ownership`), and positions are given
+ *   only under the job's fence (`JobStore`).
+ */
 
-#include <boost/smart_ptr/intrusive_ptr.hpp>
 #include <functional>
-#include <map>
-#include <memory>
+#include <set>
 
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
-#include "gateway/batch/batch_run.h"
 #include "gateway/batch/checkpoint_writer.h"
 #include "gateway/batch/closed_zone_mover.h"
 #include "gateway/batch/item_pick.h"
@@ -33,7 +30,6 @@
 #include "gateway/batch/partial_result_reuse.h"
 #include "gateway/batch/result_writer.h"
 #include "gateway/batch/slow_run_mover.h"
-#include "gateway/fleet/data_residency.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/http/server.h"
@@ -46,7 +42,7 @@
 
 namespace linenpier::batch {
 
-/// Loop thread only.
+/** Owns every part, and the options that all of them read. Loop thread only. */
 class BatchService {
  public:
   struct Dependencies {
@@ -67,7 +63,6 @@
     jobs_.setListener(
         [this](const JobId& id, known_job& job) { ownership_.onJobChanged(id, job); });
   }
-  ~BatchService();
 
   void start();
   void setOptions(const BatchOptions& options) {
@@ -75,12 +70,11 @@
     closed_zone_mover_.setOptions(options.leaving);
   }
 
-  /// The job belongs to the tenant that hands it in.
+  /// See `job_acceptance` and `job_reader`.
   Task<void> submit(const routing::Route& route, tenants::caller from, const http::Request& request,
                     Instant received, http::ResponseWriter& writer) {
     return acceptance_.submit(route, std::move(from), request, received, writer);
   }
-  /// Calls about a job of another tenant are answered as if there were no such job.
   Task<void> readResults(JobId id, tenants::caller from, std::size_t position, Duration wait,
                          http::ResponseWriter& writer) {
     return reader_.readResults(std::move(id), std::move(from), position, wait, writer);
@@ -94,13 +88,13 @@
   /// @return whether this daemon knows the job as one that needs no key.
   bool isPublic(const JobId& id) const;
 
-  /// A job's row as the feed tells it.
+  /// A job's row, from the feed.
   void onRecordRow(const JobId& id, const table::Row& row) { jobs_.onRow(id, row); }
-  void onRecordGone(const JobId& id) { jobs_.onRemoved(id); }
+  void onRecordRemoved(const JobId& id) { jobs_.onRemoved(id); }
 
   /// @return whether readers wait here for results to be published.
   bool hasWaitingReaders() const { return reader_.hasWaitingReaders(); }
-  /// @return whether this daemon owns jobs that are not ended.
+  /// @return whether this daemon owns jobs that have not ended.
   bool ownsAny() const { return ownership_.ownsAny(); }
   /// @return the work of jobs under way at any daemon.
   versions::open_work_by_model openWork() const;
@@ -118,14 +112,14 @@
     std::size_t running = 0;
     std::size_t unscored = 0;
     std::size_t in_closed_zones = 0;     ///< Of those that run.
-    std::size_t awaiting_residency = 0;  ///< Jobs of anybody that nobody at home takes up.
+    std::size_t awaiting_residency = 0;  ///< Jobs of anybody that no daemon within residency takes.
   };
   Work work() const;
   /// @return runs of owned jobs at engines of the zone.
   std::size_t runsIn(const ZoneName& zone) const { return closed_zone_mover_.runsIn(zone); }
 
  private:
-  Task<void> tickLoop();
+  Task<void> pollLoop();
 
   Dependencies deps_;
   BatchOptions options_;
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// @file
-/// Batch jobs: many requests handed in together, run afterwards, and appended one by one at
-/// positions that never change.
+/** @file
+ * Batch jobs: many requests handed in together, run afterwards, whose results are appended one by
+ * one at positions that never change.
+ */
 
 #include <cstdint>
 #include <optional>
@@ -42,7 +43,7 @@
   GroupId group;
   ModelName model;                       ///< Empty: none named.
   double tokens = 0;                     ///< Of the prompt, plus the most that may come out.
-  std::uint64_t length_hint = 0;         ///< Expected tokens out; 0: not told.
+  std::uint64_t length_hint = 0;         ///< Expected tokens out; 0: not known.
   std::optional<reward_request> scorer;  ///< Absent: the text needs no score.
 };
 
--- a/src/gateway/batch/checkpoint_rows.cpp
+++ b/src/gateway/batch/checkpoint_rows.cpp
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-std::vector<std::string> toRows(const Checkpoint& part, std::size_t most) {
+std::vector<std::string> toRows(const Checkpoint& part, std::size_t max_bytes) {
   const std::string bytes = encodeCheckpoint(part);
-  const std::size_t room = most - kHeaderBytes;
+  const std::size_t room = max_bytes - kHeaderBytes;
   const std::size_t pieces = std::max<std::size_t>(1, (bytes.size() + room - 1) / room);
   std::vector<std::string> rows;
   rows.reserve(pieces);
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -14,7 +14,7 @@
 double expectedTokens(const BatchItem& item);
 
 /** What an item asks of an engine.
- * @param most_per_slot requests a slot that an engine may have, counting others'.
+ * @param max_per_slot requests a slot that an engine may have, counting others'.
  */
 engines::PickRequest pickRequestFor(const BatchRun& run, ItemIndex item,
                                     const routing::Route& route, const routing::RouteTable& table,
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -14,11 +14,11 @@
 /// Share of an engine's slots that reward requests may fill, so that callers find room …
 constexpr double kDefaultShare = 0.67;
 /// … unless one has waited for this long.
-constexpr Duration kTimeout = std::chrono::milliseconds(300);
-constexpr double kWholeShare = 1.0;
+constexpr Duration kPatientTime = std::chrono::milliseconds(300);
+constexpr double kFullShare = 1.0;
 constexpr Duration kFullPause = std::chrono::milliseconds(20);  ///< No engine had room.
-/// Of a reward request under which engines ended: it is looked at again, as others may clear it.
-constexpr Duration kMaxPause = std::chrono::seconds(1);
+/// Of a reward request under which engines crashed: it is polled, as another daemon may clear it.
+constexpr Duration kMaxSuspectPause = std::chrono::seconds(1);
 constexpr Duration kFailurePause = std::chrono::milliseconds(60);
 
 bool isSuccess(const forward::internal_outcome& outcome) {
@@ -62,8 +62,8 @@
   request.message = this->rewardRequest(scorer);
   request.tenant = active->record.tenant;
   request.limit = kRewardTime;
-  const bool patient = begun - active->run.progress(item).last_progress < kTimeout;
-  request.max_per_slot = patient ? kDefaultShare : kWholeShare;
+  const bool patient = begun - active->run.progress(item).last_progress < kPatientTime;
+  request.max_per_slot = patient ? kDefaultShare : kFullShare;
   request.cancellation = cancellation;
   const bool routed = request.route != nullptr;
   int max_failures = 0;
@@ -102,7 +102,7 @@
     ++this->deps_.counts.scored;
   } else {
     const Duration usual = outcome.attempts == 0 ? kFullPause : kFailurePause;
-    const Duration pause = std::max(usual, std::min(outcome.wait, kMaxPause));
+    const Duration pause = std::max(usual, std::min(outcome.wait, kMaxSuspectPause));
     active.run.onNotScored(steadyNow(), item, outcome.failures, max_failures, pause);
     ++this->deps_.counts.scorings_failed;
   }
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -41,7 +41,7 @@
  private:
   Task<void> scoreItem(active_job_ptr active, ItemIndex item,
                        std::shared_ptr<http::Cancellation> cancellation);
-  /** @param most_failures answers of 500 after which the item is given up. */
+  /** @param max_failures answers of 500 after which the item is given up. */
   void settleScoring(active_job& active, ItemIndex item, const forward::internal_outcome& outcome,
                      int max_failures);
   http::Request rewardRequest(const reward_request& scorer) const;
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -48,7 +48,7 @@
 }
 
 void job_ownership::resumeOwn(const JobId& id, known_job& job) {
-  // The next look settles whether this daemon is at home for it.
+  // The next poll settles whether this daemon may own it.
   job.resumes_within_residency = !this->deps_.residency.mayOwn(job.record);
   if (job.resumes_within_residency) return;
   job.activating = true;
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -1,16 +1,17 @@
 #pragma once
 
-/// @file
-/// What of a batch job lies in the store, and under which condition it is written.
-///
-/// - the job as handed in: rows that are written with the job's row, or an object that is written
-///   before it if the job is too large for one write;
-/// - the job's row: its revision is the fence of the owner. Written under its last revision;
-/// - checkpoints: the text of unfinished items, as rows that are added while the job's row has the
-///   owner's revision;
-/// - results: a row a position, written only while the job's row has the owner's revision and the
-///   position is empty. So a position has one content for ever, whoever believes to be the owner.
-///   Readers are shown those that the job's row publishes.
+/** @file
+ * What of a batch job lies in the store, and under which condition it is written.
+ *
+ * - the job as handed in: rows that are written with the job's row, or an object that is written
+ *   before it if the job is too large for one write;
+ * - the job's row: its revision is the fence of the owner. Written under its last revision;
+ * - checkpoints: the text of unfinished items, as rows that are added while the job's row has the
+ *   owner's revision;
+ * - results: a row a position, written only while the job's row has the owner's revision and the
+ *   position is empty. So a position has one content for ever, whoever takes itself for the owner.
+ *   Readers are shown those that the job's row publishes.
+ */
 
 #include <memory>
 
--- a/src/gateway/batch/length_estimate.h
+++ b/src/gateway/batch/length_estimate.h
@@ -12,7 +12,7 @@
 class length_estimate {
  public:
   /** An item made all of its events.
-   * @param hint expected tokens out; 0: not told.
+   * @param hint expected tokens out; 0: not known.
    */
   void onFinished(std::uint64_t hint, std::uint64_t events);
 
--- a/src/gateway/batch/moves_planned.h
+++ b/src/gateway/batch/moves_planned.h
@@ -14,7 +14,7 @@
 
 class moves_planned {
  public:
-  explicit moves_planned(std::size_t most) : left_(most) {}
+  explicit moves_planned(std::size_t max_moves) : left_(max_moves) {}
 
   bool exhausted() const { return this->left_ == 0; }
   /// @return engines that have no room beyond the moves planned.
--- a/src/gateway/batch/new_job_owner.h
+++ b/src/gateway/batch/new_job_owner.h
@@ -16,12 +16,12 @@
 namespace linenpier::batch {
 
 struct new_job_owner_inputs {
-  /// Live daemons that told what they can carry, best first.
+  /// Live daemons that offer to own jobs, by capacity, best first.
   std::vector<lease::OwnerCandidate> candidates;
-  /// Owner of the model's newest job, if it lives: it has connections to the engines, and knows
-  /// what it runs there and what is kept. Empty: there is none.
+  /// Owner of the model's newest job, if it lives: it has connections to the engines, and what it
+  /// runs there and what is kept in memory. Empty: there is none.
   LeaseId previous;
-  ZoneName previous_zone;          ///< Empty: not told.
+  ZoneName previous_zone;          ///< Empty: not known.
   std::size_t previous_items = 0;  ///< Items of open jobs that `previous` owns.
   std::size_t items = 0;           ///< Of the new job.
   std::set<LeaseId> busy;          ///< Owners of open jobs of other models.
@@ -29,7 +29,7 @@
   std::size_t max_open_items = 0;  ///< That one daemon is given.
 };
 
-/// @return the choice without those that are elsewhere, or that told no zone of the layout.
+/// @return the choice without those that are elsewhere, or whose zone is not in the layout.
 new_job_owner_inputs withinResidency(new_job_owner_inputs choice,
                                      const fleet::data_residency& residency,
                                      const fleet::fleet_layout& layout);
--- a/src/gateway/batch/result_schedule.h
+++ b/src/gateway/batch/result_schedule.h
@@ -6,8 +6,8 @@
  *
  * Results are appended soon, in the background: that keeps them, and leaves little to write when
  * the step ends. A trainer can use its step only once enough groups are complete, and it reads
- * again and again until then. A read that finds nothing new waits at the daemon and hears of the
- * step's end at once; one that was answered with a part comes again later. So results are published
+ * again and again until then. A read that finds nothing new waits at the daemon and is answered at
+ * the step's end; one that was answered with a part comes again later. So results are published
  * when the step is complete, or are due.
  */
 
--- a/src/gateway/batch/run_timeouts.h
+++ b/src/gateway/batch/run_timeouts.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /** @file
- * How long the owner of an item waits for an engine before it goes on elsewhere. A run that is left
- * costs a request and a few milliseconds of reading its prompt and text again; one that stands
- * still holds back the whole step. Pure.
+ * How long the owner of an item waits for an engine before it goes on elsewhere. A run that is
+ * stopped costs a request and a few milliseconds of reading its prompt and text again; one that
+ * stands still holds back the whole step. Pure.
  */
 
 #include <algorithm>
@@ -16,8 +16,8 @@
   /// For a run's first event. An engine with room answers within some 20 ms and the time of an
   /// event, so that this is several times what is usual.
   Duration first_event = std::chrono::milliseconds(600);
-  /// For the first event of an item that was left before: then all engines are full, and whoever
-  /// leaves a queue loses its place there.
+  /// For the first event of an item that was stopped before: then all engines are full, and a run
+  /// that leaves a queue loses its place there.
   Duration max_first_event = std::chrono::milliseconds(2500);
   /// Between two events, at the least: half of what an engine stands still to change its weights.
   Duration gap = std::chrono::milliseconds(450);
@@ -27,14 +27,14 @@
 
   bool operator==(const run_timeouts&) const = default;
 
-  /** @param late_starts times in a row that the item was left without an event. */
+  /** @param late_starts runs in a row that were stopped without an event. */
   Duration forFirstEvent(int late_starts) const {
     Duration limit = this->first_event;
     for (int i = 0; i < late_starts && limit < this->max_first_event; ++i) limit *= 2;
     return std::min(limit, this->max_first_event);
   }
 
-  /** @param pace what the engine takes for an event, in seconds; 0: not known. */
+  /** @param event_time of the engine, in seconds; 0: not known. */
   Duration forGap(double event_time) const {
     if (event_time <= 0) return this->max_gap;
     return std::clamp(fromSeconds(this->event_times * event_time), this->gap, this->max_gap);
--- a/src/gateway/batch/runs_leaving.h
+++ b/src/gateway/batch/runs_leaving.h
@@ -16,8 +16,8 @@
 namespace linenpier::batch {
 
 struct leaving_options {
-  /// From the closing of a zone until the last run leaves it. Whoever closes a zone may take its
-  /// engines away some five seconds later; half of that leaves time for a second try.
+  /// From the closing of a zone until the last run leaves it. The zone's engines may be taken away
+  /// some five seconds after the closing; half of that leaves time for a second try.
   Duration within = std::chrono::milliseconds(2500);
   /// A run that ends this soon stays in any case: to leave takes about as long.
   Duration ends_soon = std::chrono::milliseconds(250);
--- a/src/gateway/service/gateway_tables.cpp
+++ b/src/gateway/service/gateway_tables.cpp
@@ -311,7 +311,7 @@
   const auto tail = [&key](const std::string& prefix) { return key.substr(prefix.size()); };
   if (key.starts_with(table::kJobPrefix)) {
     const JobId id(tail(table::kJobPrefix));
-    change.gone ? batches_.onRecordGone(id) : batches_.onRecordRow(id, change.row);
+    change.gone ? batches_.onRecordRemoved(id) : batches_.onRecordRow(id, change.row);
   } else if (key.starts_with(table::kOrderPrefix)) {
     const ServiceName service(tail(table::kOrderPrefix));
     change.gone ? orders_.onRightGone(service) : orders_.onRightRow(service, change.row);
