--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -25,7 +25,7 @@
 
 /** Loop thread only. */
 struct active_job {
-  active_job(boost::asio::io_context& loop, JobRecord row, BatchJob job, RunRules rules,
+  active_job(boost::asio::io_context& loop, job_record row, batch_job job, run_rules rules,
              result_times times)
       : record(std::move(row)),
         run(std::move(job), rules),
@@ -37,20 +37,20 @@
   struct Pending {
     std::size_t position = 0;
     std::vector<ItemIndex> items;
-    std::vector<StoredResult> results;
+    std::vector<stored_result> results;
     std::optional<std::size_t> publish;  ///< Results that readers are shown then.
 
     bool empty() const { return results.empty() && !publish; }
   };
 
-  JobRecord record;
+  job_record record;
   Revision fence = 0;  ///< Revision of the job's row under which this daemon owns it.
-  BatchRun run;
+  batch_run run;
   result_schedule schedule;
-  Instant accepted_at{};               ///< By this daemon's clock.
-  std::vector<StoredResult> appended;  ///< By position; all in the store.
-  std::size_t published = 0;           ///< Those of them that readers are shown.
-  std::size_t held_back_bytes = 0;     ///< Of those that they are not.
+  Instant accepted_at{};                ///< By this daemon's clock.
+  std::vector<stored_result> appended;  ///< By position; all in the store.
+  std::size_t published = 0;            ///< Those of them that readers are shown.
+  std::size_t held_back_bytes = 0;      ///< Of those that they are not.
   Pending pending;
   std::map<ItemIndex, std::shared_ptr<forward::EngineCall>> calls;    ///< By the item they run.
   std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;  ///< Reward requests.
--- a/src/gateway/batch/awaited_runs.cpp
+++ b/src/gateway/batch/awaited_runs.cpp
@@ -4,11 +4,11 @@
 
 namespace linenpier::batch {
 
-std::vector<ItemIndex> awaitedRuns(const BatchRun& run, const length_estimate& lengths) {
+std::vector<ItemIndex> awaitedRuns(const batch_run& run, const length_estimate& lengths) {
   if (run.stepComplete()) return {};
   std::vector<std::pair<double, ItemIndex>> by_rest;
   for (ItemIndex item = 0; item < run.job().items.size(); ++item) {
-    const ItemProgress& progress = run.progress(item);
+    const item_progress& progress = run.progress(item);
     if (progress.state != ItemState::kRunning) continue;
     const std::uint64_t hint = run.job().items[item].length_hint;
     by_rest.emplace_back(lengths.remainingEvents(hint, progress.last_event), item);
--- a/src/gateway/batch/awaited_runs.h
+++ b/src/gateway/batch/awaited_runs.h
@@ -19,6 +19,6 @@
 /** @return the running items that are expected to last longest, at most `kAwaitedRuns`, none that
  *     is expected to end in half of the longest one's time.
  */
-std::vector<ItemIndex> awaitedRuns(const BatchRun& run, const length_estimate& lengths);
+std::vector<ItemIndex> awaitedRuns(const batch_run& run, const length_estimate& lengths);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -15,7 +15,7 @@
 
 namespace linenpier::batch {
 
-struct BatchOptions {
+struct batch_options {
   Duration connect_time = std::chrono::milliseconds(200);  ///< To connect to an engine.
   run_timeouts timeouts;
   Duration refused_pause = std::chrono::milliseconds(40);  ///< Of an item that an engine rejected.
@@ -61,7 +61,7 @@
   std::size_t write_rows = 96;
 };
 
-struct BatchCounts {
+struct batch_counts {
   std::uint64_t accepted = 0;
   std::uint64_t refused = 0;
   std::uint64_t taken_over = 0;
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -5,16 +5,16 @@
 
 namespace linenpier::batch {
 
-BatchRun::BatchRun(BatchJob job, RunRules rules)
+batch_run::batch_run(batch_job job, run_rules rules)
     : job_(std::move(job)), rules_(rules), progress_(job_.items.size()) {
   findGroups();
   orderItems();
 }
 
-void BatchRun::findGroups() {
+void batch_run::findGroups() {
   std::map<GroupId, std::size_t> known;
   group_of_.reserve(job_.items.size());
-  for (const BatchItem& item : job_.items) {
+  for (const batch_item& item : job_.items) {
     const auto [at, fresh] = known.try_emplace(item.group, groups_.size());
     if (fresh) groups_.emplace_back();
     ++groups_[at->second].open;
@@ -24,7 +24,7 @@
 
 /// Groups that come again are waited for in any case. Among the others the longest items begin
 /// first, since the step ends with them.
-void BatchRun::orderItems() {
+void batch_run::orderItems() {
   order_.resize(job_.items.size());
   for (ItemIndex item = 0; item < order_.size(); ++item) order_[item] = item;
   std::stable_sort(order_.begin(), order_.end(), [&](ItemIndex one, ItemIndex other) {
@@ -35,24 +35,24 @@
   });
 }
 
-std::vector<ItemIndex> BatchRun::onPartialResults(const partial_results& reused) {
+std::vector<ItemIndex> batch_run::onPartialResults(const partial_results& reused) {
   std::vector<ItemIndex> obsolete;
   for (ItemIndex item = 0; item < job_.items.size(); ++item) {
     if (!reused.contains(job_.items[item].id)) continue;
     groups_[group_of_[item]].reused = true;
-    const ItemCheckpoint* kept = reused.textOf(job_.items[item].id);
+    const item_checkpoint* kept = reused.textOf(job_.items[item].id);
     if (kept != nullptr && onCheckpoint(item, *kept)) obsolete.push_back(item);
   }
   if (reusedGroups() > 0) orderItems();
   return obsolete;
 }
 
-std::size_t BatchRun::reusedGroups() const {
+std::size_t batch_run::reusedGroups() const {
   return static_cast<std::size_t>(
       std::count_if(groups_.begin(), groups_.end(), [](const Group& each) { return each.reused; }));
 }
 
-bool BatchRun::stepComplete() const {
+bool batch_run::stepComplete() const {
   std::size_t whole = 0;
   for (const Group& group : groups_) {
     if (group.open == 0) ++whole;
@@ -62,28 +62,28 @@
   return whole >= std::min(wanted, groups_.size());
 }
 
-bool BatchRun::publishUrgent() const {
+bool batch_run::publishUrgent() const {
   if (job_.desired_groups == 0 || stepComplete() || allAppended()) return true;
   return std::any_of(finished_.begin(), finished_.end(), [this](ItemIndex item) {
     return progress_[item].outcome == ResultState::kTerminated;
   });
 }
 
-std::size_t BatchRun::finishedBytes() const {
+std::size_t batch_run::finishedBytes() const {
   std::size_t bytes = 0;
   for (const ItemIndex item : finished_) bytes += progress_[item].text.size();
   return bytes;
 }
 
-void BatchRun::onAlreadyAppended(ItemIndex item) {
+void batch_run::onAlreadyAppended(ItemIndex item) {
   if (progress_[item].state == ItemState::kAppended) return;
   progress_[item].state = ItemState::kAppended;
   onItemClosed(item);
   ++appended_;
 }
 
-bool BatchRun::onCheckpoint(ItemIndex item, const ItemCheckpoint& kept) {
-  ItemProgress& progress = progress_[item];
+bool batch_run::onCheckpoint(ItemIndex item, const item_checkpoint& kept) {
+  item_progress& progress = progress_[item];
   const bool open = progress.state == ItemState::kWaiting || progress.state == ItemState::kRunning;
   if (!open || kept.last_event <= progress.last_event || kept.versions.empty()) return false;
   if (*kept.versions.begin() < job_.minimum_version) return false;
@@ -100,43 +100,43 @@
   return running;
 }
 
-std::optional<ItemIndex> BatchRun::nextToStart(Instant now) const {
+std::optional<ItemIndex> batch_run::nextToStart(Instant now) const {
   for (const ItemIndex item : order_) {
-    const ItemProgress& progress = progress_[item];
+    const item_progress& progress = progress_[item];
     if (progress.state == ItemState::kWaiting && now >= progress.not_before) return item;
   }
   return std::nullopt;
 }
 
-std::size_t BatchRun::countIn(ItemState state) const {
+std::size_t batch_run::countIn(ItemState state) const {
   return static_cast<std::size_t>(
       std::count_if(progress_.begin(), progress_.end(),
-                    [state](const ItemProgress& each) { return each.state == state; }));
+                    [state](const item_progress& each) { return each.state == state; }));
 }
 
-std::size_t BatchRun::waiting() const {
+std::size_t batch_run::waiting() const {
   return countIn(ItemState::kWaiting);
 }
 
-std::size_t BatchRun::running() const {
+std::size_t batch_run::running() const {
   return countIn(ItemState::kRunning);
 }
 
-std::size_t BatchRun::unscored() const {
+std::size_t batch_run::unscored() const {
   return countIn(ItemState::kTextComplete) + countIn(ItemState::kScoring);
 }
 
-void BatchRun::onStarted(Instant now, ItemIndex item, const EngineId& engine) {
-  ItemProgress& progress = progress_[item];
+void batch_run::onStarted(Instant now, ItemIndex item, const EngineId& engine) {
+  item_progress& progress = progress_[item];
   progress.state = ItemState::kRunning;
   ++progress.attempts_running;
   progress.last_engine = engine;
   progress.last_progress = now;
 }
 
-EventVerdict BatchRun::onEvent(Instant now, ItemIndex item, std::uint64_t event,
-                               const std::string& data, WeightVersion version) {
-  ItemProgress& progress = progress_[item];
+EventVerdict batch_run::onEvent(Instant now, ItemIndex item, std::uint64_t event,
+                                const std::string& data, WeightVersion version) {
+  item_progress& progress = progress_[item];
   if (progress.state != ItemState::kRunning) return EventVerdict::kUnfit;
   if (event != progress.last_event + 1) return EventVerdict::kUnfit;
   if (version < job_.minimum_version) return EventVerdict::kUnfit;
@@ -152,8 +152,8 @@
   return EventVerdict::kTaken;
 }
 
-void BatchRun::finish(ItemIndex item, ResultState outcome) {
-  ItemProgress& progress = progress_[item];
+void batch_run::finish(ItemIndex item, ResultState outcome) {
+  item_progress& progress = progress_[item];
   if (progress.state == ItemState::kFinished || progress.state == ItemState::kAppended) return;
   progress.state = ItemState::kFinished;
   progress.outcome = outcome;
@@ -161,14 +161,14 @@
   finished_.push_back(item);
 }
 
-void BatchRun::onCompleted(Instant now, ItemIndex item) {
+void batch_run::onCompleted(Instant now, ItemIndex item) {
   progress_[item].last_progress = now;
   --progress_[item].attempts_running;
   onTextComplete(item);
 }
 
-void BatchRun::onTextComplete(ItemIndex item) {
-  ItemProgress& progress = progress_[item];
+void batch_run::onTextComplete(ItemIndex item) {
+  item_progress& progress = progress_[item];
   const bool open = progress.state == ItemState::kWaiting || progress.state == ItemState::kRunning;
   if (!open) return;
   if (!job_.items[item].scorer || !progress.score.empty()) {
@@ -179,28 +179,28 @@
   progress.not_before = Instant{};
 }
 
-std::optional<ItemIndex> BatchRun::nextToScore(Instant now) const {
+std::optional<ItemIndex> batch_run::nextToScore(Instant now) const {
   for (const ItemIndex item : order_) {
-    const ItemProgress& progress = progress_[item];
+    const item_progress& progress = progress_[item];
     if (progress.state == ItemState::kTextComplete && now >= progress.not_before) return item;
   }
   return std::nullopt;
 }
 
-void BatchRun::onScoringStarted(ItemIndex item) {
+void batch_run::onScoringStarted(ItemIndex item) {
   progress_[item].state = ItemState::kScoring;
 }
 
-void BatchRun::onScored(ItemIndex item, std::string score) {
-  ItemProgress& progress = progress_[item];
+void batch_run::onScored(ItemIndex item, std::string score) {
+  item_progress& progress = progress_[item];
   if (progress.state != ItemState::kScoring) return;
   progress.score = std::move(score);
   finish(item, ResultState::kCompleted);
 }
 
-void BatchRun::onNotScored(Instant now, ItemIndex item, int failures, int max_failures,
-                           Duration pause) {
-  ItemProgress& progress = progress_[item];
+void batch_run::onNotScored(Instant now, ItemIndex item, int failures, int max_failures,
+                            Duration pause) {
+  item_progress& progress = progress_[item];
   if (progress.state != ItemState::kScoring) return;
   progress.score_failures += failures;
   if (max_failures > 0 && progress.score_failures >= max_failures) {
@@ -211,17 +211,17 @@
   progress.not_before = now + pause;
 }
 
-void BatchRun::onInterrupted(Instant now, ItemIndex item, Duration pause) {
-  ItemProgress& progress = progress_[item];
+void batch_run::onInterrupted(Instant now, ItemIndex item, Duration pause) {
+  item_progress& progress = progress_[item];
   --progress.attempts_running;
   if (progress.state != ItemState::kRunning || progress.attempts_running > 0) return;
   progress.state = ItemState::kWaiting;
   progress.not_before = now + pause;
 }
 
-void BatchRun::onFailed(Instant now, ItemIndex item) {
+void batch_run::onFailed(Instant now, ItemIndex item) {
   constexpr Duration kPauseAfterFailure = std::chrono::milliseconds(100);
-  ItemProgress& progress = progress_[item];
+  item_progress& progress = progress_[item];
   ++progress.failures;
   if (progress.failures >= rules_.max_failures) {
     --progress.attempts_running;
@@ -231,13 +231,13 @@
   onInterrupted(now, item, kPauseAfterFailure);
 }
 
-void BatchRun::onRejected(ItemIndex item) {
+void batch_run::onRejected(ItemIndex item) {
   --progress_[item].attempts_running;
   finish(item, ResultState::kTerminated);
 }
 
-void BatchRun::discardText(ItemIndex item) {
-  ItemProgress& progress = progress_[item];
+void batch_run::discardText(ItemIndex item) {
+  item_progress& progress = progress_[item];
   if (progress.state != ItemState::kWaiting && progress.state != ItemState::kRunning) return;
   progress.text.clear();
   ++progress.text_revision;
@@ -245,20 +245,20 @@
   progress.last_event = 0;
 }
 
-bool BatchRun::onTick(Instant now) {
+bool batch_run::onTick(Instant now) {
   if (now < rules_.give_up_at) return false;
   const std::size_t before = finished_.size();
   giveUpAll();
   return finished_.size() > before;
 }
 
-void BatchRun::giveUpAll() {
+void batch_run::giveUpAll() {
   for (ItemIndex item = 0; item < progress_.size(); ++item) finish(item, ResultState::kTerminated);
 }
 
-BatchResult BatchRun::result(ItemIndex item) const {
-  const ItemProgress& progress = progress_[item];
-  BatchResult result;
+batch_result batch_run::result(ItemIndex item) const {
+  const item_progress& progress = progress_[item];
+  batch_result result;
   result.item = job_.items[item].id;
   result.state = progress.outcome;
   if (progress.outcome == ResultState::kCompleted) {
@@ -269,8 +269,8 @@
   return result;
 }
 
-void BatchRun::onAppended(ItemIndex item) {
-  ItemProgress& progress = progress_[item];
+void batch_run::onAppended(ItemIndex item) {
+  item_progress& progress = progress_[item];
   if (progress.state == ItemState::kAppended) return;
   progress.state = ItemState::kAppended;
   progress.text = std::string();
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -16,7 +16,7 @@
 using ItemIndex = std::size_t;
 
 /// Rules of the route that a job runs under.
-struct RunRules {
+struct run_rules {
   int max_failures = 3;         ///< Failed runs after which an item is given up.
   bool single_version = false;  ///< A text must come from one version.
   Instant give_up_at{};         ///< Items that are not finished then are given up.
@@ -34,7 +34,7 @@
 /// Invariant: `text` holds exactly the data of events 1 to `last_event`, each once, made under
 /// `versions`, none below the job's minimum. `score` is set only for a complete text, and a
 /// completed item with a scorer has one.
-struct ItemProgress {
+struct item_progress {
   ItemState state = ItemState::kWaiting;
   int attempts_running = 0;
   std::uint64_t last_event = 0;
@@ -58,20 +58,20 @@
   kUnfit,  ///< Not the next one, or of a version that does not fit: stop the attempt.
 };
 
-class BatchRun {
+class batch_run {
  public:
-  BatchRun(BatchJob job, RunRules rules);
+  batch_run(batch_job job, run_rules rules);
 
-  const BatchJob& job() const { return job_; }
-  const ItemProgress& progress(ItemIndex item) const { return progress_[item]; }
-  void setRules(const RunRules& rules) { rules_ = rules; }
+  const batch_job& job() const { return job_; }
+  const item_progress& progress(ItemIndex item) const { return progress_[item]; }
+  void setRules(const run_rules& rules) { rules_ = rules; }
 
   /// An item that was appended before this daemon took the job over.
   void onAlreadyAppended(ItemIndex item);
 
   /// Text that an earlier owner kept; taken if its versions fit and the item has less.
   /// @return whether an attempt that runs is of no use any more: it must be stopped.
-  bool onCheckpoint(ItemIndex item, const ItemCheckpoint& kept);
+  bool onCheckpoint(ItemIndex item, const item_checkpoint& kept);
 
   /// Groups that were handed in before are waited for in any case; what is kept of them is
   /// gone on with if its versions fit.
@@ -125,7 +125,7 @@
 
   /// @return finished items that are not appended, in the order in which they finished.
   const std::vector<ItemIndex>& finished() const { return finished_; }
-  BatchResult result(ItemIndex item) const;
+  batch_result result(ItemIndex item) const;
   /// The item stands at its position for good: its text is no longer needed.
   void onAppended(ItemIndex item);
   bool allAppended() const { return appended_ == progress_.size(); }
@@ -144,9 +144,9 @@
   void onItemClosed(ItemIndex item) { --groups_[group_of_[item]].open; }
   void finish(ItemIndex item, ResultState outcome);
 
-  BatchJob job_;
-  RunRules rules_;
-  std::vector<ItemProgress> progress_;
+  batch_job job_;
+  run_rules rules_;
+  std::vector<item_progress> progress_;
   std::vector<Group> groups_;
   std::vector<std::size_t> group_of_;  ///< Index into `groups_`, by item.
   std::vector<ItemIndex> order_;       ///< Most urgent first.
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -15,17 +15,17 @@
 constexpr Duration kStartTime = std::chrono::seconds(5);
 }  // namespace
 
-void BatchService::start() {
+void batch_service::start() {
   spawn(deps_.loop, [this] { return pollLoop(); });
   removal_.start();
 }
 
-bool BatchService::isPublic(const JobId& id) const {
+bool batch_service::isPublic(const JobId& id) const {
   const known_job* job = jobs_.find(id);
   return job != nullptr && job->record.tenant.empty();
 }
 
-Task<void> BatchService::pollLoop() {
+Task<void> batch_service::pollLoop() {
   const Instant begun = steadyNow();
   for (;;) {
     const bool idle =
@@ -44,7 +44,7 @@
   }
 }
 
-BatchService::Work BatchService::work() const {
+batch_service::Work batch_service::work() const {
   Work work;
   work.awaiting_residency = ownership_.awaitingResidency();
   for (const auto& [id, job] : jobs_.all()) {
@@ -60,7 +60,7 @@
   return work;
 }
 
-versions::open_work_by_model BatchService::openWork() const {
+versions::open_work_by_model batch_service::openWork() const {
   versions::open_work_by_model work;
   for (const auto& [id, job] : jobs_.all()) {
     if (job.record.ended || job.record.model.empty()) continue;
@@ -73,7 +73,7 @@
   return work;
 }
 
-Task<void> BatchService::handOver() {
+Task<void> batch_service::handOver() {
   acceptance_.stop();
   reader_.stop();
   removal_.stop();
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -7,7 +7,7 @@
  * - a job is accepted only after it and its row are in the store (`job_acceptance`);
  * - a reader is shown only results that are in the store (`job_reader`);
  * - items are run by the owner alone, as far as it knows (`job_ownership`), and positions are given
- *   only under the job's fence (`JobStore`).
+ *   only under the job's fence (`job_store`).
  */
 
 #include <functional>
@@ -43,29 +43,29 @@
 namespace linenpier::batch {
 
 /** Owns every part, and the options that all of them read. Loop thread only. */
-class BatchService {
+class batch_service {
  public:
   struct Dependencies {
     boost::asio::io_context& loop;
     forward::EngineCallContext engines;
-    JobStore& store;
+    job_store& store;
     lease::LeaseTable& leases;
     lease::LeaseKeeper& keeper;
     const lease::OwnerPool& pool;
-    const BatchCodec& codec;
+    const batch_codec& codec;
     forward::internal_requests& rewards;
     suspects::suspect_gate& suspects;
     std::function<routing::RouteTablePtr()> routes;  ///< The newest table; empty before the first.
   };
 
-  BatchService(Dependencies dependencies, BatchOptions options) : deps_(std::move(dependencies)) {
+  batch_service(Dependencies dependencies, batch_options options) : deps_(std::move(dependencies)) {
     setOptions(options);
     jobs_.setListener(
         [this](const JobId& id, known_job& job) { ownership_.onJobChanged(id, job); });
   }
 
   void start();
-  void setOptions(const BatchOptions& options) {
+  void setOptions(const batch_options& options) {
     options_ = options;
     closed_zone_mover_.setOptions(options.leaving);
   }
@@ -103,7 +103,7 @@
   /// Gives up every owned job so that others take it at once.
   Task<void> handOver();
 
-  const BatchCounts& counts() const { return counts_; }
+  const batch_counts& counts() const { return counts_; }
   std::size_t jobCount() const { return jobs_.size(); }
   /// Owned jobs under way and their items, for the metrics.
   struct Work {
@@ -122,9 +122,9 @@
   Task<void> pollLoop();
 
   Dependencies deps_;
-  BatchOptions options_;
+  batch_options options_;
   known_jobs jobs_;
-  BatchCounts counts_;
+  batch_counts counts_;
   job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
   item_pick picks_{{residency_, deps_.routes, options_}};
   item_runner runner_{{deps_.loop, deps_.engines, deps_.rewards, deps_.suspects, jobs_, picks_,
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -35,7 +35,7 @@
   bool operator==(const reward_score&) const = default;
 };
 
-struct BatchItem {
+struct batch_item {
   ItemId id;
   std::string path;
   std::vector<std::pair<std::string, std::string>> fields;  ///< HTTP fields, in order.
@@ -48,9 +48,9 @@
 };
 
 /// A job as it was handed in.
-struct BatchJob {
+struct batch_job {
   JobId id;
-  std::vector<BatchItem> items;
+  std::vector<batch_item> items;
   std::optional<std::uint64_t> step;
   WeightVersion minimum_version = 0;
   std::size_t desired_groups = 0;  ///< Complete groups that the trainer waits for; 0: all.
@@ -58,7 +58,7 @@
 
 enum class ResultState { kCompleted, kTerminated };
 
-struct BatchResult {
+struct batch_result {
   ItemId item;
   ResultState state = ResultState::kCompleted;
   std::string text;
@@ -67,7 +67,7 @@
 };
 
 /// What every daemon knows of a job: the row that stands for it.
-struct JobRecord {
+struct job_record {
   JobId id;
   LeaseId owner;     ///< Empty: nobody, to be taken.
   std::string host;  ///< Of the route that it was handed in under.
--- a/src/gateway/batch/checkpoint.cpp
+++ b/src/gateway/batch/checkpoint.cpp
@@ -7,30 +7,30 @@
 
 using nlohmann::json;
 
-Checkpoint mergeParts(const std::vector<Checkpoint>& parts) {
-  std::map<std::size_t, ItemCheckpoint> texts;
-  for (const Checkpoint& part : parts) {
-    for (const ItemCheckpoint& added : part) {
+checkpoint_texts mergeParts(const std::vector<checkpoint_texts>& parts) {
+  std::map<std::size_t, item_checkpoint> texts;
+  for (const checkpoint_texts& part : parts) {
+    for (const item_checkpoint& added : part) {
       if (added.after_event == 0) {
         texts[added.item_index] = added;
         continue;
       }
       const auto at = texts.find(added.item_index);
       if (at == texts.end() || at->second.last_event != added.after_event) continue;
-      ItemCheckpoint whole = added;
+      item_checkpoint whole = added;
       whole.text = at->second.text + added.text;
       whole.after_event = 0;
       at->second = std::move(whole);
     }
   }
-  Checkpoint merged;
+  checkpoint_texts merged;
   for (auto& [item, text] : texts) merged.push_back(std::move(text));
   return merged;
 }
 
-std::string encodeCheckpoint(const Checkpoint& checkpoint) {
+std::string encodeCheckpoint(const checkpoint_texts& checkpoint) {
   json document = json::array();
-  for (const ItemCheckpoint& item : checkpoint) {
+  for (const item_checkpoint& item : checkpoint) {
     json entry = {{"item", item.item_index},
                   {"last_event", item.last_event},
                   {"versions", item.versions},
@@ -47,13 +47,13 @@
   return {bytes.begin(), bytes.end()};
 }
 
-std::optional<Checkpoint> decodeCheckpoint(const std::string& bytes) {
+std::optional<checkpoint_texts> decodeCheckpoint(const std::string& bytes) {
   const json document = json::from_cbor(bytes, true, false);
   if (!document.is_array()) return std::nullopt;
   try {
-    Checkpoint checkpoint;
+    checkpoint_texts checkpoint;
     for (const json& entry : document) {
-      ItemCheckpoint item;
+      item_checkpoint item;
       item.item_index = entry.at("item").get<std::size_t>();
       item.last_event = entry.at("last_event").get<std::uint64_t>();
       item.versions = entry.at("versions").get<std::set<WeightVersion>>();
--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -13,7 +13,7 @@
 
 namespace linenpier::batch {
 
-struct ItemCheckpoint {
+struct item_checkpoint {
   std::size_t item_index = 0;  ///< In the job that it was kept of.
   std::uint64_t last_event = 0;
   std::set<WeightVersion> versions;        ///< That made the text's events.
@@ -23,18 +23,18 @@
   /// The text begins behind this event, as an addition to what an earlier part has; 0: it is all.
   std::uint64_t after_event = 0;
 
-  bool operator==(const ItemCheckpoint&) const = default;
+  bool operator==(const item_checkpoint&) const = default;
 };
 
-using Checkpoint = std::vector<ItemCheckpoint>;
+using checkpoint_texts = std::vector<item_checkpoint>;
 
 /// @param parts in the order in which they were written. An addition to a text that no part before
 ///     has is left out: that part was never written, and a later one has all of the text.
 /// @return each item once, with all of its text that the parts have.
-Checkpoint mergeParts(const std::vector<Checkpoint>& parts);
+checkpoint_texts mergeParts(const std::vector<checkpoint_texts>& parts);
 
-std::string encodeCheckpoint(const Checkpoint& checkpoint);
+std::string encodeCheckpoint(const checkpoint_texts& checkpoint);
 /// @return nothing if the bytes are no checkpoint.
-std::optional<Checkpoint> decodeCheckpoint(const std::string& bytes);
+std::optional<checkpoint_texts> decodeCheckpoint(const std::string& bytes);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/checkpoint_log.cpp
+++ b/src/gateway/batch/checkpoint_log.cpp
@@ -10,12 +10,12 @@
 /// at its begin, where texts are short.
 constexpr std::size_t kMaxParts = 16;
 
-bool isWhole(const ItemProgress& progress) {
+bool isWhole(const item_progress& progress) {
   return progress.state == ItemState::kFinished || progress.state == ItemState::kTextComplete ||
          progress.state == ItemState::kScoring;
 }
 
-bool isWorthKeeping(const ItemProgress& progress) {
+bool isWorthKeeping(const item_progress& progress) {
   if (progress.state == ItemState::kAppended) return false;
   if (isWhole(progress)) return progress.outcome == ResultState::kCompleted;
   return progress.last_event >= kFewestEventsKept;
@@ -23,11 +23,11 @@
 
 }  // namespace
 
-std::optional<ItemCheckpoint> checkpoint_log::addition(const BatchRun& run, ItemIndex item,
-                                                       bool whole) const {
-  const ItemProgress& progress = run.progress(item);
+std::optional<item_checkpoint> checkpoint_log::addition(const batch_run& run, ItemIndex item,
+                                                        bool whole) const {
+  const item_progress& progress = run.progress(item);
   if (!isWorthKeeping(progress)) return std::nullopt;
-  ItemCheckpoint added;
+  item_checkpoint added;
   added.item_index = item;
   added.last_event = progress.last_event;
   added.versions = progress.versions;
@@ -51,7 +51,7 @@
   return added;
 }
 
-checkpoint_part checkpoint_log::next(const BatchRun& run) const {
+checkpoint_part checkpoint_log::next(const batch_run& run) const {
   checkpoint_part part;
   part.whole = !this->kept_ || this->parts_ >= kMaxParts;
   for (ItemIndex item = 0; item < run.job().items.size(); ++item) {
@@ -72,7 +72,7 @@
   if (!this->kept_) return;
   ++this->parts_;
   for (std::size_t i = 0; i < part.texts.size(); ++i) {
-    const ItemCheckpoint& each = part.texts[i];
+    const item_checkpoint& each = part.texts[i];
     kept_text& kept = (*this->kept_)[each.item_index];
     const std::size_t before = each.after_event == 0 ? 0 : kept.bytes;
     kept.last_event = each.last_event;
--- a/src/gateway/batch/checkpoint_log.h
+++ b/src/gateway/batch/checkpoint_log.h
@@ -16,7 +16,7 @@
 
 /** A part that should be written now. */
 struct checkpoint_part {
-  Checkpoint texts;
+  checkpoint_texts texts;
   std::vector<std::uint32_t> revisions;  ///< Of each text, see ItemProgress::text_revision.
   /// It has all of each text: parts before it are of no use once it is written.
   bool whole = false;
@@ -29,7 +29,7 @@
    * part and, now and then, later, since whoever reads them reads all parts from the last whole one
    * on.
    */
-  checkpoint_part next(const BatchRun& run) const;
+  checkpoint_part next(const batch_run& run) const;
 
   /** The part was written: the next one is added to it. */
   void onWritten(const checkpoint_part& part);
@@ -47,7 +47,7 @@
   };
   using kept_texts = std::map<ItemIndex, kept_text>;
 
-  std::optional<ItemCheckpoint> addition(const BatchRun& run, ItemIndex item, bool whole) const;
+  std::optional<item_checkpoint> addition(const batch_run& run, ItemIndex item, bool whole) const;
 
   std::optional<kept_texts> kept_;  ///< Absent: nothing is known to be kept.
   std::size_t parts_ = 0;           ///< Written since the last whole one, with it.
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -24,7 +24,7 @@
   const checkpoint_part part = active->kept_texts.next(active->run);
   const bool much = part.events >= this->deps_.options.checkpoint_events;
   if (part.texts.empty() || (need == Need::kIfMuchIsNew && !much)) co_return;
-  CheckpointWrite write;
+  checkpoint_write write;
   write.rows = toRows(part.texts, this->deps_.store.rowBytes());
   write.first_row = active->checkpoint_next_row;
   write.obsolete_from = part.whole ? active->checkpoint_first_row : write.first_row;
@@ -33,7 +33,7 @@
   active->checkpoint_next_row += rows;
   active->checkpoint_in_progress = true;
   const Instant begun = steadyNow();
-  const FencedAnswer answer =
+  const fenced_answer answer =
       co_await this->deps_.store.putCheckpoint(active->record.id, active->fence, std::move(write));
   active->checkpoint_in_progress = false;
   const bool done = answer.outcome == FencedOutcome::kDone;
--- a/src/gateway/batch/checkpoint_writer.h
+++ b/src/gateway/batch/checkpoint_writer.h
@@ -18,8 +18,8 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    JobStore& store;
-    const BatchOptions& options;
+    job_store& store;
+    const batch_options& options;
   };
   enum class Need { kAlways, kIfMuchIsNew };
 
--- a/src/gateway/batch/item_pick.h
+++ b/src/gateway/batch/item_pick.h
@@ -19,7 +19,7 @@
   struct dependencies {
     const job_residency& residency;
     std::function<routing::RouteTablePtr()> routes;
-    const BatchOptions& options;
+    const batch_options& options;
   };
 
   explicit item_pick(dependencies deps) : deps_(std::move(deps)) {}
--- a/src/gateway/batch/item_placement.cpp
+++ b/src/gateway/batch/item_placement.cpp
@@ -8,15 +8,15 @@
 constexpr double kPromptTokens = 300;  ///< A usual prompt.
 }  // namespace
 
-double expectedTokens(const BatchItem& item) {
+double expectedTokens(const batch_item& item) {
   if (item.length_hint == 0) return item.tokens;
   return std::min(item.tokens, static_cast<double>(item.length_hint) + kPromptTokens);
 }
 
-engines::PickRequest pickRequestFor(const BatchRun& run, ItemIndex item,
+engines::PickRequest pickRequestFor(const batch_run& run, ItemIndex item,
                                     const routing::Route& route, const routing::RouteTable& table,
                                     double max_per_slot) {
-  const BatchItem& each = run.job().items[item];
+  const batch_item& each = run.job().items[item];
   engines::PickRequest wanted;
   wanted.service = route.services.front().service;
   wanted.model = each.model;
@@ -25,7 +25,7 @@
   wanted.tokens = expectedTokens(each);
   wanted.batching = !each.model.empty();
   wanted.prefer_newest = route.single_version && !each.model.empty();
-  const ItemProgress& progress = run.progress(item);
+  const item_progress& progress = run.progress(item);
   if (route.single_version && progress.last_event > 0) {
     wanted.exact_version = *progress.versions.begin();
   }
@@ -35,7 +35,7 @@
 }
 
 item_placement placeItem(Instant now, engines::EngineRegistry& registry,
-                         const ItemProgress& progress, engines::PickRequest wanted) {
+                         const item_progress& progress, engines::PickRequest wanted) {
   item_placement placement;
   if (progress.failures > 0 && !progress.last_engine.empty()) {
     wanted.excluded.insert(progress.last_engine);
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -11,12 +11,12 @@
 
 /** @return the memory that an item is expected to fill, in tokens: less than the most that it may.
  */
-double expectedTokens(const BatchItem& item);
+double expectedTokens(const batch_item& item);
 
 /** What an item asks of an engine.
  * @param max_per_slot requests a slot that an engine may have, counting others'.
  */
-engines::PickRequest pickRequestFor(const BatchRun& run, ItemIndex item,
+engines::PickRequest pickRequestFor(const batch_run& run, ItemIndex item,
                                     const routing::Route& route, const routing::RouteTable& table,
                                     double max_per_slot);
 
@@ -29,6 +29,6 @@
 /** Chooses an engine for an item that waits. One that failed it is taken only if there is no other.
  */
 item_placement placeItem(Instant now, engines::EngineRegistry& registry,
-                         const ItemProgress& progress, engines::PickRequest wanted);
+                         const item_progress& progress, engines::PickRequest wanted);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/item_request.cpp
+++ b/src/gateway/batch/item_request.cpp
@@ -9,12 +9,12 @@
 
 http::Request itemRequest(const active_job& active, ItemIndex item,
                           const forward::FieldNames& names, const routing::RouteTablePtr& table) {
-  const BatchItem& each = active.run.job().items[item];
+  const batch_item& each = active.run.job().items[item];
   http::Request request(boost::beast::http::verb::post, each.path, 11);
   request.set(boost::beast::http::field::host, active.record.host);
   for (const auto& [name, value] : each.fields) request.insert(name, value);
   request.set(names.request_id, each.id.str());
-  const ItemProgress& progress = active.run.progress(item);
+  const item_progress& progress = active.run.progress(item);
   if (progress.last_event > 0) {
     request.set(names.last_event_id, std::to_string(progress.last_event));
   }
@@ -29,7 +29,7 @@
 }
 
 suspects::request_key keyOf(const active_job& active, ItemIndex item) {
-  const BatchItem& each = active.run.job().items[item];
+  const batch_item& each = active.run.job().items[item];
   return suspects::keyOf(active.record.tenant, active.record.host, each.path, each.body);
 }
 
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -24,7 +24,7 @@
 constexpr unsigned kFirstFailure = 300;
 constexpr unsigned kNeverPossible = 422;  ///< The item can never be done.
 
-const BatchItem& itemOf(const active_job& active, ItemIndex item) {
+const batch_item& itemOf(const active_job& active, ItemIndex item) {
   return active.run.job().items[item];
 }
 }  // namespace
@@ -176,7 +176,7 @@
 
 void item_runner::applyVerdict(Instant now, const item_attempt& run, AttemptVerdict verdict,
                                unsigned status, std::uint64_t events, const run_course& course) {
-  BatchRun& state = run.active->run;
+  batch_run& state = run.active->run;
   const bool answered = verdict == AttemptVerdict::kAnswered;
   if (answered && status == kNeverPossible) {
     state.onRejected(run.item);
@@ -193,8 +193,8 @@
 void item_runner::noteInterrupted(Instant now, const item_attempt& run, AttemptVerdict verdict,
                                   const run_course& course) {
   engines::EngineRegistry& registry = this->deps_.engines.registry;
-  const BatchOptions& options = this->deps_.options;
-  BatchRun& state = run.active->run;
+  const batch_options& options = this->deps_.options;
+  batch_run& state = run.active->run;
   const bool rejected = verdict == AttemptVerdict::kNotExecuted;
   const bool silent = verdict == AttemptVerdict::kSilent;
   // A silent engine is full, or stands still while it loads.
@@ -211,7 +211,7 @@
 
 void item_runner::logAttempt(Instant now, const item_attempt& run, AttemptVerdict verdict,
                              unsigned status, std::uint64_t events, const run_course& course) {
-  const BatchItem& item = itemOf(*run.active, run.item);
+  const batch_item& item = itemOf(*run.active, run.item);
   LogEvent event("batch", "attempt_ended");
   event.text("batch", run.active->record.id.str())
       .text("item", item.id.str())
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -2,7 +2,7 @@
 
 /** @file
  * Runs the items of owned jobs: starts what engines have room for, reads the answers, and settles
- * what becomes of each item. How an item stands is kept by `BatchRun`; which engine it gets is
+ * what becomes of each item. How an item stands is kept by `batch_run`; which engine it gets is
  * decided by `placeItem`.
  */
 
@@ -39,8 +39,8 @@
     known_jobs& jobs;
     const item_pick& picks;
     std::function<routing::RouteTablePtr()> routes;
-    BatchCounts& counts;
-    const BatchOptions& options;
+    batch_counts& counts;
+    const batch_options& options;
   };
 
   explicit item_runner(dependencies deps);
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -27,7 +27,7 @@
     const forward::FieldNames& names;
     forward::internal_requests& rewards;
     std::function<routing::RouteTablePtr()> routes;
-    BatchCounts& counts;
+    batch_counts& counts;
     logging::SuccessSampler& sampler;
     std::function<void()> on_settled;  ///< A reward request has ended.
   };
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -86,13 +86,13 @@
   call.record.accepted_ms = this->deps_.keeper.storeClock(steadyNow());
   call.record.owner = this->ownerFor(steadyNow(), call.record);
   call.job = std::move(*job);
-  const FencedAnswer accepted =
+  const fenced_answer accepted =
       co_await this->acceptRecord(call.record, std::move(body), call.deadline);
   co_return this->judge(call, accepted);
 }
 
-JobRecord job_acceptance::recordOf(const hand_in& call, const BatchJob& job) const {
-  JobRecord record;
+job_record job_acceptance::recordOf(const hand_in& call, const batch_job& job) const {
+  job_record record;
   record.id = call.id;
   record.host = http::fieldText(call.request, "Host");
   record.path = std::string(call.request.target().substr(0, call.request.target().find('?')));
@@ -113,14 +113,14 @@
   }
 }
 
-Task<FencedAnswer> job_acceptance::acceptRecord(JobRecord record, std::vector<table::Put> body,
-                                                Instant deadline) {
+Task<fenced_answer> job_acceptance::acceptRecord(job_record record, std::vector<table::Put> body,
+                                                 Instant deadline) {
   for (;;) {
     const Instant sent_at = steadyNow();
     const bool own = record.owner == this->deps_.leases.own();
     std::vector<table::Put> also = body;
     if (own) also.push_back(this->deps_.keeper.renewal());
-    const FencedAnswer answer = co_await this->deps_.store.putRecord(record, 0, std::move(also));
+    const fenced_answer answer = co_await this->deps_.store.putRecord(record, 0, std::move(also));
     if (own && answer.outcome == FencedOutcome::kDone) this->deps_.keeper.onRenewed(sent_at);
     if (answer.outcome != FencedOutcome::kUnknown) co_return answer;
     // It may be done yet. Only a row that is there settles it; the same write may follow.
@@ -130,7 +130,7 @@
 }
 
 job_acceptance::hand_in_outcome job_acceptance::judge(const hand_in& call,
-                                                      const FencedAnswer& answer) {
+                                                      const fenced_answer& answer) {
   switch (answer.outcome) {
     case FencedOutcome::kNotDone:
       return {"row_not_stored", kUnavailable};
@@ -141,7 +141,7 @@
     case FencedOutcome::kFenceLost:
       break;
   }
-  std::optional<JobRecord> known;
+  std::optional<job_record> known;
   if (answer.current) {
     this->deps_.jobs.onRow(call.id, *answer.current);
     known = decodeRecord(call.id, answer.current->value);
@@ -156,7 +156,7 @@
   mine.record = call.record;
   mine.revision = revision;
   if (call.record.owner != this->deps_.leases.own()) return;
-  this->deps_.activation.activate(call.id, std::move(*call.job), StoredProgress{}, call.received);
+  this->deps_.activation.activate(call.id, std::move(*call.job), stored_progress{}, call.received);
 }
 
 void job_acceptance::logOutcome(const hand_in& call, const hand_in_outcome& outcome) const {
@@ -171,7 +171,7 @@
       .milliseconds("took_ms", steadyNow() - call.received);
 }
 
-LeaseId job_acceptance::ownerFor(Instant now, const JobRecord& record) const {
+LeaseId job_acceptance::ownerFor(Instant now, const job_record& record) const {
   new_job_owner_inputs choice;
   choice.candidates = this->deps_.pool.ranked(now);
   choice.items = record.total;
@@ -198,7 +198,7 @@
   return chooseNewJobOwner(choice, fallback);
 }
 
-std::size_t job_acceptance::modelIndex(const JobRecord& record) const {
+std::size_t job_acceptance::modelIndex(const job_record& record) const {
   const routing::RouteTablePtr table = this->deps_.routes();
   std::size_t index = 0;
   if (!table) return index;
@@ -233,7 +233,7 @@
     }
     if (record) {
       record->ended = true;
-      const FencedAnswer answer = co_await this->deps_.store.putRecord(*record, row->revision, {});
+      const fenced_answer answer = co_await this->deps_.store.putRecord(*record, row->revision, {});
       if (answer.outcome == FencedOutcome::kDone) {
         const table::Row ended{row->key, answer.revision, encodeRecord(*record)};
         this->deps_.jobs.onRow(id, ended);
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -29,19 +29,19 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    JobStore& store;
+    job_store& store;
     lease::LeaseTable& leases;
     lease::LeaseKeeper& keeper;
     const lease::OwnerPool& pool;
     engines::EngineRegistry& registry;
-    const BatchCodec& codec;
+    const batch_codec& codec;
     const forward::FieldNames& names;
     known_jobs& jobs;
     const job_residency& residency;
     job_activation& activation;
     std::function<routing::RouteTablePtr()> routes;
-    BatchCounts& counts;
-    const BatchOptions& options;
+    batch_counts& counts;
+    const batch_options& options;
   };
 
   explicit job_acceptance(dependencies deps) : deps_(std::move(deps)) {}
@@ -63,9 +63,9 @@
     tenants::caller from;
     JobId id;
     Instant received;
-    Instant deadline;       ///< For writing it to the store.
-    JobRecord record = {};  ///< The owner is set once it is chosen.
-    std::optional<BatchJob> job = {};
+    Instant deadline;        ///< For writing it to the store.
+    job_record record = {};  ///< The owner is set once it is chosen.
+    std::optional<batch_job> job = {};
   };
   /** What came of it, as the log and the caller get it. */
   struct hand_in_outcome {
@@ -78,21 +78,22 @@
   /** @return why no job can be accepted now, as the log names it; nullptr if one can. */
   Task<const char*> whyClosed(JobId id);
   Task<hand_in_outcome> take(hand_in& call);
-  JobRecord recordOf(const hand_in& call, const BatchJob& job) const;
+  job_record recordOf(const hand_in& call, const batch_job& job) const;
   /** Keeps a job that is too large for rows. @return whether it is kept. */
   Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
   /** @param body rows to be written with the job's row. */
-  Task<FencedAnswer> acceptRecord(JobRecord record, std::vector<table::Put> body, Instant deadline);
-  hand_in_outcome judge(const hand_in& call, const FencedAnswer& answer);
+  Task<fenced_answer> acceptRecord(job_record record, std::vector<table::Put> body,
+                                   Instant deadline);
+  hand_in_outcome judge(const hand_in& call, const fenced_answer& answer);
   void logOutcome(const hand_in& call, const hand_in_outcome& outcome) const;
   /** Takes the job in, and runs it if it is this daemon's. */
   void onAccepted(hand_in& call, Revision revision);
 
   /** @return who should run a job that is handed in here; nobody, if those who may are not known.
    */
-  LeaseId ownerFor(Instant now, const JobRecord& record) const;
+  LeaseId ownerFor(Instant now, const job_record& record) const;
   /** @return the position of the job's model among those of the configuration. */
-  std::size_t modelIndex(const JobRecord& record) const;
+  std::size_t modelIndex(const job_record& record) const;
 
   /** @return the status of the answer. */
   Task<unsigned> endBy(JobId id, tenants::caller from, Instant deadline,
--- a/src/gateway/batch/job_activation.cpp
+++ b/src/gateway/batch/job_activation.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-void restore(active_job& active, const StoredProgress& progress) {
+void restore(active_job& active, const stored_progress& progress) {
   const std::size_t items = active.run.job().items.size();
-  for (const StoredResult& each : progress.results) {
+  for (const stored_result& each : progress.results) {
     if (each.item_index < items) active.run.onAlreadyAppended(each.item_index);
     active.appended.push_back(each);
   }
@@ -24,13 +24,13 @@
   }
   active.checkpoint_first_row = progress.checkpoint.first_row;
   active.checkpoint_next_row = progress.checkpoint.next_row;
-  for (const ItemCheckpoint& kept : progress.checkpoint.texts) {
+  for (const item_checkpoint& kept : progress.checkpoint.texts) {
     if (kept.item_index < items) active.run.onCheckpoint(kept.item_index, kept);
   }
 }
 
-void logActive(const active_job& active, const StoredProgress& progress) {
-  const BatchJob& job = active.run.job();
+void logActive(const active_job& active, const stored_progress& progress) {
+  const batch_job& job = active.run.job();
   LogEvent("batch", "job_active")
       .text("batch", active.record.id.str())
       .text("model", active.record.model.str())
@@ -45,11 +45,11 @@
 
 }  // namespace
 
-void job_activation::activate(const JobId& id, BatchJob parsed, const StoredProgress& progress,
+void job_activation::activate(const JobId& id, batch_job parsed, const stored_progress& progress,
                               Instant accepted_at) {
   known_job& job = this->deps_.jobs.obtain(id);
   const auto active = std::make_shared<active_job>(this->deps_.loop, job.record, std::move(parsed),
-                                                   RunRules{}, this->deps_.options.results);
+                                                   run_rules{}, this->deps_.options.results);
   job.active = active;
   active->fence = job.revision;
   active->accepted_at = accepted_at;
--- a/src/gateway/batch/job_activation.h
+++ b/src/gateway/batch/job_activation.h
@@ -25,7 +25,7 @@
     partial_result_reuse& reuse;
     item_runner& runner;
     std::function<routing::RouteTablePtr()> routes;
-    const BatchOptions& options;
+    const batch_options& options;
   };
 
   explicit job_activation(dependencies deps) : deps_(std::move(deps)) {}
@@ -34,7 +34,8 @@
    * @param progress what earlier owners wrote; empty for a new job.
    * @param accepted_at when the job was accepted, by this daemon's clock.
    */
-  void activate(const JobId& id, BatchJob job, const StoredProgress& progress, Instant accepted_at);
+  void activate(const JobId& id, batch_job job, const stored_progress& progress,
+                Instant accepted_at);
 
  private:
   dependencies deps_;
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -31,7 +31,7 @@
 // --- Rows ---------------------------------------------------------------------------------------
 
 void job_ownership::onJobChanged(const JobId& id, known_job& job) {
-  const JobRecord& record = job.record;
+  const job_record& record = job.record;
   job.orphaned_at = Instant{};
   if (job.active && (record.ended || record.owner != this->deps_.leases.own())) {
     this->deactivate(job, record.ended ? "ended" : "taken_by_another");
@@ -98,7 +98,7 @@
   if (!job.active || !job.active->stopped) return;
   if (!job.active->calls.empty() || !job.active->scorings.empty()) return;
   // What may be removed from the store need not be kept in memory.
-  const BatchOptions& options = this->deps_.options;
+  const batch_options& options = this->deps_.options;
   const Duration keep = std::min(options.keep_ended, options.keep_jobs);
   if (now - job.active->stopped_at > keep) job.active.reset();
 }
@@ -133,7 +133,7 @@
     at->activating = false;
     co_return;
   }
-  JobRecord record = at->record;
+  job_record record = at->record;
   const Revision fence = at->revision;
   const std::string from = record.owner.str();
   record.owner = this->deps_.leases.own();
@@ -141,7 +141,7 @@
   const Instant sent_at = steadyNow();
   std::vector<table::Put> renewal;
   renewal.push_back(this->deps_.keeper.renewal());
-  const FencedAnswer answer =
+  const fenced_answer answer =
       co_await this->deps_.store.putRecord(record, fence, std::move(renewal));
   known_job* job = this->deps_.jobs.find(id);
   if (job == nullptr) co_return;
@@ -168,7 +168,7 @@
   for (;;) {
     known_job* known = this->deps_.jobs.find(id);
     if (known == nullptr) break;
-    const JobRecord record = known->record;
+    const job_record record = known->record;
     if (!this->deps_.residency.mayOwn(record)) {
       known->resumes_within_residency = true;
       break;
@@ -198,8 +198,8 @@
   if (at != nullptr) at->activating = false;
 }
 
-Task<CallResult<StoredProgress>> job_ownership::inherit(JobRecord record) {
-  StoredProgress progress;
+Task<CallResult<stored_progress>> job_ownership::inherit(job_record record) {
+  stored_progress progress;
   if (!record.begun) {
     progress.clock_ms = this->deps_.keeper.storeClock(steadyNow());
     co_return progress;
@@ -279,7 +279,7 @@
 Task<void> job_ownership::handOverJob(JobId id) {
   known_job* at = this->deps_.jobs.find(id);
   if (at == nullptr || at->record.owner != this->deps_.leases.own()) co_return;
-  JobRecord record = at->record;
+  job_record record = at->record;
   record.owner = LeaseId();
   record.begun = true;
   const Revision fence = at->revision;
@@ -289,7 +289,7 @@
     // Also where one was sent just now: it may come too late, after the job was given up.
     co_await this->deps_.checkpoints.write(active, checkpoint_writer::Need::kAlways);
   }
-  const FencedAnswer answer = co_await this->deps_.store.putRecord(record, fence, {});
+  const fenced_answer answer = co_await this->deps_.store.putRecord(record, fence, {});
   LogEvent("batch", "handed_over")
       .text("batch", id.str())
       .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
--- a/src/gateway/batch/job_ownership.h
+++ b/src/gateway/batch/job_ownership.h
@@ -27,17 +27,17 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    JobStore& store;
+    job_store& store;
     lease::LeaseTable& leases;
     lease::LeaseKeeper& keeper;
     const lease::OwnerPool& pool;
-    const BatchCodec& codec;
+    const batch_codec& codec;
     known_jobs& jobs;
     const job_residency& residency;
     checkpoint_writer& checkpoints;
     job_activation& activation;
-    BatchCounts& counts;
-    const BatchOptions& options;
+    batch_counts& counts;
+    const batch_options& options;
   };
 
   explicit job_ownership(dependencies deps) : deps_(deps) {}
@@ -67,7 +67,7 @@
   /** Goes on with a job that is this daemon's by its row: reads what it is and what was written. */
   Task<void> resume(JobId id);
   /** @return what earlier owners wrote of the job. */
-  Task<CallResult<StoredProgress>> inherit(JobRecord record);
+  Task<CallResult<stored_progress>> inherit(job_record record);
   void deactivate(known_job& job, const char* reason);
 
   /** Gives the job up if this daemon owns it and it must not be here; goes on with it where that
--- a/src/gateway/batch/job_reader.cpp
+++ b/src/gateway/batch/job_reader.cpp
@@ -11,15 +11,15 @@
 using logging::LogEvent;
 
 namespace {
-std::optional<std::string> bodyOf(const BatchJob& job, const ItemId& item) {
+std::optional<std::string> bodyOf(const batch_job& job, const ItemId& item) {
   const auto found = std::find_if(job.items.begin(), job.items.end(),
-                                  [&](const BatchItem& each) { return each.id == item; });
+                                  [&](const batch_item& each) { return each.id == item; });
   if (found == job.items.end()) return std::nullopt;
   return found->body;
 }
 }  // namespace
 
-Task<bool> job_reader::lookUp(JobId id, tenants::caller from, std::optional<JobRecord>& record) {
+Task<bool> job_reader::lookUp(JobId id, tenants::caller from, std::optional<job_record>& record) {
   if (known_job* at = this->deps_.jobs.find(id)) {
     if (mayAccess(at->record, from)) record = at->record;
     co_return true;
@@ -37,11 +37,11 @@
 /** Results that a reader may get with its answer, from the position that it asked for on. */
 struct job_reader::read_ahead {
   std::size_t position = 0;
-  std::vector<StoredResult> results;
+  std::vector<stored_result> results;
   std::size_t bytes = 0;
 
   std::size_t next() const { return position + results.size(); }
-  void add(StoredResult result) {
+  void add(stored_result result) {
     bytes += result.encoded.size();
     results.push_back(std::move(result));
   }
@@ -86,7 +86,7 @@
   if (page.bytes >= this->deps_.options.page_bytes) co_return true;
   auto stored = co_await this->deps_.store.results(id, page.next(), 0);
   if (!stored) co_return false;
-  for (StoredResult& each : stored->results) page.add(std::move(each));
+  for (stored_result& each : stored->results) page.add(std::move(each));
   co_return true;
 }
 
@@ -135,7 +135,7 @@
 Task<void> job_reader::readResults(JobId id, tenants::caller from, std::size_t position,
                                    Duration wait, http::ResponseWriter& writer) {
   const Instant deadline = steadyNow() + wait;
-  std::optional<JobRecord> record;
+  std::optional<job_record> record;
   const bool sure = co_await this->lookUp(id, from, record);
   if (!record) {
     LogEvent("batch", "read_refused")
@@ -171,7 +171,7 @@
 
 Task<void> job_reader::readItem(JobId id, tenants::caller from, ItemId item,
                                 http::ResponseWriter& writer) {
-  std::optional<JobRecord> record;
+  std::optional<job_record> record;
   const bool sure = co_await this->lookUp(id, from, record);
   if (!record) {
     co_await this->answer(writer, sure ? kNotFound : kUnavailable);
--- a/src/gateway/batch/job_reader.h
+++ b/src/gateway/batch/job_reader.h
@@ -29,12 +29,12 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    JobStore& store;
+    job_store& store;
     lease::LeaseTable& leases;
-    const BatchCodec& codec;
+    const batch_codec& codec;
     const forward::FieldNames& names;
     known_jobs& jobs;
-    const BatchOptions& options;
+    const batch_options& options;
   };
 
   explicit job_reader(dependencies deps) : deps_(deps) {}
@@ -64,7 +64,7 @@
    * @param record stays empty if there is no job, or none that the caller may know of.
    * @return whether that is sure.
    */
-  Task<bool> lookUp(JobId id, tenants::caller from, std::optional<JobRecord>& record);
+  Task<bool> lookUp(JobId id, tenants::caller from, std::optional<job_record>& record);
   std::size_t publishedOf(const JobId& id) const;
   /** Adds published results from this daemon's memory. @return whether it has them. */
   bool readFromMemory(const JobId& id, read_ahead& page) const;
--- a/src/gateway/batch/job_removal.cpp
+++ b/src/gateway/batch/job_removal.cpp
@@ -19,7 +19,7 @@
 std::optional<JobId> job_removal::nextToRemove(Instant now) const {
   const std::int64_t clock_ms = this->deps_.keeper.storeClock(now);
   if (clock_ms == 0 || !this->deps_.leases.storeHealthy()) return std::nullopt;
-  const BatchOptions& options = this->deps_.options;
+  const batch_options& options = this->deps_.options;
   for (const auto& [id, job] : this->deps_.jobs.all()) {
     if (!job.record.ended || job.active) continue;
     const Duration age = std::chrono::milliseconds(clock_ms - job.record.accepted_ms);
--- a/src/gateway/batch/job_removal.h
+++ b/src/gateway/batch/job_removal.h
@@ -20,11 +20,11 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    JobStore& store;
+    job_store& store;
     lease::LeaseTable& leases;
     lease::LeaseKeeper& keeper;
     known_jobs& jobs;
-    const BatchOptions& options;
+    const batch_options& options;
   };
 
   explicit job_removal(dependencies deps) : deps_(deps) {}
--- a/src/gateway/batch/job_residency.cpp
+++ b/src/gateway/batch/job_residency.cpp
@@ -38,19 +38,19 @@
 }
 
 std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
-                                const std::string& host, const BatchJob& job) {
+                                const std::string& host, const batch_job& job) {
   std::set<RouteName> others;
   const auto add = [&](const routing::Route* found) {
     if (found != nullptr && found->name != route.name) others.insert(found->name);
   };
-  for (const BatchItem& item : job.items) {
+  for (const batch_item& item : job.items) {
     add(table.find(host, pathOf(item.path)));
     if (item.scorer) add(table.find(item.scorer->host, pathOf(item.scorer->path)));
   }
   return others;
 }
 
-std::optional<fleet::data_residency> job_residency::of(const JobRecord& record) const {
+std::optional<fleet::data_residency> job_residency::of(const job_record& record) const {
   const routing::RouteTablePtr table = this->deps_.routes();
   const routing::Route* route = routeOf(record, table);
   if (!table) return std::nullopt;
@@ -75,13 +75,13 @@
   return this->deps_.registry.layout().regionOf(this->deps_.pool.zone());
 }
 
-bool job_residency::mayOwn(const JobRecord& record) const {
+bool job_residency::mayOwn(const job_record& record) const {
   const std::optional<fleet::data_residency> residency = this->of(record);
   return residency && residency->allows(this->ownRegion());
 }
 
 bool job_residency::servedWithinResidency(const routing::Route& route,
-                                          const JobRecord& record) const {
+                                          const job_record& record) const {
   const std::optional<fleet::data_residency> owners = this->of(record);
   if (!owners) return false;
   const bool owned_nowhere = owners->bound() && owners->regions().empty();
--- a/src/gateway/batch/job_residency.h
+++ b/src/gateway/batch/job_residency.h
@@ -27,7 +27,7 @@
 
 /** @return the routes of items and scorers that are not the job's own. */
 std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
-                                const std::string& host, const BatchJob& job);
+                                const std::string& host, const batch_job& job);
 
 /** Holds no state of its own. Loop thread only. */
 class job_residency {
@@ -41,17 +41,17 @@
   explicit job_residency(dependencies deps) : deps_(std::move(deps)) {}
 
   /** @return where the job may be; nothing before there is a configuration. */
-  std::optional<fleet::data_residency> of(const JobRecord& record) const;
+  std::optional<fleet::data_residency> of(const job_record& record) const;
   /** @return where an item of the job may be served. */
   fleet::data_residency ofItem(const active_job& active, std::size_t item,
                                const routing::RouteTable& table, const routing::Route& route) const;
   RegionName ownRegion() const;
   /** @return whether the job may be owned by this daemon. */
-  bool mayOwn(const JobRecord& record) const;
+  bool mayOwn(const job_record& record) const;
   /** @return whether the job may be owned somewhere, and an engine of the route's service is where
    *     its items may be.
    */
-  bool servedWithinResidency(const routing::Route& route, const JobRecord& record) const;
+  bool servedWithinResidency(const routing::Route& route, const job_record& record) const;
 
  private:
   dependencies deps_;
--- a/src/gateway/batch/job_rules.cpp
+++ b/src/gateway/batch/job_rules.cpp
@@ -15,12 +15,12 @@
 constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< Without a route.
 }  // namespace
 
-const routing::Route* routeOf(const JobRecord& record, const routing::RouteTablePtr& table) {
+const routing::Route* routeOf(const job_record& record, const routing::RouteTablePtr& table) {
   return table ? table->find(record.host, record.path) : nullptr;
 }
 
-RunRules rulesFor(const routing::Route* route, Instant accepted_at) {
-  RunRules rules;
+run_rules rulesFor(const routing::Route* route, Instant accepted_at) {
+  run_rules rules;
   rules.give_up_at = accepted_at + kGiveUpSlack + kDefaultQueueLimit;
   if (route != nullptr) {
     rules.give_up_at = accepted_at + kGiveUpSlack + route->queue_limit;
--- a/src/gateway/batch/job_rules.h
+++ b/src/gateway/batch/job_rules.h
@@ -12,12 +12,12 @@
 struct active_job;
 
 /** @return the route that the job was handed in under; nullptr without a table or such a route. */
-const routing::Route* routeOf(const JobRecord& record, const routing::RouteTablePtr& table);
+const routing::Route* routeOf(const job_record& record, const routing::RouteTablePtr& table);
 
 /** @param route nullptr: the defaults.
  * @param accepted_at when the job was accepted, by this daemon's clock.
  */
-RunRules rulesFor(const routing::Route* route, Instant accepted_at);
+run_rules rulesFor(const routing::Route* route, Instant accepted_at);
 
 /** Applies the newest table to a job that runs: its rules, and when its results are due. */
 void applyRules(active_job& active, const routing::RouteTablePtr& table);
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-std::string encodeRecord(const JobRecord& record) {
+std::string encodeRecord(const job_record& record) {
   json document = {{"owner", record.owner.str()},
                    {"host", record.host},
                    {"path", record.path},
@@ -59,11 +59,11 @@
   return document.dump();
 }
 
-std::optional<JobRecord> decodeRecord(const JobId& id, const std::string& text) {
+std::optional<job_record> decodeRecord(const JobId& id, const std::string& text) {
   const json document = json::parse(text, nullptr, false);
   if (!document.is_object()) return std::nullopt;
   try {
-    JobRecord record;
+    job_record record;
     record.id = id;
     record.owner = LeaseId(document.at("owner").get<std::string>());
     record.host = document.at("host").get<std::string>();
@@ -85,16 +85,16 @@
   }
 }
 
-bool mayAccess(const JobRecord& record, const tenants::caller& from) {
+bool mayAccess(const job_record& record, const tenants::caller& from) {
   const bool needs_key = from.verdict != tenants::KeyVerdict::kNotNeeded;
   return !needs_key || record.tenant.empty() || record.tenant == from.tenant;
 }
 
-Task<CallResult<bool>> JobStore::putJob(JobId id, std::string bytes) {
+Task<CallResult<bool>> job_store::putJob(JobId id, std::string bytes) {
   co_return co_await objects_.put(jobObject(id), std::move(bytes));
 }
 
-std::vector<table::Put> JobStore::bodyRows(const JobId& id, const std::string& bytes) const {
+std::vector<table::Put> job_store::bodyRows(const JobId& id, const std::string& bytes) const {
   std::vector<table::Put> rows;
   if (bytes.size() > kMaxWriteBytes) return rows;
   for (std::size_t at = 0; at < bytes.size(); at += row_bytes_) {
@@ -104,7 +104,7 @@
   return rows;
 }
 
-Task<CallResult<std::string>> JobStore::getJob(JobRecord record) {
+Task<CallResult<std::string>> job_store::getJob(job_record record) {
   if (record.body_rows == 0) {
     co_return co_await objects_.get(jobObject(record.id));
   }
@@ -124,9 +124,9 @@
   co_return bytes;
 }
 
-FencedAnswer JobStore::judge(const CallResult<table::TransactionAnswer>& answer,
-                             const std::string& job_key, Revision fence) const {
-  FencedAnswer judged;
+fenced_answer job_store::judge(const CallResult<table::TransactionAnswer>& answer,
+                               const std::string& job_key, Revision fence) const {
+  fenced_answer judged;
   if (!answer) {
     judged.outcome = certainlyNotProcessed(answer.error().failure) ? FencedOutcome::kNotDone
                                                                    : FencedOutcome::kUnknown;
@@ -151,8 +151,8 @@
   return judged;
 }
 
-Task<FencedAnswer> JobStore::putRecord(JobRecord record, Revision fence,
-                                       std::vector<table::Put> also) {
+Task<fenced_answer> job_store::putRecord(job_record record, Revision fence,
+                                         std::vector<table::Put> also) {
   const std::string key = jobKey(record.id);
   table::Write write;
   write.transaction.checks.push_back({key, fence});
@@ -168,35 +168,35 @@
 }
 }  // namespace
 
-Task<bool> JobStore::answers(JobId id, Duration timeout) {
+Task<bool> job_store::answers(JobId id, Duration timeout) {
   table::RowRange range = recordRange(id);
   range.timeout = timeout;
   const auto page = co_await table_.read(range);
   co_return page.has_value();
 }
 
-Task<CallResult<table::Row>> JobStore::getRecord(JobId id) {
+Task<CallResult<table::Row>> job_store::getRecord(JobId id) {
   const table::RowRange range = recordRange(id);
   const auto page = co_await table_.read(range);
   if (!page) co_return tl::make_unexpected(page.error());
   co_return page->rows.empty() ? table::Row{jobKey(id), 0, ""} : page->rows.front();
 }
 
-Task<FencedAnswer> JobStore::append(JobId id, Revision fence, std::size_t position,
-                                    std::vector<StoredResult> results,
-                                    std::optional<JobRecord> publish) {
+Task<fenced_answer> job_store::append(JobId id, Revision fence, std::size_t position,
+                                      std::vector<stored_result> results,
+                                      std::optional<job_record> publish) {
   const std::string job_key = jobKey(id);
   table::Write write;
   write.transaction.checks.push_back({job_key, fence});
   if (publish) write.transaction.puts.push_back({job_key, encodeRecord(*publish)});
-  for (const StoredResult& result : results) {
+  for (const stored_result& result : results) {
     std::string value = std::to_string(result.item_index);
     if (result.encoded.size() + value.size() + 1 <= row_bytes_) {
       value += kInline + result.encoded;
     } else {
       const std::string name = largeResultName(id, position, fence);
       const auto put = co_await objects_.put(name, result.encoded);
-      if (!put) co_return FencedAnswer{FencedOutcome::kNotDone, 0, std::nullopt};
+      if (!put) co_return fenced_answer{FencedOutcome::kNotDone, 0, std::nullopt};
       value += kObject + name;
     }
     const std::string key = resultRowKey(id, position);
@@ -207,7 +207,7 @@
   co_return judge(answer, job_key, fence);
 }
 
-Task<FencedAnswer> JobStore::putCheckpoint(JobId id, Revision fence, CheckpointWrite part) {
+Task<fenced_answer> job_store::putCheckpoint(JobId id, Revision fence, checkpoint_write part) {
   const std::string job_key = jobKey(id);
   const std::string prefix = table::kCheckpointTable + "/";
   table::Write write;
@@ -218,7 +218,7 @@
     if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
       // A part that is cut off counts for nothing until its last row is there.
       const auto begun = co_await table_.write(std::move(write));
-      const FencedAnswer judged = judge(begun, job_key, fence);
+      const fenced_answer judged = judge(begun, job_key, fence);
       if (judged.outcome != FencedOutcome::kDone) co_return judged;
       write = table::Write{};
       write.transaction.checks.push_back({job_key, fence});
@@ -236,7 +236,7 @@
   co_return judge(answer, job_key, fence);
 }
 
-Task<bool> JobStore::removeObjects(std::string prefix) {
+Task<bool> job_store::removeObjects(std::string prefix) {
   const auto names = co_await objects_.list(prefix);
   if (!names) co_return false;
   for (const std::string& name : *names) {
@@ -246,7 +246,7 @@
   co_return true;
 }
 
-Task<bool> JobStore::removeRows(std::string table, JobId id, Revision fence) {
+Task<bool> job_store::removeRows(std::string table, JobId id, Revision fence) {
   for (;;) {
     table::RowRange range{table, numberedKey(id, 0), numberedEnd(id), kMaxRemovedAtOnce};
     const auto page = co_await table_.read(range);
@@ -260,7 +260,7 @@
   }
 }
 
-Task<bool> JobStore::removeJob(JobId id, Revision fence) {
+Task<bool> job_store::removeJob(JobId id, Revision fence) {
   const bool results_gone = co_await removeRows(kResultTable, id, fence);
   if (!results_gone) co_return false;
   const bool body_gone = co_await removeRows(table::kBodyTable, id, fence);
@@ -279,8 +279,8 @@
   co_return answer.has_value() && answer->committed;
 }
 
-Task<CallResult<StoredCheckpoint>> JobStore::getCheckpoint(JobId id) {
-  StoredCheckpoint stored;
+Task<CallResult<stored_checkpoint>> job_store::getCheckpoint(JobId id) {
+  stored_checkpoint stored;
   std::vector<std::string> values;
   table::RowRange range{table::kCheckpointTable, numberedKey(id, 0), numberedEnd(id), 0};
   for (;;) {
@@ -299,19 +299,19 @@
   co_return stored;
 }
 
-Task<CallResult<StoredResults>> JobStore::results(JobId id, std::size_t position,
-                                                  std::size_t limit) {
+Task<CallResult<stored_results>> job_store::results(JobId id, std::size_t position,
+                                                    std::size_t limit) {
   table::RowRange range{kResultTable, numberedKey(id, position), numberedEnd(id), limit};
   const auto page = co_await table_.read(range);
   if (!page) co_return tl::make_unexpected(page.error());
-  StoredResults found;
+  stored_results found;
   found.clock_ms = page->clock_ms;
   for (const table::Row& row : page->rows) {
     const std::size_t mark = row.value.find_first_not_of("0123456789");
     if (mark == std::string::npos || row.key != resultRowKey(id, position + found.results.size())) {
       co_return tl::make_unexpected(CallError{CallFailure::kBadAnswer, "a gap in the results"});
     }
-    StoredResult result;
+    stored_result result;
     result.item_index = std::strtoull(row.value.c_str(), nullptr, 10);
     result.encoded = row.value.substr(mark + 1);
     if (row.value[mark] == kObject) {
@@ -324,14 +324,14 @@
   co_return found;
 }
 
-Task<CallResult<StoredProgress>> JobStore::getProgress(JobId id) {
-  StoredProgress progress;
+Task<CallResult<stored_progress>> job_store::getProgress(JobId id) {
+  stored_progress progress;
   for (;;) {
     auto page = co_await results(id, progress.results.size(), 0);
     if (!page) co_return tl::make_unexpected(page.error());
     progress.clock_ms = page->clock_ms;
     if (page->results.empty()) break;
-    for (StoredResult& each : page->results) progress.results.push_back(std::move(each));
+    for (stored_result& each : page->results) progress.results.push_back(std::move(each));
   }
   auto checkpoint = co_await getCheckpoint(id);
   if (!checkpoint) co_return tl::make_unexpected(checkpoint.error());
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -23,32 +23,32 @@
 namespace linenpier::batch {
 
 /// A result as it lies in the store.
-struct StoredResult {
+struct stored_result {
   std::size_t item_index = 0;
   std::string encoded;  ///< As readers get it.
 };
 
-struct StoredResults {
-  std::vector<StoredResult> results;  ///< From the asked position on, without gaps.
+struct stored_results {
+  std::vector<stored_result> results;  ///< From the asked position on, without gaps.
   std::int64_t clock_ms = 0;
 };
 
 /// A checkpoint as it lies in the store, and the rows that hold it.
-struct StoredCheckpoint {
-  Checkpoint texts;
+struct stored_checkpoint {
+  checkpoint_texts texts;
   std::size_t first_row = 0;
   std::size_t next_row = 0;  ///< Behind the last one.
 };
 
 /// All that an owner of a job has written of it.
-struct StoredProgress {
-  std::vector<StoredResult> results;  ///< By position, from the first on.
-  StoredCheckpoint checkpoint;
+struct stored_progress {
+  std::vector<stored_result> results;  ///< By position, from the first on.
+  stored_checkpoint checkpoint;
   std::int64_t clock_ms = 0;  ///< The store's clock when it was read.
 };
 
 /// A part of a checkpoint on its way into the store.
-struct CheckpointWrite {
+struct checkpoint_write {
   std::vector<std::string> rows;  ///< See `toRows`.
   std::size_t first_row = 0;      ///< Number of the first.
   /// Rows from this one up to `first_row` are removed once the part is written.
@@ -63,22 +63,22 @@
   kUnknown,    ///< May be done yet; only the same write may follow.
 };
 
-struct FencedAnswer {
+struct fenced_answer {
   FencedOutcome outcome = FencedOutcome::kUnknown;
   Revision revision = 0;              ///< Of what was written.
   std::optional<table::Row> current;  ///< The job's row, if the fence is lost and the row exists.
 };
 
-std::string encodeRecord(const JobRecord& record);
+std::string encodeRecord(const job_record& record);
 /// @return nothing if the text is no job record.
-std::optional<JobRecord> decodeRecord(const JobId& id, const std::string& text);
+std::optional<job_record> decodeRecord(const JobId& id, const std::string& text);
 
 /// @return whether the caller may know of the job.
-bool mayAccess(const JobRecord& record, const tenants::caller& from);
+bool mayAccess(const job_record& record, const tenants::caller& from);
 
-class JobStore {
+class job_store {
  public:
-  JobStore(table::AsyncTable& table, table::AsyncObjects& objects, std::size_t row_bytes)
+  job_store(table::AsyncTable& table, table::AsyncObjects& objects, std::size_t row_bytes)
       : table_(table), objects_(objects), row_bytes_(row_bytes) {}
 
   /// @return the rows that hold a job as handed in, to be written with its row; none if it is too
@@ -87,10 +87,10 @@
   /// Keeps a job that is too large for rows.
   Task<CallResult<bool>> putJob(JobId id, std::string bytes);
   /// @return the job as handed in.
-  Task<CallResult<std::string>> getJob(JobRecord record);
+  Task<CallResult<std::string>> getJob(job_record record);
 
   /// Writes the job's row if its revision is `fence` (0: absent), with `also` in one transaction.
-  Task<FencedAnswer> putRecord(JobRecord record, Revision fence, std::vector<table::Put> also);
+  Task<fenced_answer> putRecord(job_record record, Revision fence, std::vector<table::Put> also);
   /// @return whether the store answers a question about the job in time.
   Task<bool> answers(JobId id, Duration timeout);
   /// @return the row; revision 0 if there is none.
@@ -99,28 +99,28 @@
   /// Appends results from `position` on under the fence.
   /// @param publish the job's row with what readers are shown from then on, in the same write: it
   ///     gets a new revision, which is the fence then.
-  Task<FencedAnswer> append(JobId id, Revision fence, std::size_t position,
-                            std::vector<StoredResult> results, std::optional<JobRecord> publish);
+  Task<fenced_answer> append(JobId id, Revision fence, std::size_t position,
+                             std::vector<stored_result> results, std::optional<job_record> publish);
   /// @return how much of a part of a checkpoint a row takes, in bytes.
   std::size_t rowBytes() const { return row_bytes_; }
   /// Keeps what unfinished items have so far.
-  Task<FencedAnswer> putCheckpoint(JobId id, Revision fence, CheckpointWrite part);
+  Task<fenced_answer> putCheckpoint(JobId id, Revision fence, checkpoint_write part);
   /// Removes everything of a job that has ended, its row last. May be repeated.
   /// @return whether nothing is left.
   Task<bool> removeJob(JobId id, Revision fence);
   /// @return the checkpoint, its parts put together; empty if there is none.
-  Task<CallResult<StoredCheckpoint>> getCheckpoint(JobId id);
+  Task<CallResult<stored_checkpoint>> getCheckpoint(JobId id);
   /// Reads results from `position` on, at most `limit` rows (0: as many as one answer holds).
-  Task<CallResult<StoredResults>> results(JobId id, std::size_t position, std::size_t limit);
+  Task<CallResult<stored_results>> results(JobId id, std::size_t position, std::size_t limit);
   /// Reads all results and the checkpoint of a job.
-  Task<CallResult<StoredProgress>> getProgress(JobId id);
+  Task<CallResult<stored_progress>> getProgress(JobId id);
 
  private:
   /// Removes the job's rows of a table that has many of each job. @return whether none is left.
   Task<bool> removeRows(std::string table, JobId id, Revision fence);
   Task<bool> removeObjects(std::string prefix);
-  FencedAnswer judge(const CallResult<table::TransactionAnswer>& answer, const std::string& job_key,
-                     Revision fence) const;
+  fenced_answer judge(const CallResult<table::TransactionAnswer>& answer,
+                      const std::string& job_key, Revision fence) const;
 
   table::AsyncTable& table_;
   table::AsyncObjects& objects_;
--- a/src/gateway/batch/known_jobs.cpp
+++ b/src/gateway/batch/known_jobs.cpp
@@ -32,10 +32,10 @@
   return at == this->jobs_.end() ? nullptr : &at->second;
 }
 
-std::vector<JobId> known_jobs::earlierJobs(const JobRecord& record, std::size_t max_jobs) const {
+std::vector<JobId> known_jobs::earlierJobs(const job_record& record, std::size_t max_jobs) const {
   std::vector<std::pair<std::int64_t, JobId>> earlier;
   for (const auto& [id, job] : this->jobs_) {
-    const JobRecord& other = job.record;
+    const job_record& other = job.record;
     if (other.tenant != record.tenant) continue;
     if (id == record.id || other.host != record.host || other.model != record.model) continue;
     if (other.accepted_ms <= record.accepted_ms) earlier.emplace_back(other.accepted_ms, id);
--- a/src/gateway/batch/known_jobs.h
+++ b/src/gateway/batch/known_jobs.h
@@ -23,7 +23,7 @@
 
 /** A job as this daemon knows it. */
 struct known_job {
-  JobRecord record;
+  job_record record;
   Revision revision = 0;  ///< Of the row that `record` was read from; 0: no row was seen yet.
   /// Set while this daemon owns and runs the job, and for some time after it stopped: its results
   /// are read from it, and later jobs reuse its texts.
@@ -67,7 +67,7 @@
   /** @return the newest jobs of the same tenant, host and model that were accepted before, the
    * newest first.
    */
-  std::vector<JobId> earlierJobs(const JobRecord& record, std::size_t max_jobs) const;
+  std::vector<JobId> earlierJobs(const job_record& record, std::size_t max_jobs) const;
 
  private:
   job_map jobs_;
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -13,8 +13,9 @@
 namespace {
 
 /// @return the text that a completed result has.
-ItemCheckpoint toCheckpoint(std::size_t index, const BatchItem& item, const BatchResult& result) {
-  ItemCheckpoint kept;
+item_checkpoint toCheckpoint(std::size_t index, const batch_item& item,
+                             const batch_result& result) {
+  item_checkpoint kept;
   kept.item_index = index;
   // The data of an event may have line feeds of its own: never fewer events than there were.
   kept.last_event =
@@ -33,23 +34,23 @@
 /** Reads under way of what earlier jobs left. */
 struct partial_result_reuse::search_state
     : boost::intrusive_ref_counter<search_state, boost::thread_unsafe_counter> {
-  search_state(boost::asio::io_context& loop, const BatchJob& job) : changed(loop) {
-    for (const BatchItem& item : job.items) wanted.insert(item.id);
+  search_state(boost::asio::io_context& loop, const batch_job& job) : changed(loop) {
+    for (const batch_item& item : job.items) wanted.insert(item.id);
   }
 
-  bool sharesItems(const BatchJob& earlier) const {
+  bool sharesItems(const batch_job& earlier) const {
     return std::any_of(earlier.items.begin(), earlier.items.end(),
-                       [this](const BatchItem& item) { return wanted.contains(item.id); });
+                       [this](const batch_item& item) { return wanted.contains(item.id); });
   }
 
   /** @param texts of the earlier job's items that are not appended.
    * @param appended its results; completed ones of wanted items count as texts, too.
    */
-  void add(const BatchJob& earlier, Checkpoint texts, const std::vector<StoredResult>& appended,
-           const BatchCodec& codec) {
-    for (const StoredResult& result : appended) {
+  void add(const batch_job& earlier, checkpoint_texts texts,
+           const std::vector<stored_result>& appended, const batch_codec& codec) {
+    for (const stored_result& result : appended) {
       if (result.item_index >= earlier.items.size()) continue;
-      const BatchItem& item = earlier.items[result.item_index];
+      const batch_item& item = earlier.items[result.item_index];
       if (!wanted.contains(item.id)) continue;
       const auto decoded = codec.decodeResult(result.encoded);
       if (decoded && decoded->state == ResultState::kCompleted) {
@@ -69,7 +70,7 @@
   spawn(this->deps_.loop, [this, active] { return this->reuse(active); });
 }
 
-Task<void> partial_result_reuse::readEarlierJob(JobRecord record, search_ptr search) {
+Task<void> partial_result_reuse::readEarlierJob(job_record record, search_ptr search) {
   const JobId id = record.id;
   const auto bytes = co_await this->deps_.store.getJob(record);
   if (bytes) {
@@ -89,14 +90,14 @@
   if (!this->deps_.residency.mayOwn(earlier.record)) return;
   const active_job_ptr active = earlier.active;
   if (active) {
-    const BatchJob& job = active->run.job();
+    const batch_job& job = active->run.job();
     if (!search->sharesItems(job)) return;
-    const Checkpoint texts = checkpoint_log{}.next(active->run).texts;
+    const checkpoint_texts texts = checkpoint_log{}.next(active->run).texts;
     search->add(job, texts, active->appended, this->deps_.codec);
     return;
   }
   ++search->unanswered;
-  const JobRecord record = earlier.record;
+  const job_record record = earlier.record;
   spawn(this->deps_.loop, [this, record, search] { return this->readEarlierJob(record, search); });
 }
 
@@ -112,7 +113,7 @@
 }
 
 Task<void> partial_result_reuse::reuse(active_job_ptr active) {
-  const BatchOptions& options = this->deps_.options;
+  const batch_options& options = this->deps_.options;
   const std::vector<JobId> earlier =
       this->deps_.jobs.earlierJobs(active->record, options.earlier_jobs);
   if (earlier.empty()) co_return;
--- a/src/gateway/batch/partial_result_reuse.h
+++ b/src/gateway/batch/partial_result_reuse.h
@@ -23,11 +23,11 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    JobStore& store;
-    const BatchCodec& codec;
+    job_store& store;
+    const batch_codec& codec;
     known_jobs& jobs;
     const job_residency& residency;
-    const BatchOptions& options;
+    const batch_options& options;
     std::function<void()> on_reused;  ///< Items of a job may now be able to start, or to be scored.
   };
 
@@ -43,7 +43,7 @@
   Task<void> reuse(active_job_ptr active);
   /** Adds what an earlier job left, at once or when the store has answered. */
   void searchJob(const JobId& id, const search_ptr& search);
-  Task<void> readEarlierJob(JobRecord record, search_ptr search);
+  Task<void> readEarlierJob(job_record record, search_ptr search);
   /** @return the items whose runs were stopped, since the text found replaces theirs. */
   std::vector<std::size_t> apply(active_job& active, const search_state& search);
 
--- a/src/gateway/batch/partial_results.cpp
+++ b/src/gateway/batch/partial_results.cpp
@@ -2,16 +2,16 @@
 
 namespace linenpier::batch {
 
-void partial_results::addJob(const BatchJob& earlier, const Checkpoint& kept) {
-  for (const BatchItem& item : earlier.items) this->items_.insert(item.id);
-  for (const ItemCheckpoint& text : kept) {
+void partial_results::addJob(const batch_job& earlier, const checkpoint_texts& kept) {
+  for (const batch_item& item : earlier.items) this->items_.insert(item.id);
+  for (const item_checkpoint& text : kept) {
     if (text.item_index >= earlier.items.size()) continue;
-    ItemCheckpoint& longest = this->texts_[earlier.items[text.item_index].id];
+    item_checkpoint& longest = this->texts_[earlier.items[text.item_index].id];
     if (text.last_event > longest.last_event) longest = text;
   }
 }
 
-const ItemCheckpoint* partial_results::textOf(const ItemId& item) const {
+const item_checkpoint* partial_results::textOf(const ItemId& item) const {
   const auto at = this->texts_.find(item);
   return at == this->texts_.end() ? nullptr : &at->second;
 }
--- a/src/gateway/batch/partial_results.h
+++ b/src/gateway/batch/partial_results.h
@@ -19,17 +19,17 @@
   /** Adds an earlier job. Of two texts of one item the longer one stays.
    * @param kept text of its items that were not finished.
    */
-  void addJob(const BatchJob& earlier, const Checkpoint& kept);
+  void addJob(const batch_job& earlier, const checkpoint_texts& kept);
 
   /** @return whether the item was handed in before. */
   bool contains(const ItemId& item) const { return this->items_.contains(item); }
   /** @return what is kept of the item, or nullptr. */
-  const ItemCheckpoint* textOf(const ItemId& item) const;
+  const item_checkpoint* textOf(const ItemId& item) const;
   bool empty() const { return this->items_.empty(); }
 
  private:
   std::set<ItemId> items_;
-  std::map<ItemId, ItemCheckpoint> texts_;
+  std::map<ItemId, item_checkpoint> texts_;
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -18,7 +18,7 @@
   spawn(this->deps_.loop, [this, active] { return this->appendLoop(active); });
 }
 
-bool result_writer::fillsAppend(const BatchRun& run) const {
+bool result_writer::fillsAppend(const batch_run& run) const {
   return run.finished().size() >= this->deps_.options.write_rows ||
          run.finishedBytes() >= this->deps_.options.write_bytes;
 }
@@ -66,13 +66,13 @@
 }
 
 void result_writer::preparePending(active_job& active, Instant now) const {
-  const BatchOptions& options = this->deps_.options;
+  const batch_options& options = this->deps_.options;
   active_job::Pending& pending = active.pending;
   pending.position = active.appended.size();
   std::size_t bytes = 0;
   for (const ItemIndex item : active.run.finished()) {
     if (pending.results.size() >= options.write_rows || bytes >= options.write_bytes) break;
-    StoredResult result{item, this->deps_.codec.encodeResult(active.run.result(item))};
+    stored_result result{item, this->deps_.codec.encodeResult(active.run.result(item))};
     bytes += result.encoded.size();
     pending.items.push_back(item);
     pending.results.push_back(std::move(result));
@@ -88,14 +88,14 @@
   const active_job::Pending& pending = active->pending;
   const JobId id = active->record.id;
   const Revision fence = active->fence;
-  std::optional<JobRecord> publish;
+  std::optional<job_record> publish;
   if (pending.publish) {
     const known_job* job = this->deps_.jobs.find(id);
     publish = job == nullptr ? active->record : job->record;
     publish->published = *pending.publish;
     publish->begun = true;
   }
-  const FencedAnswer answer =
+  const fenced_answer answer =
       co_await this->deps_.store.append(id, fence, pending.position, pending.results, publish);
   if (active->stopped) co_return false;
   const bool done =
@@ -120,7 +120,7 @@
   co_return true;
 }
 
-bool result_writer::publishedBefore(const FencedAnswer& answer, const active_job& active) const {
+bool result_writer::publishedBefore(const fenced_answer& answer, const active_job& active) const {
   if (answer.outcome != FencedOutcome::kFenceLost || !answer.current) return false;
   const auto record = decodeRecord(active.record.id, answer.current->value);
   if (!record || record->ended || record->owner != this->deps_.leases.own()) return false;
--- a/src/gateway/batch/result_writer.h
+++ b/src/gateway/batch/result_writer.h
@@ -22,12 +22,12 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    JobStore& store;
+    job_store& store;
     lease::LeaseTable& leases;
-    const BatchCodec& codec;
+    const batch_codec& codec;
     known_jobs& jobs;
-    BatchCounts& counts;
-    const BatchOptions& options;
+    batch_counts& counts;
+    const batch_options& options;
   };
 
   explicit result_writer(dependencies deps) : deps_(deps) {}
@@ -38,7 +38,7 @@
  private:
   Task<void> appendLoop(active_job_ptr active);
   /** @return whether what is finished fills an append. */
-  bool fillsAppend(const BatchRun& run) const;
+  bool fillsAppend(const batch_run& run) const;
   bool publishUrgent(const active_job& active) const;
   /** @return when results should be published; when to check again, if all are. */
   Instant nextPublishAt(const active_job& active, Instant now) const;
@@ -50,7 +50,7 @@
   /** @return whether the pending write is done. */
   Task<bool> writePending(active_job_ptr active);
   /** @return whether an earlier try of the pending write, which was not answered, was done. */
-  bool publishedBefore(const FencedAnswer& answer, const active_job& active) const;
+  bool publishedBefore(const fenced_answer& answer, const active_job& active) const;
   void onPendingWritten(active_job& active);
 
   dependencies deps_;
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::batch {
 
 std::vector<item_run> movableRuns(Instant now, const engines::EngineRegistry& registry,
-                                  const ServiceName& service, const BatchJob& job,
+                                  const ServiceName& service, const batch_job& job,
                                   const std::vector<item_run>& runs, const run_move_rules& rules) {
   const double median = registry.medianEventTime(now, service);
   std::vector<item_run> movable;
@@ -22,7 +22,7 @@
 }
 
 std::optional<run_move> planMove(Instant now, engines::EngineRegistry& registry,
-                                 const length_estimate& lengths, const BatchRun& run,
+                                 const length_estimate& lengths, const batch_run& run,
                                  const item_run& from, const engines::PickRequest& wanted,
                                  const run_move_rules& rules) {
   const engines::EngineState* better = registry.pick(now, wanted);
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -32,14 +32,14 @@
 
 /** @return the runs that may move, those that are expected to last longest first. */
 std::vector<item_run> movableRuns(Instant now, const engines::EngineRegistry& registry,
-                                  const ServiceName& service, const BatchJob& job,
+                                  const ServiceName& service, const batch_job& job,
                                   const std::vector<item_run>& runs, const run_move_rules& rules);
 
 /** @param wanted what the item asks of an engine, without the one that it is at.
  * @return where the run should go on, if the move is worth its cost.
  */
 std::optional<run_move> planMove(Instant now, engines::EngineRegistry& registry,
-                                 const length_estimate& lengths, const BatchRun& run,
+                                 const length_estimate& lengths, const batch_run& run,
                                  const item_run& from, const engines::PickRequest& wanted,
                                  const run_move_rules& rules);
 
--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -60,7 +60,7 @@
 
 Task<AttemptVerdict> run_reader::read(active_job& active, ItemIndex item, forward::EngineCall& call,
                                       const ModelName& model, run_course& course) {
-  const BatchOptions& options = this->deps_.options;
+  const batch_options& options = this->deps_.options;
   const Instant started = steadyNow();
   const Duration first_limit =
       options.timeouts.forFirstEvent(active.run.progress(item).late_starts);
--- a/src/gateway/batch/run_reader.h
+++ b/src/gateway/batch/run_reader.h
@@ -30,7 +30,7 @@
   struct dependencies {
     engines::EngineRegistry& registry;
     const forward::FieldNames& names;
-    const BatchOptions& options;
+    const batch_options& options;
   };
 
   explicit run_reader(dependencies deps) : deps_(deps) {}
--- a/src/gateway/batch/slow_run_mover.h
+++ b/src/gateway/batch/slow_run_mover.h
@@ -25,7 +25,7 @@
     const length_estimate& lengths;
     const item_pick& picks;
     std::function<routing::RouteTablePtr()> routes;
-    const BatchOptions& options;
+    const batch_options& options;
   };
 
   explicit slow_run_mover(dependencies deps) : deps_(std::move(deps)) {}
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -151,11 +151,11 @@
   lease::LeaseKeeper keeper_;
   lease::lease_watch lease_watch_;
   bool leases_answered_ = false;  ///< Whether the last read of the leases was answered.
-  batch::JobStore job_store_;
+  batch::job_store job_store_;
   usage::usage_service usage_;
   suspects::suspect_service suspects_;
   forward::Forwarder forwarder_;
-  batch::BatchService batches_;
+  batch::batch_service batches_;
   versions::OrderService orders_;
   scaling::scaling_service scaling_;
   http::Server requests_;
--- a/src/gateway/service/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -55,7 +55,7 @@
     ++states[name];
   }
   addColdState(now, state);
-  const batch::BatchService::Work work = batches_.work();
+  const batch::batch_service::Work work = batches_.work();
   addSuspects(now, state);
   state.jobs_known = batches_.jobCount();
   state.jobs_owned = work.jobs;
@@ -77,7 +77,7 @@
   addEngineNumbers(state);
   state.orders_sent = orders_.counts().sent;
   state.orders_unanswered = orders_.counts().unanswered;
-  const batch::BatchCounts& counts = batches_.counts();
+  const batch::batch_counts& counts = batches_.counts();
   state.items_completed = counts.completed;
   state.items_terminated = counts.terminated;
   state.item_attempts = counts.attempts;
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -39,7 +39,7 @@
   Duration stop_limit = std::chrono::seconds(8);  ///< From the signal to the end.
   lease::handover_rules handover;                 ///< Of rights to order engines and of duties.
   versions::RolloutOptions rollout;
-  batch::BatchOptions batch;
+  batch::batch_options batch;
   engines::cold_rules cold;  ///< Of engines that started lately.
   /// Between two heartbeats of an engine, as the platform sets it.
   Duration engine_heartbeat = engines::RegistryOptions{}.heartbeat;
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -43,7 +43,7 @@
   virtual const forward::FieldNames& fieldNames() const = 0;
   virtual table::AsyncTable& table() = 0;
   virtual table::AsyncObjects& objects() = 0;
-  virtual const batch::BatchCodec& batchCodec() const = 0;
+  virtual const batch::batch_codec& batchCodec() const = 0;
   virtual versions::EngineOrders& orders() = 0;
   virtual usage::duty_port& duties() = 0;
   virtual scaling::scaling_port& scaling() = 0;
--- a/tests/gateway/batch/awaited_runs_test.cpp
+++ b/tests/gateway/batch/awaited_runs_test.cpp
@@ -3,20 +3,20 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using batch::BatchRun;
+using batch::batch_run;
 
 namespace {
 
 constexpr Instant kStart{std::chrono::seconds(100)};
 
-BatchRun running(const std::vector<std::uint64_t>& hints) {
-  batch::BatchJob job;
+batch_run running(const std::vector<std::uint64_t>& hints) {
+  batch::batch_job job;
   for (const std::uint64_t hint : hints) {
-    batch::BatchItem item;
+    batch::batch_item item;
     item.length_hint = hint;
     job.items.push_back(item);
   }
-  BatchRun run(job, {});
+  batch_run run(job, {});
   for (std::size_t item = 0; item < hints.size(); ++item) {
     run.onStarted(kStart, item, EngineId("e" + std::to_string(item)));
   }
--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -3,9 +3,9 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using batch::BatchItem;
-using batch::BatchJob;
-using batch::BatchRun;
+using batch::batch_item;
+using batch::batch_job;
+using batch::batch_run;
 using batch::EventVerdict;
 using batch::ItemState;
 using batch::ResultState;
@@ -15,24 +15,24 @@
 constexpr Instant kStart{std::chrono::seconds(100)};
 const EngineId kEngine("e");
 
-BatchItem item(const std::string& id, const std::string& group, std::uint64_t hint) {
-  BatchItem made;
+batch_item item(const std::string& id, const std::string& group, std::uint64_t hint) {
+  batch_item made;
   made.id = ItemId(id);
   made.group = GroupId(group);
   made.length_hint = hint;
   return made;
 }
 
-BatchJob job() {
-  BatchJob made;
+batch_job job() {
+  batch_job made;
   made.id = JobId("j");
   made.minimum_version = 3;
   made.items = {item("a", "g1", 10), item("b", "g1", 40), item("c", "g2", 90), item("d", "g2", 5)};
   return made;
 }
 
-batch::RunRules rules() {
-  batch::RunRules made;
+batch::run_rules rules() {
+  batch::run_rules made;
   made.max_failures = 2;
   made.give_up_at = kStart + std::chrono::seconds(30);
   return made;
@@ -41,12 +41,12 @@
 }  // namespace
 
 Test(batch_run, the_longest_items_begin_first) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   cr_assert_eq(*run.nextToStart(kStart), 2U);
 }
 
 Test(batch_run, a_text_is_joined_event_by_event_with_the_versions_that_made_it) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
   cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 3), EventVerdict::kTaken);
   run.onInterrupted(kStart, 0, Duration::zero());
@@ -56,23 +56,23 @@
   cr_assert_eq(run.onEvent(kStart, 0, 3, "three", 4), EventVerdict::kUnfit, "no gap");
   cr_assert_eq(run.onEvent(kStart, 0, 2, "two", 4), EventVerdict::kTaken);
   run.onCompleted(kStart, 0);
-  const batch::BatchResult result = run.result(0);
+  const batch::batch_result result = run.result(0);
   cr_assert_eq(result.text, "one\ntwo");
   cr_assert_eq(result.versions.size(), 2U);
   cr_assert_eq(result.state, ResultState::kCompleted);
 }
 
 Test(batch_run, events_of_too_old_weights_are_not_taken) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
   cr_assert_eq(run.onEvent(kStart, 0, 1, "old", 2), EventVerdict::kUnfit);
   cr_assert_eq(run.progress(0).last_event, 0U);
 }
 
 Test(batch_run, a_single_version_route_never_joins_versions) {
-  batch::RunRules single = rules();
+  batch::run_rules single = rules();
   single.single_version = true;
-  BatchRun run(job(), single);
+  batch_run run(job(), single);
   run.onStarted(kStart, 0, kEngine);
   run.onEvent(kStart, 0, 1, "one", 3);
   cr_assert_eq(run.onEvent(kStart, 0, 2, "two", 4), EventVerdict::kUnfit);
@@ -83,7 +83,7 @@
 }
 
 Test(batch_run, an_item_that_always_fails_is_given_up_after_the_attempts_allowed) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
   run.onFailed(kStart, 0);
   cr_assert_eq(run.progress(0).state, ItemState::kWaiting);
@@ -96,7 +96,7 @@
 }
 
 Test(batch_run, what_is_too_late_is_given_up_only_then) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
   cr_assert_not(run.onTick(kStart + std::chrono::seconds(29)));
   cr_assert(run.onTick(kStart + std::chrono::seconds(30)));
@@ -105,7 +105,7 @@
 }
 
 Test(batch_run, a_checkpoint_is_taken_if_it_fits) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   cr_assert_not(run.onCheckpoint(0, {0, 2, {3}, "one\ntwo"}));
   run.onCheckpoint(1, {1, 2, {2}, "too\nold"});
   cr_assert_eq(run.progress(0).last_event, 2U);
@@ -117,7 +117,7 @@
 }
 
 Test(batch_run, listed_items_stay_listed) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   run.onAlreadyAppended(2);
   cr_assert_eq(*run.nextToStart(kStart), 1U);
   run.onStarted(kStart, 1, kEngine);
@@ -134,14 +134,14 @@
 
 /// An earlier job from which the group `g2` comes again; `text` is kept of its item "c".
 batch::partial_results leftBehind(const std::set<WeightVersion>& versions) {
-  BatchJob earlier;
+  batch_job earlier;
   earlier.items = {item("c", "g2", 90), item("d", "g2", 5)};
   batch::partial_results carried;
   carried.addJob(earlier, {{0, 2, versions, "one\ntwo"}});
   return carried;
 }
 
-void finishItem(BatchRun& run, batch::ItemIndex item) {
+void finishItem(batch_run& run, batch::ItemIndex item) {
   run.onStarted(kStart, item, kEngine);
   run.onEvent(kStart, item, 1, "all", 3);
   run.onCompleted(kStart, item);
@@ -150,10 +150,10 @@
 }  // namespace
 
 Test(batch_run, a_group_that_comes_again_begins_first_and_is_waited_for) {
-  BatchJob one_group = job();
+  batch_job one_group = job();
   one_group.desired_groups = 1;
   one_group.items[0].length_hint = 200;
-  BatchRun run(one_group, rules());
+  batch_run run(one_group, rules());
   cr_assert_eq(*run.nextToStart(kStart), 0U, "the longest item, while nothing is known");
   run.onPartialResults(leftBehind({2}));
   cr_assert_eq(run.reusedGroups(), 1U);
@@ -167,18 +167,18 @@
 }
 
 Test(batch_run, text_of_a_group_that_comes_again_is_gone_on_with_if_its_versions_fit) {
-  BatchRun fitting(job(), rules());
+  batch_run fitting(job(), rules());
   cr_assert(fitting.onPartialResults(leftBehind({3, 4})).empty());
   cr_assert_eq(fitting.progress(2).last_event, 2U);
   cr_assert_eq(fitting.progress(2).text, "one\ntwo");
-  BatchRun too_old(job(), rules());
+  batch_run too_old(job(), rules());
   too_old.onPartialResults(leftBehind({2, 3}));
   cr_assert_eq(too_old.progress(2).last_event, 0U);
   cr_assert_eq(too_old.reusedGroups(), 1U, "it is waited for all the same");
 }
 
 Test(batch_run, an_attempt_that_has_less_than_what_was_kept_is_of_no_use) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   run.onStarted(kStart, 2, kEngine);
   run.onEvent(kStart, 2, 1, "one", 4);
   const std::vector<batch::ItemIndex> obsolete = run.onPartialResults(leftBehind({3}));
@@ -190,7 +190,7 @@
 }
 
 Test(batch_run, a_finished_text_that_was_kept_is_not_made_again) {
-  BatchRun run(job(), rules());
+  batch_run run(job(), rules());
   run.onCheckpoint(1, {1, 2, {3}, "one\ntwo", true});
   cr_assert_eq(run.finished().size(), 1U);
   cr_assert_eq(run.result(1).text, "one\ntwo");
@@ -198,27 +198,27 @@
 }
 
 Test(batch_run, results_are_urgent_once_the_step_is_whole_or_an_item_is_given_up) {
-  BatchJob one_group = job();
+  batch_job one_group = job();
   one_group.desired_groups = 1;
-  BatchRun run(one_group, rules());
+  batch_run run(one_group, rules());
   cr_assert_not(run.publishUrgent(), "nothing is finished");
   finishItem(run, 0);
   cr_assert_not(run.publishUrgent());
   finishItem(run, 1);
   cr_assert(run.publishUrgent(), "the group is whole");
-  BatchRun given_up(one_group, rules());
+  batch_run given_up(one_group, rules());
   given_up.onStarted(kStart, 3, kEngine);
   given_up.onRejected(3);
   cr_assert(given_up.publishUrgent());
-  BatchRun without_step(job(), rules());
+  batch_run without_step(job(), rules());
   finishItem(without_step, 0);
   cr_assert(without_step.publishUrgent(), "nobody waits for groups");
 }
 
 Test(batch_run, a_kept_text_of_one_version_fits_a_single_version_route) {
-  batch::RunRules single = rules();
+  batch::run_rules single = rules();
   single.single_version = true;
-  BatchRun run(job(), single);
+  batch_run run(job(), single);
   run.onCheckpoint(0, {0, 2, {3}, "one\ntwo"});
   run.onCheckpoint(1, {1, 2, {3, 4}, "of\ntwo"});
   cr_assert_eq(run.progress(0).last_event, 2U);
@@ -227,17 +227,17 @@
 
 namespace {
 
-BatchJob scoredJob() {
-  BatchJob made = job();
-  for (BatchItem& each : made.items) {
+batch_job scoredJob() {
+  batch_job made = job();
+  for (batch_item& each : made.items) {
     each.scorer = batch::reward_request{"r-" + each.id.str(), "h", "/reward/", ""};
   }
   return made;
 }
 
 /// A run of `scoredJob` whose item 0 has its whole text.
-BatchRun runWithWholeText() {
-  BatchRun run(scoredJob(), rules());
+batch_run runWithWholeText() {
+  batch_run run(scoredJob(), rules());
   run.onStarted(kStart, 0, kEngine);
   run.onEvent(kStart, 0, 1, "one", 3);
   run.onCompleted(kStart, 0);
@@ -247,7 +247,7 @@
 }  // namespace
 
 Test(batch_run, a_whole_text_is_finished_only_with_its_score) {
-  BatchRun run = runWithWholeText();
+  batch_run run = runWithWholeText();
   cr_assert(run.finished().empty());
   cr_assert(run.progress(0).state == ItemState::kTextComplete);
   cr_assert_eq(*run.nextToScore(kStart), 0U);
@@ -260,7 +260,7 @@
 }
 
 Test(batch_run, scoring_is_given_up_only_after_as_many_failures_as_the_route_allows) {
-  BatchRun run = runWithWholeText();
+  batch_run run = runWithWholeText();
   const Duration pause = std::chrono::milliseconds(50);
   run.onScoringStarted(0);
   run.onNotScored(kStart, 0, 0, 3, pause);
@@ -277,7 +277,7 @@
 }
 
 Test(batch_run, a_score_that_comes_after_the_item_was_given_up_changes_nothing) {
-  BatchRun run = runWithWholeText();
+  batch_run run = runWithWholeText();
   run.onScoringStarted(0);
   run.giveUpAll();
   run.onScored(0, "late");
@@ -286,7 +286,7 @@
 }
 
 Test(batch_run, a_kept_whole_text_is_not_made_again_and_a_kept_score_not_asked_again) {
-  BatchRun run(scoredJob(), rules());
+  batch_run run(scoredJob(), rules());
   run.onCheckpoint(0, {0, 2, {3}, "one\ntwo", true});
   cr_assert(run.progress(0).state == ItemState::kTextComplete);
   cr_assert_eq(*run.nextToScore(kStart), 0U);
@@ -301,10 +301,10 @@
 }
 
 Test(batch_run, a_text_that_lacks_its_score_keeps_its_group_open) {
-  BatchJob one_group = scoredJob();
+  batch_job one_group = scoredJob();
   one_group.items.resize(1);
   one_group.desired_groups = 1;
-  BatchRun run(one_group, rules());
+  batch_run run(one_group, rules());
   run.onStarted(kStart, 0, kEngine);
   run.onEvent(kStart, 0, 1, "one", 3);
   run.onCompleted(kStart, 0);
--- a/tests/gateway/batch/checkpoint_log_test.cpp
+++ b/tests/gateway/batch/checkpoint_log_test.cpp
@@ -10,22 +10,22 @@
 constexpr Instant kStart{std::chrono::seconds(100)};
 const EngineId kEngine("e");
 
-BatchRun runOf(std::size_t items) {
-  BatchJob job;
+batch_run runOf(std::size_t items) {
+  batch_job job;
   job.minimum_version = 1;
   for (std::size_t i = 0; i < items; ++i) {
-    BatchItem item;
+    batch_item item;
     item.id = ItemId("i" + std::to_string(i));
     item.group = GroupId("g" + std::to_string(i));
     job.items.push_back(item);
   }
-  RunRules rules;
+  run_rules rules;
   rules.give_up_at = kStart + std::chrono::hours(1);
   return {job, rules};
 }
 
 /// Lets the item have the events from `first` up to `last`.
-void addEvents(BatchRun& run, ItemIndex item, std::uint64_t first, std::uint64_t last) {
+void addEvents(batch_run& run, ItemIndex item, std::uint64_t first, std::uint64_t last) {
   if (run.progress(item).state == ItemState::kWaiting) run.onStarted(kStart, item, kEngine);
   for (std::uint64_t event = first; event <= last; ++event) {
     run.onEvent(kStart, item, event, "e" + std::to_string(event), 1);
@@ -33,7 +33,7 @@
 }
 
 /// Writes the next part.
-Checkpoint writeNext(checkpoint_log& log, const BatchRun& run) {
+checkpoint_texts writeNext(checkpoint_log& log, const batch_run& run) {
   const checkpoint_part part = log.next(run);
   log.onWritten(part);
   return part.texts;
@@ -42,10 +42,10 @@
 }  // namespace
 
 Test(checkpoint_log, each_part_holds_what_was_added_and_all_together_the_whole_text) {
-  BatchRun run = runOf(2);
+  batch_run run = runOf(2);
   checkpoint_log log;
   addEvents(run, 0, 1, 6);
-  std::vector<Checkpoint> parts = {writeNext(log, run)};
+  std::vector<checkpoint_texts> parts = {writeNext(log, run)};
   addEvents(run, 0, 7, 9);
   addEvents(run, 1, 1, 5);
   parts.push_back(writeNext(log, run));
@@ -57,26 +57,26 @@
   parts.push_back(writeNext(log, run));
   cr_assert_eq(parts[2].size(), 1U);
   cr_assert_eq(parts[2][0].text, "");
-  const Checkpoint merged = mergeParts(parts);
+  const checkpoint_texts merged = mergeParts(parts);
   cr_assert_eq(merged[0].text, run.progress(0).text);
   cr_assert(merged[0].finished);
   cr_assert_eq(merged[1].text, run.progress(1).text);
 }
 
 Test(checkpoint_log, a_text_that_was_begun_anew_is_written_whole) {
-  BatchRun run = runOf(1);
+  batch_run run = runOf(1);
   checkpoint_log log;
   addEvents(run, 0, 1, 6);
   writeNext(log, run);
   run.discardText(0);
   addEvents(run, 0, 1, 8);
-  const Checkpoint part = writeNext(log, run);
+  const checkpoint_texts part = writeNext(log, run);
   cr_assert_eq(part[0].after_event, 0U);
   cr_assert_eq(part[0].text, run.progress(0).text);
 }
 
 Test(checkpoint_log, a_text_that_was_begun_anew_during_a_write_is_written_whole_after_it) {
-  BatchRun run = runOf(1);
+  batch_run run = runOf(1);
   checkpoint_log log;
   addEvents(run, 0, 1, 6);
   const checkpoint_part part = log.next(run);
@@ -87,7 +87,7 @@
 }
 
 Test(checkpoint_log, after_a_write_that_was_not_answered_the_next_part_is_whole) {
-  BatchRun run = runOf(1);
+  batch_run run = runOf(1);
   checkpoint_log log;
   addEvents(run, 0, 1, 6);
   writeNext(log, run);
@@ -100,7 +100,7 @@
 }
 
 Test(checkpoint_log, a_reader_never_has_to_read_many_parts) {
-  BatchRun run = runOf(1);
+  batch_run run = runOf(1);
   checkpoint_log log;
   addEvents(run, 0, 1, 5);
   int whole = 0;
@@ -115,7 +115,7 @@
 }
 
 Test(checkpoint_log, listed_items_are_left_out) {
-  BatchRun run = runOf(1);
+  batch_run run = runOf(1);
   addEvents(run, 0, 1, 6);
   run.onCompleted(kStart, 0);
   run.onAppended(0);
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using batch::BatchRun;
+using batch::batch_run;
 using engines::EngineRecord;
 using engines::EngineRegistry;
 
@@ -22,15 +22,15 @@
   return made;
 }
 
-BatchRun oneItem() {
-  batch::BatchJob job;
+batch_run oneItem() {
+  batch::batch_job job;
   job.minimum_version = 2;
-  batch::BatchItem item;
+  batch::batch_item item;
   item.model = kModel;
   item.tokens = 5000;
   item.length_hint = 900;
   job.items = {item};
-  return BatchRun(job, {});
+  return batch_run(job, {});
 }
 
 routing::Route route(bool single_version) {
@@ -56,7 +56,7 @@
 Test(item_placement, an_engine_that_failed_the_item_is_taken_only_if_there_is_no_other) {
   EngineRegistry registry(ZoneName("z"), {}, 1);
   registry.onList(kStart, {record("a", 2), record("b", 2)});
-  batch::ItemProgress progress;
+  batch::item_progress progress;
   progress.failures = 1;
   progress.last_engine = EngineId("a");
   const auto wanted = batch::pickRequestFor(oneItem(), 0, route(false), {}, 1.0);
@@ -68,7 +68,7 @@
 Test(item_placement, a_text_of_one_version_is_begun_anew_where_that_version_is_gone) {
   EngineRegistry registry(ZoneName("z"), {}, 1);
   registry.onList(kStart, {record("a", 3)});
-  BatchRun run = oneItem();
+  batch_run run = oneItem();
   run.onStarted(kStart, 0, EngineId("a"));
   run.onEvent(kStart, 0, 1, "text", 2);
   const auto wanted = batch::pickRequestFor(run, 0, route(true), {}, 1.0);
--- a/tests/gateway/batch/partial_results_test.cpp
+++ b/tests/gateway/batch/partial_results_test.cpp
@@ -3,15 +3,15 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using batch::BatchItem;
-using batch::BatchJob;
+using batch::batch_item;
+using batch::batch_job;
 
 namespace {
 
-BatchJob jobOf(const std::vector<std::string>& items) {
-  BatchJob job;
+batch_job jobOf(const std::vector<std::string>& items) {
+  batch_job job;
   for (const std::string& id : items) {
-    BatchItem item;
+    batch_item item;
     item.id = ItemId(id);
     job.items.push_back(item);
   }
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using batch::BatchRun;
+using batch::batch_run;
 using batch::item_run;
 using engines::EngineRecord;
 using engines::EngineRegistry;
@@ -35,12 +35,12 @@
   return made;
 }
 
-BatchRun twoItems() {
-  batch::BatchJob job;
+batch_run twoItems() {
+  batch::batch_job job;
   job.items.resize(2);
   job.items[0].length_hint = 10;
   job.items[1].length_hint = 1000;
-  return BatchRun(job, {});
+  return batch_run(job, {});
 }
 
 engines::PickRequest wanted() {
@@ -54,14 +54,14 @@
 
 Test(run_moves, runs_on_slow_engines_may_move_the_longest_first) {
   const std::vector<item_run> runs = {{0, kSlow, kStart}, {1, kSlow, kStart}, {1, kQuick, kStart}};
-  const BatchRun run = twoItems();
+  const batch_run run = twoItems();
   const auto movable = batch::movableRuns(kLater, registry(), kService, run.job(), runs, kRules);
   cr_assert_eq(movable.size(), 2U);
   cr_assert_eq(movable[0].item, 1U);
 }
 
 Test(run_moves, a_run_that_began_just_now_stays) {
-  const BatchRun run = twoItems();
+  const batch_run run = twoItems();
   const auto movable =
       batch::movableRuns(kLater, registry(), kService, run.job(), {{1, kSlow, kLater}}, kRules);
   cr_assert(movable.empty());
@@ -71,7 +71,7 @@
   EngineRegistry engines = registry();
   batch::length_estimate lengths;
   lengths.onFinished(100, 10);
-  const BatchRun run = twoItems();
+  const batch_run run = twoItems();
   const auto long_run =
       batch::planMove(kLater, engines, lengths, run, {1, kSlow, kStart}, wanted(), kRules);
   cr_assert(long_run.has_value(), "100 events of 50 ms less each");
--- a/tests/gateway/service/job_store_test.cpp
+++ b/tests/gateway/service/job_store_test.cpp
@@ -13,8 +13,8 @@
 constexpr std::size_t kRowBytes = 1000;
 constexpr std::size_t kTooLargeForRows = 700 * 1024;
 
-batch::JobRecord recordOf(const std::string& id) {
-  batch::JobRecord record;
+batch::job_record recordOf(const std::string& id) {
+  batch::job_record record;
   record.id = JobId(id);
   record.owner = LeaseId("d0#1");
   record.total = 3;
@@ -33,18 +33,18 @@
 GATEWAY_TEST(job_store, a_job_is_kept_whole_in_rows_or_as_an_object, test::FixtureOptions{}) {
   http::ConnectionPool pool(fixture.loop(), {});
   platform_adapter::StoreClient client(pool, fixture.store().address(), {});
-  batch::JobStore store(client, client, kRowBytes);
-  batch::JobRecord record = recordOf("small");
+  batch::job_store store(client, client, kRowBytes);
+  batch::job_record record = recordOf("small");
   const std::string small = bytesOf(4 * kRowBytes + 1);
   const auto rows = store.bodyRows(record.id, small);
   record.body_rows = rows.size();
   cr_assert_eq(record.body_rows, 5U);
-  const batch::FencedAnswer put = co_await store.putRecord(record, 0, rows);
+  const batch::fenced_answer put = co_await store.putRecord(record, 0, rows);
   cr_assert(put.outcome == batch::FencedOutcome::kDone);
   const auto read = co_await store.getJob(record);
   cr_assert(read.has_value() && *read == small);
   const std::string large = bytesOf(kTooLargeForRows);
-  const batch::JobRecord other = recordOf("large");
+  const batch::job_record other = recordOf("large");
   cr_assert(store.bodyRows(other.id, large).empty());
   const auto stored = co_await store.putJob(other.id, large);
   cr_assert(stored.has_value());
@@ -56,16 +56,16 @@
              test::FixtureOptions{}) {
   http::ConnectionPool pool(fixture.loop(), {});
   platform_adapter::StoreClient client(pool, fixture.store().address(), {});
-  batch::JobStore store(client, client, kRowBytes);
-  const batch::JobRecord record = recordOf("job");
-  const batch::FencedAnswer put = co_await store.putRecord(record, 0, {});
-  const batch::CheckpointWrite first{{"1/2:"}, 0, 0};
+  batch::job_store store(client, client, kRowBytes);
+  const batch::job_record record = recordOf("job");
+  const batch::fenced_answer put = co_await store.putRecord(record, 0, {});
+  const batch::checkpoint_write first{{"1/2:"}, 0, 0};
   const auto begun = co_await store.putCheckpoint(record.id, put.revision, first);
   cr_assert(begun.outcome == batch::FencedOutcome::kDone);
   const auto nothing = co_await store.getCheckpoint(record.id);
   cr_assert(nothing.has_value() && nothing->texts.empty());
   cr_assert_eq(nothing->next_row, 1U);
-  const batch::CheckpointWrite lost{{"x"}, 1, 0};
+  const batch::checkpoint_write lost{{"x"}, 1, 0};
   const auto fenced = co_await store.putCheckpoint(record.id, put.revision + 1, lost);
   cr_assert(fenced.outcome == batch::FencedOutcome::kFenceLost);
 }
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -149,7 +149,7 @@
   cr_assert(job.has_value());
   cr_assert_eq(job->minimum_version, 6U);
   cr_assert_eq(job->desired_groups, 12U);
-  const batch::BatchItem& item = job->items.at(0);
+  const batch::batch_item& item = job->items.at(0);
   cr_assert_eq(item.body.size(), 8U);
   cr_assert_eq(item.model.str(), "m");
   cr_assert_eq(item.length_hint, 123U);
@@ -195,7 +195,7 @@
 
 Test(documents, results_are_written_as_readers_expect_them) {
   const BatchDocuments documents;
-  batch::BatchResult result;
+  batch::batch_result result;
   result.item = ItemId("i");
   result.text = "a\nb";
   result.versions = {6, 7};
