--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -33,8 +33,8 @@
         finished(loop),
         published_changed(loop) {}
 
-  /// An append that was sent; it stays as it is until the store has settled it.
-  struct Pending {
+  /** An append that was sent; it stays as it is until the store has settled it. */
+  struct pending_append {
     std::size_t position = 0;
     std::vector<ItemIndex> items;
     std::vector<stored_result> results;
@@ -51,7 +51,7 @@
   std::vector<stored_result> appended;  ///< By position; all in the store.
   std::size_t published = 0;            ///< Those of them that readers are shown.
   std::size_t held_back_bytes = 0;      ///< Of those that they are not.
-  Pending pending;
+  pending_append pending;
   std::map<ItemIndex, std::shared_ptr<forward::EngineCall>> calls;    ///< By the item they run.
   std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;  ///< Reward requests.
   Signal finished;           ///< There is something to list, or the job stops.
@@ -72,7 +72,7 @@
     logging::LogEvent("batch", "first_event").text("batch", record.id.str());
   }
 
-  /// @param item that was finished last.
+  /** @param item that was finished last. */
   void noteComplete(ItemIndex item) {
     if (complete_noted || !run.stepComplete()) return;
     complete_noted = true;
--- a/src/gateway/batch/batch_codec.h
+++ b/src/gateway/batch/batch_codec.h
@@ -18,13 +18,13 @@
  public:
   virtual ~batch_codec() = default;
 
-  /// @param bytes a job's body as handed in.
+  /** @param bytes a job's body as handed in. */
   virtual tl::expected<batch_job, Findings> parseJob(const JobId& id,
                                                      std::string_view bytes) const = 0;
   virtual std::string encodeResult(const batch_result& result) const = 0;
-  /// @return nothing if the text is no result.
+  /** @return nothing if the text is no result. */
   virtual std::optional<batch_result> decodeResult(std::string_view encoded) const = 0;
-  /// @param results encoded, those at `next - results.size()` and on.
+  /** @param results encoded, those at `next - results.size()` and on. */
   virtual std::string encodePage(std::size_t total, std::size_t next,
                                  const std::vector<std::string>& results) const = 0;
 };
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -16,57 +16,57 @@
 }  // namespace
 
 void batch_service::start() {
-  spawn(deps_.loop, [this] { return pollLoop(); });
-  removal_.start();
+  spawn(this->deps_.loop, [this] { return this->pollLoop(); });
+  this->removal_.start();
 }
 
 bool batch_service::isPublic(const JobId& id) const {
-  const known_job* job = jobs_.find(id);
+  const known_job* job = this->jobs_.find(id);
   return job != nullptr && job->record.tenant.empty();
 }
 
 Task<void> batch_service::pollLoop() {
   const Instant begun = steadyNow();
   for (;;) {
-    const bool idle =
-        !deps_.pool.offers() && !ownership_.ownsAny() && steadyNow() - begun > kStartTime;
-    co_await sleepFor(deps_.loop, idle ? kIdlePollInterval : kPollInterval);
+    const bool idle = !this->deps_.pool.offers() && !this->ownership_.ownsAny() &&
+                      steadyNow() - begun > kStartTime;
+    co_await sleepFor(this->deps_.loop, idle ? kIdlePollInterval : kPollInterval);
     const Instant now = steadyNow();
-    ownership_.checkOwners(now);
-    for (auto& [id, job] : jobs_.all()) {
+    this->ownership_.checkOwners(now);
+    for (auto& [id, job] : this->jobs_.all()) {
       if (!job.active || job.active->stopped) continue;
-      applyRules(*job.active, deps_.routes());
+      applyRules(*job.active, this->deps_.routes());
       if (job.active->run.onTick(now)) job.active->finished.notifyAll();
     }
-    closed_zone_mover_.leaveClosedZones(now);
-    slow_run_mover_.moveSlowRuns(now);
-    runner_.startRunnableItems();
+    this->closed_zone_mover_.leaveClosedZones(now);
+    this->slow_run_mover_.moveSlowRuns(now);
+    this->runner_.startRunnableItems();
   }
 }
 
-batch_service::Work batch_service::work() const {
-  Work work;
-  work.awaiting_residency = ownership_.awaitingResidency();
-  for (const auto& [id, job] : jobs_.all()) {
+batch_service::job_work batch_service::work() const {
+  job_work work;
+  work.awaiting_residency = this->ownership_.awaitingResidency();
+  for (const auto& [id, job] : this->jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     ++work.jobs;
     work.waiting += job.active->run.waiting();
     work.running += job.active->run.running();
     work.unscored += job.active->run.unscored();
   }
-  for (const auto& [zone, revision] : deps_.engines.registry.closedZones().all()) {
-    work.in_closed_zones += closed_zone_mover_.runsIn(zone);
+  for (const auto& [zone, revision] : this->deps_.engines.registry.closedZones().all()) {
+    work.in_closed_zones += this->closed_zone_mover_.runsIn(zone);
   }
   return work;
 }
 
 versions::open_work_by_model batch_service::openWork() const {
   versions::open_work_by_model work;
-  for (const auto& [id, job] : jobs_.all()) {
+  for (const auto& [id, job] : this->jobs_.all()) {
     if (job.record.ended || job.record.model.empty()) continue;
     versions::open_work& open = work[job.record.model];
     open.items += job.record.total;
-    const routing::RouteTablePtr table = deps_.routes();
+    const routing::RouteTablePtr table = this->deps_.routes();
     const routing::Route* route = routeOf(job.record, table);
     if (route != nullptr && route->single_version) open.single_version = true;
   }
@@ -74,10 +74,10 @@
 }
 
 Task<void> batch_service::handOver() {
-  acceptance_.stop();
-  reader_.stop();
-  removal_.stop();
-  co_await ownership_.handOver();
+  this->acceptance_.stop();
+  this->reader_.stop();
+  this->removal_.stop();
+  co_await this->ownership_.handOver();
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -45,7 +45,7 @@
 /** Owns every part, and the options that all of them read. Loop thread only. */
 class batch_service {
  public:
-  struct Dependencies {
+  struct dependencies {
     boost::asio::io_context& loop;
     forward::EngineCallContext engines;
     job_store& store;
@@ -58,55 +58,55 @@
     std::function<routing::RouteTablePtr()> routes;  ///< The newest table; empty before the first.
   };
 
-  batch_service(Dependencies dependencies, batch_options options) : deps_(std::move(dependencies)) {
-    setOptions(options);
-    jobs_.setListener(
-        [this](const JobId& id, known_job& job) { ownership_.onJobChanged(id, job); });
+  batch_service(dependencies deps, batch_options options) : deps_(std::move(deps)) {
+    this->setOptions(options);
+    this->jobs_.setListener(
+        [this](const JobId& id, known_job& job) { this->ownership_.onJobChanged(id, job); });
   }
 
   void start();
   void setOptions(const batch_options& options) {
-    options_ = options;
-    closed_zone_mover_.setOptions(options.leaving);
+    this->options_ = options;
+    this->closed_zone_mover_.setOptions(options.leaving);
   }
 
-  /// See `job_acceptance` and `job_reader`.
+  /** See `job_acceptance` and `job_reader`. */
   Task<void> submit(const routing::Route& route, tenants::caller from, const http::Request& request,
                     Instant received, http::ResponseWriter& writer) {
-    return acceptance_.submit(route, std::move(from), request, received, writer);
+    return this->acceptance_.submit(route, std::move(from), request, received, writer);
   }
   Task<void> readResults(JobId id, tenants::caller from, std::size_t position, Duration wait,
                          http::ResponseWriter& writer) {
-    return reader_.readResults(std::move(id), std::move(from), position, wait, writer);
+    return this->reader_.readResults(std::move(id), std::move(from), position, wait, writer);
   }
   Task<void> readItem(JobId id, tenants::caller from, ItemId item, http::ResponseWriter& writer) {
-    return reader_.readItem(std::move(id), std::move(from), std::move(item), writer);
+    return this->reader_.readItem(std::move(id), std::move(from), std::move(item), writer);
   }
   Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
-    return acceptance_.end(std::move(id), std::move(from), writer);
+    return this->acceptance_.end(std::move(id), std::move(from), writer);
   }
-  /// @return whether this daemon knows the job as one that needs no key.
+  /** @return whether this daemon knows the job as one that needs no key. */
   bool isPublic(const JobId& id) const;
 
-  /// A job's row, from the feed.
-  void onRecordRow(const JobId& id, const table::Row& row) { jobs_.onRow(id, row); }
-  void onRecordRemoved(const JobId& id) { jobs_.onRemoved(id); }
+  /** A job's row, from the feed. */
+  void onRecordRow(const JobId& id, const table::Row& row) { this->jobs_.onRow(id, row); }
+  void onRecordRemoved(const JobId& id) { this->jobs_.onRemoved(id); }
 
-  /// @return whether readers wait here for results to be published.
-  bool hasWaitingReaders() const { return reader_.hasWaitingReaders(); }
-  /// @return whether this daemon owns jobs that have not ended.
-  bool ownsAny() const { return ownership_.ownsAny(); }
-  /// @return the work of jobs under way at any daemon.
+  /** @return whether readers wait here for results to be published. */
+  bool hasWaitingReaders() const { return this->reader_.hasWaitingReaders(); }
+  /** @return whether this daemon owns jobs that have not ended. */
+  bool ownsAny() const { return this->ownership_.ownsAny(); }
+  /** @return the work of jobs under way at any daemon. */
   versions::open_work_by_model openWork() const;
-  /// @return the engines with runs that the steps of owned jobs wait for.
-  std::set<EngineId> awaitedEngines() const { return runner_.awaitedEngines(); }
-  /// Gives up every owned job so that others take it at once.
+  /** @return the engines with runs that the steps of owned jobs wait for. */
+  std::set<EngineId> awaitedEngines() const { return this->runner_.awaitedEngines(); }
+  /** Gives up every owned job so that others take it at once. */
   Task<void> handOver();
 
-  const batch_counts& counts() const { return counts_; }
-  std::size_t jobCount() const { return jobs_.size(); }
-  /// Owned jobs under way and their items, for the metrics.
-  struct Work {
+  const batch_counts& counts() const { return this->counts_; }
+  std::size_t jobCount() const { return this->jobs_.size(); }
+  /** Owned jobs under way and their items, for the metrics. */
+  struct job_work {
     std::size_t jobs = 0;
     std::size_t waiting = 0;
     std::size_t running = 0;
@@ -114,14 +114,14 @@
     std::size_t in_closed_zones = 0;     ///< Of those that run.
     std::size_t awaiting_residency = 0;  ///< Jobs of anybody that no daemon within residency takes.
   };
-  Work work() const;
-  /// @return runs of owned jobs at engines of the zone.
-  std::size_t runsIn(const ZoneName& zone) const { return closed_zone_mover_.runsIn(zone); }
+  job_work work() const;
+  /** @return runs of owned jobs at engines of the zone. */
+  std::size_t runsIn(const ZoneName& zone) const { return this->closed_zone_mover_.runsIn(zone); }
 
  private:
   Task<void> pollLoop();
 
-  Dependencies deps_;
+  dependencies deps_;
   batch_options options_;
   known_jobs jobs_;
   batch_counts counts_;
@@ -137,7 +137,7 @@
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
   checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
   partial_result_reuse reuse_{{deps_.loop, deps_.store, deps_.codec, jobs_, residency_, options_,
-                               [this] { runner_.startRunnableItems(); }}};
+                               [this] { this->runner_.startRunnableItems(); }}};
   job_activation activation_{
       {deps_.loop, jobs_, results_, checkpoints_, reuse_, runner_, deps_.routes, options_}};
   job_ownership ownership_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, deps_.pool,
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -47,7 +47,7 @@
   std::optional<reward_request> scorer;  ///< Absent: the text needs no score.
 };
 
-/// A job as it was handed in.
+/** A job as it was handed in. */
 struct batch_job {
   JobId id;
   std::vector<batch_item> items;
@@ -66,7 +66,7 @@
   std::string score;  ///< Empty where the item has no scorer.
 };
 
-/// What every daemon knows of a job: the row that stands for it.
+/** What every daemon knows of a job: the row that stands for it. */
 struct job_record {
   JobId id;
   LeaseId owner;     ///< Empty: nobody, to be taken.
--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -28,13 +28,14 @@
 
 using checkpoint_texts = std::vector<item_checkpoint>;
 
-/// @param parts in the order in which they were written. An addition to a text that no part before
-///     has is left out: that part was never written, and a later one has all of the text.
-/// @return each item once, with all of its text that the parts have.
+/** @param parts in the order in which they were written. An addition to a text that no part before
+ *     has is left out: that part was never written, and a later one has all of the text.
+ * @return each item once, with all of its text that the parts have.
+ */
 checkpoint_texts mergeParts(const std::vector<checkpoint_texts>& parts);
 
 std::string encodeCheckpoint(const checkpoint_texts& checkpoint);
-/// @return nothing if the bytes are no checkpoint.
+/** @return nothing if the bytes are no checkpoint. */
 std::optional<checkpoint_texts> decodeCheckpoint(const std::string& bytes);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/checkpoint_log.h
+++ b/src/gateway/batch/checkpoint_log.h
@@ -37,7 +37,7 @@
   void onUnsettled() { this->kept_.reset(); }
 
  private:
-  /// Of one item's text.
+  /** Of one item's text. */
   struct kept_text {
     std::uint64_t last_event = 0;
     std::size_t bytes = 0;
--- a/src/gateway/batch/checkpoint_rows.cpp
+++ b/src/gateway/batch/checkpoint_rows.cpp
@@ -11,18 +11,18 @@
 constexpr char kEnd = ':';
 constexpr std::size_t kHeaderBytes = 32;  ///< "PIECE/PIECES:" takes no more.
 
-/// A row's value: which piece of how many, and its bytes.
-struct Piece {
+/** A row's value: which piece of how many, and its bytes. */
+struct row_piece {
   std::size_t number = 0;  ///< From 1 on; 0: the value is no piece.
   std::size_t of = 0;
   std::string bytes;
 };
 
-Piece parsePiece(const std::string& value) {
+row_piece parsePiece(const std::string& value) {
   const std::size_t slash = value.find(kOf);
   const std::size_t colon = value.find(kEnd);
   if (slash == std::string::npos || colon == std::string::npos || colon < slash) return {};
-  Piece piece;
+  row_piece piece;
   piece.number = std::strtoull(value.c_str(), nullptr, 10);
   piece.of = std::strtoull(value.c_str() + slash + 1, nullptr, 10);
   piece.bytes = value.substr(colon + 1);
@@ -50,7 +50,7 @@
   std::string bytes;
   std::size_t next = 1;
   for (const std::string& value : values) {
-    Piece piece = parsePiece(value);
+    row_piece piece = parsePiece(value);
     if (piece.number == 1) {
       bytes.clear();
       next = 1;
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -16,7 +16,7 @@
 /// answer.
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(150);
 
-/// @return the row as it is known, so that the store need not be asked for it.
+/** @return the row as it is known, so that the store need not be asked for it. */
 std::optional<table::Row> rowOf(const known_job* job) {
   if (job == nullptr || job->revision == 0) return std::nullopt;
   return table::Row{table::jobKey(job->record.id), job->revision, encodeRecord(job->record)};
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -30,7 +30,7 @@
   return kResultTable + "/" + numberedKey(id, position);
 }
 
-/// @return the number at the end of a row's key.
+/** @return the number at the end of a row's key. */
 std::size_t numberOf(const std::string& key) {
   return std::strtoull(key.c_str() + key.rfind('/') + 1, nullptr, 10);
 }
@@ -91,29 +91,29 @@
 }
 
 Task<CallResult<bool>> job_store::putJob(JobId id, std::string bytes) {
-  co_return co_await objects_.put(jobObject(id), std::move(bytes));
+  co_return co_await this->objects_.put(jobObject(id), std::move(bytes));
 }
 
 std::vector<table::Put> job_store::bodyRows(const JobId& id, const std::string& bytes) const {
   std::vector<table::Put> rows;
   if (bytes.size() > kMaxWriteBytes) return rows;
-  for (std::size_t at = 0; at < bytes.size(); at += row_bytes_) {
+  for (std::size_t at = 0; at < bytes.size(); at += this->row_bytes_) {
     const std::string key = table::kBodyTable + "/" + numberedKey(id, rows.size());
-    rows.push_back({key, bytes.substr(at, row_bytes_)});
+    rows.push_back({key, bytes.substr(at, this->row_bytes_)});
   }
   return rows;
 }
 
 Task<CallResult<std::string>> job_store::getJob(job_record record) {
   if (record.body_rows == 0) {
-    co_return co_await objects_.get(jobObject(record.id));
+    co_return co_await this->objects_.get(jobObject(record.id));
   }
   std::string bytes;
   std::size_t read = 0;
   while (read < record.body_rows) {
     table::RowRange range{table::kBodyTable, numberedKey(record.id, read), numberedEnd(record.id),
                           0};
-    const auto page = co_await table_.read(range);
+    const auto page = co_await this->table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
     if (page->rows.empty()) {
       co_return tl::make_unexpected(CallError{CallFailure::kRejected, "the job's rows are gone"});
@@ -158,8 +158,8 @@
   write.transaction.checks.push_back({key, fence});
   write.transaction.puts.push_back({key, encodeRecord(record)});
   for (table::Put& put : also) write.transaction.puts.push_back(std::move(put));
-  const auto answer = co_await table_.write(std::move(write));
-  co_return judge(answer, key, fence);
+  const auto answer = co_await this->table_.write(std::move(write));
+  co_return this->judge(answer, key, fence);
 }
 
 namespace {
@@ -171,13 +171,13 @@
 Task<bool> job_store::answers(JobId id, Duration timeout) {
   table::RowRange range = recordRange(id);
   range.timeout = timeout;
-  const auto page = co_await table_.read(range);
+  const auto page = co_await this->table_.read(range);
   co_return page.has_value();
 }
 
 Task<CallResult<table::Row>> job_store::getRecord(JobId id) {
   const table::RowRange range = recordRange(id);
-  const auto page = co_await table_.read(range);
+  const auto page = co_await this->table_.read(range);
   if (!page) co_return tl::make_unexpected(page.error());
   co_return page->rows.empty() ? table::Row{jobKey(id), 0, ""} : page->rows.front();
 }
@@ -191,11 +191,11 @@
   if (publish) write.transaction.puts.push_back({job_key, encodeRecord(*publish)});
   for (const stored_result& result : results) {
     std::string value = std::to_string(result.item_index);
-    if (result.encoded.size() + value.size() + 1 <= row_bytes_) {
+    if (result.encoded.size() + value.size() + 1 <= this->row_bytes_) {
       value += kInline + result.encoded;
     } else {
       const std::string name = largeResultName(id, position, fence);
-      const auto put = co_await objects_.put(name, result.encoded);
+      const auto put = co_await this->objects_.put(name, result.encoded);
       if (!put) co_return fenced_answer{FencedOutcome::kNotDone, 0, std::nullopt};
       value += kObject + name;
     }
@@ -203,8 +203,8 @@
     write.transaction.puts.push_back({key, std::move(value)});
     ++position;
   }
-  const auto answer = co_await table_.write(std::move(write));
-  co_return judge(answer, job_key, fence);
+  const auto answer = co_await this->table_.write(std::move(write));
+  co_return this->judge(answer, job_key, fence);
 }
 
 Task<fenced_answer> job_store::putCheckpoint(JobId id, Revision fence, checkpoint_write part) {
@@ -217,8 +217,8 @@
   for (std::string& row : part.rows) {
     if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
       // A part that is cut off counts for nothing until its last row is there.
-      const auto begun = co_await table_.write(std::move(write));
-      const fenced_answer judged = judge(begun, job_key, fence);
+      const auto begun = co_await this->table_.write(std::move(write));
+      const fenced_answer judged = this->judge(begun, job_key, fence);
       if (judged.outcome != FencedOutcome::kDone) co_return judged;
       write = table::Write{};
       write.transaction.checks.push_back({job_key, fence});
@@ -232,15 +232,15 @@
     if (write.removes.size() >= kMaxRemovedWithPart) break;
     write.removes.push_back(prefix + numberedKey(id, old));
   }
-  const auto answer = co_await table_.write(std::move(write));
-  co_return judge(answer, job_key, fence);
+  const auto answer = co_await this->table_.write(std::move(write));
+  co_return this->judge(answer, job_key, fence);
 }
 
 Task<bool> job_store::removeObjects(std::string prefix) {
-  const auto names = co_await objects_.list(prefix);
+  const auto names = co_await this->objects_.list(prefix);
   if (!names) co_return false;
   for (const std::string& name : *names) {
-    const auto removed = co_await objects_.remove(name);
+    const auto removed = co_await this->objects_.remove(name);
     if (!removed) co_return false;
   }
   co_return true;
@@ -249,33 +249,33 @@
 Task<bool> job_store::removeRows(std::string table, JobId id, Revision fence) {
   for (;;) {
     table::RowRange range{table, numberedKey(id, 0), numberedEnd(id), kMaxRemovedAtOnce};
-    const auto page = co_await table_.read(range);
+    const auto page = co_await this->table_.read(range);
     if (!page) co_return false;
     if (page->rows.empty()) co_return true;
     table::Write write;
     write.transaction.checks.push_back({jobKey(id), fence});
     for (const table::Row& row : page->rows) write.removes.push_back(row.key);
-    const auto answer = co_await table_.write(std::move(write));
+    const auto answer = co_await this->table_.write(std::move(write));
     if (!answer || !answer->committed) co_return false;
   }
 }
 
 Task<bool> job_store::removeJob(JobId id, Revision fence) {
-  const bool results_gone = co_await removeRows(kResultTable, id, fence);
+  const bool results_gone = co_await this->removeRows(kResultTable, id, fence);
   if (!results_gone) co_return false;
-  const bool body_gone = co_await removeRows(table::kBodyTable, id, fence);
+  const bool body_gone = co_await this->removeRows(table::kBodyTable, id, fence);
   if (!body_gone) co_return false;
-  const bool large_gone = co_await removeObjects(table::resultObjects(id));
+  const bool large_gone = co_await this->removeObjects(table::resultObjects(id));
   if (!large_gone) co_return false;
-  const bool checkpoints_gone = co_await removeRows(table::kCheckpointTable, id, fence);
+  const bool checkpoints_gone = co_await this->removeRows(table::kCheckpointTable, id, fence);
   if (!checkpoints_gone) co_return false;
-  const auto job_gone = co_await objects_.remove(jobObject(id));
+  const auto job_gone = co_await this->objects_.remove(jobObject(id));
   if (!job_gone) co_return false;
   // The row goes last: until then anybody can go on with the removal.
   table::Write write;
   write.transaction.checks.push_back({jobKey(id), fence});
   write.removes.push_back(jobKey(id));
-  const auto answer = co_await table_.write(std::move(write));
+  const auto answer = co_await this->table_.write(std::move(write));
   co_return answer.has_value() && answer->committed;
 }
 
@@ -284,7 +284,7 @@
   std::vector<std::string> values;
   table::RowRange range{table::kCheckpointTable, numberedKey(id, 0), numberedEnd(id), 0};
   for (;;) {
-    auto page = co_await table_.read(range);
+    auto page = co_await this->table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
     for (table::Row& row : page->rows) {
       const std::size_t number = numberOf(row.key);
@@ -302,7 +302,7 @@
 Task<CallResult<stored_results>> job_store::results(JobId id, std::size_t position,
                                                     std::size_t limit) {
   table::RowRange range{kResultTable, numberedKey(id, position), numberedEnd(id), limit};
-  const auto page = co_await table_.read(range);
+  const auto page = co_await this->table_.read(range);
   if (!page) co_return tl::make_unexpected(page.error());
   stored_results found;
   found.clock_ms = page->clock_ms;
@@ -315,7 +315,7 @@
     result.item_index = std::strtoull(row.value.c_str(), nullptr, 10);
     result.encoded = row.value.substr(mark + 1);
     if (row.value[mark] == kObject) {
-      auto bytes = co_await objects_.get(result.encoded);
+      auto bytes = co_await this->objects_.get(result.encoded);
       if (!bytes) co_return tl::make_unexpected(bytes.error());
       result.encoded = std::move(*bytes);
     }
@@ -327,13 +327,13 @@
 Task<CallResult<stored_progress>> job_store::getProgress(JobId id) {
   stored_progress progress;
   for (;;) {
-    auto page = co_await results(id, progress.results.size(), 0);
+    auto page = co_await this->results(id, progress.results.size(), 0);
     if (!page) co_return tl::make_unexpected(page.error());
     progress.clock_ms = page->clock_ms;
     if (page->results.empty()) break;
     for (stored_result& each : page->results) progress.results.push_back(std::move(each));
   }
-  auto checkpoint = co_await getCheckpoint(id);
+  auto checkpoint = co_await this->getCheckpoint(id);
   if (!checkpoint) co_return tl::make_unexpected(checkpoint.error());
   progress.checkpoint = std::move(*checkpoint);
   co_return progress;
--- a/src/gateway/batch/moves_planned.h
+++ b/src/gateway/batch/moves_planned.h
@@ -17,7 +17,7 @@
   explicit moves_planned(std::size_t max_moves) : left_(max_moves) {}
 
   bool exhausted() const { return this->left_ == 0; }
-  /// @return engines that have no room beyond the moves planned.
+  /** @return engines that have no room beyond the moves planned. */
   const std::set<EngineId>& full() const { return this->full_; }
   /** @param room slots that the target had before any of these moves. */
   void onMove(const EngineId& target, double room) {
--- a/src/gateway/batch/new_job_owner.h
+++ b/src/gateway/batch/new_job_owner.h
@@ -29,12 +29,12 @@
   std::size_t max_open_items = 0;  ///< That one daemon is given.
 };
 
-/// @return the choice without those that are elsewhere, or whose zone is not in the layout.
+/** @return the choice without those that are elsewhere, or whose zone is not in the layout. */
 new_job_owner_inputs withinResidency(new_job_owner_inputs choice,
                                      const fleet::data_residency& residency,
                                      const fleet::fleet_layout& layout);
 
-/// @return the owner; `own` where nobody offers.
+/** @return the owner; `own` where nobody offers. */
 LeaseId chooseNewJobOwner(const new_job_owner_inputs& choice, const LeaseId& own);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// @return the text that a completed result has.
+/** @return the text that a completed result has. */
 item_checkpoint toCheckpoint(std::size_t index, const batch_item& item,
                              const batch_result& result) {
   item_checkpoint kept;
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -67,7 +67,7 @@
 
 void result_writer::preparePending(active_job& active, Instant now) const {
   const batch_options& options = this->deps_.options;
-  active_job::Pending& pending = active.pending;
+  active_job::pending_append& pending = active.pending;
   pending.position = active.appended.size();
   std::size_t bytes = 0;
   for (const ItemIndex item : active.run.finished()) {
@@ -85,7 +85,7 @@
 }
 
 Task<bool> result_writer::writePending(active_job_ptr active) {
-  const active_job::Pending& pending = active->pending;
+  const active_job::pending_append& pending = active->pending;
   const JobId id = active->record.id;
   const Revision fence = active->fence;
   std::optional<job_record> publish;
@@ -129,7 +129,7 @@
 
 void result_writer::onPendingWritten(active_job& active) {
   const Instant now = steadyNow();
-  active_job::Pending& pending = active.pending;
+  active_job::pending_append& pending = active.pending;
   for (std::size_t i = 0; i < pending.items.size(); ++i) {
     const bool completed = active.run.progress(pending.items[i]).outcome == ResultState::kCompleted;
     ++(completed ? this->deps_.counts.completed : this->deps_.counts.terminated);
@@ -138,7 +138,7 @@
     active.appended.push_back(std::move(pending.results[i]));
   }
   const std::optional<std::size_t> publish = pending.publish;
-  pending = active_job::Pending{};
+  pending = active_job::pending_append{};
   active.schedule.onAppended(now);
   if (!publish) return;
   active.published = *publish;
--- a/src/gateway/batch/runs_leaving.h
+++ b/src/gateway/batch/runs_leaving.h
@@ -64,7 +64,7 @@
   };
 
   bool stays(Instant now, const zone_progress& progress, const placed_run& run) const;
-  /// @return how many runs of the zone may leave now.
+  /** @return how many runs of the zone may leave now. */
   std::size_t quota(Instant now, const zone_progress& progress) const;
 
   leaving_options options_;
--- a/src/gateway/service/gateway_metrics_page.cpp
+++ b/src/gateway/service/gateway_metrics_page.cpp
@@ -55,7 +55,7 @@
     ++states[name];
   }
   addColdState(now, state);
-  const batch::batch_service::Work work = batches_.work();
+  const batch::batch_service::job_work work = batches_.work();
   addSuspects(now, state);
   state.jobs_known = batches_.jobCount();
   state.jobs_owned = work.jobs;
