--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -23,9 +23,8 @@
 
 bool job_ownership::ownsAny() const {
   return std::any_of(
-      this->deps_.jobs.all().begin(), this->deps_.jobs.all().end(), [this](const auto& each) {
-        return !each.second.record.ended && each.second.record.owner == this->deps_.leases.own();
-      });
+      this->deps_.jobs.all().begin(), this->deps_.jobs.all().end(),
+      [this](const auto& each) { return !each.second.record.ended && this->isOwn(each.second); });
 }
 
 // --- Rows ---------------------------------------------------------------------------------------
@@ -33,15 +32,14 @@
 void job_ownership::onJobChanged(const JobId& id, known_job& job) {
   const job_record& record = job.record;
   job.orphaned_at = Instant{};
-  if (job.active && (record.ended || record.owner != this->deps_.leases.own())) {
+  if (job.active && (record.ended || !this->isOwn(job))) {
     this->deactivate(job, record.ended ? "ended" : "taken_by_another");
   } else if (job.active && job.active->fence != job.revision) {
     job.active->fence = job.revision;
   } else if (!job.active && !job.activating && !record.ended && !this->stopping_ &&
-             record.owner == this->deps_.leases.own()) {
+             this->isOwn(job)) {
     this->resumeOwn(id, job);
-  } else if (this->stopping_ && !job.active && !record.ended &&
-             record.owner == this->deps_.leases.own()) {
+  } else if (this->stopping_ && !job.active && !record.ended && this->isOwn(job)) {
     // It was given to this daemon before anybody knew that it stops.
     spawn(this->deps_.loop, [this, id] { return this->handOverJob(id); });
   }
@@ -176,8 +174,7 @@
     const auto bytes = co_await this->deps_.store.getJob(record);
     known_job* at = this->deps_.jobs.find(id);
     const auto stillOwned = [&] {
-      return at != nullptr && !at->record.ended && !this->stopping_ &&
-             at->record.owner == this->deps_.leases.own();
+      return at != nullptr && !at->record.ended && !this->stopping_ && this->isOwn(*at);
     };
     if (!stillOwned()) break;
     const auto progress = co_await this->inherit(at->record);
@@ -211,8 +208,7 @@
 
 bool job_ownership::settleResidency(const JobId& id, known_job& job) {
   const bool open = !job.record.ended && job.record.published < job.record.total;
-  if (!open || job.activating || this->stopping_ || job.record.owner != this->deps_.leases.own())
-    return true;
+  if (!open || job.activating || this->stopping_ || !this->isOwn(job)) return true;
   const std::optional<fleet::data_residency> residency = this->deps_.residency.of(job.record);
   if (!residency) return true;
   const bool within_residency = residency->allows(this->deps_.residency.ownRegion());
@@ -239,9 +235,9 @@
   ++this->deps_.counts.given_up_for_residency;
   co_await this->handOverJob(id);
   known_job* at = this->deps_.jobs.find(id);
-  const bool still_owned = at != nullptr && at->record.owner == this->deps_.leases.own();
+  const bool still_owned = at != nullptr && this->isOwn(*at);
   if (still_owned) {
-    // The store did not take it. Homes may change back until it does.
+    // The store did not take it. The residency may change back until it does.
     at->resumes_within_residency = true;
     co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
   }
@@ -269,7 +265,7 @@
   this->stopping_ = true;
   std::vector<JobId> owned;
   for (auto& [id, job] : this->deps_.jobs.all()) {
-    if (!job.record.ended && job.record.owner == this->deps_.leases.own()) owned.push_back(id);
+    if (!job.record.ended && this->isOwn(job)) owned.push_back(id);
   }
   for (const JobId& id : owned) {
     co_await this->handOverJob(id);
@@ -278,7 +274,7 @@
 
 Task<void> job_ownership::handOverJob(JobId id) {
   known_job* at = this->deps_.jobs.find(id);
-  if (at == nullptr || at->record.owner != this->deps_.leases.own()) co_return;
+  if (at == nullptr || !this->isOwn(*at)) co_return;
   job_record record = at->record;
   record.owner = LeaseId();
   record.begun = true;
