--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -116,8 +116,7 @@
   if (now - job.orphaned_at < delay) return;
   job.activating = true;
   job.orphaned_at = Instant{};
-  const JobId job_id = id;
-  spawn(this->deps_.loop, [this, job_id] { return this->takeOver(job_id); });
+  spawn(this->deps_.loop, [this, id] { return this->takeOver(id); });
 }
 
 Task<void> job_ownership::takeOver(JobId id) {
