--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -1,7 +1,11 @@
 #pragma once
 
-/// @file
-/// A job at its owner. Used within this folder only.
+/** @file
+ * A job at its owner: everything that works on it shares this. Used within this folder only.
+ *
+ * Held by shared pointers: each coroutine that works on the job keeps it alive, also after the job
+ * has stopped. Whoever goes on running the job checks `stopped` after each wait.
+ */
 
 #include <map>
 #include <memory>
@@ -13,64 +17,65 @@
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/checkpoint_log.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/listing_schedule.h"
+#include "gateway/batch/result_schedule.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/http/http_types.h"
 
 namespace linenpier::batch {
 
+/** Loop thread only. */
 struct active_job {
-  active_job(boost::asio::io_context& loop, JobRecord job_record, BatchJob job, RunRules rules,
-             listing_times times)
-      : record(std::move(job_record)),
+  active_job(boost::asio::io_context& loop, job_record row, batch_job job, run_rules rules,
+             result_times times)
+      : record(std::move(row)),
         run(std::move(job), rules),
         schedule(steadyNow(), times),
         finished(loop),
-        released_changed(loop) {}
+        published_changed(loop) {}
 
-  /// An append that was sent; it stays as it is until the store has settled it.
-  struct Pending {
+  /** An append that was sent; it stays as it is until the store has settled it. */
+  struct pending_append {
     std::size_t position = 0;
     std::vector<ItemIndex> items;
-    std::vector<StoredResult> results;
-    std::optional<std::size_t> release;  ///< Results that readers are shown then.
+    std::vector<stored_result> results;
+    std::optional<std::size_t> publish;  ///< Results that readers are shown then.
 
-    bool empty() const { return results.empty() && !release; }
+    bool empty() const { return results.empty() && !publish; }
   };
 
-  JobRecord record;
+  job_record record;
   Revision fence = 0;  ///< Revision of the job's row under which this daemon owns it.
-  BatchRun run;
-  listing_schedule schedule;
-  Instant accepted_at{};             ///< By this daemon's clock.
-  std::vector<StoredResult> listed;  ///< By position; all in the store.
-  std::size_t released = 0;          ///< Those of them that readers are shown.
-  std::size_t held_back_bytes = 0;   ///< Of those that they are not.
-  Pending pending;
+  batch_run run;
+  result_schedule schedule;
+  Instant accepted_at{};                ///< By this daemon's clock.
+  std::vector<stored_result> appended;  ///< By position; all in the store.
+  std::size_t published = 0;            ///< Those of them that readers are shown.
+  std::size_t held_back_bytes = 0;      ///< Of those that they are not.
+  pending_append pending;
   std::map<ItemIndex, std::shared_ptr<forward::engine_call>> calls;   ///< By the item they run.
   std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;  ///< Reward requests.
-  Signal finished;          ///< There is something to list, or the job stops.
-  Signal released_changed;  ///< `released` has grown, or the job stops.
+  Signal finished;           ///< There is something to list, or the job stops.
+  Signal published_changed;  ///< `published` has grown, or the job stops.
   checkpoint_log kept_texts;
   std::size_t checkpoint_first_row = 0;  ///< Of the last whole part, or of what was inherited.
   std::size_t checkpoint_next_row = 0;
   bool checkpoint_in_progress = false;
-  bool first_event_told = false;  ///< Lines that are written once a job and owner.
-  bool whole_told = false;
-  bool listed_told = false;
+  bool first_event_noted = false;  ///< Lines that are written once a job and owner.
+  bool complete_noted = false;
+  bool published_noted = false;
   bool stopped = false;
   Instant stopped_at{};
 
   void noteFirstEvent() {
-    if (first_event_told) return;
-    first_event_told = true;
+    if (first_event_noted) return;
+    first_event_noted = true;
     logging::LogEvent("batch", "first_event").text("batch", record.id.str());
   }
 
-  /// @param item that was finished last.
-  void noteWhole(ItemIndex item) {
-    if (whole_told || !run.stepWhole()) return;
-    whole_told = true;
+  /** @param item that was finished last. */
+  void noteComplete(ItemIndex item) {
+    if (complete_noted || !run.stepComplete()) return;
+    complete_noted = true;
     logging::LogEvent("batch", "step_whole")
         .text("batch", record.id.str())
         .text("item", run.job().items[item].id.str())
@@ -81,12 +86,12 @@
         .milliseconds("took_ms", steadyNow() - accepted_at);
   }
 
-  void noteReleased() {
-    if (listed_told || !run.stepWhole()) return;
-    listed_told = true;
+  void notePublished() {
+    if (published_noted || !run.stepComplete()) return;
+    published_noted = true;
     logging::LogEvent("batch", "step_listed")
         .text("batch", record.id.str())
-        .number("results", static_cast<std::int64_t>(released))
+        .number("results", static_cast<std::int64_t>(published))
         .milliseconds("took_ms", steadyNow() - accepted_at);
   }
 
@@ -97,7 +102,7 @@
     for (const auto& [item, call] : calls) call->abort();
     for (const auto& [item, cancellation] : scorings) cancellation->request();
     finished.notifyAll();
-    released_changed.notifyAll();
+    published_changed.notifyAll();
   }
 };
 
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -1,378 +1,83 @@
 #include "gateway/batch/batch_service.h"
 
-#include <algorithm>
-
-#include "common/event_log.h"
 #include "gateway/batch/active_job.h"
-#include "gateway/table/store_keys.h"
+#include "gateway/batch/job_rules.h"
 
 namespace linenpier::batch {
 
-using logging::LogEvent;
-
 namespace {
-/// Between two looks at owned jobs: shorter than an event takes, so that a free slot is not left
-/// empty for long.
-constexpr Duration kTick = std::chrono::milliseconds(50);
-/// The same at a daemon that runs no job and is not the first to take one over. Each look wakes the
-/// process, in a large fleet on hundreds of machines.
-constexpr Duration kIdleTick = std::chrono::milliseconds(250);
+/// Poll interval: shorter than an event takes, so that a free slot is not left empty for long.
+constexpr Duration kPollInterval = std::chrono::milliseconds(50);
+/// The same at a daemon that owns no job and is not among those that take one over first: each poll
+/// wakes the process, in a large fleet on hundreds of machines.
+constexpr Duration kIdlePollInterval = std::chrono::milliseconds(250);
 /// A daemon that started just now may have to take up what its earlier life owned.
 constexpr Duration kStartTime = std::chrono::seconds(5);
-/// Results that are read this long after they are due count as in time (the users allow 0.7 s, of
-/// which the way to the reader takes a part). A step that is whole by then is read in one piece.
-constexpr Duration kDueGrace = std::chrono::milliseconds(450);
-constexpr Duration kGiveUpSlack = std::chrono::milliseconds(1500);
-constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< Without a route.
-
 }  // namespace
 
-BatchService::~BatchService() = default;
-
-void BatchService::start() {
-  spawn(deps_.loop, [this] { return tickLoop(); });
-  spawn(deps_.loop, [this] { return removalLoop(); });
+void batch_service::start() {
+  spawn(this->deps_.loop, [this] { return this->pollLoop(); });
+  this->removal_.start();
 }
 
-bool BatchService::ownsAny() const {
-  return std::any_of(jobs_.begin(), jobs_.end(), [this](const auto& each) {
-    return !each.second.record.ended && each.second.record.owner == deps_.leases.own();
-  });
+bool batch_service::isPublic(const JobId& id) const {
+  const known_job* job = this->jobs_.find(id);
+  return job != nullptr && job->record.tenant.empty();
 }
 
-const routing::Route* BatchService::routeOf(const JobRecord& record,
-                                            routing::RouteTablePtr& table) const {
-  table = deps_.routes();
-  return table ? table->find(record.host, record.path) : nullptr;
-}
-
-RunRules BatchService::rulesFor(const routing::Route* route, Instant accepted_at) const {
-  RunRules rules;
-  rules.give_up_at = accepted_at + kGiveUpSlack + kDefaultQueueLimit;
-  if (route != nullptr) {
-    rules.give_up_at = accepted_at + kGiveUpSlack + route->queue_limit;
-    rules.max_failures = std::max(1, route->max_attempts);
-    rules.single_version = route->single_version;
-  }
-  return rules;
-}
-
-void BatchService::applyRules(Active& active) const {
-  routing::RouteTablePtr table;
-  const routing::Route* route = routeOf(active.record, table);
-  active.run.setRules(rulesFor(route, active.accepted_at));
-  if (route != nullptr)
-    active.schedule.setDue(active.accepted_at + route->target_finish + kDueGrace);
-}
-
-// --- Rows ---------------------------------------------------------------------------------------
-
-void BatchService::onRecordRow(const JobId& id, const table::Row& row) {
-  const auto record = decodeRecord(id, row.value);
-  if (!record) {
-    LogEvent("batch", "bad_record").text("batch", id.str());
-    return;
-  }
-  Job& job = jobs_[id];
-  if (row.revision <= job.revision) return;
-  job.record = *record;
-  job.revision = row.revision;
-  job.orphaned_at = Instant{};
-  if (job.changed) job.changed->notifyAll();
-  if (job.active && (record->ended || record->owner != deps_.leases.own())) {
-    deactivate(job, record->ended ? "ended" : "taken_by_another");
-  } else if (job.active && job.active->fence != row.revision) {
-    job.active->fence = row.revision;
-  } else if (!job.active && !job.activating && !record->ended && !stopping_ &&
-             record->owner == deps_.leases.own()) {
-    resumeOwn(id, job);
-  } else if (stopping_ && !job.active && !record->ended && record->owner == deps_.leases.own()) {
-    // It was given to this daemon before anybody knew that it stops.
-    spawn(deps_.loop, [this, id] { return handOverJob(id); });
-  }
-}
-
-void BatchService::resumeOwn(const JobId& id, Job& job) {
-  // The next look settles whether this daemon is at home for it.
-  job.resumes_within_residency = !mayOwn(job.record);
-  if (job.resumes_within_residency) return;
-  job.activating = true;
-  spawn(deps_.loop, [this, id] { return resume(id); });
-}
-
-void BatchService::deactivate(Job& job, const char* reason) {
-  if (!job.active || job.active->stopped) return;
-  LogEvent("batch", "job_stopped")
-      .text("batch", job.record.id.str())
-      .text("reason", reason)
-      .number("revision", static_cast<std::int64_t>(job.revision))
-      .number("listed", static_cast<std::int64_t>(job.active->listed.size()));
-  if (!job.record.ended) ++counts_.lost;
-  job.active->stop(steadyNow());
-  if (!job.record.ended || job.active->run.allListed()) return;
-  // Its unfinished groups may come again in a later job.
-  job.active->fence = job.revision;
-  const ActivePtr active = job.active;
-  spawn(deps_.loop, [this, active] { return writeCheckpoint(active, CheckpointNeed::kAlways); });
-}
-
-// --- Taking over --------------------------------------------------------------------------------
-
-void BatchService::checkOwners(Instant now) {
-  // What may be removed from the store need not be kept in memory.
-  const Duration keep = std::min(options_.keep_ended, options_.keep_jobs);
-  awaiting_residency_ = 0;
-  for (auto& [id, job] : jobs_) {
-    if (!settleResidency(id, job)) continue;
-    if (job.active && job.active->stopped && job.active->calls.empty() &&
-        job.active->scorings.empty() && now - job.active->stopped_at > keep) {
-      job.active.reset();
-    }
-    if (job.record.ended || stopping_ || job.activating) continue;
-    if (job.active && !job.active->stopped) continue;
-    if (job.record.owner == deps_.leases.own()) {
-      // The feed told of a takeover while its answer was waited for, which then did not come. This
-      // life never counts as gone, so that nobody else would run the job.
-      if (!job.active) resumeOwn(id, job);
-      continue;
-    }
-    if (!deps_.leases.storeHealthy() || !deps_.leases.expired(job.record.owner)) continue;
-    if (job.orphaned_at == Instant{}) job.orphaned_at = now;
-    if (!mayOwn(job.record)) {
-      noteAwaitsResidency(now, id, job);
-      continue;
-    }
-    const bool own = deps_.leases.isEarlierSelf(job.record.owner);
-    // One daemon takes all jobs of a model.
-    const std::string& what = job.record.model.empty() ? id.str() : job.record.model.str();
-    const Duration delay = own ? Duration::zero() : deps_.pool.takeoverDelay(now, what);
-    if (now - job.orphaned_at < delay) continue;
-    job.activating = true;
-    job.orphaned_at = Instant{};
-    const JobId job_id = id;
-    spawn(deps_.loop, [this, job_id] { return takeOver(job_id); });
-  }
-}
-
-Task<void> BatchService::takeOver(JobId id) {
-  const auto known = jobs_.find(id);
-  if (known == jobs_.end()) co_return;
-  const LeaseId silent = known->second.record.owner;
-  const bool confirmed = co_await deps_.keeper.confirmSilent(silent);
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) co_return;
-  if (!confirmed || at->second.record.owner != silent) {
-    at->second.activating = false;
-    co_return;
-  }
-  JobRecord record = at->second.record;
-  const Revision fence = at->second.revision;
-  const std::string from = record.owner.str();
-  record.owner = deps_.leases.own();
-  record.begun = true;
-  const Instant sent_at = steadyNow();
-  std::vector<table::Put> renewal;
-  renewal.push_back(deps_.keeper.renewal());
-  const FencedAnswer answer = co_await deps_.store.putRecord(record, fence, std::move(renewal));
-  const auto job = jobs_.find(id);
-  if (job == jobs_.end()) co_return;
-  LogEvent("batch", "takeover")
-      .text("batch", id.str())
-      .text("from", from)
-      .number("fence", static_cast<std::int64_t>(fence))
-      .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
-  if (answer.outcome != FencedOutcome::kDone) {
-    job->second.activating = false;
-    if (answer.current) onRecordRow(id, *answer.current);
-    co_return;
-  }
-  ++counts_.taken_over;
-  deps_.keeper.onRenewed(sent_at);
-  if (answer.revision > job->second.revision) {
-    job->second.record = record;
-    job->second.revision = answer.revision;
-  }
-  co_await resume(id);
-}
-
-/// Continues a job that this daemon owns by the store's word: reads what it is and what is listed.
-Task<void> BatchService::resume(JobId id) {
-  for (;;) {
-    const auto known = jobs_.find(id);
-    if (known == jobs_.end()) break;
-    const JobRecord record = known->second.record;
-    if (!mayOwn(record)) {
-      known->second.resumes_within_residency = true;
-      break;
-    }
-    const auto bytes = co_await deps_.store.getJob(record);
-    auto at = jobs_.find(id);
-    const auto stillOwned = [&] {
-      return at != jobs_.end() && !at->second.record.ended && !stopping_ &&
-             at->second.record.owner == deps_.leases.own();
-    };
-    if (!stillOwned()) break;
-    const auto inheritance = co_await inherit(at->second.record);
-    const bool whole = bytes.has_value() && inheritance.has_value();
-    at = jobs_.find(id);
-    if (!stillOwned()) break;
-    if (whole) {
-      auto job = deps_.codec.parseJob(id, *bytes);
-      if (!job) break;
-      const Duration age =
-          std::chrono::milliseconds(inheritance->clock_ms - at->second.record.accepted_ms);
-      activate(id, std::move(*job), *inheritance, steadyNow() - std::max(age, Duration::zero()));
-      break;
-    }
-    co_await sleepFor(deps_.loop, options_.store_pause);
-  }
-  const auto at = jobs_.find(id);
-  if (at != jobs_.end()) at->second.activating = false;
-}
-
-Task<CallResult<BatchService::Inheritance>> BatchService::inherit(JobRecord record) {
-  Inheritance inheritance;
-  if (!record.begun) {
-    inheritance.clock_ms = deps_.keeper.storeClock(steadyNow());
-    co_return inheritance;
-  }
-  co_return co_await inheritTexts(record.id);
-}
-
-Task<CallResult<BatchService::Inheritance>> BatchService::inheritTexts(JobId id) {
-  Inheritance inheritance;
-  for (;;) {
-    auto page = co_await deps_.store.results(id, inheritance.listed.size(), 0);
-    if (!page) co_return tl::make_unexpected(page.error());
-    inheritance.clock_ms = page->clock_ms;
-    if (page->results.empty()) break;
-    for (StoredResult& each : page->results) inheritance.listed.push_back(std::move(each));
-  }
-  auto checkpoint = co_await deps_.store.getCheckpoint(id);
-  if (!checkpoint) co_return tl::make_unexpected(checkpoint.error());
-  inheritance.checkpoint = std::move(*checkpoint);
-  co_return inheritance;
-}
-
-void BatchService::activate(const JobId& id, BatchJob parsed, const Inheritance& inheritance,
-                            Instant accepted_at) {
-  Job& job = jobs_[id];
-  job.active = std::make_shared<Active>(deps_.loop, job.record, std::move(parsed), RunRules{},
-                                        options_.listing);
-  job.active->fence = job.revision;
-  job.active->accepted_at = accepted_at;
-  applyRules(*job.active);
-  for (const StoredResult& each : inheritance.listed) {
-    if (each.item_index < job.active->run.job().items.size()) {
-      job.active->run.onAlreadyListed(each.item_index);
-    }
-    job.active->listed.push_back(each);
-  }
-  job.active->released = std::min(job.record.released, job.active->listed.size());
-  for (std::size_t i = job.active->released; i < job.active->listed.size(); ++i) {
-    job.active->held_back_bytes += job.active->listed[i].encoded.size();
-  }
-  job.active->checkpoint_first_row = inheritance.checkpoint.first_row;
-  job.active->checkpoint_next_row = inheritance.checkpoint.next_row;
-  for (const ItemCheckpoint& kept : inheritance.checkpoint.texts) {
-    if (kept.item_index >= job.active->run.job().items.size()) continue;
-    job.active->run.onCheckpoint(kept.item_index, kept);
-  }
-  LogEvent("batch", "job_active")
-      .text("batch", id.str())
-      .text("model", job.record.model.str())
-      .number("step", static_cast<std::int64_t>(job.active->run.job().step.value_or(0)))
-      .number("desired_groups", static_cast<std::int64_t>(job.active->run.job().desired_groups))
-      .number("fence", static_cast<std::int64_t>(job.active->fence))
-      .number("items", static_cast<std::int64_t>(job.record.total))
-      .number("listed", static_cast<std::int64_t>(inheritance.listed.size()))
-      .number("checkpoint", static_cast<std::int64_t>(inheritance.checkpoint.texts.size()))
-      .number("minimum_version", static_cast<std::int64_t>(job.active->run.job().minimum_version));
-  const ActivePtr active = job.active;
-  spawn(deps_.loop, [this, active] { return listLoop(active); });
-  spawn(deps_.loop, [this, active] { return checkpointLoop(active); });
-  spawn(deps_.loop, [this, active] { return carryOver(active); });
-  pump();
-}
-
-Task<void> BatchService::tickLoop() {
+Task<void> batch_service::pollLoop() {
   const Instant begun = steadyNow();
   for (;;) {
-    const bool idle = !deps_.pool.offers() && !ownsAny() && steadyNow() - begun > kStartTime;
-    co_await sleepFor(deps_.loop, idle ? kIdleTick : kTick);
+    const bool idle = !this->deps_.pool.offers() && !this->ownership_.ownsAny() &&
+                      steadyNow() - begun > kStartTime;
+    co_await sleepFor(this->deps_.loop, idle ? kIdlePollInterval : kPollInterval);
     const Instant now = steadyNow();
-    checkOwners(now);
-    for (auto& [id, job] : jobs_) {
+    this->ownership_.checkOwners(now);
+    for (auto& [id, job] : this->jobs_.all()) {
       if (!job.active || job.active->stopped) continue;
-      applyRules(*job.active);
+      applyRules(*job.active, this->deps_.routes());
       if (job.active->run.onTick(now)) job.active->finished.notifyAll();
     }
-    leaveClosedZones(now);
-    moveSlowRuns(now);
-    pump();
+    this->closed_zone_mover_.leaveClosedZones(now);
+    this->slow_run_mover_.moveSlowRuns(now);
+    this->runner_.startRunnableItems();
   }
 }
 
-BatchService::Work BatchService::work() const {
-  Work work;
-  work.awaiting_residency = awaiting_residency_;
-  for (const auto& [id, job] : jobs_) {
+batch_service::job_work batch_service::work() const {
+  job_work work;
+  work.awaiting_residency = this->ownership_.awaitingResidency();
+  for (const auto& [id, job] : this->jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     ++work.jobs;
     work.waiting += job.active->run.waiting();
     work.running += job.active->run.running();
     work.unscored += job.active->run.unscored();
   }
-  for (const auto& [zone, revision] : deps_.engines.registry.closedZones().all()) {
-    work.in_closed_zones += runsIn(zone);
+  for (const auto& [zone, revision] : this->deps_.engines.registry.closedZones().all()) {
+    work.in_closed_zones += this->closed_zone_mover_.runsIn(zone);
   }
   return work;
 }
 
-versions::open_work_by_model BatchService::openWork() const {
+versions::open_work_by_model batch_service::openWork() const {
   versions::open_work_by_model work;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : this->jobs_.all()) {
     if (job.record.ended || job.record.model.empty()) continue;
     versions::open_work& open = work[job.record.model];
     open.items += job.record.total;
-    routing::RouteTablePtr table;
+    const routing::RouteTablePtr table = this->deps_.routes();
     const routing::Route* route = routeOf(job.record, table);
     if (route != nullptr && route->single_version) open.single_version = true;
   }
   return work;
 }
 
-Task<void> BatchService::handOver() {
-  stopping_ = true;
-  std::vector<JobId> owned;
-  for (auto& [id, job] : jobs_) {
-    if (!job.record.ended && job.record.owner == deps_.leases.own()) owned.push_back(id);
-  }
-  for (const JobId& id : owned) {
-    co_await handOverJob(id);
-  }
-}
-
-Task<void> BatchService::handOverJob(JobId id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || at->second.record.owner != deps_.leases.own()) co_return;
-  JobRecord record = at->second.record;
-  record.owner = LeaseId();
-  record.begun = true;
-  const Revision fence = at->second.revision;
-  const ActivePtr active = at->second.active;
-  if (active && !active->stopped) {
-    active->stop(steadyNow());
-    // Also where one was sent just now: it may come too late, after the job was given up.
-    co_await writeCheckpoint(active, CheckpointNeed::kAlways);
-  }
-  const FencedAnswer answer = co_await deps_.store.putRecord(record, fence, {});
-  LogEvent("batch", "handed_over")
-      .text("batch", id.str())
-      .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
-  if (answer.outcome == FencedOutcome::kDone) {
-    onRecordRow(id, {table::jobKey(id), answer.revision, encodeRecord(record)});
-  }
+Task<void> batch_service::handOver() {
+  this->acceptance_.stop();
+  this->reader_.stop();
+  this->removal_.stop();
+  co_await this->ownership_.handOver();
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -1,31 +1,35 @@
 #pragma once
 
-/// @file
-/// Batch jobs as a whole: takes them in, owns and runs some, answers for all, and takes over those
-/// whose owner is gone.
-///
-/// What may be relied on:
-/// - a job is accepted only after its object and its row are in the store;
-/// - a reader is shown only results that are in the store;
-/// - items are run by the owner alone, as far as it knows; positions are given only under the
-/// fence.
+/** @file
+ * The batch jobs of this daemon: composes the parts of this folder, and polls them.
+ *
+ * What callers may rely on:
+ * - a job is accepted only after it and its row are in the store (`job_acceptance`);
+ * - a reader is shown only results that are in the store (`job_reader`);
+ * - items are run by the owner alone, as far as it knows (`job_ownership`), and positions are given
+ *   only under the job's fence (`job_store`).
+ */
 
-#include <boost/smart_ptr/intrusive_ptr.hpp>
 #include <functional>
-#include <map>
-#include <memory>
+#include <set>
 
-#include "common/success_sampler.h"
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
-#include "gateway/batch/batch_run.h"
-#include "gateway/batch/item_scorer.h"
+#include "gateway/batch/checkpoint_writer.h"
+#include "gateway/batch/closed_zone_mover.h"
+#include "gateway/batch/item_pick.h"
+#include "gateway/batch/item_runner.h"
+#include "gateway/batch/job_acceptance.h"
+#include "gateway/batch/job_activation.h"
+#include "gateway/batch/job_ownership.h"
+#include "gateway/batch/job_reader.h"
+#include "gateway/batch/job_removal.h"
+#include "gateway/batch/job_residency.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/length_estimate.h"
-#include "gateway/batch/moves_planned.h"
-#include "gateway/batch/run_moves.h"
-#include "gateway/batch/runs_leaving.h"
-#include "gateway/fleet/data_residency.h"
+#include "gateway/batch/known_jobs.h"
+#include "gateway/batch/partial_result_reuse.h"
+#include "gateway/batch/result_writer.h"
+#include "gateway/batch/slow_run_mover.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/http/server.h"
@@ -38,262 +42,113 @@
 
 namespace linenpier::batch {
 
-/// Lines about finished items that a daemon writes in full each second, and one in how many then.
-inline constexpr std::uint32_t kFullLinesPerSecond = 60;
-inline constexpr std::uint32_t kSampleOneIn = 10;
-
-/// Loop thread only.
-class BatchService {
+/** Owns every part, and the options that all of them read. Loop thread only. */
+class batch_service {
  public:
-  struct Dependencies {
+  struct dependencies {
     boost::asio::io_context& loop;
     forward::engine_call_context engines;
-    JobStore& store;
+    job_store& store;
     lease::lease_table& leases;
     lease::lease_keeper& keeper;
     const lease::owner_pool& pool;
-    const BatchCodec& codec;
+    const batch_codec& codec;
     forward::internal_requests& rewards;
     suspects::suspect_gate& suspects;
     std::function<routing::RouteTablePtr()> routes;  ///< The newest table; empty before the first.
   };
 
-  BatchService(Dependencies dependencies, BatchOptions options)
-      : deps_(std::move(dependencies)),
-        scorer_({deps_.loop, deps_.engines.names, deps_.rewards, deps_.routes, counts_, sampler_,
-                 [this] { pump(); }}) {
-    setOptions(options);
+  batch_service(dependencies deps, batch_options options) : deps_(std::move(deps)) {
+    this->setOptions(options);
+    this->jobs_.setListener(
+        [this](const JobId& id, known_job& job) { this->ownership_.onJobChanged(id, job); });
   }
-  ~BatchService();
 
   void start();
-  void setOptions(const BatchOptions& options) {
-    options_ = options;
-    leaving_.setOptions(options.leaving);
+  void setOptions(const batch_options& options) {
+    this->options_ = options;
+    this->closed_zone_mover_.setOptions(options.leaving);
   }
 
-  /// The job belongs to the tenant that hands it in.
+  /** See `job_acceptance` and `job_reader`. */
   Task<void> submit(const routing::Route& route, tenants::caller from, const http::Request& request,
-                    Instant received, http::ResponseWriter& writer);
-  /// Calls about a job of another tenant are answered as if there were no such job.
+                    Instant received, http::ResponseWriter& writer) {
+    return this->acceptance_.submit(route, std::move(from), request, received, writer);
+  }
   Task<void> readResults(JobId id, tenants::caller from, std::size_t position, Duration wait,
-                         http::ResponseWriter& writer);
-  Task<void> readItem(JobId id, tenants::caller from, ItemId item, http::ResponseWriter& writer);
-  Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer);
-  /// @return whether this daemon knows the job as one that needs no key.
+                         http::ResponseWriter& writer) {
+    return this->reader_.readResults(std::move(id), std::move(from), position, wait, writer);
+  }
+  Task<void> readItem(JobId id, tenants::caller from, ItemId item, http::ResponseWriter& writer) {
+    return this->reader_.readItem(std::move(id), std::move(from), std::move(item), writer);
+  }
+  Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
+    return this->acceptance_.end(std::move(id), std::move(from), writer);
+  }
+  /** @return whether this daemon knows the job as one that needs no key. */
   bool isPublic(const JobId& id) const;
 
-  /// A job's row as the feed tells it.
-  void onRecordRow(const JobId& id, const table::Row& row);
-  void onRecordGone(const JobId& id) { jobs_.erase(id); }
+  /** A job's row, from the feed. */
+  void onRecordRow(const JobId& id, const table::Row& row) { this->jobs_.onRow(id, row); }
+  void onRecordRemoved(const JobId& id) { this->jobs_.onRemoved(id); }
 
-  /// @return whether readers wait here for results to be released.
-  bool hasWaitingReaders() const { return waiting_readers_ > 0; }
-  /// @return whether this daemon owns jobs that are not wholly listed.
-  bool ownsAny() const;
-  /// @return the work of jobs under way at any daemon.
+  /** @return whether readers wait here for results to be published. */
+  bool hasWaitingReaders() const { return this->reader_.hasWaitingReaders(); }
+  /** @return whether this daemon owns jobs that have not ended. */
+  bool ownsAny() const { return this->ownership_.ownsAny(); }
+  /** @return the work of jobs under way at any daemon. */
   versions::open_work_by_model openWork() const;
-  /// @return the engines with runs that the steps of owned jobs wait for.
-  std::set<EngineId> awaitedEngines() const;
-  /// Gives up every owned job so that others take it at once.
+  /** @return the engines with runs that the steps of owned jobs wait for. */
+  std::set<EngineId> awaitedEngines() const { return this->runner_.awaitedEngines(); }
+  /** Gives up every owned job so that others take it at once. */
   Task<void> handOver();
 
-  const BatchCounts& counts() const { return counts_; }
-  std::size_t jobCount() const { return jobs_.size(); }
-  /// Owned jobs under way and their items, for the metrics.
-  struct Work {
+  const batch_counts& counts() const { return this->counts_; }
+  std::size_t jobCount() const { return this->jobs_.size(); }
+  /** Owned jobs under way and their items, for the metrics. */
+  struct job_work {
     std::size_t jobs = 0;
     std::size_t waiting = 0;
     std::size_t running = 0;
     std::size_t unscored = 0;
     std::size_t in_closed_zones = 0;     ///< Of those that run.
-    std::size_t awaiting_residency = 0;  ///< Jobs of anybody that nobody at home takes up.
+    std::size_t awaiting_residency = 0;  ///< Jobs of anybody that no daemon within residency takes.
   };
-  Work work() const;
-  /// @return runs of owned jobs at engines of the zone.
-  std::size_t runsIn(const ZoneName& zone) const;
+  job_work work() const;
+  /** @return runs of owned jobs at engines of the zone. */
+  std::size_t runsIn(const ZoneName& zone) const { return this->closed_zone_mover_.runsIn(zone); }
 
  private:
-  using Active = active_job;
-  using ActivePtr = active_job_ptr;
-
-  /// A job as this daemon knows it.
-  struct Job {
-    JobRecord record;
-    Revision revision = 0;
-    ActivePtr active;  ///< Set while this daemon owns and runs it.
-    bool activating = false;
-    /// It was given to this daemon, or kept by it, while it was not known to be at home.
-    bool resumes_within_residency = false;
-    Instant orphaned_at{};            ///< When its owner was first seen to be gone.
-    std::shared_ptr<Signal> changed;  ///< The row has changed; set while readers wait.
-  };
-
-  /// Looks a job up, in the store if need be.
-  /// @param record stays empty if there is no job, or none that the caller may know of.
-  /// @return whether that is sure.
-  Task<bool> knows(JobId id, tenants::caller from, std::optional<JobRecord>& record);
-  /// @param body rows to be written with the job's row.
-  Task<FencedAnswer> acceptRecord(JobRecord record, std::vector<table::Put> body, Instant deadline);
-  /// Keeps a job that is too large for rows. @return whether it is kept.
-  Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
-
-  /// What an earlier owner left of a job.
-  struct Inheritance {
-    std::vector<StoredResult> listed;
-    StoredCheckpoint checkpoint;
-    std::int64_t clock_ms = 0;
-  };
-  Task<CallResult<Inheritance>> inherit(JobRecord record);
-  /// Reads the results and the checkpoint of a job.
-  Task<CallResult<Inheritance>> inheritTexts(JobId id);
-  void activate(const JobId& id, BatchJob job, const Inheritance& inheritance, Instant accepted_at);
-
-  /// @return the routes of items and scorers that are not the job's own.
-  std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
-                                  const std::string& host, const BatchJob& job) const;
-  /// @return where the job may be; nothing before there is a configuration.
-  std::optional<fleet::data_residency> residencyOf(const JobRecord& record) const;
-  /// @return where an item of the job may be served.
-  fleet::data_residency residencyOfItem(const Active& active, ItemIndex item,
-                                        const routing::RouteTable& table,
-                                        const routing::Route& route) const;
-  RegionName ownRegion() const;
-  /// @return whether the job may be here.
-  bool mayOwn(const JobRecord& record) const;
-  /// @return whether the job may be owned somewhere, and an engine of the route's service is where
-  ///     its items may be.
-  bool servedWithinResidency(const routing::Route& route, const JobRecord& record) const;
-  /// Gives the job up if this daemon owns it and it must not be here; goes on with it where that
-  /// was not known.
-  /// @return whether it was left alone.
-  bool settleResidency(const JobId& id, Job& job);
-  Task<void> giveUp(JobId id);
-  /// Nobody owns the job, and this daemon must not.
-  void noteAwaitsResidency(Instant now, const JobId& id, Job& job);
-
-  /// @return who should run a job that is handed in here; nobody, if those who may are not known.
-  LeaseId ownerFor(Instant now, const JobRecord& record) const;
-  /// @return the position of the job's model among those of the configuration.
-  std::size_t modelIndex(const JobRecord& record) const;
-  /// Finds what earlier jobs left, and lets the job go on with it.
-  Task<void> carryOver(ActivePtr active);
-  /// @return the newest jobs of the same route and model that were accepted before.
-  std::vector<JobId> earlierJobs(const JobRecord& record) const;
-  struct carry_over_search;
-  Task<void> readEarlierJob(JobRecord record, boost::intrusive_ptr<carry_over_search> search);
-  Task<void> takeOver(JobId id);
-  /// Gives up an owned job with the text made so far.
-  Task<void> handOverJob(JobId id);
-  Task<void> resume(JobId id);
-  /// Begins to run a job that is this daemon's by its row.
-  void resumeOwn(const JobId& id, Job& job);
-  void deactivate(Job& job, const char* reason);
-  void checkOwners(Instant now);
-  Task<void> tickLoop();
-  /// Removes jobs that nobody may ask for any more.
-  Task<void> removalLoop();
-  std::optional<JobId> nextToRemove(Instant now) const;
-
-  struct startable_item;
-  /// Starts reward requests and items, as far as engines have room.
-  void pump();
-  std::vector<startable_item> startableItems();
-  /// @return whether the job has an item that may start; it is then set.
-  bool findNext(startable_item& job) const;
-  struct run_there;
-  /// Lets runs leave engines of closed zones as far as there is room elsewhere.
-  void leaveClosedZones(Instant now);
-  /// @param there the same runs, in the same order.
-  std::vector<placed_run> runsInClosedZones(Instant now, std::vector<run_there>& there) const;
-  /// Stops the run, which goes on elsewhere. @return whether there was room.
-  bool leaveEngine(Instant now, const run_there& run, moves_planned& moves);
-  /// Moves runs from slow engines to clearly faster ones that have room.
-  void moveSlowRuns(Instant now);
-  void moveRun(Instant now, Active& active, const item_run& run, const routing::Route& route,
-               moves_planned& moves);
-  run_move_rules moveRules() const;
-  /// What an item asks of an engine.
-  engines::engine_request pickFor(const Active& active, ItemIndex item,
-                                  const routing::Route& route) const;
-  bool startItem(const ActivePtr& active, ItemIndex item, const routing::Route& route);
-  /// @return nothing if the item must wait, since engines ended under it.
-  std::optional<suspects::sent_attempt> leaveToRun(Active& active, ItemIndex item);
-  Task<void> runItem(ActivePtr active, ItemIndex item, std::shared_ptr<forward::engine_call> call,
-                     std::string model, suspects::sent_attempt attempt);
-  /// Tells what a run has shown of the item.
-  void settleSuspicion(const Active& active, ItemIndex item, const forward::engine_call& call,
-                       forward::AttemptVerdict verdict, const suspects::sent_attempt& attempt,
-                       bool engine_ended);
-  /// How a run went, for the log.
-  struct RunTimes {
-    std::optional<Duration> to_first_event;
-    Duration max_gap{};         ///< Between two of its events.
-    bool engine_ended = false;  ///< Its engine ended under it.
-  };
-  Task<forward::AttemptVerdict> readItemEvents(Active& active, ItemIndex item,
-                                               forward::engine_call& call, const ModelName& model,
-                                               RunTimes& times);
-  void settleItem(Active& active, ItemIndex item, forward::engine_call& call,
-                  forward::AttemptVerdict verdict, const ModelName& model, const RunTimes& times);
-  http::Request itemRequest(const Active& active, ItemIndex item) const;
-  suspects::request_key keyOf(const Active& active, ItemIndex item) const;
-
-  Task<void> checkpointLoop(ActivePtr active);
-  enum class CheckpointNeed { kAlways, kIfMuchIsNew };
-  Task<void> writeCheckpoint(ActivePtr active, CheckpointNeed need);
-  /// @return whether what is finished fills an append.
-  bool fillsAppend(const BatchRun& run) const;
-  bool releaseUrgent(const Active& active) const;
-  /// @return when readers should be shown what there is; when to look again, if all is shown.
-  Instant nextReleaseAt(const Active& active, Instant now) const;
-  Instant nextAppendAt(const Active& active, Instant now) const;
-  Task<void> listLoop(ActivePtr active);
-  /// Chooses what the next append writes and releases. It stays as it is until the store settles
-  /// it.
-  void preparePending(Active& active, Instant now) const;
-  Task<bool> writePending(ActivePtr active);
-  /// @return whether an earlier try of the pending write, which was not answered, was done.
-  bool releasedBefore(const FencedAnswer& answer, const Active& active) const;
-  void onPendingWritten(Active& active);
-
-  RunRules rulesFor(const routing::Route* route, Instant accepted_at) const;
-  void applyRules(Active& active) const;
-  const routing::Route* routeOf(const JobRecord& record, routing::RouteTablePtr& table) const;
-  struct ReadAhead;
-  /// What a reader's answer is made under.
-  struct ReadState {
-    std::size_t total = 0;
-    std::size_t released = 0;
-    bool from_memory = false;
-  };
-  /// @return the job, or nullptr if it is not known here.
-  const Job* find(const JobId& id) const;
-  std::size_t releasedOf(const JobId& id) const;
-  /// Adds released results from this daemon's memory. @return whether it has them.
-  bool readFromMemory(const JobId& id, ReadAhead& page) const;
-  /// Adds results from the store, also such as are not released yet.
-  Task<bool> readFromStore(const JobId& id, ReadAhead& page);
-  /// Waits until more may be released.
-  Task<void> waitForRelease(JobId id, Duration limit);
-  Task<void> answerRead(http::ResponseWriter& writer, const JobId& id, const ReadAhead& page,
-                        ReadState state) const;
-  Task<void> answer(http::ResponseWriter& writer, unsigned status, std::string body = {}) const;
-  Task<void> answerPage(http::ResponseWriter& writer, std::size_t total, std::size_t next,
-                        const std::vector<std::string>& results) const;
-
-  Dependencies deps_;
-  BatchOptions options_;
-  std::map<JobId, Job> jobs_;
-  BatchCounts counts_;
-  length_estimate lengths_;
-  runs_leaving leaving_;
-  std::size_t waiting_readers_ = 0;
-  std::size_t awaiting_residency_ = 0;  ///< Jobs that nobody at home takes up, at the last look.
-  Instant next_wait_line_{};            ///< When the next line on them may be written.
-  bool stopping_ = false;
-  logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
-  item_scorer scorer_;
+  Task<void> pollLoop();
+
+  dependencies deps_;
+  batch_options options_;
+  known_jobs jobs_;
+  batch_counts counts_;
+  job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
+  item_pick picks_{{residency_, deps_.routes, options_}};
+  item_runner runner_{{deps_.loop, deps_.engines, deps_.rewards, deps_.suspects, jobs_, picks_,
+                       deps_.routes, counts_, options_}};
+  slow_run_mover slow_run_mover_{
+      {deps_.engines.registry, jobs_, runner_.lengths(), picks_, deps_.routes, options_}};
+  closed_zone_mover closed_zone_mover_{
+      {deps_.engines.registry, jobs_, runner_.lengths(), picks_, deps_.routes}};
+  result_writer results_{
+      {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
+  checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
+  partial_result_reuse reuse_{{deps_.loop, deps_.store, deps_.codec, jobs_, residency_, options_,
+                               [this] { this->runner_.startRunnableItems(); }}};
+  job_activation activation_{
+      {deps_.loop, jobs_, results_, checkpoints_, reuse_, runner_, deps_.routes, options_}};
+  job_ownership ownership_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, deps_.pool,
+                            deps_.codec, jobs_, residency_, checkpoints_, activation_, counts_,
+                            options_}};
+  job_acceptance acceptance_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, deps_.pool,
+                              deps_.engines.registry, deps_.codec, deps_.engines.names, jobs_,
+                              residency_, activation_, deps_.routes, counts_, options_}};
+  job_reader reader_{
+      {deps_.loop, deps_.store, deps_.leases, deps_.codec, deps_.engines.names, jobs_, options_}};
+  job_removal removal_{{deps_.loop, deps_.store, deps_.leases, deps_.keeper, jobs_, options_}};
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// @file
-/// Batch jobs: many requests handed in together, run afterwards, and listed one by one at positions
-/// that never change.
+/** @file
+ * Batch jobs: many requests handed in together, run afterwards, whose results are appended one by
+ * one at positions that never change.
+ */
 
 #include <cstdint>
 #include <optional>
@@ -16,7 +17,7 @@
 
 namespace linenpier::batch {
 
-/** The request that scores an item's text once it is whole. */
+/** The request that scores an item's text once it is complete. */
 struct reward_request {
   std::string id;
   std::string host;
@@ -34,7 +35,7 @@
   bool operator==(const reward_score&) const = default;
 };
 
-struct BatchItem {
+struct batch_item {
   ItemId id;
   std::string path;
   std::vector<std::pair<std::string, std::string>> fields;  ///< HTTP fields, in order.
@@ -42,22 +43,22 @@
   GroupId group;
   ModelName model;                       ///< Empty: none named.
   double tokens = 0;                     ///< Of the prompt, plus the most that may come out.
-  std::uint64_t length_hint = 0;         ///< Expected tokens out; 0: not told.
+  std::uint64_t length_hint = 0;         ///< Expected tokens out; 0: not known.
   std::optional<reward_request> scorer;  ///< Absent: the text needs no score.
 };
 
-/// A job as it was handed in.
-struct BatchJob {
+/** A job as it was handed in. */
+struct batch_job {
   JobId id;
-  std::vector<BatchItem> items;
+  std::vector<batch_item> items;
   std::optional<std::uint64_t> step;
   WeightVersion minimum_version = 0;
-  std::size_t desired_groups = 0;  ///< Whole groups that the trainer waits for; 0: all.
+  std::size_t desired_groups = 0;  ///< Complete groups that the trainer waits for; 0: all.
 };
 
 enum class ResultState { kCompleted, kTerminated };
 
-struct BatchResult {
+struct batch_result {
   ItemId item;
   ResultState state = ResultState::kCompleted;
   std::string text;
@@ -65,8 +66,8 @@
   std::string score;  ///< Empty where the item has no scorer.
 };
 
-/// What every daemon knows of a job: the row that stands for it.
-struct JobRecord {
+/** What every daemon knows of a job: the row that stands for it. */
+struct job_record {
   JobId id;
   LeaseId owner;     ///< Empty: nobody, to be taken.
   std::string host;  ///< Of the route that it was handed in under.
@@ -76,9 +77,9 @@
   std::set<RouteName> other_routes;  ///< Of items and scorers, where they are others'.
   std::size_t total = 0;
   std::size_t body_rows = 0;  ///< That hold the job as handed in; 0: an object does.
-  std::size_t released = 0;   ///< Results that readers are shown; those behind are kept back.
+  std::size_t published = 0;  ///< Results that readers are shown; those behind are kept back.
   bool ended = false;
-  bool begun = false;            ///< An owner may have listed or kept something already.
+  bool begun = false;            ///< An owner may have appended or kept something already.
   std::int64_t accepted_ms = 0;  ///< By the store's clock.
 };
 
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Reward requests: a text that is whole is scored before it is listed.
+ * Reward requests: a text that is complete is scored before it is appended.
  */
 
 #include <functional>
@@ -27,20 +27,21 @@
     const forward::field_names& names;
     forward::internal_requests& rewards;
     std::function<routing::RouteTablePtr()> routes;
-    BatchCounts& counts;
+    batch_counts& counts;
     logging::SuccessSampler& sampler;
     std::function<void()> on_settled;  ///< A reward request has ended.
   };
 
   explicit item_scorer(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** Sends reward requests for the job's whole texts, as many as this daemon may have under way. */
+  /** Sends reward requests for the job's complete texts, as many as this daemon may have under way.
+   */
   void start(const active_job_ptr& active);
 
  private:
   Task<void> scoreItem(active_job_ptr active, ItemIndex item,
                        std::shared_ptr<http::Cancellation> cancellation);
-  /** @param most_failures answers of 500 after which the item is given up. */
+  /** @param max_failures answers of 500 after which the item is given up. */
   void settleScoring(active_job& active, ItemIndex item, const forward::internal_outcome& outcome,
                      int max_failures);
   http::Request rewardRequest(const reward_request& scorer) const;
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -30,7 +30,7 @@
   return kResultTable + "/" + numberedKey(id, position);
 }
 
-/// @return the number at the end of a row's key.
+/** @return the number at the end of a row's key. */
 std::size_t numberOf(const std::string& key) {
   return std::strtoull(key.c_str() + key.rfind('/') + 1, nullptr, 10);
 }
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-std::string encodeRecord(const JobRecord& record) {
+std::string encodeRecord(const job_record& record) {
   json document = {{"owner", record.owner.str()},
                    {"host", record.host},
                    {"path", record.path},
@@ -49,7 +49,7 @@
                    {"tenant", record.tenant.str()},
                    {"total", record.total},
                    {"body_rows", record.body_rows},
-                   {"released", record.released},
+                   {"released", record.published},
                    {"ended", record.ended},
                    {"begun", record.begun},
                    {"accepted_ms", record.accepted_ms}};
@@ -59,11 +59,11 @@
   return document.dump();
 }
 
-std::optional<JobRecord> decodeRecord(const JobId& id, const std::string& text) {
+std::optional<job_record> decodeRecord(const JobId& id, const std::string& text) {
   const json document = json::parse(text, nullptr, false);
   if (!document.is_object()) return std::nullopt;
   try {
-    JobRecord record;
+    job_record record;
     record.id = id;
     record.owner = LeaseId(document.at("owner").get<std::string>());
     record.host = document.at("host").get<std::string>();
@@ -75,7 +75,7 @@
     }
     record.total = document.at("total").get<std::size_t>();
     record.body_rows = document.value("body_rows", std::size_t{0});
-    record.released = document.value("released", std::size_t{0});
+    record.published = document.value("released", std::size_t{0});
     record.ended = document.at("ended").get<bool>();
     record.begun = document.value("begun", true);
     record.accepted_ms = document.at("accepted_ms").get<std::int64_t>();
@@ -85,35 +85,35 @@
   }
 }
 
-bool mayAccess(const JobRecord& record, const tenants::caller& from) {
+bool mayAccess(const job_record& record, const tenants::caller& from) {
   const bool needs_key = from.verdict != tenants::KeyVerdict::kNotNeeded;
   return !needs_key || record.tenant.empty() || record.tenant == from.tenant;
 }
 
-Task<CallResult<bool>> JobStore::putJob(JobId id, std::string bytes) {
-  co_return co_await objects_.put(jobObject(id), std::move(bytes));
+Task<CallResult<bool>> job_store::putJob(JobId id, std::string bytes) {
+  co_return co_await this->objects_.put(jobObject(id), std::move(bytes));
 }
 
-std::vector<table::Put> JobStore::bodyRows(const JobId& id, const std::string& bytes) const {
+std::vector<table::Put> job_store::bodyRows(const JobId& id, const std::string& bytes) const {
   std::vector<table::Put> rows;
   if (bytes.size() > kMaxWriteBytes) return rows;
-  for (std::size_t at = 0; at < bytes.size(); at += row_bytes_) {
+  for (std::size_t at = 0; at < bytes.size(); at += this->row_bytes_) {
     const std::string key = table::kBodyTable + "/" + numberedKey(id, rows.size());
-    rows.push_back({key, bytes.substr(at, row_bytes_)});
+    rows.push_back({key, bytes.substr(at, this->row_bytes_)});
   }
   return rows;
 }
 
-Task<CallResult<std::string>> JobStore::getJob(JobRecord record) {
+Task<CallResult<std::string>> job_store::getJob(job_record record) {
   if (record.body_rows == 0) {
-    co_return co_await objects_.get(jobObject(record.id));
+    co_return co_await this->objects_.get(jobObject(record.id));
   }
   std::string bytes;
   std::size_t read = 0;
   while (read < record.body_rows) {
     table::RowRange range{table::kBodyTable, numberedKey(record.id, read), numberedEnd(record.id),
                           0};
-    const auto page = co_await table_.read(range);
+    const auto page = co_await this->table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
     if (page->rows.empty()) {
       co_return tl::make_unexpected(CallError{CallFailure::kRejected, "the job's rows are gone"});
@@ -124,9 +124,9 @@
   co_return bytes;
 }
 
-FencedAnswer JobStore::judge(const CallResult<table::TransactionAnswer>& answer,
-                             const std::string& job_key, Revision fence) const {
-  FencedAnswer judged;
+fenced_answer job_store::judge(const CallResult<table::TransactionAnswer>& answer,
+                               const std::string& job_key, Revision fence) const {
+  fenced_answer judged;
   if (!answer) {
     judged.outcome = certainlyNotProcessed(answer.error().failure) ? FencedOutcome::kNotDone
                                                                    : FencedOutcome::kUnknown;
@@ -151,15 +151,15 @@
   return judged;
 }
 
-Task<FencedAnswer> JobStore::putRecord(JobRecord record, Revision fence,
-                                       std::vector<table::Put> also) {
+Task<fenced_answer> job_store::putRecord(job_record record, Revision fence,
+                                         std::vector<table::Put> also) {
   const std::string key = jobKey(record.id);
   table::Write write;
   write.transaction.checks.push_back({key, fence});
   write.transaction.puts.push_back({key, encodeRecord(record)});
   for (table::Put& put : also) write.transaction.puts.push_back(std::move(put));
-  const auto answer = co_await table_.write(std::move(write));
-  co_return judge(answer, key, fence);
+  const auto answer = co_await this->table_.write(std::move(write));
+  co_return this->judge(answer, key, fence);
 }
 
 namespace {
@@ -168,46 +168,46 @@
 }
 }  // namespace
 
-Task<bool> JobStore::answers(JobId id, Duration timeout) {
+Task<bool> job_store::answers(JobId id, Duration timeout) {
   table::RowRange range = recordRange(id);
   range.timeout = timeout;
-  const auto page = co_await table_.read(range);
+  const auto page = co_await this->table_.read(range);
   co_return page.has_value();
 }
 
-Task<CallResult<table::Row>> JobStore::getRecord(JobId id) {
+Task<CallResult<table::Row>> job_store::getRecord(JobId id) {
   const table::RowRange range = recordRange(id);
-  const auto page = co_await table_.read(range);
+  const auto page = co_await this->table_.read(range);
   if (!page) co_return tl::make_unexpected(page.error());
   co_return page->rows.empty() ? table::Row{jobKey(id), 0, ""} : page->rows.front();
 }
 
-Task<FencedAnswer> JobStore::append(JobId id, Revision fence, std::size_t position,
-                                    std::vector<StoredResult> results,
-                                    std::optional<JobRecord> release) {
+Task<fenced_answer> job_store::append(JobId id, Revision fence, std::size_t position,
+                                      std::vector<stored_result> results,
+                                      std::optional<job_record> publish) {
   const std::string job_key = jobKey(id);
   table::Write write;
   write.transaction.checks.push_back({job_key, fence});
-  if (release) write.transaction.puts.push_back({job_key, encodeRecord(*release)});
-  for (const StoredResult& result : results) {
+  if (publish) write.transaction.puts.push_back({job_key, encodeRecord(*publish)});
+  for (const stored_result& result : results) {
     std::string value = std::to_string(result.item_index);
-    if (result.encoded.size() + value.size() + 1 <= row_bytes_) {
+    if (result.encoded.size() + value.size() + 1 <= this->row_bytes_) {
       value += kInline + result.encoded;
     } else {
       const std::string name = largeResultName(id, position, fence);
-      const auto put = co_await objects_.put(name, result.encoded);
-      if (!put) co_return FencedAnswer{FencedOutcome::kNotDone, 0, std::nullopt};
+      const auto put = co_await this->objects_.put(name, result.encoded);
+      if (!put) co_return fenced_answer{FencedOutcome::kNotDone, 0, std::nullopt};
       value += kObject + name;
     }
     const std::string key = resultRowKey(id, position);
     write.transaction.puts.push_back({key, std::move(value)});
     ++position;
   }
-  const auto answer = co_await table_.write(std::move(write));
-  co_return judge(answer, job_key, fence);
+  const auto answer = co_await this->table_.write(std::move(write));
+  co_return this->judge(answer, job_key, fence);
 }
 
-Task<FencedAnswer> JobStore::putCheckpoint(JobId id, Revision fence, CheckpointWrite part) {
+Task<fenced_answer> job_store::putCheckpoint(JobId id, Revision fence, checkpoint_write part) {
   const std::string job_key = jobKey(id);
   const std::string prefix = table::kCheckpointTable + "/";
   table::Write write;
@@ -217,8 +217,8 @@
   for (std::string& row : part.rows) {
     if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
       // A part that is cut off counts for nothing until its last row is there.
-      const auto begun = co_await table_.write(std::move(write));
-      const FencedAnswer judged = judge(begun, job_key, fence);
+      const auto begun = co_await this->table_.write(std::move(write));
+      const fenced_answer judged = this->judge(begun, job_key, fence);
       if (judged.outcome != FencedOutcome::kDone) co_return judged;
       write = table::Write{};
       write.transaction.checks.push_back({job_key, fence});
@@ -232,59 +232,59 @@
     if (write.removes.size() >= kMaxRemovedWithPart) break;
     write.removes.push_back(prefix + numberedKey(id, old));
   }
-  const auto answer = co_await table_.write(std::move(write));
-  co_return judge(answer, job_key, fence);
+  const auto answer = co_await this->table_.write(std::move(write));
+  co_return this->judge(answer, job_key, fence);
 }
 
-Task<bool> JobStore::removeObjects(std::string prefix) {
-  const auto names = co_await objects_.list(prefix);
+Task<bool> job_store::removeObjects(std::string prefix) {
+  const auto names = co_await this->objects_.list(prefix);
   if (!names) co_return false;
   for (const std::string& name : *names) {
-    const auto removed = co_await objects_.remove(name);
+    const auto removed = co_await this->objects_.remove(name);
     if (!removed) co_return false;
   }
   co_return true;
 }
 
-Task<bool> JobStore::removeRows(std::string table, JobId id, Revision fence) {
+Task<bool> job_store::removeRows(std::string table, JobId id, Revision fence) {
   for (;;) {
     table::RowRange range{table, numberedKey(id, 0), numberedEnd(id), kMaxRemovedAtOnce};
-    const auto page = co_await table_.read(range);
+    const auto page = co_await this->table_.read(range);
     if (!page) co_return false;
     if (page->rows.empty()) co_return true;
     table::Write write;
     write.transaction.checks.push_back({jobKey(id), fence});
     for (const table::Row& row : page->rows) write.removes.push_back(row.key);
-    const auto answer = co_await table_.write(std::move(write));
+    const auto answer = co_await this->table_.write(std::move(write));
     if (!answer || !answer->committed) co_return false;
   }
 }
 
-Task<bool> JobStore::removeJob(JobId id, Revision fence) {
-  const bool results_gone = co_await removeRows(kResultTable, id, fence);
+Task<bool> job_store::removeJob(JobId id, Revision fence) {
+  const bool results_gone = co_await this->removeRows(kResultTable, id, fence);
   if (!results_gone) co_return false;
-  const bool body_gone = co_await removeRows(table::kBodyTable, id, fence);
+  const bool body_gone = co_await this->removeRows(table::kBodyTable, id, fence);
   if (!body_gone) co_return false;
-  const bool large_gone = co_await removeObjects(table::resultObjects(id));
+  const bool large_gone = co_await this->removeObjects(table::resultObjects(id));
   if (!large_gone) co_return false;
-  const bool checkpoints_gone = co_await removeRows(table::kCheckpointTable, id, fence);
+  const bool checkpoints_gone = co_await this->removeRows(table::kCheckpointTable, id, fence);
   if (!checkpoints_gone) co_return false;
-  const auto job_gone = co_await objects_.remove(jobObject(id));
+  const auto job_gone = co_await this->objects_.remove(jobObject(id));
   if (!job_gone) co_return false;
   // The row goes last: until then anybody can go on with the removal.
   table::Write write;
   write.transaction.checks.push_back({jobKey(id), fence});
   write.removes.push_back(jobKey(id));
-  const auto answer = co_await table_.write(std::move(write));
+  const auto answer = co_await this->table_.write(std::move(write));
   co_return answer.has_value() && answer->committed;
 }
 
-Task<CallResult<StoredCheckpoint>> JobStore::getCheckpoint(JobId id) {
-  StoredCheckpoint stored;
+Task<CallResult<stored_checkpoint>> job_store::getCheckpoint(JobId id) {
+  stored_checkpoint stored;
   std::vector<std::string> values;
   table::RowRange range{table::kCheckpointTable, numberedKey(id, 0), numberedEnd(id), 0};
   for (;;) {
-    auto page = co_await table_.read(range);
+    auto page = co_await this->table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
     for (table::Row& row : page->rows) {
       const std::size_t number = numberOf(row.key);
@@ -299,23 +299,23 @@
   co_return stored;
 }
 
-Task<CallResult<StoredResults>> JobStore::results(JobId id, std::size_t position,
-                                                  std::size_t limit) {
+Task<CallResult<stored_results>> job_store::results(JobId id, std::size_t position,
+                                                    std::size_t limit) {
   table::RowRange range{kResultTable, numberedKey(id, position), numberedEnd(id), limit};
-  const auto page = co_await table_.read(range);
+  const auto page = co_await this->table_.read(range);
   if (!page) co_return tl::make_unexpected(page.error());
-  StoredResults found;
+  stored_results found;
   found.clock_ms = page->clock_ms;
   for (const table::Row& row : page->rows) {
     const std::size_t mark = row.value.find_first_not_of("0123456789");
     if (mark == std::string::npos || row.key != resultRowKey(id, position + found.results.size())) {
       co_return tl::make_unexpected(CallError{CallFailure::kBadAnswer, "a gap in the results"});
     }
-    StoredResult result;
+    stored_result result;
     result.item_index = std::strtoull(row.value.c_str(), nullptr, 10);
     result.encoded = row.value.substr(mark + 1);
     if (row.value[mark] == kObject) {
-      auto bytes = co_await objects_.get(result.encoded);
+      auto bytes = co_await this->objects_.get(result.encoded);
       if (!bytes) co_return tl::make_unexpected(bytes.error());
       result.encoded = std::move(*bytes);
     }
@@ -324,4 +324,19 @@
   co_return found;
 }
 
+Task<CallResult<stored_progress>> job_store::getProgress(JobId id) {
+  stored_progress progress;
+  for (;;) {
+    auto page = co_await this->results(id, progress.results.size(), 0);
+    if (!page) co_return tl::make_unexpected(page.error());
+    progress.clock_ms = page->clock_ms;
+    if (page->results.empty()) break;
+    for (stored_result& each : page->results) progress.results.push_back(std::move(each));
+  }
+  auto checkpoint = co_await this->getCheckpoint(id);
+  if (!checkpoint) co_return tl::make_unexpected(checkpoint.error());
+  progress.checkpoint = std::move(*checkpoint);
+  co_return progress;
+}
+
 }  // namespace linenpier::batch
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -10,16 +10,11 @@
 
 #include "gateway/batch/batch_run.h"
 #include "gateway/batch/length_estimate.h"
+#include "gateway/batch/run_move_rules.h"
 #include "gateway/engines/engine_registry.h"
 
 namespace linenpier::batch {
 
-struct run_move_rules {
-  double gain = 1.15;  ///< An engine must be this much faster for a run to move there.
-  Duration saving{};   ///< A move must save more than this.
-  Duration min_run{};  ///< Runs that began later stay.
-};
-
 /** An item's run on an engine. */
 struct item_run {
   ItemIndex item = 0;
@@ -37,14 +32,14 @@
 
 /** @return the runs that may move, those that are expected to last longest first. */
 std::vector<item_run> movableRuns(Instant now, const engines::engine_registry& registry,
-                                  const ServiceName& service, const BatchJob& job,
+                                  const ServiceName& service, const batch_job& job,
                                   const std::vector<item_run>& runs, const run_move_rules& rules);
 
 /** @param wanted what the item asks of an engine, without the one that it is at.
  * @return where the run should go on, if the move is worth its cost.
  */
 std::optional<run_move> planMove(Instant now, engines::engine_registry& registry,
-                                 const length_estimate& lengths, const BatchRun& run,
+                                 const length_estimate& lengths, const batch_run& run,
                                  const item_run& from, const engines::engine_request& wanted,
                                  const run_move_rules& rules);
 
--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -66,7 +66,7 @@
   auto& [batches, orders, usage, scaling, suspect_requests] = this->readers_;
   if (key.starts_with(table::kJobPrefix)) {
     const JobId id(tail(table::kJobPrefix));
-    change.gone ? batches.onRecordGone(id) : batches.onRecordRow(id, change.row);
+    change.gone ? batches.onRecordRemoved(id) : batches.onRecordRow(id, change.row);
   } else if (key.starts_with(table::kOrderPrefix)) {
     const ServiceName service(tail(table::kOrderPrefix));
     change.gone ? orders.onLockGone(service) : orders.onLockRow(service, change.row);
--- a/src/gateway/service/coordination_feed.h
+++ b/src/gateway/service/coordination_feed.h
@@ -20,7 +20,7 @@
 class coordination_feed {
  public:
   struct readers {
-    batch::BatchService& batches;
+    batch::batch_service& batches;
     versions::order_service& orders;
     usage::usage_service& usage;
     scaling::scaling_service& scaling;
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -79,11 +79,11 @@
   lease::owner_pool owner_pool_;
   lease::lease_keeper keeper_;
   lease::lease_watch lease_watch_;
-  batch::JobStore job_store_;
+  batch::job_store job_store_;
   usage::usage_service usage_;
   suspects::suspect_service suspects_;
   forward::forwarder forwarder_;
-  batch::BatchService batches_;
+  batch::batch_service batches_;
   versions::order_service orders_;
   scaling::scaling_service scaling_;
   closed_zones_monitor closed_zones_;
--- a/src/gateway/service/metrics_page.cpp
+++ b/src/gateway/service/metrics_page.cpp
@@ -62,7 +62,7 @@
 }
 
 void metrics_page::addJobs(metrics::GatewayState& state) const {
-  const batch::BatchService::Work work = this->sources_.batches.work();
+  const batch::batch_service::job_work work = this->sources_.batches.work();
   state.jobs_known = this->sources_.batches.jobCount();
   state.jobs_owned = work.jobs;
   state.items_waiting = work.waiting;
@@ -70,7 +70,7 @@
   state.items_unscored = work.unscored;
   state.runs_in_closed_zones = work.in_closed_zones;
   state.jobs_waiting_for_home = work.awaiting_residency;
-  const batch::BatchCounts& counts = this->sources_.batches.counts();
+  const batch::batch_counts& counts = this->sources_.batches.counts();
   state.items_completed = counts.completed;
   state.items_terminated = counts.terminated;
   state.item_attempts = counts.attempts;
--- a/src/gateway/service/metrics_page.h
+++ b/src/gateway/service/metrics_page.h
@@ -34,7 +34,7 @@
     const http::ConnectionPool& engine_connections;
     const http::Server& requests;
     const lease::lease_keeper& keeper;
-    const batch::BatchService& batches;
+    const batch::batch_service& batches;
     const versions::order_service& orders;
     const scaling::scaling_service& scaling;
     const usage::usage_service& usage;
--- a/src/gateway/service/request_entry.cpp
+++ b/src/gateway/service/request_entry.cpp
@@ -45,7 +45,7 @@
 
 Task<void> request_entry::handleBatchCall(const BatchCall& call, const tenants::caller& from,
                                           const std::string& id, http::ResponseWriter& writer) {
-  batch::BatchService& batches = this->deps_.batches;
+  batch::batch_service& batches = this->deps_.batches;
   if (!from.admitted() && !batches.isPublic(call.job)) {
     const std::string& name = id.empty() ? call.job.str() : id;
     co_await this->refuseKey(from, name, writer);
--- a/src/gateway/service/request_entry.h
+++ b/src/gateway/service/request_entry.h
@@ -23,7 +23,7 @@
     PlatformPort& platform;
     const operator_feed& operators;
     forward::forwarder& forwarder;
-    batch::BatchService& batches;
+    batch::batch_service& batches;
     metrics::GatewayMetrics& metrics;
   };
 
