--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -150,8 +150,8 @@
   suspects::suspect_gate& gate = this->deps_.suspects;
   if (engine_ended) {
     gate.onEngineCrashed(run.sent, keyOf(*run.active, run.item), run.call->engine(),
-                       run.call->startedAt(), suspects::RequestSource::kItem,
-                       itemOf(*run.active, run.item).id.str());
+                         run.call->startedAt(), suspects::RequestSource::kItem,
+                         itemOf(*run.active, run.item).id.str());
   } else if (verdict != AttemptVerdict::kAnswered) {
     if (run.sent.isolated) gate.onInconclusive(keyOf(*run.active, run.item));
   } else if (gate.any()) {
