--- a/src/gateway/table/async_table.h
+++ b/src/gateway/table/async_table.h
@@ -71,7 +71,7 @@
   virtual Task<CallResult<ChangeBatch>> watch(std::string table, Revision after, Duration wait) = 0;
   /// Gives up reads and writes that have waited for longer than `age`: they end as if their answers
   /// were lost. A store that was silent never answers what it was sent then.
-  virtual void giveUpOlderThan(Duration age) = 0;
+  virtual void cancelOlderThan(Duration age) = 0;
 };
 
 class AsyncObjects {
--- a/tests/gateway/table/table_watcher_test.cpp
+++ b/tests/gateway/table/table_watcher_test.cpp
@@ -42,7 +42,7 @@
     co_return batch;
   }
 
-  void giveUpOlderThan(Duration) override {}
+  void cancelOlderThan(Duration) override {}
 
  private:
   boost::asio::io_context& loop_;
