--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -164,7 +164,7 @@
 
 namespace {
 table::RowRange recordRange(const JobId& id) {
-  return table::onlyRow(table::kCoordinationTable, table::kJobPrefix + id.str());
+  return table::singleRow(table::kCoordinationTable, table::kJobPrefix + id.str());
 }
 }  // namespace
 
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -33,7 +33,7 @@
 
 Task<bool> lease_keeper::confirmSilent(LeaseId lease) {
   if (lease.empty() || this->leases_.isEarlierSelf(lease)) co_return true;
-  const table::RowRange range = table::onlyRow(table::kLeaseTable, lease.str());
+  const table::RowRange range = table::singleRow(table::kLeaseTable, lease.str());
   const auto page = co_await this->table_.read(range);
   if (!page) co_return false;
   if (page->rows.empty()) co_return true;
--- a/src/gateway/lease/lease_watch.cpp
+++ b/src/gateway/lease/lease_watch.cpp
@@ -54,7 +54,7 @@
       const LeaseId lease(row.key.substr(table::kLeaseTable.size() + 1));
       rows[lease] = decodeLeaseRow(row.revision, row.value);
     }
-    if (!table::moveBehind(*page, range)) break;
+    if (!table::advancePast(*page, range)) break;
   }
   this->leases_.onRead(sent_at, steadyNow(), rows);
   this->on_health_(true);
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -107,7 +107,7 @@
     for (const table::Row& row : page->rows) {
       rows[ServiceName(row.key.substr(table::kScalingTable.size() + 1))] = row;
     }
-    if (!table::moveBehind(*page, range)) break;
+    if (!table::advancePast(*page, range)) break;
   }
   if (!this->lock_.held() || this->lock_.token() != token) co_return false;
   LogEvent("scaling", "records_read")
--- a/src/gateway/service/store_monitor.cpp
+++ b/src/gateway/service/store_monitor.cpp
@@ -76,7 +76,7 @@
 }
 
 Task<void> store_monitor::probe() {
-  table::RowRange range = table::onlyRow(table::kLeaseTable, this->deps_.leases.own().str());
+  table::RowRange range = table::singleRow(table::kLeaseTable, this->deps_.leases.own().str());
   range.timeout = kProbeTimeout;
   const Instant begun = steadyNow();
   const auto page = co_await this->deps_.table.read(range);
--- a/src/gateway/table/async_table.h
+++ b/src/gateway/table/async_table.h
@@ -31,7 +31,7 @@
 struct ChangeBatch {
   std::vector<RowChange> changes;  ///< In the order of their revisions.
   Revision revision = 0;           ///< Continue from here.
-  bool history_lost = false;       ///< Read the table anew.
+  bool history_truncated = false;  ///< Read the table anew.
 };
 
 struct RowRange {
@@ -43,13 +43,13 @@
 };
 
 /// @return the range that holds this row alone.
-inline RowRange onlyRow(const std::string& table, const std::string& key) {
+inline RowRange singleRow(const std::string& table, const std::string& key) {
   return {table, key, key + '\x01', 1, Duration::zero()};
 }
 
 /// Moves a range behind the rows of a page that was read of it.
 /// @return whether more rows follow.
-inline bool moveBehind(const RowPage& page, RowRange& range) {
+inline bool advancePast(const RowPage& page, RowRange& range) {
   if (!page.has_more || page.rows.empty()) return false;
   range.from = page.rows.back().key.substr(range.table.size() + 1) + '\x01';
   return true;
--- a/src/gateway/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -64,7 +64,7 @@
     // A read from before what was told already would turn time back.
     if (page->revision < revision_) co_return false;
     if (listener_.on_clock) listener_.on_clock(page->clock_ms);
-    const bool more = moveBehind(*page, range);
+    const bool more = advancePast(*page, range);
     if (listener_.on_page) {
       listener_.on_page(page->rows, first_page);
     } else {
@@ -87,7 +87,7 @@
     if (batch.error().failure != CallFailure::kRateLimited) setHealthy(false);
     co_return false;
   }
-  if (batch->history_lost) {
+  if (batch->history_truncated) {
     have_rows_ = false;
     co_return true;
   }
--- a/src/gateway/usage/true_clock.cpp
+++ b/src/gateway/usage/true_clock.cpp
@@ -44,7 +44,7 @@
     for (const table::Row& row : page->rows) {
       if (const auto sample = decodeSample(row.value)) samples.push_back(*sample);
     }
-    if (!table::moveBehind(*page, range)) break;
+    if (!table::advancePast(*page, range)) break;
   }
   co_return samples;
 }
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -95,7 +95,7 @@
 }
 
 Task<bool> usage_reporter::readProgress() {
-  const table::RowRange range = table::onlyRow(table::kUsageTable, table::kUsageProgress);
+  const table::RowRange range = table::singleRow(table::kUsageTable, table::kUsageProgress);
   const auto page = co_await this->deps_.lock.table.read(range);
   if (!page) co_return false;
   usage_progress read;
@@ -129,7 +129,7 @@
       if (counts) addCounts(*counts, sum.report.counts);
       if (!counts) LogEvent("usage", "bad_row").text("key", row.key);
     }
-    if (!table::moveBehind(*page, range)) break;
+    if (!table::advancePast(*page, range)) break;
   }
   co_return sum;
 }
