--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -10,10 +10,10 @@
 
 using nlohmann::json;
 using table::jobKey;
-using table::jobObject;
+using table::jobObjectName;
 using table::kResultTable;
-using table::numberedEnd;
 using table::numberedKey;
+using table::numberedKeyEnd;
 
 namespace {
 
@@ -36,7 +36,7 @@
 }
 
 std::string largeResultName(const JobId& id, std::size_t position, Revision fence) {
-  return table::resultObjects(id) + std::to_string(position) + "-" + std::to_string(fence);
+  return table::resultObjectPrefix(id) + std::to_string(position) + "-" + std::to_string(fence);
 }
 
 }  // namespace
@@ -91,7 +91,7 @@
 }
 
 Task<CallResult<bool>> job_store::putJob(JobId id, std::string bytes) {
-  co_return co_await this->objects_.put(jobObject(id), std::move(bytes));
+  co_return co_await this->objects_.put(jobObjectName(id), std::move(bytes));
 }
 
 std::vector<table::Put> job_store::bodyRows(const JobId& id, const std::string& bytes) const {
@@ -106,13 +106,13 @@
 
 Task<CallResult<std::string>> job_store::getJob(job_record record) {
   if (record.body_rows == 0) {
-    co_return co_await this->objects_.get(jobObject(record.id));
+    co_return co_await this->objects_.get(jobObjectName(record.id));
   }
   std::string bytes;
   std::size_t read = 0;
   while (read < record.body_rows) {
-    table::RowRange range{table::kBodyTable, numberedKey(record.id, read), numberedEnd(record.id),
-                          0};
+    table::RowRange range{table::kBodyTable, numberedKey(record.id, read),
+                          numberedKeyEnd(record.id), 0};
     const auto page = co_await this->table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
     if (page->rows.empty()) {
@@ -248,7 +248,7 @@
 
 Task<bool> job_store::removeRows(std::string table, JobId id, Revision fence) {
   for (;;) {
-    table::RowRange range{table, numberedKey(id, 0), numberedEnd(id), kMaxRemovedAtOnce};
+    table::RowRange range{table, numberedKey(id, 0), numberedKeyEnd(id), kMaxRemovedAtOnce};
     const auto page = co_await this->table_.read(range);
     if (!page) co_return false;
     if (page->rows.empty()) co_return true;
@@ -265,11 +265,11 @@
   if (!results_gone) co_return false;
   const bool body_gone = co_await this->removeRows(table::kBodyTable, id, fence);
   if (!body_gone) co_return false;
-  const bool large_gone = co_await this->removeObjects(table::resultObjects(id));
+  const bool large_gone = co_await this->removeObjects(table::resultObjectPrefix(id));
   if (!large_gone) co_return false;
   const bool checkpoints_gone = co_await this->removeRows(table::kCheckpointTable, id, fence);
   if (!checkpoints_gone) co_return false;
-  const auto job_gone = co_await this->objects_.remove(jobObject(id));
+  const auto job_gone = co_await this->objects_.remove(jobObjectName(id));
   if (!job_gone) co_return false;
   // The row goes last: until then anybody can go on with the removal.
   table::Write write;
@@ -282,7 +282,7 @@
 Task<CallResult<stored_checkpoint>> job_store::getCheckpoint(JobId id) {
   stored_checkpoint stored;
   std::vector<std::string> values;
-  table::RowRange range{table::kCheckpointTable, numberedKey(id, 0), numberedEnd(id), 0};
+  table::RowRange range{table::kCheckpointTable, numberedKey(id, 0), numberedKeyEnd(id), 0};
   for (;;) {
     auto page = co_await this->table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
@@ -301,7 +301,7 @@
 
 Task<CallResult<stored_results>> job_store::results(JobId id, std::size_t position,
                                                     std::size_t limit) {
-  table::RowRange range{kResultTable, numberedKey(id, position), numberedEnd(id), limit};
+  table::RowRange range{kResultTable, numberedKey(id, position), numberedKeyEnd(id), limit};
   const auto page = co_await this->table_.read(range);
   if (!page) co_return tl::make_unexpected(page.error());
   stored_results found;
--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -78,7 +78,7 @@
     change.gone ? usage.onLockGone() : usage.onLockRow(change.row);
   } else if (key == table::kLockPrefix + "scaling") {
     change.gone ? scaling.onLockGone() : scaling.onLockRow(change.row);
-  } else if (key == table::kClockName && !change.gone) {
+  } else if (key == table::kClusterTimeName && !change.gone) {
     usage.onClockRow(change.row);
   }
 }
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -41,7 +41,7 @@
 
 /** Usage counts, clock samples and suspects only: neither a lock nor a lease stands on them. */
 bool maybeWrittenForPeers(const table::Put& put) {
-  return put.key.starts_with(table::kUsageTable + "/" + table::kUsageRows) ||
+  return put.key.starts_with(table::kUsageTable + "/" + table::kUsageRowPrefix) ||
          put.key.starts_with(table::kClockTable + "/") ||
          put.key.starts_with(table::suspectKey({}));
 }
--- a/src/gateway/table/store_keys.h
+++ b/src/gateway/table/store_keys.h
@@ -43,7 +43,7 @@
 /// In the table of use: what was reported last.
 inline const std::string kUsageProgress = "progress";
 /// In the table that everybody watches: what true time is.
-inline const std::string kClockName = "clock";
+inline const std::string kClusterTimeName = "clock";
 
 /// In the table that everybody watches: requests under which engines ended.
 inline const std::string kSuspectPrefix = "suspect/";
@@ -58,19 +58,19 @@
 inline std::string scalingKey(const ServiceName& service) {
   return kScalingTable + "/" + service.str();
 }
-inline std::string clockKey() {
-  return kCoordinationTable + "/" + kClockName;
+inline std::string clusterTimeKey() {
+  return kCoordinationTable + "/" + kClusterTimeName;
 }
 inline std::string clockSampleKey(const std::string& daemon) {
   return kClockTable + "/" + daemon;
 }
 /// What the keys of all counts begin with, without the table.
-inline const std::string kUsageRows = "w/";
+inline const std::string kUsageRowPrefix = "w/";
 /// @return what the keys of all counts of a window begin with, without the table.
 inline std::string usageWindowPrefix(std::int64_t window) {
   char digits[24];
   std::snprintf(digits, sizeof(digits), "%016lld", static_cast<long long>(window));
-  return kUsageRows + digits + "/";
+  return kUsageRowPrefix + digits + "/";
 }
 inline std::string usageKeyPrefix(std::int64_t window) {
   return kUsageTable + "/" + usageWindowPrefix(window);
@@ -86,14 +86,14 @@
   return id.str() + "/" + digits;
 }
 /// @return a key behind all of those.
-inline std::string numberedEnd(const JobId& id) {
+inline std::string numberedKeyEnd(const JobId& id) {
   return id.str() + "/~";
 }
 /// @return what the names of all results of the job begin with that are too large for a row.
-inline std::string resultObjects(const JobId& id) {
+inline std::string resultObjectPrefix(const JobId& id) {
   return "result-" + id.str() + "-";
 }
-inline std::string jobObject(const JobId& id) {
+inline std::string jobObjectName(const JobId& id) {
   return "job-" + id.str();
 }
 
--- a/src/gateway/usage/true_clock.cpp
+++ b/src/gateway/usage/true_clock.cpp
@@ -65,8 +65,8 @@
   if (good) co_return;
   table::Write write;
   write.transaction.checks.push_back(lock.condition());
-  write.transaction.checks.push_back({table::clockKey(), this->revision_});
-  write.transaction.puts.push_back({table::clockKey(), std::to_string(*median)});
+  write.transaction.checks.push_back({table::clusterTimeKey(), this->revision_});
+  write.transaction.puts.push_back({table::clusterTimeKey(), std::to_string(*median)});
   const auto answer = co_await this->table_.write(std::move(write));
   const bool done = answer && answer->committed;
   LogEvent("usage", "true_time")
@@ -74,7 +74,7 @@
       .number("offset_ms", *median)
       .number("before_ms", this->offset_ms_.value_or(0))
       .text("outcome", done ? "written" : "not_written");
-  if (done) this->onRow({table::clockKey(), answer->revision, std::to_string(*median)});
+  if (done) this->onRow({table::clusterTimeKey(), answer->revision, std::to_string(*median)});
 }
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -114,8 +114,8 @@
   window_sum sum;
   sum.report.window = window;
   const std::string prefix = table::usageKeyPrefix(window);
-  table::RowRange range{table::kUsageTable, table::kUsageRows, table::usageWindowPrefix(window + 1),
-                        0};
+  table::RowRange range{table::kUsageTable, table::kUsageRowPrefix,
+                        table::usageWindowPrefix(window + 1), 0};
   for (;;) {
     const auto page = co_await this->deps_.lock.table.read(range);
     if (!page) co_return std::nullopt;
