--- a/src/gateway/lease/lease_watch.cpp
+++ b/src/gateway/lease/lease_poller.cpp
@@ -1,4 +1,4 @@
-#include "gateway/lease/lease_watch.h"
+#include "gateway/lease/lease_poller.h"
 
 #include "common/event_log.h"
 #include "gateway/table/store_keys.h"
@@ -14,19 +14,19 @@
 
 }  // namespace
 
-void lease_watch::start(std::function<void(bool healthy)> on_health) {
+void lease_poller::start(std::function<void(bool healthy)> on_health) {
   this->on_health_ = std::move(on_health);
   spawn(this->loop_, [this] { return this->run(); });
 }
 
-Duration lease_watch::nextInterval(bool answered) {
+Duration lease_poller::nextInterval(bool answered) {
   const bool hurry = !answered || this->pool_.offers() || this->leases_.anySuspect(steadyNow());
   const Duration mean = hurry ? this->options_.suspect_interval : this->options_.interval;
   const auto step = static_cast<std::int64_t>(this->random_.below(kSpreadSteps));
   return mean * 2 / 3 + mean * 2 / 3 * step / static_cast<std::int64_t>(kSpreadSteps);
 }
 
-Task<void> lease_watch::run() {
+Task<void> lease_poller::run() {
   for (;;) {
     const bool answered = co_await this->readAll();
     if (answered && this->random_.below(kRemoveOneIn) == 0) {
@@ -37,7 +37,7 @@
   }
 }
 
-Task<bool> lease_watch::readAll() {
+Task<bool> lease_poller::readAll() {
   const Instant sent_at = steadyNow();
   std::map<LeaseId, lease_row> rows;
   table::RowRange range{table::kLeaseTable, "", "", 0};
@@ -61,7 +61,7 @@
   co_return true;
 }
 
-Task<void> lease_watch::removeStaleRows() {
+Task<void> lease_poller::removeStaleRows() {
   std::vector<LeaseId> stale = this->leases_.removable(steadyNow());
   if (stale.empty()) co_return;
   if (stale.size() > kMaxRowsRemoved) stale.resize(kMaxRowsRemoved);
--- a/src/gateway/lease/lease_watch.h
+++ b/src/gateway/lease/lease_poller.h
@@ -19,7 +19,7 @@
 namespace linenpier::lease {
 
 /** Intervals are means; each is spread by a third to both sides, so that reads do not coincide. */
-struct lease_watch_options {
+struct lease_poller_options {
   Duration interval = std::chrono::seconds(1);
   /// While an owner misses renewals or the store did not answer, and always at a daemon that offers
   /// to own what a lost owner leaves.
@@ -27,11 +27,11 @@
 };
 
 /** Loop thread only. Lives as long as the loop runs. */
-class lease_watch {
+class lease_poller {
  public:
-  lease_watch(boost::asio::io_context& loop, table::AsyncTable& table, lease_table& leases,
-              lease_keeper& keeper, const owner_pool& pool, lease_watch_options options,
-              std::uint64_t seed)
+  lease_poller(boost::asio::io_context& loop, table::AsyncTable& table, lease_table& leases,
+               lease_keeper& keeper, const owner_pool& pool, lease_poller_options options,
+               std::uint64_t seed)
       : loop_(loop),
         table_(table),
         leases_(leases),
@@ -60,7 +60,7 @@
   lease_table& leases_;
   lease_keeper& keeper_;
   const owner_pool& pool_;
-  lease_watch_options options_;
+  lease_poller_options options_;
   Random random_;
   Signal retry_now_;
   std::function<void(bool)> on_health_;
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -4,7 +4,7 @@
  * Which daemons are alive, judged by their lease rows in the store. Pure; loop thread only.
  *
  * Every daemon that owns something, or offers to, renews its row. The others read all rows now and
- * then (`lease_watch`) and measure by their own steady clock how long a row has not changed.
+ * then (`lease_poller`) and measure by their own steady clock how long a row has not changed.
  *
  * A lease only decides when others try to take over. That no two owners act at once is decided by
  * conditional writes on the row of what is owned (see leader_lock.h).
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -9,7 +9,7 @@
 
 #include "gateway/batch/batch_service.h"
 #include "gateway/forward/forwarder.h"
-#include "gateway/lease/lease_watch.h"
+#include "gateway/lease/lease_poller.h"
 #include "gateway/metrics/gateway_metrics.h"
 #include "gateway/scaling/scaling_service.h"
 #include "gateway/service/closed_zones_monitor.h"
@@ -78,7 +78,7 @@
   lease::lease_table leases_;
   lease::owner_pool owner_pool_;
   lease::lease_keeper keeper_;
-  lease::lease_watch lease_watch_;
+  lease::lease_poller lease_watch_;
   batch::job_store job_store_;
   usage::usage_service usage_;
   suspects::suspect_service suspects_;
--- a/src/gateway/service/store_monitor.cpp
+++ b/src/gateway/service/store_monitor.cpp
@@ -35,7 +35,7 @@
 
 void store_monitor::onStoreAnswered(Duration usual_answer) {
   this->deps_.table.cancelOlderThan(usual_answer);
-  if (!this->leases_answered_) this->deps_.lease_watch.retryNow();
+  if (!this->leases_answered_) this->deps_.lease_poller.retryNow();
   for (table::TableWatcher* feed : this->deps_.feeds) {
     if (!feed->healthy()) feed->retryNow();
   }
--- a/src/gateway/service/store_monitor.h
+++ b/src/gateway/service/store_monitor.h
@@ -14,7 +14,7 @@
 #include <functional>
 #include <vector>
 
-#include "gateway/lease/lease_watch.h"
+#include "gateway/lease/lease_poller.h"
 #include "gateway/table/table_watcher.h"
 
 namespace linenpier::gateway {
@@ -26,7 +26,7 @@
     boost::asio::io_context& loop;
     table::AsyncTable& table;
     lease::lease_table& leases;
-    lease::lease_watch& lease_watch;
+    lease::lease_poller& lease_poller;
     table::TableWatcher& coordination;
     std::vector<table::TableWatcher*> feeds;  ///< All of them.
     std::function<bool()> wants_probes;       ///< Whether work waits for the store's return.
