--- a/src/gateway/lease/own_capacity.h
+++ b/src/gateway/lease/capacity_estimator.h
@@ -19,9 +19,9 @@
 /** Capacity in processors: what the machine was given, lowered by how late its timers run. A slow
  * machine, a spent quota and an overloaded daemon all show in that.
  */
-class own_capacity {
+class capacity_estimator {
  public:
-  explicit own_capacity(machine_limits limits) : limits_(limits) {}
+  explicit capacity_estimator(machine_limits limits) : limits_(limits) {}
 
   /** A timer ran this long after it was due. */
   void onTimer(Duration lateness) {
--- a/src/gateway/lease/lease_row.h
+++ b/src/gateway/lease/lease_row.h
@@ -20,7 +20,7 @@
 /** A lease as its row states it. */
 struct lease_row {
   Revision revision = 0;             ///< Rises with each renewal; 0: the row was never seen.
-  double capacity = 0;               ///< See `own_capacity::value`; 0: not stated.
+  double capacity = 0;               ///< See `capacity_estimator::value`; 0: not stated.
   std::optional<Address> peer = {};  ///< Where other daemons ask this one.
   ZoneName zone = {};                ///< Of the daemon; empty: not stated.
   std::set<EngineId> awaited = {};   ///< See `lease_table::awaited`.
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -25,7 +25,7 @@
 /** A live daemon that offers to own jobs and leader locks. */
 struct owner_candidate {
   LeaseId lease;
-  double capacity = 0;  ///< See `own_capacity::value`.
+  double capacity = 0;  ///< See `capacity_estimator::value`.
   ZoneName zone = {};   ///< Empty: not known.
 
   bool operator==(const owner_candidate&) const = default;
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -12,8 +12,8 @@
 #include <set>
 #include <vector>
 
+#include "gateway/lease/capacity_estimator.h"
 #include "gateway/lease/lease_table.h"
-#include "gateway/lease/own_capacity.h"
 
 namespace linenpier::lease {
 
@@ -67,7 +67,7 @@
 
   const lease_table& leases_;
   ZoneName zone_;
-  own_capacity capacity_;
+  capacity_estimator capacity_;
   bool offers_ = false;
   std::optional<Instant> lacking_since_;  ///< Since when each read showed that members are missing.
 };
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -14,7 +14,7 @@
 #include "gateway/batch/batch_service.h"
 #include "gateway/engines/cold_budget.h"
 #include "gateway/fleet/fleet_layout.h"
-#include "gateway/lease/own_capacity.h"
+#include "gateway/lease/capacity_estimator.h"
 #include "gateway/scaling/scaling_policy.h"
 #include "gateway/usage/usage_service.h"
 #include "gateway/versions/version_rollout.h"
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -78,7 +78,7 @@
 }
 
 Test(owner_pool, a_machine_whose_timers_run_late_counts_less) {
-  lease::own_capacity capacity(kLarge);
+  lease::capacity_estimator capacity(kLarge);
   const double calm = capacity.value();
   capacity.onTimer(std::chrono::milliseconds(2));
   cr_assert_float_eq(capacity.value(), calm, 1e-9, "timers are always a little late");
@@ -89,7 +89,7 @@
 }
 
 Test(owner_pool, a_slow_link_counts_as_a_slow_machine) {
-  const lease::own_capacity capacity(lease::machine_limits{0.5, 60});
+  const lease::capacity_estimator capacity(lease::machine_limits{0.5, 60});
   cr_assert_float_eq(capacity.value(), 0.06, 1e-9);
 }
 
