--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -49,7 +49,7 @@
   return candidates;
 }
 
-bool owner_pool::lacksMembers(const pool_demand& wanted,
+bool owner_pool::lacksMembers(const pool_requirements& wanted,
                               const std::vector<owner_candidate>& others) const {
   const owner_candidate self{this->leases_.own(), this->capacity(), this->zone_};
   std::vector<ZoneName> better;  // Zones of the better daemons.
@@ -66,7 +66,7 @@
   });
 }
 
-bool owner_pool::onLeasesRead(Instant now, const pool_demand& wanted) {
+bool owner_pool::onLeasesRead(Instant now, const pool_requirements& wanted) {
   const std::vector<owner_candidate> others = this->leases_.candidates(now);
   if (!this->lacksMembers(wanted, others)) {
     this->lacking_since_.reset();
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -18,7 +18,7 @@
 namespace linenpier::lease {
 
 /** How many daemons should offer. */
-struct pool_demand {
+struct pool_requirements {
   /** Zones in which so many must offer, whoever offers elsewhere: what must stay within them is
    * owned there.
    */
@@ -32,7 +32,7 @@
   std::size_t owners = 0;  ///< Anywhere.
   std::vector<place> places = {};
 
-  bool operator==(const pool_demand&) const = default;
+  bool operator==(const pool_requirements&) const = default;
 };
 
 /** Invariant: daemons that read the same leases rank the same daemons alike, so that the pool
@@ -47,7 +47,7 @@
   /** A timer of this daemon ran this long after it was due. */
   void onTimer(Duration lateness) { this->capacity_.onTimer(lateness); }
   /** The leases were read: decides whether this daemon offers. @return whether that changed. */
-  bool onLeasesRead(Instant now, const pool_demand& wanted);
+  bool onLeasesRead(Instant now, const pool_requirements& wanted);
 
   bool offers() const { return this->offers_; }
   double capacity() const { return this->capacity_.value(); }
@@ -63,7 +63,8 @@
   /** @return whether fewer better daemons offer than are wanted, anywhere or in a place that this
    *     daemon is in.
    */
-  bool lacksMembers(const pool_demand& wanted, const std::vector<owner_candidate>& others) const;
+  bool lacksMembers(const pool_requirements& wanted,
+                    const std::vector<owner_candidate>& others) const;
 
   const lease_table& leases_;
   ZoneName zone_;
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using place = lease::pool_demand::place;
+using place = lease::pool_requirements::place;
 
 /** Daemons that offer to own work beyond one a model: one for the right to order, one that can take
  * over at once.
@@ -43,12 +43,13 @@
 
 }  // namespace
 
-lease::pool_demand demandWithoutModels() {
+lease::pool_requirements demandWithoutModels() {
   return {kSpareOwners, {}};
 }
 
-lease::pool_demand demandOf(const routing::RouteTable& table, const fleet::fleet_layout& layout) {
-  lease::pool_demand demand = demandWithoutModels();
+lease::pool_requirements demandOf(const routing::RouteTable& table,
+                                  const fleet::fleet_layout& layout) {
+  lease::pool_requirements demand = demandWithoutModels();
   for (const auto& [name, service] : table.services) demand.owners += service.models.size();
   for (const routing::Route& route : table.routes) {
     if (route.kind != routing::RequestKind::kBatch) continue;
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -17,8 +17,8 @@
 
 /// The pool is seen to lack members, or not, for long enough to join it.
 void settle(owner_pool& pool, std::size_t wanted) {
-  pool.onLeasesRead(kStart - std::chrono::minutes(1), lease::pool_demand{wanted});
-  pool.onLeasesRead(kStart, lease::pool_demand{wanted});
+  pool.onLeasesRead(kStart - std::chrono::minutes(1), lease::pool_requirements{wanted});
+  pool.onLeasesRead(kStart, lease::pool_requirements{wanted});
 }
 
 lease_table tableWith(const std::map<LeaseId, lease_row>& rows) {
@@ -50,8 +50,8 @@
   const lease_table table =
       tableWith({{makeLeaseId("x", "1"), lease_row{3, 0.5, {}, ZoneName("a")}},
                  {makeLeaseId("y", "1"), lease_row{4, 0.5, {}, ZoneName("a")}}});
-  const lease::pool_demand wanted{2, {{{ZoneName("b")}, 1}}};
-  const auto settled = [&](const lease::pool_demand& demand, const char* zone) {
+  const lease::pool_requirements wanted{2, {{{ZoneName("b")}, 1}}};
+  const auto settled = [&](const lease::pool_requirements& demand, const char* zone) {
     owner_pool pool(table, kSmall, ZoneName(zone));
     pool.onLeasesRead(kStart - std::chrono::minutes(1), demand);
     pool.onLeasesRead(kStart, demand);
@@ -114,9 +114,9 @@
     lease_table table(makeLeaseId("d" + std::to_string(i), "a"), {}, kStart);
     table.onStoreRegained(kStart);
     owner_pool pool(table, kLarge);
-    pool.onLeasesRead(kStart, lease::pool_demand{8});
+    pool.onLeasesRead(kStart, lease::pool_requirements{8});
     at_once += pool.offers() ? 1 : 0;
-    pool.onLeasesRead(kStart + std::chrono::seconds(1), lease::pool_demand{8});
+    pool.onLeasesRead(kStart + std::chrono::seconds(1), lease::pool_requirements{8});
     within_a_second += pool.offers() ? 1 : 0;
   }
   cr_assert_leq(at_once, 3);
--- a/tests/gateway/service/owner_demand_test.cpp
+++ b/tests/gateway/service/owner_demand_test.cpp
@@ -10,7 +10,8 @@
                                    {ZoneName("b"), RegionName("near")},
                                    {ZoneName("c"), RegionName("far")}});
 
-lease::pool_demand wanted(std::size_t owners, std::vector<lease::pool_demand::place> places) {
+lease::pool_requirements wanted(std::size_t owners,
+                                std::vector<lease::pool_requirements::place> places) {
   return {owners, std::move(places)};
 }
 
@@ -37,7 +38,7 @@
 Test(owner_demand, each_set_of_homes_wants_owners_of_its_own) {
   routing::RouteTable table = twoModels();
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
-  const lease::pool_demand::place near{{ZoneName("a"), ZoneName("b")}, 3};
+  const lease::pool_requirements::place near{{ZoneName("a"), ZoneName("b")}, 3};
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}));
   routing::tenant far;
   far.name = TenantId("t");
@@ -46,7 +47,7 @@
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}),
             "the two have no region in common");
   table.routes.front().residency = {};
-  const lease::pool_demand::place there{{ZoneName("c")}, 3};
+  const lease::pool_requirements::place there{{ZoneName("c")}, 3};
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {there}));
 }
 
