--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -109,7 +109,7 @@
     this->noteAwaitsResidency(now, id, job);
     return;
   }
-  const bool own = leases.isEarlierSelf(job.record.owner);
+  const bool own = leases.isPreviousIncarnation(job.record.owner);
   // One daemon takes all jobs of a model.
   const std::string& what = job.record.model.empty() ? id.str() : job.record.model.str();
   const Duration delay = own ? Duration::zero() : this->deps_.pool.takeoverDelay(now, what);
@@ -123,7 +123,7 @@
   known_job* known = this->deps_.jobs.find(id);
   if (known == nullptr) co_return;
   const LeaseId silent = known->record.owner;
-  const bool confirmed = co_await this->deps_.keeper.confirmSilent(silent);
+  const bool confirmed = co_await this->deps_.keeper.confirmNotRenewed(silent);
   known_job* at = this->deps_.jobs.find(id);
   if (at == nullptr) co_return;
   if (!confirmed || at->record.owner != silent) {
--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -90,7 +90,7 @@
   const bool vacant = this->revision_ == 0 || this->deps_.leases.expired(this->owner_);
   if (!vacant) return;
   if (this->vacant_since_ == Instant{}) this->vacant_since_ = now;
-  const bool own = this->deps_.leases.isEarlierSelf(this->owner_);
+  const bool own = this->deps_.leases.isPreviousIncarnation(this->owner_);
   if (!own && now - this->vacant_since_ < this->deps_.pool.takeoverDelay(now, this->name_)) return;
   this->acquiring_ = true;
   spawn(this->deps_.loop, [this] { return this->acquire(); });
@@ -139,7 +139,7 @@
 
 Task<void> leader_lock::acquire() {
   const LeaseId from = this->owner_;
-  const bool confirmed = co_await this->deps_.keeper.confirmSilent(from);
+  const bool confirmed = co_await this->deps_.keeper.confirmNotRenewed(from);
   if (!confirmed || this->owner_ != from) {
     this->acquiring_ = false;
     this->vacant_since_ = Instant{};
@@ -147,7 +147,7 @@
   }
   const Revision before = this->revision_;
   const std::int64_t last_action_ms = this->last_action_ms_;
-  const bool first = before == 0 || this->deps_.leases.isEarlierSelf(from);
+  const bool first = before == 0 || this->deps_.leases.isPreviousIncarnation(from);
   table::Write write;
   write.transaction.checks.push_back({this->key_, before});
   write.transaction.puts.push_back(
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -31,8 +31,8 @@
   this->renewed_at_ = std::max(this->renewed_at_, sent_at);
 }
 
-Task<bool> lease_keeper::confirmSilent(LeaseId lease) {
-  if (lease.empty() || this->leases_.isEarlierSelf(lease)) co_return true;
+Task<bool> lease_keeper::confirmNotRenewed(LeaseId lease) {
+  if (lease.empty() || this->leases_.isPreviousIncarnation(lease)) co_return true;
   const table::RowRange range = table::singleRow(table::kLeaseTable, lease.str());
   const auto page = co_await this->table_.read(range);
   if (!page) co_return false;
--- a/src/gateway/lease/lease_keeper.h
+++ b/src/gateway/lease/lease_keeper.h
@@ -50,7 +50,7 @@
    * seem silent.
    * @return whether the store answered and the lease was not renewed since it was last seen.
    */
-  Task<bool> confirmSilent(LeaseId lease);
+  Task<bool> confirmNotRenewed(LeaseId lease);
   /** Renews at once. @return whether the store took it. */
   Task<bool> renew();
 
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -32,7 +32,7 @@
   seen.changed_at = now;
 }
 
-bool lease_table::isEarlierSelf(const LeaseId& lease) const {
+bool lease_table::isPreviousIncarnation(const LeaseId& lease) const {
   return lease != this->own_ && daemonOf(lease) == daemonOf(this->own_);
 }
 
@@ -58,7 +58,7 @@
 
 bool lease_table::expired(const LeaseId& lease) {
   if (lease == this->own_) return false;
-  if (lease.empty() || this->isEarlierSelf(lease)) return true;
+  if (lease.empty() || this->isPreviousIncarnation(lease)) return true;
   if (!this->store_healthy_since_) return false;
   const auto [at, fresh] = this->rows_.try_emplace(lease, observation{{}, this->read_at_});
   const Instant since = std::max(at->second.changed_at, *this->store_healthy_since_);
@@ -85,7 +85,7 @@
 std::vector<owner_candidate> lease_table::candidates(Instant now) const {
   std::vector<owner_candidate> found;
   for (const auto& [lease, seen] : this->rows_) {
-    const bool other = lease != this->own_ && !this->isEarlierSelf(lease);
+    const bool other = lease != this->own_ && !this->isPreviousIncarnation(lease);
     const bool offers = other && seen.row.capacity > 0 && this->alive(now, lease);
     if (offers) found.push_back({lease, seen.row.capacity, seen.row.zone});
   }
@@ -100,7 +100,7 @@
 std::vector<Address> lease_table::peers() const {
   std::set<Address> found;
   for (const auto& [lease, seen] : this->rows_) {
-    const bool other = lease != this->own_ && !this->isEarlierSelf(lease);
+    const bool other = lease != this->own_ && !this->isPreviousIncarnation(lease);
     if (other && seen.row.peer) found.insert(*seen.row.peer);
   }
   return {found.begin(), found.end()};
@@ -120,7 +120,7 @@
   for (const auto& [lease, seen] : this->rows_) {
     if (lease == this->own_ || seen.row.revision == 0) continue;
     const bool silent = now - seen.changed_at > this->times_.removal_age;
-    if (silent || this->isEarlierSelf(lease)) found.push_back(lease);
+    if (silent || this->isPreviousIncarnation(lease)) found.push_back(lease);
   }
   return found;
 }
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -60,7 +60,7 @@
   /** @return whether the lease's row was renewed lately, or it is this life's. */
   bool alive(Instant now, const LeaseId& lease) const;
   /** @return whether the lease belongs to another life of this daemon, which has ended for sure. */
-  bool isEarlierSelf(const LeaseId& lease) const;
+  bool isPreviousIncarnation(const LeaseId& lease) const;
   /** @return the other live daemons that stated a capacity. */
   std::vector<owner_candidate> candidates(Instant now) const;
   /** @return the zone of the lease's daemon; empty if it is not known. */
