--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -36,7 +36,7 @@
 }
 
 leader_lock::leader_lock(const dependencies& deps, std::string name, std::string key,
-                         handover_rules rules, on_change callback)
+                         handover_options rules, on_change callback)
     : deps_(deps),
       name_(std::move(name)),
       key_(std::move(key)),
--- a/src/gateway/lease/leader_lock.h
+++ b/src/gateway/lease/leader_lock.h
@@ -43,11 +43,11 @@
 leader_lock_row decodeLockRow(const std::string& text);
 
 /** How one leader follows another. */
-struct handover_rules {
+struct handover_options {
   Duration pause = std::chrono::milliseconds(3100);  ///< In which calls of two never alternate.
   bool tokens_checked = false;  ///< Calls under a lower token than one already seen are refused.
 
-  bool operator==(const handover_rules&) const = default;
+  bool operator==(const handover_options&) const = default;
 };
 
 /** Loop thread only. Outlives every task that it starts. */
@@ -66,7 +66,7 @@
   /** @param name in the log, and what takeover delays are computed of.
    * @param key of the lock's row.
    */
-  leader_lock(const dependencies& deps, std::string name, std::string key, handover_rules rules,
+  leader_lock(const dependencies& deps, std::string name, std::string key, handover_options rules,
               on_change callback);
 
   /** The row, as a feed or a conflict shows it. Rows older than the one known are ignored. */
@@ -106,7 +106,7 @@
   dependencies deps_;
   std::string name_;
   std::string key_;
-  handover_rules rules_;
+  handover_options rules_;
   Instant begun_at_;  ///< Of this life of the daemon; an earlier one may have acted until then.
   on_change on_change_;
   Revision revision_ = 0;  ///< Of the row; the fencing token while `owner_` is this daemon.
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 scaling_service::scaling_service(dependencies deps, const scaling_options& options,
-                                 const lease::handover_rules& handover)
+                                 const lease::handover_options& handover)
     : deps_(std::move(deps)),
       options_(options),
       lock_(deps_.lock, kLockName, table::lockKey(kLockName), handover, [this](bool) {
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -44,7 +44,7 @@
     ask_load load;
   };
   scaling_service(dependencies deps, const scaling_options& options,
-                  const lease::handover_rules& handover);
+                  const lease::handover_options& handover);
 
   void start();
   /** The row of the lock, as the feed shows it. */
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -37,7 +37,7 @@
   lease::machine_limits machine;
   std::size_t row_bytes = 65536;                  ///< Largest value of a row.
   Duration stop_limit = std::chrono::seconds(8);  ///< From the signal to the end.
-  lease::handover_rules handover;                 ///< Of rights to order engines and of duties.
+  lease::handover_options handover;               ///< Of rights to order engines and of duties.
   versions::rollout_options rollout;
   batch::batch_options batch;
   engines::cold_rules cold;  ///< Of engines that started lately.
--- a/src/gateway/usage/usage_options.h
+++ b/src/gateway/usage/usage_options.h
@@ -32,7 +32,7 @@
   /// True time is corrected if the samples differ from it by so much; clocks that are well differ
   /// by less.
   std::int64_t min_correction_ms = 20;
-  lease::handover_rules handover;
+  lease::handover_options handover;
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/versions/order_service.h
+++ b/src/gateway/versions/order_service.h
@@ -16,7 +16,7 @@
 namespace linenpier::versions {
 
 struct order_options {
-  lease::handover_rules handover;
+  lease::handover_options handover;
   rollout_options rollout;
 };
 
