--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -101,10 +101,11 @@
   return inputs;
 }
 
-std::vector<count_decision> scaling_policy::decide(Instant now, const fleet::scaling_bounds& bounds,
-                                                   const scaling_view& view) {
-  std::vector<count_decision> more;
-  std::vector<count_decision> fewer;
+std::vector<scaling_decision> scaling_policy::decide(Instant now,
+                                                     const fleet::scaling_bounds& bounds,
+                                                     const scaling_view& view) {
+  std::vector<scaling_decision> more;
+  std::vector<scaling_decision> fewer;
   if (this->options_.mode == ScalingMode::kFixed || this->record_.baseline.empty()) return more;
   this->observe(now, view);
   const count_targets targets = computeTargets(this->targetInputs(now, bounds, view));
@@ -113,15 +114,15 @@
     const std::size_t have = view.of(group).serving;
     const auto due =
         this->orderDue(now, bounds, {group, have, this->record_.current(group), wanted, reason});
-    if (due) (due->takesAway() ? fewer : more).push_back(*due);
+    if (due) (due->scalesDown() ? fewer : more).push_back(*due);
   }
   more.insert(more.end(), fewer.begin(), fewer.end());
   return more;
 }
 
-std::optional<count_decision> scaling_policy::orderDue(Instant now,
-                                                       const fleet::scaling_bounds& bounds,
-                                                       count_decision change) {
+std::optional<scaling_decision> scaling_policy::orderDue(Instant now,
+                                                         const fleet::scaling_bounds& bounds,
+                                                         scaling_decision change) {
   group_state& state = this->states_[change.group];
   if (change.wanted >= change.before) state.needed_at = now;
   if (now < state.paused_until || now < state.scarce_until) return std::nullopt;
@@ -130,8 +131,8 @@
   return this->repeatDue(now, bounds, change);
 }
 
-std::optional<count_decision> scaling_policy::scaleDownDue(Instant now, Instant since,
-                                                           count_decision change) const {
+std::optional<scaling_decision> scaling_policy::scaleDownDue(Instant now, Instant since,
+                                                             scaling_decision change) const {
   const group_state& state = this->states_.at(change.group);
   if (now - since < this->options_.stabilization_window) return std::nullopt;
   if (now - state.shrunk_at < this->options_.scale_down_interval) return std::nullopt;
@@ -143,9 +144,9 @@
   return change;
 }
 
-std::optional<count_decision> scaling_policy::repeatDue(Instant now,
-                                                        const fleet::scaling_bounds& bounds,
-                                                        count_decision change) const {
+std::optional<scaling_decision> scaling_policy::repeatDue(Instant now,
+                                                          const fleet::scaling_bounds& bounds,
+                                                          scaling_decision change) const {
   const group_state& state = this->states_.at(change.group);
   change.reason = OrderReason::kRepeat;
   // An order without an answer may have been carried out after newer ones.
@@ -162,7 +163,7 @@
   return change;
 }
 
-scaling_record scaling_policy::withOrder(const count_decision& decision) const {
+scaling_record scaling_policy::withOrder(const scaling_decision& decision) const {
   scaling_record changed = this->record_;
   changed.ordered[decision.group] = decision.wanted;
   return changed;
@@ -174,10 +175,10 @@
   return std::min(pause, this->options_.max_backoff);
 }
 
-void scaling_policy::onAnswer(Instant now, const count_decision& decision, DutyAnswer answer) {
+void scaling_policy::onAnswer(Instant now, const scaling_decision& decision, DutyAnswer answer) {
   group_state& state = this->states_[decision.group];
   state.unconfirmed = answer != DutyAnswer::kTaken;
-  if (decision.takesAway()) state.shrunk_at = now;
+  if (decision.scalesDown()) state.shrunk_at = now;
   switch (answer) {
     case DutyAnswer::kTaken:
       state.refusals = 0;
@@ -199,7 +200,7 @@
   }
 }
 
-void scaling_policy::onBusy(Instant now, const count_decision& decision) {
+void scaling_policy::onBusy(Instant now, const scaling_decision& decision) {
   this->states_[decision.group].shrunk_at = now;
 }
 
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -32,15 +32,15 @@
    */
   std::optional<scaling_record> learn(Instant now, const scaling_view& view);
   /** @return the orders that are due, those for more engines first; none without a baseline. */
-  std::vector<count_decision> decide(Instant now, const fleet::scaling_bounds& bounds,
-                                     const scaling_view& view);
+  std::vector<scaling_decision> decide(Instant now, const fleet::scaling_bounds& bounds,
+                                       const scaling_view& view);
   /** The record was written down. */
   void onRecord(scaling_record record) { this->record_ = std::move(record); }
   /** @return the record with the order in it. */
-  scaling_record withOrder(const count_decision& decision) const;
-  void onAnswer(Instant now, const count_decision& decision, usage::DutyAnswer answer);
+  scaling_record withOrder(const scaling_decision& decision) const;
+  void onAnswer(Instant now, const scaling_decision& decision, usage::DutyAnswer answer);
   /** An order for fewer was not sent, since the zone's engines have work. */
-  void onBusy(Instant now, const count_decision& decision);
+  void onBusy(Instant now, const scaling_decision& decision);
 
  private:
   /** What this leader knows of a group. All times are zero if the thing never happened. */
@@ -65,16 +65,16 @@
   target_inputs targetInputs(Instant now, const fleet::scaling_bounds& bounds,
                              const scaling_view& view) const;
   /** @return the order that is due for a group, if any. */
-  std::optional<count_decision> orderDue(Instant now, const fleet::scaling_bounds& bounds,
-                                         count_decision change);
+  std::optional<scaling_decision> orderDue(Instant now, const fleet::scaling_bounds& bounds,
+                                           scaling_decision change);
   /** @param since there are more than needed.
    * @return an order for one engine less, if that is due.
    */
-  std::optional<count_decision> scaleDownDue(Instant now, Instant since,
-                                             count_decision change) const;
+  std::optional<scaling_decision> scaleDownDue(Instant now, Instant since,
+                                               scaling_decision change) const;
   /** @return the last order again, if that is due. */
-  std::optional<count_decision> repeatDue(Instant now, const fleet::scaling_bounds& bounds,
-                                          count_decision change) const;
+  std::optional<scaling_decision> repeatDue(Instant now, const fleet::scaling_bounds& bounds,
+                                            scaling_decision change) const;
   /** @return the pause after so many failures in a row. */
   Duration backoff(int failures) const;
 
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -12,12 +12,12 @@
 namespace linenpier::scaling {
 
 /** That a group of a service's engines shall have so many. */
-struct count_order {
+struct scaling_order {
   ServiceName service;
   fleet::engine_group group;
   std::size_t count = 0;
 
-  bool operator==(const count_order&) const = default;
+  bool operator==(const scaling_order&) const = default;
 };
 
 class scaling_port {
@@ -27,7 +27,8 @@
   /** @return kFenced also where the platform has no such engines now: it does not tell one from the
    *     other.
    */
-  virtual Task<usage::DutyAnswer> orderCount(count_order order, usage::leader_proof proof) = 0;
+  virtual Task<usage::DutyAnswer> setEngineCount(scaling_order order,
+                                                 usage::leader_proof proof) = 0;
 };
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -162,14 +162,14 @@
     at = this->services_.emplace(name, std::move(fresh)).first;
   }
   const scaling_view view = this->viewOf(service, at->second.work);
-  const std::vector<count_decision> due = at->second.policy.decide(now, *service.scaling, view);
+  const std::vector<scaling_decision> due = at->second.policy.decide(now, *service.scaling, view);
   const std::optional<scaling_record> learned = at->second.policy.learn(now, view);
   if (learned) {
     co_await this->writeBaseline(name, *learned);
     co_return;
   }
   if (due.empty()) co_return;
-  count_decision first = due.front();
+  scaling_decision first = due.front();
   co_await this->carryOut(name, std::move(first));
 }
 
@@ -229,9 +229,9 @@
   co_return load <= quiet_load;
 }
 
-Task<void> scaling_service::carryOut(ServiceName name, count_decision decision) {
+Task<void> scaling_service::carryOut(ServiceName name, scaling_decision decision) {
   const FencingToken token = this->lock_.token();
-  if (decision.takesAway()) {
+  if (decision.scalesDown()) {
     const bool quiet = co_await this->zoneIsQuiet(name, decision.group.zone);
     if (!this->records_read_ || this->lock_.token() != token) co_return;
     if (!quiet) {
@@ -252,14 +252,14 @@
   co_await this->send(name, decision, token);
 }
 
-Task<void> scaling_service::send(ServiceName name, count_decision decision, FencingToken token) {
+Task<void> scaling_service::send(ServiceName name, scaling_decision decision, FencingToken token) {
   const Instant sent_at = steadyNow();
   if (!this->lock_.mayAct(sent_at) || this->lock_.token() != token) co_return;
   const usage::leader_proof proof{this->deps_.holder, token, this->lock_.mayActUntil()};
-  const count_order order{name, decision.group, decision.wanted};
+  const scaling_order order{name, decision.group, decision.wanted};
   this->lock_.onActed(sent_at);
   ++this->totals_.sent;
-  const DutyAnswer answer = co_await this->deps_.port.orderCount(order, proof);
+  const DutyAnswer answer = co_await this->deps_.port.setEngineCount(order, proof);
   if (answer == DutyAnswer::kUnknown) ++this->totals_.unanswered;
   if (answer == DutyAnswer::kFenced || answer == DutyAnswer::kRefused) ++this->totals_.refused;
   LogEvent("scaling", "ordered")
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -79,8 +79,8 @@
   /** Writes the service's row under the lock. @return whether the store took it. */
   Task<bool> writeRecord(ServiceName name, scaling_record record);
   /** Writes an order down and sends it; one for fewer engines only if the zone is quiet. */
-  Task<void> carryOut(ServiceName name, count_decision decision);
-  Task<void> send(ServiceName name, count_decision decision, FencingToken token);
+  Task<void> carryOut(ServiceName name, scaling_decision decision);
+  Task<void> send(ServiceName name, scaling_decision decision, FencingToken token);
   /** @return whether the engines of a zone all answered and have little to do. */
   Task<bool> zoneIsQuiet(ServiceName name, ZoneName zone);
 
--- a/src/gateway/scaling/scaling_view.h
+++ b/src/gateway/scaling/scaling_view.h
@@ -41,7 +41,7 @@
 const char* toText(OrderReason reason);
 
 /** That a group should have another number of engines. */
-struct count_decision {
+struct scaling_decision {
   fleet::engine_group group;
   std::size_t have = 0;    ///< Engines listed as serving.
   std::size_t before = 0;  ///< By the last order, or the baseline.
@@ -49,8 +49,8 @@
   OrderReason reason = OrderReason::kReplace;
 
   /** @return whether engines would be taken away: only where they have little to do. */
-  bool takesAway() const { return this->wanted < this->have; }
-  bool operator==(const count_decision&) const = default;
+  bool scalesDown() const { return this->wanted < this->have; }
+  bool operator==(const scaling_decision&) const = default;
 };
 
 }  // namespace linenpier::scaling
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -9,8 +9,8 @@
 using fleet::engine_group;
 using fleet::EngineKind;
 using fleet::scaling_bounds;
-using scaling::count_decision;
 using scaling::OrderReason;
+using scaling::scaling_decision;
 using scaling::scaling_options;
 using scaling::scaling_policy;
 using scaling::scaling_record;
@@ -63,19 +63,19 @@
   return view;
 }
 
-std::size_t wantedOf(const std::vector<count_decision>& due, const engine_group& group) {
-  for (const count_decision& each : due) {
+std::size_t wantedOf(const std::vector<scaling_decision>& due, const engine_group& group) {
+  for (const scaling_decision& each : due) {
     if (each.group == group) return each.wanted;
   }
   return 0;
 }
 
 /// Carries out what is due, as the service does. @return it.
-std::vector<count_decision> step(scaling_policy& policy, int second, const scaling_view& view,
-                                 DutyAnswer answer = DutyAnswer::kTaken,
-                                 const scaling_bounds& within = bounds()) {
+std::vector<scaling_decision> step(scaling_policy& policy, int second, const scaling_view& view,
+                                   DutyAnswer answer = DutyAnswer::kTaken,
+                                   const scaling_bounds& within = bounds()) {
   auto due = policy.decide(after(second), within, view);
-  for (const count_decision& each : due) {
+  for (const scaling_decision& each : due) {
     policy.onRecord(policy.withOrder(each));
     policy.onAnswer(after(second), each, answer);
   }
@@ -189,7 +189,7 @@
   view.groups[kSpotB] = {0, 3, 3};
   const auto due = step(policy, 0, view);
   std::size_t more = 0;
-  for (const count_decision& each : due) {
+  for (const scaling_decision& each : due) {
     cr_assert(each.group.kind == EngineKind::kOnDemand, "spot engines are not to be had");
     more += each.wanted - each.before;
   }
@@ -216,7 +216,7 @@
   scaling_policy policy(options(), kStart, fourEach());
   const scaling_view view = closing(seen(4, 4, 4), "c");
   const auto due = policy.decide(after(0), bounds(), view);
-  for (const count_decision& each : due) {
+  for (const scaling_decision& each : due) {
     policy.onRecord(policy.withOrder(each));
     const bool refused = each.group == kA;
     policy.onAnswer(after(0), each, refused ? DutyAnswer::kFenced : DutyAnswer::kTaken);
@@ -229,8 +229,8 @@
     scaling_view now = view;
     now.groups[kB].serving = 8;
     const auto more = policy.decide(after(second), bounds(), now);
-    for (const count_decision& each : more) {
-      if (each.group != kA || each.takesAway()) continue;
+    for (const scaling_decision& each : more) {
+      if (each.group != kA || each.scalesDown()) continue;
       asked.push_back(second);
       policy.onRecord(policy.withOrder(each));
       policy.onAnswer(after(second), each, DutyAnswer::kFenced);
@@ -269,9 +269,9 @@
   }
   const auto first = step(policy, 10, seen(6, 6, 4));
   cr_assert_eq(first.size(), 2U);
-  for (const count_decision& each : first) {
+  for (const scaling_decision& each : first) {
     cr_assert_eq(each.wanted, 5U);
-    cr_assert(each.takesAway());
+    cr_assert(each.scalesDown());
     cr_assert(each.reason == OrderReason::kSurplus);
   }
   cr_assert(step(policy, 11, seen(5, 5, 4)).empty());
@@ -287,7 +287,7 @@
   policy.decide(after(1), bounds(), seen(6, 6, 4));
   const auto due = policy.decide(after(12), bounds(), seen(6, 6, 4));
   cr_assert_eq(due.size(), 2U);
-  for (const count_decision& each : due) policy.onBusy(after(12), each);
+  for (const scaling_decision& each : due) policy.onBusy(after(12), each);
   cr_assert(policy.decide(after(13), bounds(), seen(6, 6, 4)).empty());
   cr_assert_eq(policy.decide(after(15), bounds(), seen(6, 6, 4)).size(), 2U);
 }
@@ -326,7 +326,7 @@
   scaling_view now = seen(6, 6, 4);
   int second = 2;
   for (; second < 40 && now.groups[kA].serving > 4; ++second) {
-    for (const count_decision& each : step(policy, second, now)) {
+    for (const scaling_decision& each : step(policy, second, now)) {
       now.groups[each.group].serving = each.wanted;
     }
   }
@@ -334,7 +334,7 @@
   cr_assert(second < 13, "a call without an answer is carried out seconds later");
   now.groups[kA].serving = 6;
   for (int end = second + 60; second < end; ++second) {
-    for (const count_decision& each : step(policy, second, now)) {
+    for (const scaling_decision& each : step(policy, second, now)) {
       now.groups[each.group].serving = each.wanted;
     }
   }
@@ -347,7 +347,7 @@
   scaling_view view = seen(4, 4, 4);
   view.engines_for_work = 9;
   for (int second = 0; second < 90; ++second) {
-    for (const count_decision& each : step(policy, second, view)) {
+    for (const scaling_decision& each : step(policy, second, view)) {
       view.groups[each.group].serving = each.wanted;
     }
   }
@@ -362,14 +362,14 @@
   view.engines_for_work = 15;
   const auto due = step(policy, 0, view, DutyAnswer::kFenced);
   std::size_t spot = 0;
-  for (const count_decision& each : due) {
+  for (const scaling_decision& each : due) {
     cr_assert(each.group.kind == EngineKind::kSpot);
     cr_assert(each.reason == OrderReason::kWork);
     spot += each.wanted;
   }
   cr_assert_eq(spot, 3U);
   std::size_t others = 0;
-  for (const count_decision& each : step(policy, 1, view)) {
+  for (const scaling_decision& each : step(policy, 1, view)) {
     if (each.group.kind == EngineKind::kOnDemand) others += each.wanted - each.before;
   }
   cr_assert_eq(others, 3U);
