--- a/src/gateway/service/coordination_feed.h
+++ b/src/gateway/service/coordination_feed.h
@@ -12,7 +12,7 @@
 #include "gateway/suspects/suspect_service.h"
 #include "gateway/table/table_watcher.h"
 #include "gateway/usage/usage_service.h"
-#include "gateway/versions/order_service.h"
+#include "gateway/versions/rollout_service.h"
 
 namespace linenpier::gateway {
 
@@ -21,7 +21,7 @@
  public:
   struct readers {
     batch::batch_service& batches;
-    versions::order_service& orders;
+    versions::rollout_service& orders;
     usage::usage_service& usage;
     scaling::scaling_service& scaling;
     suspects::suspect_service& suspects;
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -31,8 +31,8 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(since_1970).count();
 }
 
-versions::order_options orderOptions(const GatewaySettings& settings) {
-  versions::order_options options;
+versions::rollout_service_options orderOptions(const GatewaySettings& settings) {
+  versions::rollout_service_options options;
   options.handover = settings.handover;
   options.rollout = settings.rollout;
   return options;
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -85,7 +85,7 @@
   suspects::suspect_service suspects_;
   forward::forwarder forwarder_;
   batch::batch_service batches_;
-  versions::order_service orders_;
+  versions::rollout_service orders_;
   scaling::scaling_service scaling_;
   closed_zones_monitor closed_zones_;
   cold_engines_monitor cold_engines_;
--- a/src/gateway/service/metrics_page.h
+++ b/src/gateway/service/metrics_page.h
@@ -17,7 +17,7 @@
 #include "gateway/service/operator_feed.h"
 #include "gateway/suspects/suspect_service.h"
 #include "gateway/usage/usage_service.h"
-#include "gateway/versions/order_service.h"
+#include "gateway/versions/rollout_service.h"
 
 namespace linenpier::gateway {
 
@@ -35,7 +35,7 @@
     const http::Server& requests;
     const lease::lease_keeper& keeper;
     const batch::batch_service& batches;
-    const versions::order_service& orders;
+    const versions::rollout_service& orders;
     const scaling::scaling_service& scaling;
     const usage::usage_service& usage;
     const suspects::suspect_service& suspects;
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -16,7 +16,7 @@
 #include "gateway/scaling/scaling_port.h"
 #include "gateway/table/async_table.h"
 #include "gateway/usage/duty_port.h"
-#include "gateway/versions/order_service.h"
+#include "gateway/versions/rollout_service.h"
 
 namespace linenpier::gateway {
 
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -1,4 +1,4 @@
-#include "gateway/versions/order_service.h"
+#include "gateway/versions/rollout_service.h"
 
 #include <algorithm>
 
@@ -19,18 +19,18 @@
 
 }  // namespace
 
-order_service::service_leadership::service_leadership(const lease::leader_lock::dependencies& deps,
-                                                      const ServiceName& service,
-                                                      const order_options& options)
+rollout_service::service_leadership::service_leadership(
+    const lease::leader_lock::dependencies& deps, const ServiceName& service,
+    const rollout_service_options& options)
     : rollout(options.rollout),
       lock(deps, "order/" + service.str(), table::orderKey(service), options.handover,
            [this](bool) { this->rollout.reset(); }) {}
 
-void order_service::start() {
+void rollout_service::start() {
   spawn(this->deps_.loop, [this] { return this->tickLoop(); });
 }
 
-order_service::service_leadership& order_service::leadershipOf(const ServiceName& service) {
+rollout_service::service_leadership& rollout_service::leadershipOf(const ServiceName& service) {
   auto& leadership = this->services_[service];
   if (!leadership) {
     const lease::leader_lock::dependencies deps{this->deps_.loop, this->deps_.table,
@@ -44,13 +44,13 @@
   return *leadership;
 }
 
-std::size_t order_service::locksHeld() const {
+std::size_t rollout_service::locksHeld() const {
   return static_cast<std::size_t>(
       std::count_if(this->services_.begin(), this->services_.end(),
                     [](const auto& each) { return each.second->lock.held(); }));
 }
 
-void order_service::onNamed(const ModelName& model, WeightVersion version) {
+void rollout_service::onNamed(const ModelName& model, WeightVersion version) {
   WeightVersion& known = this->named_[model];
   if (version <= known) return;
   known = version;
@@ -62,15 +62,15 @@
   }
 }
 
-void order_service::onLockRow(const ServiceName& service, const table::Row& row) {
+void rollout_service::onLockRow(const ServiceName& service, const table::Row& row) {
   this->leadershipOf(service).lock.onRow(row);
 }
 
-void order_service::onLockGone(const ServiceName& service) {
+void rollout_service::onLockGone(const ServiceName& service) {
   this->leadershipOf(service).lock.onGone();
 }
 
-Task<void> order_service::tickLoop() {
+Task<void> rollout_service::tickLoop() {
   const Instant begun = steadyNow();
   for (;;) {
     const bool started = steadyNow() - begun > kStartupTime;
@@ -84,7 +84,7 @@
   }
 }
 
-void order_service::tickService(Instant now, const ServiceName& service) {
+void rollout_service::tickService(Instant now, const ServiceName& service) {
   service_leadership& leadership = this->leadershipOf(service);
   leadership.lock.onTick(now, this->table_read_);
   if (!leadership.lock.mayAct(now)) return;
@@ -105,13 +105,13 @@
   }
 }
 
-Task<void> order_service::askReport(ServiceName service, EngineId engine, Address address) {
+Task<void> rollout_service::askReport(ServiceName service, EngineId engine, Address address) {
   const auto report = co_await this->deps_.orders.report(engine, address);
   // An engine without an answer is asked again after the report interval.
   if (report) this->leadershipOf(service).rollout.onReport(steadyNow(), engine, *report);
 }
 
-Task<void> order_service::sendOrder(ServiceName service, version_order order) {
+Task<void> rollout_service::sendOrder(ServiceName service, version_order order) {
   service_leadership& leadership = this->leadershipOf(service);
   const Instant send_by = leadership.lock.mayActUntil();
   if (!leadership.lock.mayAct(steadyNow()) || this->stopping_) {
@@ -136,7 +136,7 @@
       .text("outcome", toText(answer));
 }
 
-Task<void> order_service::handOver() {
+Task<void> rollout_service::handOver() {
   this->stopping_ = true;
   for (auto& [service, leadership] : this->services_) {
     co_await leadership->lock.handOver();
--- a/src/gateway/versions/order_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -15,19 +15,19 @@
 
 namespace linenpier::versions {
 
-struct order_options {
+struct rollout_service_options {
   lease::handover_options handover;
   rollout_options rollout;
 };
 
-struct order_counts {
+struct rollout_counts {
   std::uint64_t sent = 0;
   std::uint64_t under_way = 0;
   std::uint64_t unanswered = 0;
 };
 
 /** Loop thread only. Lives as long as the loop runs. */
-class order_service {
+class rollout_service {
  public:
   struct dependencies {
     boost::asio::io_context& loop;
@@ -43,12 +43,12 @@
     /// Engines with a run that a step waits for. Not set: none is known.
     std::function<std::set<EngineId>(Instant now)> awaited;
   };
-  order_service(dependencies deps, order_options options)
+  rollout_service(dependencies deps, rollout_service_options options)
       : deps_(std::move(deps)), options_(options) {}
 
   void start();
   /** Services that were seen before go on under the options of before. */
-  void setOptions(const order_options& options) { this->options_ = options; }
+  void setOptions(const rollout_service_options& options) { this->options_ = options; }
   /** A version was named as the newest of its model. */
   void onNamed(const ModelName& model, WeightVersion version);
   /** The row of a service's lock, as the feed shows it. */
@@ -60,13 +60,13 @@
   std::size_t locksHeld() const;
   /** Gives up every lock. */
   Task<void> handOver();
-  const order_counts& counts() const { return this->counts_; }
+  const rollout_counts& counts() const { return this->counts_; }
 
  private:
   /** A service's lock, and what its leader knows. */
   struct service_leadership {
     service_leadership(const lease::leader_lock::dependencies& deps, const ServiceName& service,
-                       const order_options& options);
+                       const rollout_service_options& options);
 
     version_rollout rollout;
     lease::leader_lock lock;
@@ -78,11 +78,11 @@
   Task<void> sendOrder(ServiceName service, version_order order);
 
   dependencies deps_;
-  order_options options_;
+  rollout_service_options options_;
   /// Entries stay for good: tasks under way refer to them.
   std::map<ServiceName, std::unique_ptr<service_leadership>> services_;
   std::map<ModelName, WeightVersion> named_;
-  order_counts counts_;
+  rollout_counts counts_;
   bool table_read_ = false;  ///< Whether a lock that is not known has no row.
   bool stopping_ = false;
 };
