--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -44,7 +44,7 @@
   virtual table::AsyncTable& table() = 0;
   virtual table::AsyncObjects& objects() = 0;
   virtual const batch::batch_codec& batchCodec() const = 0;
-  virtual versions::engine_orders& orders() = 0;
+  virtual versions::engine_order_port& orders() = 0;
   virtual usage::duty_port& duties() = 0;
   virtual scaling::scaling_port& scaling() = 0;
 
--- a/src/gateway/versions/engine_orders.h
+++ b/src/gateway/versions/engine_order_port.h
@@ -11,9 +11,9 @@
 
 namespace linenpier::versions {
 
-class engine_orders {
+class engine_order_port {
  public:
-  virtual ~engine_orders() = default;
+  virtual ~engine_order_port() = default;
 
   /** @param holder name of the leader, as the platform's orders carry it.
    * @param send_by the order is sent until then or not at all.
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -10,7 +10,7 @@
 #include <memory>
 
 #include "gateway/lease/leader_lock.h"
-#include "gateway/versions/engine_orders.h"
+#include "gateway/versions/engine_order_port.h"
 #include "gateway/versions/version_rollout.h"
 
 namespace linenpier::versions {
@@ -36,7 +36,7 @@
     lease::lease_table& leases;
     lease::lease_keeper& keeper;
     const lease::owner_pool& pool;
-    engine_orders& orders;
+    engine_order_port& orders;
     std::function<routing::RouteTablePtr()> routes;
     std::function<open_work_by_model()> open_work;  ///< Of jobs under way.
     std::string holder;                             ///< Name of this daemon in orders.
