--- a/src/gateway/versions/engine_order_port.h
+++ b/src/gateway/versions/engine_order_port.h
@@ -18,7 +18,7 @@
   /** @param holder name of the leader, as the platform's orders carry it.
    * @param send_by the order is sent until then or not at all.
    */
-  virtual Task<OrderAnswer> send(version_order order, std::string holder, FencingToken token,
+  virtual Task<OrderResult> send(version_order order, std::string holder, FencingToken token,
                                  Instant send_by) = 0;
   /** @return nothing if the engine gave no answer. */
   virtual Task<std::optional<order_report>> report(EngineId engine, Address address) = 0;
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -115,17 +115,17 @@
   service_leadership& leadership = this->leadershipOf(service);
   const Instant send_by = leadership.lock.mayActUntil();
   if (!leadership.lock.mayAct(steadyNow()) || this->stopping_) {
-    leadership.rollout.onAnswer(steadyNow(), order, OrderAnswer::kBusy);
+    leadership.rollout.onAnswer(steadyNow(), order, OrderResult::kBusy);
     co_return;
   }
   const FencingToken token = leadership.lock.token();
   ++this->counts_.sent;
   leadership.lock.onActed(steadyNow());
-  const OrderAnswer answer =
+  const OrderResult answer =
       co_await this->deps_.orders.send(order, this->deps_.holder, token, send_by);
   leadership.rollout.onAnswer(steadyNow(), order, answer);
-  if (answer == OrderAnswer::kUnderWay) ++this->counts_.under_way;
-  if (answer == OrderAnswer::kUnknown) ++this->counts_.unanswered;
+  if (answer == OrderResult::kStarted) ++this->counts_.under_way;
+  if (answer == OrderResult::kUnknown) ++this->counts_.unanswered;
   LogEvent("versions", "order_answered")
       .text("engine", order.engine.str())
       .text("model", order.model.str())
--- a/src/gateway/versions/version_order.cpp
+++ b/src/gateway/versions/version_order.cpp
@@ -21,19 +21,19 @@
   return "unknown";
 }
 
-const char* toText(OrderAnswer answer) {
+const char* toText(OrderResult answer) {
   switch (answer) {
-    case OrderAnswer::kUnderWay:
+    case OrderResult::kStarted:
       return "under_way";
-    case OrderAnswer::kInForce:
+    case OrderResult::kAlreadyLoaded:
       return "in_force";
-    case OrderAnswer::kBusy:
+    case OrderResult::kBusy:
       return "busy";
-    case OrderAnswer::kFenced:
+    case OrderResult::kFenced:
       return "fenced";
-    case OrderAnswer::kRejected:
+    case OrderResult::kRejected:
       return "rejected";
-    case OrderAnswer::kUnknown:
+    case OrderResult::kUnknown:
       return "unknown";
   }
   return "unknown";
--- a/src/gateway/versions/version_order.h
+++ b/src/gateway/versions/version_order.h
@@ -34,13 +34,13 @@
 };
 
 /** How an engine answered an order. */
-enum class OrderAnswer {
-  kUnderWay,  ///< It loads now.
-  kInForce,   ///< It held the version already.
-  kBusy,      ///< Another order is under way, or the sequence differs.
-  kFenced,    ///< It has seen a higher token.
-  kRejected,  ///< The order is wrong, or another engine has the address.
-  kUnknown,   ///< No answer: it may be carried out yet.
+enum class OrderResult {
+  kStarted,        ///< It loads now.
+  kAlreadyLoaded,  ///< It held the version already.
+  kBusy,           ///< Another order is under way, or the sequence differs.
+  kFenced,         ///< It has seen a higher token.
+  kRejected,       ///< The order is wrong, or another engine has the address.
+  kUnknown,        ///< No answer: it may be carried out yet.
 };
 
 /** What an engine reports of itself; a little old when it arrives. */
@@ -52,7 +52,7 @@
 };
 
 const char* toText(LoadMode mode);
-const char* toText(OrderAnswer answer);
+const char* toText(OrderResult answer);
 
 /** @return whether an engine with the version `held` can work for the newest step, which takes
  *     weights one version old.
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -63,32 +63,32 @@
   }
 }
 
-void version_rollout::onAnswer(Instant now, const version_order& order, OrderAnswer answer) {
+void version_rollout::onAnswer(Instant now, const version_order& order, OrderResult answer) {
   engine_progress& progress = this->progress_[order.engine];
   // The engine has started again since: what its earlier start answered says nothing of this one.
   if (engines::startedBefore(order.start, progress.start)) return;
   progress.sending = false;
   switch (answer) {
-    case OrderAnswer::kUnderWay:
+    case OrderResult::kStarted:
       progress.loading_until = now + this->options_.load_time;
       if (progress.sequence) ++*progress.sequence;
       progress.confirmed[order.model] = order.version;
       progress.confirmed_at[order.model] = now;
       break;
-    case OrderAnswer::kInForce:
+    case OrderResult::kAlreadyLoaded:
       progress.confirmed[order.model] = order.version;
       progress.confirmed_at[order.model] = now;
       break;
-    case OrderAnswer::kBusy:
+    case OrderResult::kBusy:
       progress.sequence.reset();
       progress.not_before = now + this->options_.busy_backoff;
       break;
-    case OrderAnswer::kUnknown:
+    case OrderResult::kUnknown:
       // The sequence stays, so that at most one of this order and the next is ever carried out.
       progress.not_before = now + this->options_.unknown_backoff;
       break;
-    case OrderAnswer::kFenced:
-    case OrderAnswer::kRejected:
+    case OrderResult::kFenced:
+    case OrderResult::kRejected:
       progress.sequence.reset();
       progress.not_before = now + this->options_.rejected_backoff;
       break;
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -69,7 +69,7 @@
   std::vector<version_order> onTick(Instant now, const engines::engine_list& engines,
                                     const open_work_by_model& work,
                                     const std::set<EngineId>& awaited = {});
-  void onAnswer(Instant now, const version_order& order, OrderAnswer answer);
+  void onAnswer(Instant now, const version_order& order, OrderResult answer);
   /** @return the engines to ask for a report, as of the last tick. */
   const std::vector<const engines::engine_state*>& reportsWanted() const {
     return this->reports_wanted_;
--- a/src/testbed/standin/engine_sim.cpp
+++ b/src/testbed/standin/engine_sim.cpp
@@ -65,33 +65,33 @@
   changed_.notify_all();
 }
 
-OrderAnswer EngineSim::order(const std::string& kind, FencingToken token, WeightVersion version) {
+OrderResult EngineSim::order(const std::string& kind, FencingToken token, WeightVersion version) {
   std::unique_lock lock(mutex_);
-  if (down_) return OrderAnswer::kFailed;
+  if (down_) return OrderResult::kFailed;
   if (token < highest_token_) {
     faults_.noteStruck("order-fenced");
-    return OrderAnswer::kFenced;
+    return OrderResult::kFenced;
   }
   highest_token_ = token;
   if (kind == "prefetch") {
     lock.unlock();
     std::this_thread::sleep_for(fromSeconds(limits_.prefetch_ms / 1000));
     lock.lock();
-    if (token < highest_token_) return OrderAnswer::kFenced;
+    if (token < highest_token_) return OrderResult::kFenced;
     prefetched_ = std::max(prefetched_, version);
-    return OrderAnswer::kDone;
+    return OrderResult::kDone;
   }
-  if (kind != "flip" || prefetched_ < version) return OrderAnswer::kFailed;
+  if (kind != "flip" || prefetched_ < version) return OrderResult::kFailed;
   swap_left_ms_ = pool_.swap_ms;
   changed_.wait(lock, [this] { return swap_left_ms_ <= 0 || down_; });
-  if (down_) return OrderAnswer::kFailed;
-  if (token < highest_token_) return OrderAnswer::kFenced;
+  if (down_) return OrderResult::kFailed;
+  if (token < highest_token_) return OrderResult::kFenced;
   if (faults_.takeSwapFailure(id_.str())) {
     prefetched_ = 0;
-    return OrderAnswer::kFailed;
+    return OrderResult::kFailed;
   }
   version_ = std::max(version_, version);
-  return OrderAnswer::kDone;
+  return OrderResult::kDone;
 }
 
 wire::EngineReport EngineSim::laggingLoad(Instant now) {
--- a/src/testbed/standin/engine_sim.h
+++ b/src/testbed/standin/engine_sim.h
@@ -37,7 +37,7 @@
 };
 using SequenceSharedPtr = std::shared_ptr<Sequence>;
 
-enum class OrderAnswer { kDone, kFenced, kFailed };
+enum class OrderResult { kDone, kFenced, kFailed };
 
 /// Thread-safe.
 class EngineSim {
@@ -55,7 +55,7 @@
                                   bool& broken);
   void cancel(const std::string& attempt);
   /// Blocks for as long as the order takes.
-  OrderAnswer order(const std::string& kind, FencingToken token, WeightVersion version);
+  OrderResult order(const std::string& kind, FencingToken token, WeightVersion version);
   /// @return the load as it was some time ago.
   wire::EngineReport laggingLoad(Instant now);
 
--- a/src/testbed/standin/platform_server.cpp
+++ b/src/testbed/standin/platform_server.cpp
@@ -338,11 +338,11 @@
   if (!body.is_object()) return answer(response, 400, {{"error", "not an object"}});
   switch (engine.order(body.value("kind", ""), body.value("token", FencingToken{0}),
                        body.value("version", WeightVersion{0}))) {
-    case OrderAnswer::kDone:
+    case OrderResult::kDone:
       return answer(response, 200, {{"done", true}});
-    case OrderAnswer::kFenced:
+    case OrderResult::kFenced:
       return answer(response, 409, {{"error", "fenced"}});
-    case OrderAnswer::kFailed:
+    case OrderResult::kFailed:
       return answer(response, 500, {{"error", "failed"}});
   }
 }
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -5,7 +5,7 @@
 using namespace linenpier;
 using engines::engine_state;
 using versions::LoadMode;
-using versions::OrderAnswer;
+using versions::OrderResult;
 using versions::version_order;
 using versions::version_rollout;
 
@@ -98,7 +98,7 @@
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.reportAll(kStart);
   const version_order first = fixture.tick(kStart).at(0);
-  fixture.rollout.onAnswer(kStart, first, OrderAnswer::kUnknown);
+  fixture.rollout.onAnswer(kStart, first, OrderResult::kUnknown);
   cr_assert(fixture.tick(kStart).empty());
   const auto again = fixture.tick(kStart + std::chrono::seconds(1));
   cr_assert_eq(again.at(0).expected_sequence, first.expected_sequence,
@@ -110,7 +110,7 @@
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.reportAll(kStart);
   const version_order order = fixture.tick(kStart).at(0);
-  fixture.rollout.onAnswer(kStart, order, OrderAnswer::kUnderWay);
+  fixture.rollout.onAnswer(kStart, order, OrderResult::kStarted);
   cr_assert(fixture.tick(kStart + std::chrono::seconds(2)).empty());
   cr_assert_eq(fixture.tick(kStart + std::chrono::seconds(5)).size(), 1U,
                "but not for ever: the engine may have come back old");
@@ -120,7 +120,7 @@
   Fixture fixture(1);
   fixture.rollout.onNamed(kStart, kModel, 2);
   fixture.reportAll(kStart);
-  fixture.rollout.onAnswer(kStart, fixture.tick(kStart).at(0), OrderAnswer::kFenced);
+  fixture.rollout.onAnswer(kStart, fixture.tick(kStart).at(0), OrderResult::kFenced);
   cr_assert(fixture.tick(kStart + std::chrono::seconds(3)).empty());
   cr_assert_eq(fixture.rollout.reportsWanted().size(), 1U);
 }
@@ -189,7 +189,7 @@
   for (; now < kStart + versions::rollout_options{}.busy_timeout; now += std::chrono::seconds(1)) {
     fixture.reportAll(now, 1);
     for (const version_order& order : fixture.tick(now, {kModel}, 1000, false, awaited)) {
-      fixture.rollout.onAnswer(now, order, OrderAnswer::kInForce);
+      fixture.rollout.onAnswer(now, order, OrderResult::kAlreadyLoaded);
       changed.insert(order.engine);
     }
   }
@@ -231,7 +231,7 @@
     for (Instant now = kStart; now < kStart + std::chrono::seconds(3); now += 6 * kMoment) {
       for (const version_order& order : fixture.tick(now, {kModel}, 200)) {
         ++ordered;
-        fixture.rollout.onAnswer(now, order, OrderAnswer::kUnderWay);
+        fixture.rollout.onAnswer(now, order, OrderResult::kStarted);
       }
       for (const engine_state* engine : fixture.rollout.reportsWanted()) {
         ++questions;
@@ -258,7 +258,7 @@
   cr_assert_eq(*order.expected_sequence, 7U);
   fixture.states[0].record.start = 2000;
   cr_assert(fixture.tick(kStart + kMoment).empty(), "its sequence is not known");
-  fixture.rollout.onAnswer(kStart + kMoment, order, OrderAnswer::kUnderWay);
+  fixture.rollout.onAnswer(kStart + kMoment, order, OrderResult::kStarted);
   fixture.rollout.onReport(kStart + kMoment, EngineId("e0"), {1000, 8, false, 0});
   cr_assert(fixture.tick(kStart + kMoment).empty(), "what the earlier start says is of no matter");
   fixture.rollout.onReport(kStart + kMoment, EngineId("e0"), {2000, 0, false, 0});
