--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -38,7 +38,7 @@
                                                 this->deps_.pool};
     leadership = std::make_unique<service_leadership>(deps, service, this->options_);
     for (const auto& [model, version] : this->named_) {
-      leadership->rollout.onNamed(steadyNow(), model, version);
+      leadership->rollout.onVersionAnnounced(steadyNow(), model, version);
     }
   }
   return *leadership;
@@ -50,7 +50,7 @@
                     [](const auto& each) { return each.second->lock.held(); }));
 }
 
-void rollout_service::onNamed(const ModelName& model, WeightVersion version) {
+void rollout_service::onVersionAnnounced(const ModelName& model, WeightVersion version) {
   WeightVersion& known = this->named_[model];
   if (version <= known) return;
   known = version;
@@ -58,7 +58,7 @@
       .text("model", model.str())
       .number("version", static_cast<std::int64_t>(version));
   for (auto& [service, leadership] : this->services_) {
-    leadership->rollout.onNamed(steadyNow(), model, version);
+    leadership->rollout.onVersionAnnounced(steadyNow(), model, version);
   }
 }
 
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -50,7 +50,7 @@
   /** Services that were seen before go on under the options of before. */
   void setOptions(const rollout_service_options& options) { this->options_ = options; }
   /** A version was named as the newest of its model. */
-  void onNamed(const ModelName& model, WeightVersion version);
+  void onVersionAnnounced(const ModelName& model, WeightVersion version);
   /** The row of a service's lock, as the feed shows it. */
   void onLockRow(const ServiceName& service, const table::Row& row);
   void onLockGone(const ServiceName& service);
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -18,7 +18,8 @@
 
 // --- Versions and reports -----------------------------------------------------------------------
 
-void version_rollout::onNamed(Instant now, const ModelName& model, WeightVersion version) {
+void version_rollout::onVersionAnnounced(Instant now, const ModelName& model,
+                                         WeightVersion version) {
   WeightVersion& known = this->named_[model];
   if (version <= known) return;
   known = version;
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -58,7 +58,7 @@
   explicit version_rollout(rollout_options options) : options_(options), demand_(options.demand) {}
 
   /** A version was named as the newest of its model. Older ones than that known are ignored. */
-  void onNamed(Instant now, const ModelName& model, WeightVersion version);
+  void onVersionAnnounced(Instant now, const ModelName& model, WeightVersion version);
 
   /** @param engines those of the service that are not draining.
    * @param work of jobs under way, by each model that needs engines now.
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -53,7 +53,7 @@
 
 Test(version_rollout, nothing_is_ordered_before_the_engine_has_told_its_sequence) {
   Fixture fixture(3);
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   cr_assert(fixture.tick(kStart).empty());
   cr_assert_eq(fixture.rollout.reportsWanted().size(), 3U);
   fixture.reportAll(kStart);
@@ -64,7 +64,7 @@
 
 Test(version_rollout, engines_of_no_use_to_the_newest_step_load_at_once_two_at_a_time) {
   Fixture fixture(4);
-  fixture.rollout.onNamed(kStart, kModel, 3);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
   fixture.reportAll(kStart, 4);
   cr_assert_eq(fixture.tick(kStart).size(), 2U);
   cr_assert(fixture.tick(kStart).empty(), "they count while they are being sent");
@@ -72,7 +72,7 @@
 
 Test(version_rollout, busy_engines_wait_while_the_version_is_new) {
   Fixture fixture(4);
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   fixture.reportAll(kStart, 4);
   cr_assert(fixture.tick(kStart).empty());
   const Instant later = kStart + versions::rollout_options{}.busy_timeout;
@@ -84,18 +84,18 @@
 
 Test(version_rollout, runs_are_reset_only_where_the_others_have_room) {
   Fixture fixture(4);
-  fixture.rollout.onNamed(kStart, kModel, 3);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
   fixture.reportAll(kStart, 1);
   cr_assert_eq(fixture.tick(kStart).at(0).mode, LoadMode::kCancel);
   Fixture full(4);
-  full.rollout.onNamed(kStart, kModel, 3);
+  full.rollout.onVersionAnnounced(kStart, kModel, 3);
   full.reportAll(kStart, 4);
   cr_assert_eq(full.tick(kStart).at(0).mode, LoadMode::kRetain);
 }
 
 Test(version_rollout, an_unanswered_order_is_sent_again_under_the_same_sequence) {
   Fixture fixture(1);
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   fixture.reportAll(kStart);
   const version_order first = fixture.tick(kStart).at(0);
   fixture.rollout.onAnswer(kStart, first, OrderResult::kUnknown);
@@ -107,7 +107,7 @@
 
 Test(version_rollout, the_engines_own_answer_counts_before_discovery_shows_it) {
   Fixture fixture(1);
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   fixture.reportAll(kStart);
   const version_order order = fixture.tick(kStart).at(0);
   fixture.rollout.onAnswer(kStart, order, OrderResult::kStarted);
@@ -118,7 +118,7 @@
 
 Test(version_rollout, a_fenced_holder_asks_anew_before_it_goes_on) {
   Fixture fixture(1);
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   fixture.reportAll(kStart);
   fixture.rollout.onAnswer(kStart, fixture.tick(kStart).at(0), OrderResult::kFenced);
   cr_assert(fixture.tick(kStart + std::chrono::seconds(3)).empty());
@@ -127,14 +127,14 @@
 
 Test(version_rollout, a_large_service_loads_a_share_of_its_engines_at_once) {
   Fixture fixture(45);
-  fixture.rollout.onNamed(kStart, kModel, 3);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
   fixture.reportAll(kStart, 4);
   cr_assert_eq(fixture.tick(kStart).size(), 9U);
 }
 
 Test(version_rollout, only_some_engines_are_asked_for_their_state_at_a_time) {
   Fixture fixture(100);
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   fixture.tick(kStart);
   const std::size_t asked = fixture.rollout.reportsWanted().size();
   cr_assert_eq(asked, 24U);
@@ -147,7 +147,7 @@
 
 Test(version_rollout, a_large_service_brings_a_new_version_to_as_many_engines_as_work_needs) {
   Fixture fixture(200);
-  fixture.rollout.onNamed(kStart, kModel, 3);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
   fixture.reportAll(kStart, 4);
   cr_assert_eq(fixture.tick(kStart, {kModel}, 20).size(), 24U);
   const Instant settled = kStart + std::chrono::seconds(9);
@@ -158,21 +158,21 @@
 
 Test(version_rollout, engines_that_make_texts_of_one_version_are_left_until_they_are_of_no_use) {
   Fixture fixture(3);
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   const Instant later = kStart + std::chrono::seconds(3);
   fixture.reportAll(later, 4);
   cr_assert(fixture.tick(later, {kModel}, 100, true).empty(), "busy, and still of use");
   fixture.reportAll(later, 0);
   cr_assert_eq(fixture.tick(later, {kModel}, 100, true).size(), 1U, "quiet");
   Fixture of_no_use(3);
-  of_no_use.rollout.onNamed(kStart, kModel, 3);
+  of_no_use.rollout.onVersionAnnounced(kStart, kModel, 3);
   of_no_use.reportAll(kStart, 4);
   cr_assert_eq(of_no_use.tick(kStart, {kModel}, 100, true).size(), 2U);
 }
 
 Test(version_rollout, texts_that_one_version_must_make_end_before_their_engine_loads) {
   Fixture fixture(4);
-  fixture.rollout.onNamed(kStart, kModel, 3);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
   fixture.reportAll(kStart, 4);
   const auto orders = fixture.tick(kStart, {kModel}, 1000, true);
   cr_assert_eq(orders.size(), 2U, "they are of no use to the newest step");
@@ -181,7 +181,7 @@
 
 Test(version_rollout, an_engine_that_a_step_waits_for_is_left_alone_while_the_version_is_new) {
   Fixture fixture(4);
-  fixture.rollout.onNamed(kStart, kModel, 3);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
   fixture.reportAll(kStart, 1);
   const std::set<EngineId> awaited = {EngineId("e0")};
   Instant now = kStart;
@@ -202,7 +202,7 @@
 
 Test(version_rollout, most_engines_of_a_model_change_whatever_is_waited_for) {
   Fixture fixture(3);
-  fixture.rollout.onNamed(kStart, kModel, 3);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
   fixture.reportAll(kStart, 1);
   const std::set<EngineId> awaited = {EngineId("e0"), EngineId("e1"), EngineId("e2")};
   const auto orders = fixture.tick(kStart, {kModel}, 1000, false, awaited);
@@ -212,7 +212,7 @@
 Test(version_rollout, an_engine_with_one_run_left_is_not_quiet) {
   Fixture fixture(4);
   for (engine_state& state : fixture.states) state.record.slots = 8;
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   fixture.reportAll(kStart, 1);
   cr_assert(fixture.tick(kStart).empty());
   fixture.reportAll(kStart + kMoment, 0);
@@ -224,7 +224,7 @@
   std::vector<std::size_t> asked;
   for (const int size : {2000, 4000}) {
     Fixture fixture(size);
-    fixture.rollout.onNamed(kStart, kModel, 3);
+    fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
     std::size_t ordered = 0;
     std::size_t questions = 0;
     // Shorter than discovery may take to show a load.
@@ -252,7 +252,7 @@
 Test(version_rollout, an_engine_that_started_again_has_taken_no_orders) {
   Fixture fixture(1);
   fixture.states[0].record.start = 1000;
-  fixture.rollout.onNamed(kStart, kModel, 2);
+  fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   fixture.rollout.onReport(kStart, EngineId("e0"), {1000, 7, false, 0});
   const version_order order = fixture.tick(kStart).at(0);
   cr_assert_eq(*order.expected_sequence, 7U);
