--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -4,7 +4,7 @@
 
 namespace linenpier::scaling {
 
-using usage::DutyAnswer;
+using usage::FencedCallResult;
 
 namespace {
 
@@ -175,25 +175,26 @@
   return std::min(pause, this->options_.max_backoff);
 }
 
-void scaling_policy::onAnswer(Instant now, const scaling_decision& decision, DutyAnswer answer) {
+void scaling_policy::onAnswer(Instant now, const scaling_decision& decision,
+                              FencedCallResult answer) {
   group_state& state = this->states_[decision.group];
-  state.unconfirmed = answer != DutyAnswer::kTaken;
+  state.unconfirmed = answer != FencedCallResult::kTaken;
   if (decision.scalesDown()) state.shrunk_at = now;
   switch (answer) {
-    case DutyAnswer::kTaken:
+    case FencedCallResult::kTaken:
       state.refusals = 0;
       state.ordered_at = now;
       if (decision.reason == OrderReason::kRepeat) ++state.repeats;
       if (now - state.unknown_at >= kMaxCarryOutDelay) state.unknown_at = Instant{};
       break;
-    case DutyAnswer::kFenced:
+    case FencedCallResult::kFenced:
       // The platform says the same where it has no such engines now.
       state.scarce_until = now + this->backoff(++state.refusals);
       break;
-    case DutyAnswer::kRefused:
+    case FencedCallResult::kRefused:
       state.paused_until = now + kRefusedBackoff;
       break;
-    case DutyAnswer::kUnknown:
+    case FencedCallResult::kUnknown:
       state.unknown_at = now;
       state.paused_until = now + kRefusedBackoff;
       break;
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -16,7 +16,7 @@
 
 #include "gateway/scaling/count_targets.h"
 #include "gateway/scaling/scaling_record.h"
-#include "gateway/usage/duty_port.h"
+#include "gateway/usage/usage_port.h"
 
 namespace linenpier::scaling {
 
@@ -38,7 +38,7 @@
   void onRecord(scaling_record record) { this->record_ = std::move(record); }
   /** @return the record with the order in it. */
   scaling_record withOrder(const scaling_decision& decision) const;
-  void onAnswer(Instant now, const scaling_decision& decision, usage::DutyAnswer answer);
+  void onAnswer(Instant now, const scaling_decision& decision, usage::FencedCallResult answer);
   /** An order for fewer was not sent, since the zone's engines have work. */
   void onBusy(Instant now, const scaling_decision& decision);
 
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -7,7 +7,7 @@
 #include "common/ids.h"
 #include "common/task.h"
 #include "gateway/fleet/scaling_bounds.h"
-#include "gateway/usage/duty_port.h"
+#include "gateway/usage/usage_port.h"
 
 namespace linenpier::scaling {
 
@@ -27,8 +27,8 @@
   /** @return kFenced also where the platform has no such engines now: it does not tell one from the
    *     other.
    */
-  virtual Task<usage::DutyAnswer> setEngineCount(scaling_order order,
-                                                 usage::leader_proof proof) = 0;
+  virtual Task<usage::FencedCallResult> setEngineCount(scaling_order order,
+                                                       usage::fenced_call_context proof) = 0;
 };
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -6,7 +6,7 @@
 namespace linenpier::scaling {
 
 using logging::LogEvent;
-using usage::DutyAnswer;
+using usage::FencedCallResult;
 
 namespace {
 
@@ -255,13 +255,14 @@
 Task<void> scaling_service::send(ServiceName name, scaling_decision decision, FencingToken token) {
   const Instant sent_at = steadyNow();
   if (!this->lock_.mayAct(sent_at) || this->lock_.token() != token) co_return;
-  const usage::leader_proof proof{this->deps_.holder, token, this->lock_.mayActUntil()};
+  const usage::fenced_call_context proof{this->deps_.holder, token, this->lock_.mayActUntil()};
   const scaling_order order{name, decision.group, decision.wanted};
   this->lock_.onActed(sent_at);
   ++this->totals_.sent;
-  const DutyAnswer answer = co_await this->deps_.port.setEngineCount(order, proof);
-  if (answer == DutyAnswer::kUnknown) ++this->totals_.unanswered;
-  if (answer == DutyAnswer::kFenced || answer == DutyAnswer::kRefused) ++this->totals_.refused;
+  const FencedCallResult answer = co_await this->deps_.port.setEngineCount(order, proof);
+  if (answer == FencedCallResult::kUnknown) ++this->totals_.unanswered;
+  if (answer == FencedCallResult::kFenced || answer == FencedCallResult::kRefused)
+    ++this->totals_.refused;
   LogEvent("scaling", "ordered")
       .text("service", name.str())
       .text("zone", decision.group.zone.str())
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -15,7 +15,7 @@
 #include "gateway/routing/route_table.h"
 #include "gateway/scaling/scaling_port.h"
 #include "gateway/table/async_table.h"
-#include "gateway/usage/duty_port.h"
+#include "gateway/usage/usage_port.h"
 #include "gateway/versions/rollout_service.h"
 
 namespace linenpier::gateway {
@@ -45,7 +45,7 @@
   virtual table::AsyncObjects& objects() = 0;
   virtual const batch::batch_codec& batchCodec() const = 0;
   virtual versions::engine_order_port& orders() = 0;
-  virtual usage::duty_port& duties() = 0;
+  virtual usage::usage_port& duties() = 0;
   virtual scaling::scaling_port& scaling() = 0;
 
   /// Tables that the platform and its operators write.
--- a/src/gateway/usage/duty_port.h
+++ b/src/gateway/usage/usage_port.h
@@ -14,17 +14,17 @@
 namespace linenpier::usage {
 
 /** How the platform answered a duty's call. */
-enum class DutyAnswer {
+enum class FencedCallResult {
   kTaken,
   kFenced,   ///< It has seen a higher token for the same subject.
   kRefused,  ///< Not done; may be sent again later.
   kUnknown,  ///< No answer: it may be carried out yet.
 };
 
-const char* toText(DutyAnswer answer);
+const char* toText(FencedCallResult answer);
 
 /** As whom a leader makes a call, and how long it may. */
-struct leader_proof {
+struct fenced_call_context {
   std::string holder;  ///< The leader's name; the platform's calls say holder.
   FencingToken token = 0;
   Instant send_by{};  ///< The call is sent until then or not at all.
@@ -38,11 +38,11 @@
   bool operator==(const usage_report&) const = default;
 };
 
-class duty_port {
+class usage_port {
  public:
-  virtual ~duty_port() = default;
+  virtual ~usage_port() = default;
 
-  virtual Task<DutyAnswer> reportUsage(usage_report report, leader_proof proof) = 0;
+  virtual Task<FencedCallResult> reportUsage(usage_report report, fenced_call_context proof) = 0;
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_progress.h
+++ b/src/gateway/usage/usage_progress.h
@@ -6,7 +6,7 @@
 
 #include <string>
 
-#include "gateway/usage/duty_port.h"
+#include "gateway/usage/usage_port.h"
 
 namespace linenpier::usage {
 
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -184,10 +184,11 @@
 
 Task<void> usage_reporter::send() {
   const usage_report report = this->progress_->report;
-  const leader_proof proof{this->deps_.holder, this->lock_.token(), this->lock_.mayActUntil()};
+  const fenced_call_context proof{this->deps_.holder, this->lock_.token(),
+                                  this->lock_.mayActUntil()};
   const Instant sent_at = steadyNow();
   this->lock_.onActed(sent_at);
-  const DutyAnswer answer = co_await this->deps_.port.reportUsage(report, proof);
+  const FencedCallResult answer = co_await this->deps_.port.reportUsage(report, proof);
   const Duration took = steadyNow() - sent_at;
   LogEvent("usage", "report_answered")
       .number("window", report.window)
@@ -195,7 +196,7 @@
       .text("outcome", toText(answer))
       .milliseconds("took_ms", took);
   const bool same = this->progress_ && this->progress_->report.window == report.window;
-  if (answer == DutyAnswer::kTaken) {
+  if (answer == FencedCallResult::kTaken) {
     ++this->total_reported_;
     if (same) this->progress_->taken = true;
     co_return;
--- a/src/gateway/usage/usage_reporter.h
+++ b/src/gateway/usage/usage_reporter.h
@@ -23,7 +23,7 @@
  public:
   struct dependencies {
     lease::leader_lock::dependencies lock;
-    duty_port& port;
+    usage_port& port;
     std::string holder;  ///< Name of this daemon in reports.
     true_clock& clock;
   };
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -27,7 +27,7 @@
  public:
   struct dependencies {
     lease::leader_lock::dependencies lock;
-    duty_port& port;
+    usage_port& port;
     std::string holder;  ///< Name of this daemon in reports.
     std::function<std::int64_t()> time_of_day_ms;
     usage_writer::write_by_peer by_peer;
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -16,7 +16,7 @@
 using scaling::scaling_record;
 using scaling::scaling_view;
 using scaling::ScalingMode;
-using usage::DutyAnswer;
+using usage::FencedCallResult;
 
 namespace {
 
@@ -72,7 +72,7 @@
 
 /// Carries out what is due, as the service does. @return it.
 std::vector<scaling_decision> step(scaling_policy& policy, int second, const scaling_view& view,
-                                   DutyAnswer answer = DutyAnswer::kTaken,
+                                   FencedCallResult answer = FencedCallResult::kTaken,
                                    const scaling_bounds& within = bounds()) {
   auto due = policy.decide(after(second), within, view);
   for (const scaling_decision& each : due) {
@@ -145,7 +145,8 @@
 
 Test(scaling_policy, replacements_keep_within_the_bounds) {
   scaling_policy policy(options(), kStart, fourEach());
-  const auto due = step(policy, 0, closing(seen(4, 4, 4), "c"), DutyAnswer::kTaken, bounds(5));
+  const auto due =
+      step(policy, 0, closing(seen(4, 4, 4), "c"), FencedCallResult::kTaken, bounds(5));
   cr_assert_eq(wantedOf(due, kA), 5U);
   cr_assert_eq(wantedOf(due, kB), 5U);
 }
@@ -219,7 +220,7 @@
   for (const scaling_decision& each : due) {
     policy.onRecord(policy.withOrder(each));
     const bool refused = each.group == kA;
-    policy.onAnswer(after(0), each, refused ? DutyAnswer::kFenced : DutyAnswer::kTaken);
+    policy.onAnswer(after(0), each, refused ? FencedCallResult::kFenced : FencedCallResult::kTaken);
   }
   const auto next = step(policy, 1, view);
   cr_assert_eq(next.size(), 1U);
@@ -233,7 +234,7 @@
       if (each.group != kA || each.scalesDown()) continue;
       asked.push_back(second);
       policy.onRecord(policy.withOrder(each));
-      policy.onAnswer(after(second), each, DutyAnswer::kFenced);
+      policy.onAnswer(after(second), each, FencedCallResult::kFenced);
     }
   }
   cr_assert(asked.size() >= 3);
@@ -244,7 +245,7 @@
 }
 
 Test(scaling_policy, no_other_group_makes_up_for_one_whose_answer_is_awaited) {
-  for (const DutyAnswer answer : {DutyAnswer::kUnknown, DutyAnswer::kRefused}) {
+  for (const FencedCallResult answer : {FencedCallResult::kUnknown, FencedCallResult::kRefused}) {
     scaling_policy policy(options(), kStart, fourEach());
     const scaling_view view = closing(seen(4, 4, 4), "c");
     cr_assert_eq(step(policy, 0, view, answer).size(), 2U);
@@ -255,7 +256,7 @@
 Test(scaling_policy, a_call_that_was_turned_away_is_sent_again_a_moment_later) {
   scaling_policy policy(options(), kStart, fourEach());
   const scaling_view view = closing(seen(4, 4, 4), "c");
-  cr_assert_eq(step(policy, 0, view, DutyAnswer::kRefused).size(), 2U);
+  cr_assert_eq(step(policy, 0, view, FencedCallResult::kRefused).size(), 2U);
   const auto again = step(policy, 1, view);
   cr_assert_eq(wantedOf(again, kA), 6U);
   cr_assert_eq(wantedOf(again, kB), 6U);
@@ -319,7 +320,7 @@
   soon.stabilization_window = std::chrono::seconds(3);
   scaling_policy policy(soon, kStart, fourEach());
   const scaling_view view = closing(seen(4, 4, 4), "c");
-  step(policy, 0, view, DutyAnswer::kUnknown);
+  step(policy, 0, view, FencedCallResult::kUnknown);
   const auto again = step(policy, 1, view);
   cr_assert_eq(wantedOf(again, kA), 6U);
   // Open again, and back to four; then the first order comes to be carried out.
@@ -360,7 +361,7 @@
   scaling_policy policy(options(ScalingMode::kDemand), kStart, fourEach());
   scaling_view view = seen(4, 4, 4);
   view.engines_for_work = 15;
-  const auto due = step(policy, 0, view, DutyAnswer::kFenced);
+  const auto due = step(policy, 0, view, FencedCallResult::kFenced);
   std::size_t spot = 0;
   for (const scaling_decision& each : due) {
     cr_assert(each.group.kind == EngineKind::kSpot);
