--- a/src/gateway/forward/run_reports.cpp
+++ b/src/gateway/forward/run_reports.cpp
@@ -5,7 +5,7 @@
 void run_reports::onRun(forwarded_request& forwarded, Instant at) {
   if (forwarded.recorded || forwarded.internal || forwarded.from.tenant.empty()) return;
   forwarded.recorded = true;
-  this->recorder_.onBegun(forwarded.from.tenant, at);
+  this->recorder_.onRequestStarted(forwarded.from.tenant, at);
 }
 
 void run_reports::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
--- a/src/gateway/forward/run_reports.h
+++ b/src/gateway/forward/run_reports.h
@@ -8,13 +8,13 @@
 #include "gateway/engines/engine_registry.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/forward/forwarded_request.h"
-#include "gateway/usage/run_recorder.h"
+#include "gateway/usage/usage_recorder.h"
 
 namespace linenpier::forward {
 
 class run_reports {
  public:
-  run_reports(const engines::engine_registry& registry, usage::run_recorder& recorder)
+  run_reports(const engines::engine_registry& registry, usage::usage_recorder& recorder)
       : registry_(registry), recorder_(recorder) {}
 
   /** An engine began to run the request. Internal requests and those without a tenant are not
@@ -30,7 +30,7 @@
   bool hasRun(const engine_call& call, AttemptVerdict verdict) const;
 
   const engines::engine_registry& registry_;
-  usage::run_recorder& recorder_;
+  usage::usage_recorder& recorder_;
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -36,7 +36,7 @@
   for (const auto& [tenant, count] : more) sum[tenant] += count;
 }
 
-bool usage_counter::onBegun(Instant at, const TenantId& tenant) {
+bool usage_counter::onRequestStarted(Instant at, const TenantId& tenant) {
   if (this->waiting_.size() >= kMaxWaiting) return false;
   this->waiting_.push_back({at, tenant});
   return true;
--- a/src/gateway/usage/usage_counter.h
+++ b/src/gateway/usage/usage_counter.h
@@ -46,7 +46,7 @@
 
   /** A request began to run. @return whether it was counted: not if too many wait for their window.
    */
-  bool onBegun(Instant at, const TenantId& tenant);
+  bool onRequestStarted(Instant at, const TenantId& tenant);
   /** Counts what waits in its windows, as far as these are known. */
   void assign(const window_finder& find);
   /** @return the windows with counts that are not in the store, oldest first. */
--- a/src/gateway/usage/run_recorder.h
+++ b/src/gateway/usage/usage_recorder.h
@@ -9,14 +9,14 @@
 
 namespace linenpier::usage {
 
-class run_recorder {
+class usage_recorder {
  public:
-  virtual ~run_recorder() = default;
+  virtual ~usage_recorder() = default;
 
   /** An engine began to run a request of the tenant at that time. Called once a request, however
    * many engines run it.
    */
-  virtual void onBegun(const TenantId& tenant, Instant at) = 0;
+  virtual void onRequestStarted(const TenantId& tenant, Instant at) = 0;
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_service.cpp
+++ b/src/gateway/usage/usage_service.cpp
@@ -16,8 +16,8 @@
   this->reporter_.start();
 }
 
-void usage_service::onBegun(const TenantId& tenant, Instant at) {
-  if (this->enabled()) this->writer_.onBegun(tenant, at);
+void usage_service::onRequestStarted(const TenantId& tenant, Instant at) {
+  if (this->enabled()) this->writer_.onRequestStarted(tenant, at);
 }
 
 usage_totals usage_service::totals() const {
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -9,7 +9,7 @@
 #include <functional>
 #include <string>
 
-#include "gateway/usage/run_recorder.h"
+#include "gateway/usage/usage_recorder.h"
 #include "gateway/usage/usage_reporter.h"
 #include "gateway/usage/usage_writer.h"
 
@@ -23,7 +23,7 @@
 };
 
 /** Loop thread only. Lives as long as the loop runs. */
-class usage_service : public run_recorder {
+class usage_service : public usage_recorder {
  public:
   struct dependencies {
     lease::leader_lock::dependencies lock;
@@ -35,7 +35,7 @@
   usage_service(const dependencies& deps, const usage_options& options);
 
   void start();
-  void onBegun(const TenantId& tenant, Instant at) override;
+  void onRequestStarted(const TenantId& tenant, Instant at) override;
   /** The row that says what true time is. */
   void onClockRow(const table::Row& row) { this->clock_.onRow(row); }
   /** The row of the reporting lock, as the feed shows it. */
--- a/src/gateway/usage/usage_writer.cpp
+++ b/src/gateway/usage/usage_writer.cpp
@@ -24,8 +24,8 @@
   spawn(this->deps_.loop, [this] { return this->writeLoop(); });
 }
 
-void usage_writer::onBegun(const TenantId& tenant, Instant at) {
-  if (!this->counter_.onBegun(at, tenant)) {
+void usage_writer::onRequestStarted(const TenantId& tenant, Instant at) {
+  if (!this->counter_.onRequestStarted(at, tenant)) {
     if (this->total_dropped_++ == 0) LogEvent("usage", "too_many_wait");
     return;
   }
--- a/src/gateway/usage/usage_writer.h
+++ b/src/gateway/usage/usage_writer.h
@@ -41,7 +41,7 @@
       : deps_(std::move(deps)), options_(options), counted_(deps_.loop) {}
 
   void start();
-  void onBegun(const TenantId& tenant, Instant at);
+  void onRequestStarted(const TenantId& tenant, Instant at);
   /** @return whether counts wait to be written. */
   bool unsaved() const { return !this->counter_.idle(); }
   std::uint64_t counted() const { return this->total_counted_; }
--- a/tests/gateway/usage/usage_counter_test.cpp
+++ b/tests/gateway/usage/usage_counter_test.cpp
@@ -45,7 +45,7 @@
 
 Test(usage_counter, requests_wait_until_their_window_is_known) {
   usage_counter counter;
-  counter.onBegun(kStart, kAda);
+  counter.onRequestStarted(kStart, kAda);
   counter.assign([](Instant) { return std::nullopt; });
   cr_assert(counter.unsaved().empty());
   cr_assert_not(counter.idle());
@@ -56,10 +56,10 @@
 
 Test(usage_counter, a_window_is_unsaved_until_all_of_it_is_stored) {
   usage_counter counter;
-  counter.onBegun(kStart, kAda);
+  counter.onRequestStarted(kStart, kAda);
   counter.assign([](Instant) { return 7; });
   const std::uint64_t sent = counter.of(7).changes;
-  counter.onBegun(kStart, kBob);
+  counter.onRequestStarted(kStart, kBob);
   counter.assign([](Instant) { return 7; });
   counter.of(7).stored = sent;
   cr_assert_not(counter.idle(), "one came while the other was written");
@@ -81,6 +81,6 @@
 Test(usage_counter, too_many_that_wait_are_told) {
   usage_counter counter;
   bool taken = true;
-  for (int i = 0; i < 30000 && taken; ++i) taken = counter.onBegun(kStart, kAda);
+  for (int i = 0; i < 30000 && taken; ++i) taken = counter.onRequestStarted(kStart, kAda);
   cr_assert_not(taken);
 }
