--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -66,19 +66,19 @@
   auto& [batches, orders, usage, scaling, suspect_requests] = this->readers_;
   if (key.starts_with(table::kJobPrefix)) {
     const JobId id(tail(table::kJobPrefix));
-    change.gone ? batches.onRecordRemoved(id) : batches.onRecordRow(id, change.row);
+    change.removed ? batches.onRecordRemoved(id) : batches.onRecordRow(id, change.row);
   } else if (key.starts_with(table::kOrderPrefix)) {
     const ServiceName service(tail(table::kOrderPrefix));
-    change.gone ? orders.onLockGone(service) : orders.onLockRow(service, change.row);
+    change.removed ? orders.onLockGone(service) : orders.onLockRow(service, change.row);
   } else if (key.starts_with(table::kSuspectPrefix)) {
     const suspects::request_key suspect(tail(table::kSuspectPrefix));
-    change.gone ? suspect_requests.onRowGone(suspect, change.row.revision)
-                : suspect_requests.onRow(suspect, change.row);
+    change.removed ? suspect_requests.onRowGone(suspect, change.row.revision)
+                   : suspect_requests.onRow(suspect, change.row);
   } else if (key == table::kLockPrefix + "usage") {
-    change.gone ? usage.onLockGone() : usage.onLockRow(change.row);
+    change.removed ? usage.onLockGone() : usage.onLockRow(change.row);
   } else if (key == table::kLockPrefix + "scaling") {
-    change.gone ? scaling.onLockGone() : scaling.onLockRow(change.row);
-  } else if (key == table::kClusterTimeName && !change.gone) {
+    change.removed ? scaling.onLockGone() : scaling.onLockRow(change.row);
+  } else if (key == table::kClusterTimeName && !change.removed) {
     usage.onClockRow(change.row);
   }
 }
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -127,7 +127,7 @@
 void engine_feed::onRow(const table::RowChange& change) {
   const EngineId id(table::keyWithoutTable(change.row));
   this->changes_.onChange(id, change.row.revision);
-  if (!change.gone) {
+  if (!change.removed) {
     if (const auto record = this->parse(change.row)) this->update(*record, change.row.revision);
     return;
   }
--- a/src/gateway/service/operator_feed.cpp
+++ b/src/gateway/service/operator_feed.cpp
@@ -52,13 +52,13 @@
   if (zone) {
     // A change is newer than all that the feed told before, also where it comes without a revision.
     const Revision revision = std::max(change.row.revision, this->watcher_.revision() + 1);
-    if (change.gone) {
+    if (change.removed) {
       this->zones_.onOpened(*zone, revision);
     } else {
       this->zones_.onClosed(*zone, revision);
     }
   }
-  if (!change.gone) this->onRow(change.row);
+  if (!change.removed) this->onRow(change.row);
 }
 
 void operator_feed::onRow(const table::Row& row) {
--- a/src/gateway/table/async_table.h
+++ b/src/gateway/table/async_table.h
@@ -22,10 +22,10 @@
   std::int64_t clock_ms = 0;  ///< The store's steady clock.
 };
 
-/// A row that changed; `gone` when it was removed.
+/// A row that was written or removed.
 struct RowChange {
   Row row;
-  bool gone = false;
+  bool removed = false;
 };
 
 struct ChangeBatch {
