--- a/src/gateway/lease/lease_poller.cpp
+++ b/src/gateway/lease/lease_poller.cpp
@@ -20,7 +20,8 @@
 }
 
 Duration lease_poller::nextInterval(bool answered) {
-  const bool hurry = !answered || this->pool_.offers() || this->leases_.anySuspect(steadyNow());
+  const bool hurry =
+      !answered || this->pool_.isCandidate() || this->leases_.anySuspect(steadyNow());
   const Duration mean = hurry ? this->options_.suspect_interval : this->options_.interval;
   const auto step = static_cast<std::int64_t>(this->random_.below(kSpreadSteps));
   return mean * 2 / 3 + mean * 2 / 3 * step / static_cast<std::int64_t>(kSpreadSteps);
--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -44,7 +44,7 @@
 
 std::vector<owner_candidate> owner_pool::ranked(Instant now) const {
   std::vector<owner_candidate> candidates = this->leases_.candidates(now);
-  if (this->offers_) candidates.push_back({this->leases_.own(), this->capacity(), this->zone_});
+  if (this->candidate_) candidates.push_back({this->leases_.own(), this->capacity(), this->zone_});
   std::sort(candidates.begin(), candidates.end(), betterOwner);
   return candidates;
 }
@@ -73,10 +73,10 @@
   } else if (!this->lacking_since_) {
     this->lacking_since_ = now;
   }
-  const bool before = this->offers_;
-  this->offers_ =
+  const bool before = this->candidate_;
+  this->candidate_ =
       this->lacking_since_ && (before || now - *this->lacking_since_ >= this->joinDelay(others));
-  return this->offers_ != before;
+  return this->candidate_ != before;
 }
 
 Duration owner_pool::joinDelay(const std::vector<owner_candidate>& members) const {
@@ -88,7 +88,7 @@
 }
 
 Duration owner_pool::takeoverDelay(Instant now, const std::string& subject) const {
-  const bool in_turn = this->offers_ || this->leases_.candidates(now).empty();
+  const bool in_turn = this->candidate_ || this->leases_.candidates(now).empty();
   const Duration outsider = in_turn ? Duration::zero() : kOutsiderDelay;
   return this->leases_.takeoverDelay(now, subject) + outsider;
 }
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -49,7 +49,7 @@
   /** The leases were read: decides whether this daemon offers. @return whether that changed. */
   bool onLeasesRead(Instant now, const pool_requirements& wanted);
 
-  bool offers() const { return this->offers_; }
+  bool isCandidate() const { return this->candidate_; }
   double capacity() const { return this->capacity_.value(); }
   const ZoneName& zone() const { return this->zone_; }
   /** @return the live daemons that offer, best first; this one among them if it does. */
@@ -69,7 +69,7 @@
   const lease_table& leases_;
   ZoneName zone_;
   capacity_estimator capacity_;
-  bool offers_ = false;
+  bool candidate_ = false;
   std::optional<Instant> lacking_since_;  ///< Since when each read showed that members are missing.
 };
 
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -239,7 +239,7 @@
   updateColdSenders();
   if (!answered || stopping_) return;
   if (!owner_pool_.onLeasesRead(steadyNow(), demand_)) return;
-  LogEvent("lease", owner_pool_.offers() ? "offers_to_own" : "offers_no_more")
+  LogEvent("lease", owner_pool_.isCandidate() ? "offers_to_own" : "offers_no_more")
       .real("capacity", owner_pool_.capacity())
       .number("wanted", static_cast<std::int64_t>(demand_.owners))
       .number("homes", static_cast<std::int64_t>(demand_.places.size()));
@@ -251,8 +251,8 @@
 }
 
 bool Gateway::ownsWork() const {
-  return owner_pool_.offers() || batches_.ownsAny() || orders_.holdsAny() || usage_.holdsLock() ||
-         scaling_.holdsLock();
+  return owner_pool_.isCandidate() || batches_.ownsAny() || orders_.holdsAny() ||
+         usage_.holdsLock() || scaling_.holdsLock();
 }
 
 Task<std::optional<std::uint32_t>> Gateway::loadOf(EngineId engine, Address address) {
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -74,7 +74,7 @@
   const Instant begun = steadyNow();
   for (;;) {
     const bool started = steadyNow() - begun > kStartupTime;
-    const bool idle = started && !this->deps_.pool.offers() && !this->holdsAny();
+    const bool idle = started && !this->deps_.pool.isCandidate() && !this->holdsAny();
     co_await sleepFor(this->deps_.loop, idle ? kIdleTickInterval : kTickInterval);
     const routing::RouteTablePtr routes = this->deps_.routes();
     if (!routes || this->stopping_) continue;
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -34,15 +34,15 @@
   const lease_table empty = tableWith({});
   owner_pool first(empty, kSmall);
   settle(first, 2);
-  cr_assert(first.offers());
+  cr_assert(first.isCandidate());
   const lease_table full = tableWith(
       {{makeLeaseId("x", "1"), lease_row{3, 0.5}}, {makeLeaseId("y", "1"), lease_row{4, 0.5}}});
   owner_pool small(full, kSmall);
   settle(small, 2);
-  cr_assert_not(small.offers(), "two faster machines offer themselves");
+  cr_assert_not(small.isCandidate(), "two faster machines offer themselves");
   cr_assert_eq(small.ranked(kStart).size(), 2U);
   settle(small, 3);
-  cr_assert(small.offers());
+  cr_assert(small.isCandidate());
   cr_assert_eq(small.ranked(kStart).back().lease, kOwn);
 }
 
@@ -55,7 +55,7 @@
     owner_pool pool(table, kSmall, ZoneName(zone));
     pool.onLeasesRead(kStart - std::chrono::minutes(1), demand);
     pool.onLeasesRead(kStart, demand);
-    return pool.offers();
+    return pool.isCandidate();
   };
   cr_assert(settled(wanted, "b"));
   cr_assert_not(settled(wanted, "c"), "it is not in that place");
@@ -66,7 +66,7 @@
   const lease_table table = tableWith({{makeLeaseId("x", "1"), lease_row{3, 0.06}}});
   owner_pool large(table, kLarge);
   settle(large, 1);
-  cr_assert(large.offers());
+  cr_assert(large.isCandidate());
   cr_assert_eq(large.ranked(kStart).front().lease, kOwn);
 }
 
@@ -115,9 +115,9 @@
     table.onStoreRegained(kStart);
     owner_pool pool(table, kLarge);
     pool.onLeasesRead(kStart, lease::pool_requirements{8});
-    at_once += pool.offers() ? 1 : 0;
+    at_once += pool.isCandidate() ? 1 : 0;
     pool.onLeasesRead(kStart + std::chrono::seconds(1), lease::pool_requirements{8});
-    within_a_second += pool.offers() ? 1 : 0;
+    within_a_second += pool.isCandidate() ? 1 : 0;
   }
   cr_assert_leq(at_once, 3);
   cr_assert_gt(within_a_second, 8);
