--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -72,7 +72,7 @@
   this->on_change_(false);
 }
 
-void leader_lock::onGone() {
+void leader_lock::onRowRemoved() {
   this->revision_ = 0;
   this->owner_ = LeaseId();
 }
--- a/src/gateway/lease/leader_lock.h
+++ b/src/gateway/lease/leader_lock.h
@@ -72,7 +72,7 @@
   /** The row, as a feed or a conflict shows it. Rows older than the one known are ignored. */
   void onRow(const table::Row& row);
   /** The row was removed from the store. */
-  void onGone();
+  void onRowRemoved();
   /** Confirms the lock when that is due; takes it if it is free and this daemon's delay is over.
    * @param row_known whether the row, if there is one, has been received.
    */
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -49,7 +49,7 @@
   void start();
   /** The row of the lock, as the feed shows it. */
   void onLockRow(const table::Row& row) { this->lock_.onRow(row); }
-  void onLockGone() { this->lock_.onGone(); }
+  void onLockRemoved() { this->lock_.onRowRemoved(); }
   /** The table of locks was read: if the lock's row was not in it, there is none. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsLock() const { return this->lock_.held(); }
--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -69,15 +69,15 @@
     change.removed ? batches.onRecordRemoved(id) : batches.onRecordRow(id, change.row);
   } else if (key.starts_with(table::kOrderPrefix)) {
     const ServiceName service(tail(table::kOrderPrefix));
-    change.removed ? orders.onLockGone(service) : orders.onLockRow(service, change.row);
+    change.removed ? orders.onLockRemoved(service) : orders.onLockRow(service, change.row);
   } else if (key.starts_with(table::kSuspectPrefix)) {
     const suspects::request_key suspect(tail(table::kSuspectPrefix));
     change.removed ? suspect_requests.onRowGone(suspect, change.row.revision)
                    : suspect_requests.onRow(suspect, change.row);
   } else if (key == table::kLockPrefix + "usage") {
-    change.removed ? usage.onLockGone() : usage.onLockRow(change.row);
+    change.removed ? usage.onLockRemoved() : usage.onLockRow(change.row);
   } else if (key == table::kLockPrefix + "scaling") {
-    change.removed ? scaling.onLockGone() : scaling.onLockRow(change.row);
+    change.removed ? scaling.onLockRemoved() : scaling.onLockRow(change.row);
   } else if (key == table::kClusterTimeName && !change.removed) {
     usage.onClockRow(change.row);
   }
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -40,7 +40,7 @@
   void onClockRow(const table::Row& row) { this->clock_.onRow(row); }
   /** The row of the reporting lock, as the feed shows it. */
   void onLockRow(const table::Row& row) { this->reporter_.onLockRow(row); }
-  void onLockGone() { this->reporter_.onLockGone(); }
+  void onLockRemoved() { this->reporter_.onLockRemoved(); }
   /** The table of locks was read: if the lock's row was not in it, there is none. */
   void onTableRead() { this->reporter_.onTableRead(); }
   bool holdsLock() const { return this->reporter_.holdsLock(); }
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -66,8 +66,8 @@
   this->leadershipOf(service).lock.onRow(row);
 }
 
-void rollout_service::onLockGone(const ServiceName& service) {
-  this->leadershipOf(service).lock.onGone();
+void rollout_service::onLockRemoved(const ServiceName& service) {
+  this->leadershipOf(service).lock.onRowRemoved();
 }
 
 Task<void> rollout_service::tickLoop() {
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -53,7 +53,7 @@
   void onVersionAnnounced(const ModelName& model, WeightVersion version);
   /** The row of a service's lock, as the feed shows it. */
   void onLockRow(const ServiceName& service, const table::Row& row);
-  void onLockGone(const ServiceName& service);
+  void onLockRemoved(const ServiceName& service);
   /** The table of locks was read and its rows follow: a lock without one has no row. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsAny() const { return this->locksHeld() > 0; }
