--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -57,13 +57,14 @@
     if (betterOwner(each, self)) better.push_back(each.zone);
   }
   if (better.size() < wanted.owners) return true;
-  return std::any_of(wanted.places.begin(), wanted.places.end(), [&](const auto& place) {
-    if (!place.zones.contains(this->zone_)) return false;
-    const auto there = std::count_if(better.begin(), better.end(), [&place](const ZoneName& zone) {
-      return place.zones.contains(zone);
-    });
-    return static_cast<std::size_t>(there) < place.owners;
-  });
+  return std::any_of(
+      wanted.zone_requirements.begin(), wanted.zone_requirements.end(), [&](const auto& required) {
+        if (!required.zones.contains(this->zone_)) return false;
+        const auto there = std::count_if(
+            better.begin(), better.end(),
+            [&required](const ZoneName& zone) { return required.zones.contains(zone); });
+        return static_cast<std::size_t>(there) < required.owners;
+      });
 }
 
 bool owner_pool::onLeasesRead(Instant now, const pool_requirements& wanted) {
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -22,15 +22,15 @@
   /** Zones in which so many must offer, whoever offers elsewhere: what must stay within them is
    * owned there.
    */
-  struct place {
+  struct zone_requirement {
     std::set<ZoneName> zones;
     std::size_t owners = 0;
 
-    bool operator==(const place&) const = default;
+    bool operator==(const zone_requirement&) const = default;
   };
 
   std::size_t owners = 0;  ///< Anywhere.
-  std::vector<place> places = {};
+  std::vector<zone_requirement> zone_requirements = {};
 
   bool operator==(const pool_requirements&) const = default;
 };
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -242,7 +242,7 @@
   LogEvent("lease", owner_pool_.isCandidate() ? "offers_to_own" : "offers_no_more")
       .real("capacity", owner_pool_.capacity())
       .number("wanted", static_cast<std::int64_t>(demand_.owners))
-      .number("homes", static_cast<std::int64_t>(demand_.places.size()));
+      .number("homes", static_cast<std::int64_t>(demand_.zone_requirements.size()));
   updateColdSenders();
 }
 
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using place = lease::pool_requirements::place;
+using zone_requirement = lease::pool_requirements::zone_requirement;
 
 /** Daemons that offer to own work beyond one a model: one for the right to order, one that can take
  * over at once.
@@ -30,10 +30,11 @@
 }
 
 /** Adds what jobs under these homes need, unless another route's need as much there. */
-void addPlace(std::vector<place>& places, std::set<ZoneName> zones, std::size_t owners) {
+void addPlace(std::vector<zone_requirement>& places, std::set<ZoneName> zones, std::size_t owners) {
   if (zones.empty()) return;
-  const auto known = std::find_if(places.begin(), places.end(),
-                                  [&zones](const place& each) { return each.zones == zones; });
+  const auto known =
+      std::find_if(places.begin(), places.end(),
+                   [&zones](const zone_requirement& each) { return each.zones == zones; });
   if (known == places.end()) {
     places.push_back({std::move(zones), owners});
   } else {
@@ -55,7 +56,7 @@
     if (route.kind != routing::RequestKind::kBatch) continue;
     const std::size_t owners = modelsOf(table, route) + kSpareWithinResidency;
     const auto add = [&](const fleet::data_residency& residency) {
-      if (residency.bound()) addPlace(demand.places, zonesIn(layout, residency), owners);
+      if (residency.bound()) addPlace(demand.zone_requirements, zonesIn(layout, residency), owners);
     };
     add(route.residency);
     for (const routing::tenant& each : table.tenants.all())
--- a/tests/gateway/service/owner_demand_test.cpp
+++ b/tests/gateway/service/owner_demand_test.cpp
@@ -11,7 +11,7 @@
                                    {ZoneName("c"), RegionName("far")}});
 
 lease::pool_requirements wanted(std::size_t owners,
-                                std::vector<lease::pool_requirements::place> places) {
+                                std::vector<lease::pool_requirements::zone_requirement> places) {
   return {owners, std::move(places)};
 }
 
@@ -38,7 +38,7 @@
 Test(owner_demand, each_set_of_homes_wants_owners_of_its_own) {
   routing::RouteTable table = twoModels();
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
-  const lease::pool_requirements::place near{{ZoneName("a"), ZoneName("b")}, 3};
+  const lease::pool_requirements::zone_requirement near{{ZoneName("a"), ZoneName("b")}, 3};
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}));
   routing::tenant far;
   far.name = TenantId("t");
@@ -47,7 +47,7 @@
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}),
             "the two have no region in common");
   table.routes.front().residency = {};
-  const lease::pool_requirements::place there{{ZoneName("c")}, 3};
+  const lease::pool_requirements::zone_requirement there{{ZoneName("c")}, 3};
   cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {there}));
 }
 
@@ -55,5 +55,5 @@
   routing::RouteTable table = twoModels();
   table.routes.front().kind = routing::RequestKind::kIdempotent;
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
-  cr_assert(gateway::demandOf(table, kLayout).places.empty());
+  cr_assert(gateway::demandOf(table, kLayout).zone_requirements.empty());
 }
