--- a/spec/order_right.pml
+++ b/spec/order_right.pml
@@ -1,4 +1,4 @@
-/* The right to order engines, held by one daemon at a time (src/gateway/lease, src/gateway/versions/order_service).
+/* The right to order engines, held by one daemon at a time (src/gateway/lease, src/gateway/versions/rollout_service).
  *
  * The holder renews its lease row under the condition that the right's row is its own; it orders only
  * within VALIDITY of the moment at which it sent the last such write that was answered. It may be frozen
