--- a/src/gateway/engines/cold_budget.cpp
+++ b/src/gateway/engines/cold_engine_limiter.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engines/cold_budget.h"
+#include "gateway/engines/cold_engine_limiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -35,14 +35,14 @@
   return "unknown";
 }
 
-void cold_budget::setServices(const std::map<ServiceName, routing::Service>& services) {
+void cold_engine_limiter::setServices(const std::map<ServiceName, routing::Service>& services) {
   this->per_second_.clear();
   for (const auto& [name, service] : services) {
     if (service.cold_per_second > 0) this->per_second_[name] = service.cold_per_second;
   }
 }
 
-void cold_budget::onRecord(Instant now, const EngineId& engine, Duration cold_for) {
+void cold_engine_limiter::onRecord(Instant now, const EngineId& engine, Duration cold_for) {
   const bool remembered = this->boundsAny() || cold_for > Duration::zero();
   if (!remembered && !this->engines_.contains(engine)) {
     this->onFeedAnswered(now);
@@ -65,7 +65,7 @@
   state.cold_until = std::max(state.cold_until, now + cold_for);
 }
 
-void cold_budget::onSent(Instant now, const EngineId& engine) {
+void cold_engine_limiter::onSent(Instant now, const EngineId& engine) {
   if (this->per_second_.empty()) return;
   known_engine& state = this->engines_[engine];
   while (!state.sent.empty() && now - state.sent.front() >= this->times_.window) {
@@ -74,7 +74,8 @@
   state.sent.push_back(now);
 }
 
-void cold_budget::onRefused(Instant now, const ServiceName& service, const EngineId& engine) {
+void cold_engine_limiter::onRefused(Instant now, const ServiceName& service,
+                                    const EngineId& engine) {
   ++this->refused_;
   cold_refusals& refusals = this->refusals_[engine];
   refusals.engine = engine;
@@ -83,35 +84,35 @@
   ++refusals.refused;
 }
 
-std::vector<cold_refusals> cold_budget::takeRefusals() {
+std::vector<cold_refusals> cold_engine_limiter::takeRefusals() {
   std::vector<cold_refusals> taken;
   for (auto& [id, refusals] : this->refusals_) taken.push_back(refusals);
   this->refusals_.clear();
   return taken;
 }
 
-const cold_budget::known_engine* cold_budget::find(const EngineId& engine) const {
+const cold_engine_limiter::known_engine* cold_engine_limiter::find(const EngineId& engine) const {
   const auto at = this->engines_.find(engine);
   return at == this->engines_.end() ? nullptr : &at->second;
 }
 
-bool cold_budget::isCold(Instant now, const EngineId& engine) const {
+bool cold_engine_limiter::isCold(Instant now, const EngineId& engine) const {
   const known_engine* state = this->find(engine);
   return state != nullptr && this->isCold(now, *state);
 }
 
-std::size_t cold_budget::sent(Instant now, const known_engine& state) const {
+std::size_t cold_engine_limiter::sent(Instant now, const known_engine& state) const {
   const auto first = std::find_if(state.sent.begin(), state.sent.end(),
                                   [&](Instant at) { return now - at < this->times_.window; });
   return static_cast<std::size_t>(state.sent.end() - first);
 }
 
-std::size_t cold_budget::sent(Instant now, const EngineId& engine) const {
+std::size_t cold_engine_limiter::sent(Instant now, const EngineId& engine) const {
   const known_engine* state = this->find(engine);
   return state == nullptr ? 0 : this->sent(now, *state);
 }
 
-std::size_t cold_budget::fleetBound(const ServiceName& service) const {
+std::size_t cold_engine_limiter::fleetBound(const ServiceName& service) const {
   if (this->rules_.bound_factor <= 0) return 0;
   const auto at = this->per_second_.find(service);
   if (at == this->per_second_.end()) return 0;
@@ -119,8 +120,8 @@
   return static_cast<std::size_t>(std::max(1.0, std::floor(bound)));
 }
 
-cold_allowance cold_budget::coldAllowance(Instant now, const known_engine& state,
-                                          std::size_t bound) const {
+cold_allowance cold_engine_limiter::coldAllowance(Instant now, const known_engine& state,
+                                                  std::size_t bound) const {
   const Duration window = this->times_.window;
   if (now - this->started_at_ < window) return {ColdLimit::kRestart, 0};
   if (!this->senders_.self || this->senders_.count == 0) return {ColdLimit::kNoSender, 0};
@@ -128,7 +129,7 @@
   return {ColdLimit::kShared, bound / (this->senders_.count + kUnseenSenders)};
 }
 
-cold_allowance cold_budget::warmAllowance(Instant now, std::size_t bound) const {
+cold_allowance cold_engine_limiter::warmAllowance(Instant now, std::size_t bound) const {
   const double beats = toSeconds(now - this->feed_at_) / toSeconds(this->times_.heartbeat);
   const bool current = beats < this->times_.stale_after_beats;
   const bool settled = now - this->started_at_ >= this->times_.window;
@@ -138,19 +139,20 @@
   return {limit, std::max<std::size_t>(1, bound / shares)};
 }
 
-cold_allowance cold_budget::allowance(Instant now, const ServiceName& service,
-                                      const EngineId& engine) const {
+cold_allowance cold_engine_limiter::allowance(Instant now, const ServiceName& service,
+                                              const EngineId& engine) const {
   const std::size_t bound = this->fleetBound(service);
   return bound == 0 ? cold_allowance{} : this->allowance(now, this->find(engine), bound);
 }
 
-cold_allowance cold_budget::allowance(Instant now, const known_engine* state,
-                                      std::size_t bound) const {
+cold_allowance cold_engine_limiter::allowance(Instant now, const known_engine* state,
+                                              std::size_t bound) const {
   const bool cold = state != nullptr && this->isCold(now, *state);
   return cold ? this->coldAllowance(now, *state, bound) : this->warmAllowance(now, bound);
 }
 
-bool cold_budget::hasRoom(Instant now, const ServiceName& service, const EngineId& engine) const {
+bool cold_engine_limiter::hasRoom(Instant now, const ServiceName& service,
+                                  const EngineId& engine) const {
   const std::size_t bound = this->fleetBound(service);
   if (bound == 0) return true;
   // Asked for every engine that a choice examines: one look-up of its state.
@@ -159,7 +161,7 @@
   return sent < this->allowance(now, state, bound).requests;
 }
 
-std::vector<cold_change> cold_budget::takeChanges(Instant now) {
+std::vector<cold_change> cold_engine_limiter::takeChanges(Instant now) {
   std::vector<cold_change> changes;
   for (auto& [id, state] : this->engines_) {
     const bool cold = this->isCold(now, state);
@@ -171,7 +173,7 @@
   return changes;
 }
 
-void cold_budget::sweep(Instant now, const std::function<bool(const EngineId&)>& listed) {
+void cold_engine_limiter::sweep(Instant now, const std::function<bool(const EngineId&)>& listed) {
   std::erase_if(this->engines_, [&](const auto& each) {
     const known_engine& state = each.second;
     const bool silent = now - state.recorded_at >= this->times_.forget_after;
--- a/src/gateway/engines/cold_budget.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -28,11 +28,11 @@
 /** How many requests a second the fleet may send to a cold engine: what the engine bears
  * (`cold_per_second` of its service) x `bound_factor` + `extra_per_second`. From the settings.
  */
-struct cold_rules {
+struct cold_limit_options {
   double bound_factor = 0;      ///< 0: nothing is bounded.
   double extra_per_second = 0;  ///< Requests a second.
 
-  bool operator==(const cold_rules&) const = default;
+  bool operator==(const cold_limit_options&) const = default;
 };
 
 /** The daemons that may send to cold engines: those that own work, as their leases show. */
@@ -99,13 +99,13 @@
 /** Invariant: any two daemons together never send more to an engine within a second than the bound
  * allows, whatever either of them knows.
  */
-class cold_budget {
+class cold_engine_limiter {
  public:
-  explicit cold_budget(cold_times times = {}) : times_(times) {}
+  explicit cold_engine_limiter(cold_times times = {}) : times_(times) {}
 
   /** This daemon started. */
   void onStart(Instant now) { this->started_at_ = now; }
-  void setRules(const cold_rules& rules) { this->rules_ = rules; }
+  void setLimitOptions(const cold_limit_options& rules) { this->rules_ = rules; }
   /** @param services of the configuration in force. */
   void setServices(const std::map<ServiceName, routing::Service>& services);
   bool boundsAny() const { return !this->per_second_.empty(); }
@@ -167,7 +167,7 @@
   cold_allowance warmAllowance(Instant now, std::size_t bound) const;
 
   cold_times times_;
-  cold_rules rules_;
+  cold_limit_options rules_;
   cold_senders senders_;
   Instant started_at_{};
   Instant feed_at_{};                         ///< When the feed of records last answered.
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -6,7 +6,7 @@
  */
 
 #include "common/time.h"
-#include "gateway/engines/cold_budget.h"
+#include "gateway/engines/cold_engine_limiter.h"
 #include "gateway/engines/engine_load.h"
 #include "gateway/engines/engine_refusal.h"
 #include "gateway/engines/engine_request.h"
@@ -20,7 +20,7 @@
 class engine_admission {
  public:
   engine_admission(const fleet::closed_zones& closed, const fleet::fleet_layout& layout,
-                   const cold_budget& cold, const load_options& load)
+                   const cold_engine_limiter& cold, const load_options& load)
       : closed_(closed), layout_(layout), cold_(cold), load_(load) {}
 
   /** Runs the checks in the order of `EngineRefusal` and stops at the first that refuses: what the
@@ -37,7 +37,7 @@
 
   const fleet::closed_zones& closed_;
   const fleet::fleet_layout& layout_;
-  const cold_budget& cold_;
+  const cold_engine_limiter& cold_;
   const load_options& load_;
 };
 
--- a/src/gateway/engines/engine_choice.cpp
+++ b/src/gateway/engines/engine_choice.cpp
@@ -10,7 +10,7 @@
 
 const engine_state* engine_choice::pick(Instant now, const engine_request& request,
                                         engine_table& engines, const engine_admission& admission,
-                                        cold_budget& cold, const score_options& score) {
+                                        cold_engine_limiter& cold, const score_options& score) {
   const score_context context = this->contextFor(now, request, engines, score);
   const engine_score scored(now, request, context, this->zone_, cold, score);
   comparison comparison{now, request, admission, scored, cold};
--- a/src/gateway/engines/engine_choice.h
+++ b/src/gateway/engines/engine_choice.h
@@ -12,7 +12,7 @@
 #include "common/ids.h"
 #include "common/random.h"
 #include "common/time.h"
-#include "gateway/engines/cold_budget.h"
+#include "gateway/engines/cold_engine_limiter.h"
 #include "gateway/engines/engine_admission.h"
 #include "gateway/engines/engine_index.h"
 #include "gateway/engines/engine_refusal.h"
@@ -37,7 +37,7 @@
 
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
   const engine_state* pick(Instant now, const engine_request& request, engine_table& engines,
-                           const engine_admission& admission, cold_budget& cold,
+                           const engine_admission& admission, cold_engine_limiter& cold,
                            const score_options& score);
   /** @return whether an engine is where the request may be served; it may be full, or away for a
    *     while.
@@ -56,7 +56,7 @@
     const engine_request& request;
     const engine_admission& admission;
     const engine_score& score;
-    cold_budget& cold;
+    cold_engine_limiter& cold;
     const engine_state* best = nullptr;
     double wait = 0;  ///< Of the best one.
     std::size_t compared = 0;
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -3,9 +3,9 @@
 /** @file
  * The engines that this daemon knows of, and which of them gets a request. The face of this folder:
  * composes discovery (`engine_table`), admission (`engine_admission`), the choice (`engine_choice`)
- * and the bound on cold engines (`cold_budget`), and tells the state of each engine (health, load,
- * latency, loading) what attempts at it showed. Pure state with one owner, which calls it on its
- * event loop only.
+ * and the bound on cold engines (`cold_engine_limiter`), and tells the state of each engine
+ * (health, load, latency, loading) what attempts at it showed. Pure state with one owner, which
+ * calls it on its event loop only.
  */
 
 #include <map>
@@ -16,7 +16,7 @@
 #include "common/address.h"
 #include "common/ids.h"
 #include "common/time.h"
-#include "gateway/engines/cold_budget.h"
+#include "gateway/engines/cold_engine_limiter.h"
 #include "gateway/engines/engine_admission.h"
 #include "gateway/engines/engine_choice.h"
 #include "gateway/engines/engine_request.h"
@@ -122,8 +122,8 @@
   const refusal_tally& lastRefusals() const { return this->choice_.lastRefusals(); }
   /** @return engines that choices have examined so far. */
   std::uint64_t examined() const { return this->choice_.examined(); }
-  cold_budget& cold() { return this->cold_; }
-  const cold_budget& cold() const { return this->cold_; }
+  cold_engine_limiter& coldLimiter() { return this->cold_; }
+  const cold_engine_limiter& coldLimiter() const { return this->cold_; }
 
   // --- Load and latency ---
 
@@ -162,7 +162,7 @@
   registry_options options_;
   fleet::fleet_layout layout_;
   engine_table table_;
-  cold_budget cold_;
+  cold_engine_limiter cold_;
   engine_choice choice_;
 };
 
--- a/src/gateway/engines/engine_score.h
+++ b/src/gateway/engines/engine_score.h
@@ -6,7 +6,7 @@
 
 #include "common/ids.h"
 #include "common/time.h"
-#include "gateway/engines/cold_budget.h"
+#include "gateway/engines/cold_engine_limiter.h"
 #include "gateway/engines/engine_latency.h"
 #include "gateway/engines/engine_load.h"
 #include "gateway/engines/engine_request.h"
@@ -35,7 +35,7 @@
  public:
   /** @param zone of this daemon. */
   engine_score(Instant now, const engine_request& request, const score_context& context,
-               const ZoneName& zone, const cold_budget& cold, const score_options& options)
+               const ZoneName& zone, const cold_engine_limiter& cold, const score_options& options)
       : now_(now),
         request_(request),
         context_(context),
@@ -61,7 +61,7 @@
   const engine_request& request_;
   const score_context& context_;
   const ZoneName& zone_;
-  const cold_budget& cold_;
+  const cold_engine_limiter& cold_;
   const score_options& options_;
 };
 
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -47,7 +47,7 @@
       ++known;
       draining += engine.record.draining ? 1 : 0;
       ejected += engine.health.isEjected(now) ? 1 : 0;
-      cold += this->registry_.cold().isCold(now, engine.record.id) ? 1 : 0;
+      cold += this->registry_.coldLimiter().isCold(now, engine.record.id) ? 1 : 0;
     }
   }
   event.number("engines", known)
--- a/src/gateway/service/cold_engines_monitor.cpp
+++ b/src/gateway/service/cold_engines_monitor.cpp
@@ -22,8 +22,8 @@
   // read.
   senders.count = std::max(others + 1, owners_wanted);
   senders.self = owns_work;
-  if (senders == this->registry_.cold().senders()) return;
-  this->registry_.cold().setSenders(senders);
+  if (senders == this->registry_.coldLimiter().senders()) return;
+  this->registry_.coldLimiter().setSenders(senders);
   LogEvent("engines", "cold_senders")
       .number("senders", static_cast<std::int64_t>(senders.count))
       .number("leases", static_cast<std::int64_t>(others))
@@ -31,7 +31,7 @@
 }
 
 void cold_engines_monitor::report(Instant now, const table::TableWatcher& feed) {
-  engines::cold_budget& cold = this->registry_.cold();
+  engines::cold_engine_limiter& cold = this->registry_.coldLimiter();
   if (feed.read()) cold.onFeedAnswered(feed.lastAnswer());
   for (const engines::cold_change& change : cold.takeChanges(now)) {
     LogEvent("engines", change.cold ? "turned_cold" : "turned_warm")
@@ -54,14 +54,14 @@
         .text("limit", engines::toText(each.allowance.limit))
         .number("sent", static_cast<std::int64_t>(each.sent))
         .number("allowed", static_cast<std::int64_t>(each.allowance.requests))
-        .number("senders", static_cast<std::int64_t>(this->registry_.cold().senders().count))
+        .number("senders", static_cast<std::int64_t>(this->registry_.coldLimiter().senders().count))
         .number("refused", static_cast<std::int64_t>(each.refused))
         .number("engines", static_cast<std::int64_t>(engines));
   }
 }
 
 void cold_engines_monitor::addTo(metrics::GatewayState& state, Instant now) const {
-  const engines::cold_budget& cold = this->registry_.cold();
+  const engines::cold_engine_limiter& cold = this->registry_.coldLimiter();
   state.cold_refusals = cold.refused();
   for (const auto& [id, engine] : this->registry_.all()) {
     const ServiceName& service = engine.record.service;
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -144,8 +144,8 @@
       metrics_page_(metrics,
                     {operators_, engines_, coordination_, registry_, cold_engines_, engine_pool,
                      requests_, keeper_, batches_, orders_, scaling_, usage_, suspects_}) {
-  registry_.cold().onStart(steadyNow());
-  registry_.cold().setRules(settings.cold);
+  registry_.coldLimiter().onStart(steadyNow());
+  registry_.coldLimiter().setLimitOptions(settings.cold);
   registry_.setHeartbeat(settings.engine_heartbeat);
   registry_.setLayout(settings.layout);
   forwarder_.followResidency([this] { return operators_.routes(); });
@@ -201,7 +201,7 @@
   settings_.seeds = changed.seeds;
   settings_.stop_limit = changed.stop_limit;
   settings_.store = changed.store;
-  registry_.cold().setRules(changed.cold);
+  registry_.coldLimiter().setLimitOptions(changed.cold);
   registry_.setHeartbeat(changed.engine_heartbeat);
   settings_.layout = changed.layout;
   registry_.setLayout(changed.layout);
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -12,7 +12,7 @@
 #include "common/ids.h"
 #include "common/time.h"
 #include "gateway/batch/batch_service.h"
-#include "gateway/engines/cold_budget.h"
+#include "gateway/engines/cold_engine_limiter.h"
 #include "gateway/fleet/fleet_layout.h"
 #include "gateway/lease/own_capacity.h"
 #include "gateway/scaling/scaling_policy.h"
@@ -40,7 +40,7 @@
   lease::handover_rules handover;                 ///< Of rights to order engines and of duties.
   versions::rollout_options rollout;
   batch::batch_options batch;
-  engines::cold_rules cold;  ///< Of engines that started lately.
+  engines::cold_limit_options cold;  ///< Of engines that started lately.
   /// Between two heartbeats of an engine, as the platform sets it.
   Duration engine_heartbeat = engines::lapse_options{}.heartbeat;
   bool log_enabled = true;
--- a/tests/gateway/engines/cold_budget_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engines/cold_budget.h"
+#include "gateway/engines/cold_engine_limiter.h"
 
 #include <algorithm>
 #include <vector>
@@ -12,7 +12,7 @@
 
 using namespace linenpier;
 using namespace std::chrono_literals;
-using engines::cold_budget;
+using engines::cold_engine_limiter;
 using engines::cold_senders;
 using engines::ColdLimit;
 using engines::engine_record;
@@ -37,9 +37,9 @@
   return {{kService, service}};
 }
 
-void bind(cold_budget& budget, cold_senders senders, Instant started = kStart) {
+void bind(cold_engine_limiter& budget, cold_senders senders, Instant started = kStart) {
   budget.onStart(started);
-  budget.setRules({1.5, 5});
+  budget.setLimitOptions({1.5, 5});
   budget.setServices(services());
   budget.setSenders(senders);
 }
@@ -58,7 +58,7 @@
 /** A daemon that sends whatever it may. */
 struct greedy_daemon {
   greedy_daemon(cold_senders senders, Instant started = kStart) : registry(ZoneName("z"), {}, 1) {
-    bind(registry.cold(), senders, started);
+    bind(registry.coldLimiter(), senders, started);
   }
 
   void hear(Instant now, Duration cold_for) { registry.onRecord(now, entry("e", cold_for)); }
@@ -115,8 +115,8 @@
 
 }  // namespace
 
-Test(cold_budget, without_rules_nothing_is_bounded) {
-  cold_budget budget;
+Test(cold_engine_limiter, without_rules_nothing_is_bounded) {
+  cold_engine_limiter budget;
   budget.setServices(services());
   budget.onRecord(kLater, kEngine, kColdFor);
   cr_assert(budget.isCold(kLater, kEngine));
@@ -125,15 +125,15 @@
   cr_assert(budget.hasRoom(kLater, kService, kEngine));
 }
 
-Test(cold_budget, a_service_without_a_bound_is_not_bounded) {
-  cold_budget budget;
+Test(cold_engine_limiter, a_service_without_a_bound_is_not_bounded) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   cr_assert_not(budget.isBounded(ServiceName("other")));
   cr_assert(budget.hasRoom(kLater, ServiceName("other"), kEngine));
 }
 
-Test(cold_budget, coldness_counts_from_when_its_entry_was_heard_and_comes_again) {
-  cold_budget budget;
+Test(cold_engine_limiter, coldness_counts_from_when_its_entry_was_heard_and_comes_again) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   budget.onRecord(kLater, kEngine, 0s);
   cr_assert_not(budget.isCold(kLater, kEngine));
@@ -146,24 +146,24 @@
   cr_assert(budget.isCold(again + 1s, kEngine), "the same figure is news once it ran out");
 }
 
-Test(cold_budget, an_entry_that_is_told_once_more_does_not_prolong_the_coldness) {
-  cold_budget budget;
+Test(cold_engine_limiter, an_entry_that_is_told_once_more_does_not_prolong_the_coldness) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   budget.onRecord(kLater, kEngine, kColdFor);
   budget.onRecord(kLater + 2s, kEngine, kColdFor);
   cr_assert_not(budget.isCold(kLater + kColdFor, kEngine));
 }
 
-Test(cold_budget, an_entry_that_lags_does_not_end_the_coldness) {
-  cold_budget budget;
+Test(cold_engine_limiter, an_entry_that_lags_does_not_end_the_coldness) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   budget.onRecord(kLater, kEngine, kColdFor);
   budget.onRecord(kLater + 100ms, kEngine, 0s);
   cr_assert(budget.isCold(kLater + 1s, kEngine));
 }
 
-Test(cold_budget, the_bound_is_shared_out_among_the_senders) {
-  cold_budget budget;
+Test(cold_engine_limiter, the_bound_is_shared_out_among_the_senders) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   budget.onRecord(kLater, kEngine, kColdFor);
   const auto allowed = budget.allowance(kLater, kService, kEngine);
@@ -174,16 +174,16 @@
   cr_assert(budget.hasRoom(kLater + 1300ms, kService, kEngine), "the window slides");
 }
 
-Test(cold_budget, who_owns_no_work_sends_nothing_to_a_cold_engine) {
-  cold_budget budget;
+Test(cold_engine_limiter, who_owns_no_work_sends_nothing_to_a_cold_engine) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, false});
   budget.onRecord(kLater, kEngine, kColdFor);
   cr_assert_eq(budget.allowance(kLater, kService, kEngine).limit, ColdLimit::kNoSender);
   cr_assert_not(budget.hasRoom(kLater, kService, kEngine));
 }
 
-Test(cold_budget, an_engine_that_was_warm_rests_for_a_window_once_it_is_heard_to_be_cold) {
-  cold_budget budget;
+Test(cold_engine_limiter, an_engine_that_was_warm_rests_for_a_window_once_it_is_heard_to_be_cold) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   budget.onRecord(kLater, kEngine, 0s);
   budget.onRecord(kLater + 5s, kEngine, kColdFor);
@@ -191,8 +191,8 @@
   cr_assert_eq(budget.allowance(kLater + 6300ms, kService, kEngine).limit, ColdLimit::kShared);
 }
 
-Test(cold_budget, engines_get_less_while_their_feed_is_silent) {
-  cold_budget budget;
+Test(cold_engine_limiter, engines_get_less_while_their_feed_is_silent) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   budget.onRecord(kLater, kEngine, 0s);
   cr_assert_eq(budget.allowance(kLater + 1s, kService, kEngine).requests, kMost / 2);
@@ -204,8 +204,8 @@
                "no news of an engine is good news while the feed works");
 }
 
-Test(cold_budget, changes_and_refusals_are_told_once) {
-  cold_budget budget;
+Test(cold_engine_limiter, changes_and_refusals_are_told_once) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, false});
   budget.onRecord(kLater, kEngine, kColdFor);
   budget.onRefused(kLater, kService, kEngine);
@@ -224,8 +224,8 @@
   cr_assert_eq(budget.refused(), 2U);
 }
 
-Test(cold_budget, engines_that_are_gone_are_forgotten) {
-  cold_budget budget;
+Test(cold_engine_limiter, engines_that_are_gone_are_forgotten) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   budget.onRecord(kLater, kEngine, kColdFor);
   budget.sweep(kLater + 61s, [](const EngineId&) { return false; });
@@ -234,8 +234,8 @@
                "as one never heard of");
 }
 
-Test(cold_budget, engines_that_are_listed_are_remembered_however_quiet_they_are) {
-  cold_budget budget;
+Test(cold_engine_limiter, engines_that_are_listed_are_remembered_however_quiet_they_are) {
+  cold_engine_limiter budget;
   bind(budget, {kSenders, true});
   budget.onRecord(kLater, kEngine, 0s);
   budget.sweep(kLater + 61s, [](const EngineId&) { return true; });
@@ -317,12 +317,13 @@
   const Instant restarted = kLater + 300ms;
   greedy_daemon after({kSenders, true}, restarted);
   after.hear(restarted, kColdFor - 300ms);
-  cr_assert_eq(after.registry.cold().allowance(restarted, kService, kEngine).limit,
+  cr_assert_eq(after.registry.coldLimiter().allowance(restarted, kService, kEngine).limit,
                ColdLimit::kRestart);
   cr_assert(after.sendAll(restarted).empty());
   play({&after, &other}, restarted, kColdFor - 300ms, engine);
   cr_assert_leq(engine.most(), 2 * (kMost / (kSenders + 1)), "%zu in a second", engine.most());
-  cr_assert_gt(after.registry.cold().sent(restarted + 2600ms, kEngine), 0U, "it sends again");
+  cr_assert_gt(after.registry.coldLimiter().sent(restarted + 2600ms, kEngine), 0U,
+               "it sends again");
 }
 
 Test(cold_engines, a_whole_fleet_that_is_cold_is_served_up_to_the_bound) {
--- a/tests/gateway/service/settings_watch_test.cpp
+++ b/tests/gateway/service/settings_watch_test.cpp
@@ -57,10 +57,10 @@
 Test(settings_watch, the_bound_of_cold_engines_is_read) {
   const std::string file = settingsWith("127.0.0.1:3");
   const auto without = gateway::parseGatewaySettings("f", file);
-  cr_assert(without->cold == engines::cold_rules{}, "nothing is bounded");
+  cr_assert(without->cold == engines::cold_limit_options{}, "nothing is bounded");
   const auto with = gateway::parseGatewaySettings(
       "f", file + "[engines]\ncold_overshoot = 1.5\ncold_slack = 5\n");
-  cr_assert(with->cold == (engines::cold_rules{1.5, 5}));
+  cr_assert(with->cold == (engines::cold_limit_options{1.5, 5}));
 }
 
 Test(settings_watch, a_wrong_file_changes_nothing_and_is_read_once) {
--- a/tests/support/gateway_fixture.h
+++ b/tests/support/gateway_fixture.h
@@ -47,7 +47,7 @@
   bool tokens_checked = false;  ///< By whom orders and duties reach.
   std::string tenants;          ///< Of the configuration, as its list; empty: none.
   double cold_per_second = 0;   ///< That a model sampler bears; 0: no bound.
-  engines::cold_rules cold;
+  engines::cold_limit_options cold;
   std::vector<std::string> zones;  ///< Of the gateways, by index; absent: "z".
   fleet::fleet_layout layout;
   std::vector<std::string> model_zones;  ///< Of the model samplers, by index; absent: "z".
