--- a/src/gateway/batch/job_residency.cpp
+++ b/src/gateway/batch/job_residency.cpp
@@ -97,7 +97,7 @@
       .text("service", wanted.service.str())
       .text("homes", namesOf(wanted.residency))
       .text("homes_of_owner", namesOf(*owners))
-      .text("refusals", this->deps_.registry.lastRefusals().describe());
+      .text("refusals", this->deps_.registry.lastAdmissionFailures().describe());
   return false;
 }
 
--- a/src/gateway/engines/engine_refusal.h
+++ b/src/gateway/engines/admission_failure.h
@@ -12,13 +12,13 @@
 namespace linenpier::engines {
 
 /** In the order of the checks of `engine_admission::admit`. */
-enum class EngineRefusal {
+enum class AdmissionFailure {
   kNone,          ///< It may be sent the request.
-  kOtherService,  ///< It does not serve the service.
+  kWrongService,  ///< It does not serve the service.
   kDraining,
   kZoneClosed,        ///< The operator closed its zone.
   kOutsideResidency,  ///< It is in a region where the request must not be.
-  kOlderVersion,      ///< Its weights are not those that the request needs.
+  kVersionMismatch,   ///< Its weights are not those that the request needs.
   kCold,              ///< This daemon sent it its share of what a cold engine bears.
   kLoading,           ///< It is loading weights of the request's model.
   kFull,              ///< It runs as much as the request allows.
@@ -26,28 +26,28 @@
   kExcluded,          ///< The request excludes it: it was tried there.
 };
 
-inline constexpr std::size_t kEngineRefusals =
-    static_cast<std::size_t>(EngineRefusal::kExcluded) + 1;
+inline constexpr std::size_t kAdmissionFailures =
+    static_cast<std::size_t>(AdmissionFailure::kExcluded) + 1;
 
 /** @return the word of log lines. */
-const char* toText(EngineRefusal refusal);
+const char* toText(AdmissionFailure refusal);
 
 /** How many engines of a service were refused for each reason when one was looked for. */
-class refusal_tally {
+class admission_failure_counts {
  public:
-  void add(EngineRefusal refusal, std::size_t engines = 1) {
+  void add(AdmissionFailure refusal, std::size_t engines = 1) {
     this->counts_[static_cast<std::size_t>(refusal)] += engines;
   }
-  std::size_t of(EngineRefusal refusal) const {
+  std::size_t of(AdmissionFailure refusal) const {
     return this->counts_[static_cast<std::size_t>(refusal)];
   }
   /** @return the reason for most engines; kNone if the service has no engine. */
-  EngineRefusal commonest() const;
+  AdmissionFailure mostFrequent() const;
   /** @return the reasons with their counts, for a log line: "zone_closed 16, full 32". */
   std::string describe() const;
 
  private:
-  std::array<std::size_t, kEngineRefusals> counts_{};
+  std::array<std::size_t, kAdmissionFailures> counts_{};
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -6,9 +6,9 @@
  */
 
 #include "common/time.h"
+#include "gateway/engines/admission_failure.h"
 #include "gateway/engines/cold_engine_limiter.h"
 #include "gateway/engines/engine_load.h"
-#include "gateway/engines/engine_refusal.h"
 #include "gateway/engines/engine_request.h"
 #include "gateway/engines/engine_state.h"
 #include "gateway/fleet/closed_zones.h"
@@ -23,16 +23,17 @@
                    const cold_engine_limiter& cold, const load_options& load)
       : closed_(closed), layout_(layout), cold_(cold), load_(load) {}
 
-  /** Runs the checks in the order of `EngineRefusal` and stops at the first that refuses: what the
-   * operator and the request forbid, what passes by itself within seconds, and what a last resort
-   * passes over (ejected, excluded).
+  /** Runs the checks in the order of `AdmissionFailure` and stops at the first that refuses: what
+   * the operator and the request forbid, what passes by itself within seconds, and what a last
+   * resort passes over (ejected, excluded).
    */
-  EngineRefusal admit(Instant now, const engine_state& engine, const engine_request& request) const;
+  AdmissionFailure admit(Instant now, const engine_state& engine,
+                         const engine_request& request) const;
   /** The checks that no waiting passes: service, draining, closed zone, residency. */
-  EngineRefusal admitPlace(const engine_state& engine, const engine_request& request) const;
+  AdmissionFailure admitPlace(const engine_state& engine, const engine_request& request) const;
 
  private:
-  static EngineRefusal admitVersion(const engine_state& engine, const engine_request& request);
+  static AdmissionFailure admitVersion(const engine_state& engine, const engine_request& request);
   bool isFull(Instant now, const engine_state& engine, const engine_request& request) const;
 
   const fleet::closed_zones& closed_;
--- a/src/gateway/engines/engine_choice.cpp
+++ b/src/gateway/engines/engine_choice.cpp
@@ -14,7 +14,7 @@
   const score_context context = this->contextFor(now, request, engines, score);
   const engine_score scored(now, request, context, this->zone_, cold, score);
   comparison comparison{now, request, admission, scored, cold};
-  this->last_refusals_ = refusal_tally();
+  this->last_failures_ = admission_failure_counts();
   const bool by_version = request.minimum_version > 0 || request.exact_version;
   if (by_version && !request.model.empty()) {
     this->compareHolders(comparison, engines.holding(request.service, request.model));
@@ -41,7 +41,7 @@
   const WeightVersion oldest = request.exact_version.value_or(request.minimum_version);
   for (const auto& [version, engines] : holders) {
     if (version < oldest) {
-      this->last_refusals_.add(EngineRefusal::kOlderVersion, engines.size());
+      this->last_failures_.add(AdmissionFailure::kVersionMismatch, engines.size());
     } else {
       this->compareAll(comparison, engines);
     }
@@ -64,11 +64,11 @@
 
 bool engine_choice::isAdmitted(comparison& comparison, const engine_state& engine) {
   ++this->examined_;
-  const EngineRefusal refusal =
+  const AdmissionFailure refusal =
       comparison.admission.admit(comparison.now, engine, comparison.request);
-  if (refusal == EngineRefusal::kNone) return true;
-  this->last_refusals_.add(refusal);
-  if (refusal == EngineRefusal::kCold) {
+  if (refusal == AdmissionFailure::kNone) return true;
+  this->last_failures_.add(refusal);
+  if (refusal == AdmissionFailure::kCold) {
     comparison.cold.onRefused(comparison.now, comparison.request.service, engine.record.id);
   }
   return false;
@@ -81,11 +81,11 @@
 
 bool engine_choice::anyInPlace(const engine_request& request, const engine_table& engines,
                                const engine_admission& admission) {
-  this->last_refusals_ = refusal_tally();
+  this->last_failures_ = admission_failure_counts();
   for (const engine_index::entry& each : engines.known(request.service)) {
-    const EngineRefusal refusal = admission.admitPlace(*each.engine, request);
-    if (refusal == EngineRefusal::kNone) return true;
-    this->last_refusals_.add(refusal);
+    const AdmissionFailure refusal = admission.admitPlace(*each.engine, request);
+    if (refusal == AdmissionFailure::kNone) return true;
+    this->last_failures_.add(refusal);
   }
   return false;
 }
--- a/src/gateway/engines/engine_choice.h
+++ b/src/gateway/engines/engine_choice.h
@@ -12,10 +12,10 @@
 #include "common/ids.h"
 #include "common/random.h"
 #include "common/time.h"
+#include "gateway/engines/admission_failure.h"
 #include "gateway/engines/cold_engine_limiter.h"
 #include "gateway/engines/engine_admission.h"
 #include "gateway/engines/engine_index.h"
-#include "gateway/engines/engine_refusal.h"
 #include "gateway/engines/engine_request.h"
 #include "gateway/engines/engine_score.h"
 #include "gateway/engines/engine_table.h"
@@ -45,7 +45,7 @@
   bool anyInPlace(const engine_request& request, const engine_table& engines,
                   const engine_admission& admission);
   /** @return why engines were refused at the last call of the above that found none. */
-  const refusal_tally& lastRefusals() const { return this->last_refusals_; }
+  const admission_failure_counts& lastAdmissionFailures() const { return this->last_failures_; }
   /** @return engines that all choices so far have examined, refused ones among them. */
   std::uint64_t examined() const { return this->examined_; }
 
@@ -75,7 +75,7 @@
   ZoneName zone_;
   choice_options options_;
   Random random_;
-  refusal_tally last_refusals_;
+  admission_failure_counts last_failures_;
   std::uint64_t examined_ = 0;
 };
 
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -103,12 +103,12 @@
   // --- Admission and choice ---
 
   /** @return whether the engine may be sent the request, and if not, why. */
-  EngineRefusal admit(Instant now, const engine_state& engine,
-                      const engine_request& request) const {
+  AdmissionFailure admit(Instant now, const engine_state& engine,
+                         const engine_request& request) const {
     return this->admission().admit(now, engine, request);
   }
   /** @return whether an engine is where the request may be served; it may be full, or away for a
-   *     while. If none is, `lastRefusals` tells why.
+   *     while. If none is, `lastAdmissionFailures` tells why.
    */
   bool anyInPlace(const engine_request& request) {
     return this->choice_.anyInPlace(request, this->table_, this->admission());
@@ -119,7 +119,9 @@
                               this->options_.score);
   }
   /** @return why engines were refused when none was found at the last choice. */
-  const refusal_tally& lastRefusals() const { return this->choice_.lastRefusals(); }
+  const admission_failure_counts& lastAdmissionFailures() const {
+    return this->choice_.lastAdmissionFailures();
+  }
   /** @return engines that choices have examined so far. */
   std::uint64_t examined() const { return this->choice_.examined(); }
   cold_engine_limiter& coldLimiter() { return this->cold_; }
--- a/src/gateway/forward/engine_picker.cpp
+++ b/src/gateway/forward/engine_picker.cpp
@@ -12,7 +12,7 @@
   wanted.model = ModelName(http::fieldText(*forwarded.request, this->names_.model));
   wanted.residency = this->residencyOf(forwarded);
   const engines::engine_state* engine = this->pickFrom(*forwarded.route, wanted);
-  if (engine == nullptr) forwarded.refusals = this->registry_.lastRefusals();
+  if (engine == nullptr) forwarded.refusals = this->registry_.lastAdmissionFailures();
   return engine;
 }
 
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -33,7 +33,7 @@
   bool internal = false;    ///< Sent by the system itself, not by a client.
   bool recorded = false;    ///< Its run has been reported to the usage recorder.
   /** Why no engine was found at the last choice that found none. */
-  engines::refusal_tally refusals;
+  engines::admission_failure_counts refusals;
   std::optional<suspects::request_key> key;  ///< Computed when first needed.
   suspects::suspect_admission admission;     ///< As a suspect; as last asked for.
 };
--- a/src/gateway/forward/local_replies.cpp
+++ b/src/gateway/forward/local_replies.cpp
@@ -45,7 +45,7 @@
 
 http::Response local_replies::makeFinal(forwarded_request& forwarded, LocalReply reply) const {
   http::Response response = this->make(statusOf(reply), forwarded.id);
-  const bool closed = forwarded.refusals.commonest() == engines::EngineRefusal::kZoneClosed;
+  const bool closed = forwarded.refusals.mostFrequent() == engines::AdmissionFailure::kZoneClosed;
   if (closed && reply == LocalReply::kNotRun) {
     response.set(this->names_.retry_after, secondsText(this->options_.retry_after_closed));
   }
--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -331,7 +331,7 @@
   greedy_daemon daemon({kSenders, true});
   daemon.hearAll(kLater, kEngines, kColdFor);
   cr_assert_eq(daemon.sendAll(kLater).size(), kEngines * (kMost / (kSenders + 1)));
-  cr_assert_eq(daemon.registry.lastRefusals().of(engines::EngineRefusal::kCold),
+  cr_assert_eq(daemon.registry.lastAdmissionFailures().of(engines::AdmissionFailure::kCold),
                static_cast<std::size_t>(kEngines));
   cr_assert_eq(daemon.sendAll(kLater + 1300ms).size(), kEngines * (kMost / (kSenders + 1)));
 }
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -7,10 +7,10 @@
 // clang-format on
 
 using namespace linenpier;
+using engines::AdmissionFailure;
 using engines::engine_record;
 using engines::engine_registry;
 using engines::engine_request;
-using engines::EngineRefusal;
 
 namespace {
 
@@ -45,7 +45,7 @@
   cr_assert_null(registry.pick(kStart, request));
   request.last_resort = true;
   cr_assert_null(registry.pick(kStart, request));
-  cr_assert_eq(registry.lastRefusals().commonest(), EngineRefusal::kZoneClosed);
+  cr_assert_eq(registry.lastAdmissionFailures().mostFrequent(), AdmissionFailure::kZoneClosed);
   cr_assert(registry.ofService(kService).empty());
 }
 
@@ -67,7 +67,7 @@
   request.residency = fleet::data_residency({RegionName("elsewhere")});
   request.last_resort = true;
   cr_assert_null(registry.pick(kStart, request));
-  cr_assert_eq(registry.lastRefusals().of(EngineRefusal::kOutsideResidency), 2U);
+  cr_assert_eq(registry.lastAdmissionFailures().of(AdmissionFailure::kOutsideResidency), 2U);
 }
 
 Test(engine_admission, an_engine_in_an_unknown_region_is_at_home_nowhere) {
@@ -79,11 +79,11 @@
 }
 
 Test(engine_admission, the_tally_names_the_reasons_with_their_counts) {
-  engines::refusal_tally tally;
-  cr_assert_eq(tally.commonest(), EngineRefusal::kNone);
-  tally.add(EngineRefusal::kFull);
-  tally.add(EngineRefusal::kZoneClosed);
-  tally.add(EngineRefusal::kFull);
-  cr_assert_eq(tally.commonest(), EngineRefusal::kFull);
+  engines::admission_failure_counts tally;
+  cr_assert_eq(tally.mostFrequent(), AdmissionFailure::kNone);
+  tally.add(AdmissionFailure::kFull);
+  tally.add(AdmissionFailure::kZoneClosed);
+  tally.add(AdmissionFailure::kFull);
+  cr_assert_eq(tally.mostFrequent(), AdmissionFailure::kFull);
   cr_assert_eq(tally.describe(), "zone_closed 1, full 2");
 }
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -288,7 +288,8 @@
   cr_assert_eq(registry.pick(kStart, item)->record.id.str(), "e77");
   cr_assert(registry.onGone(kStart, EngineId("e77")).has_value());
   cr_assert_null(registry.pick(kStart, item));
-  cr_assert_eq(registry.lastRefusals().of(engines::EngineRefusal::kOlderVersion), 1999U);
+  cr_assert_eq(registry.lastAdmissionFailures().of(engines::AdmissionFailure::kVersionMismatch),
+               1999U);
 }
 
 Test(engine_registry, one_that_takes_the_request_is_found_among_any_number_that_do_not) {
@@ -352,7 +353,7 @@
   const engines::engine_state* engine = registry.find(id);
   cr_assert_eq(engine->versionOf(kModel), 3U, "not what the earlier start answered");
   cr_assert_eq(engine->health.failures(), 0);
-  cr_assert(registry.admit(kStart, *engine, any()) == engines::EngineRefusal::kNone);
+  cr_assert(registry.admit(kStart, *engine, any()) == engines::AdmissionFailure::kNone);
 }
 
 Test(engine_registry, what_an_earlier_start_says_later_is_not_believed) {
