--- a/src/gateway/engines/engine_health.cpp
+++ b/src/gateway/engines/engine_health.cpp
@@ -9,9 +9,10 @@
 constexpr int kMaxBackoffSteps = 4;
 }  // namespace
 
-void engine_health::onAttemptEnded(Instant now, AttemptEnd end, const health_options& options) {
-  if (end == AttemptEnd::kRefused) return;
-  if (end == AttemptEnd::kServed) {
+void engine_health::onAttemptEnded(Instant now, AttemptOutcome outcome,
+                                   const health_options& options) {
+  if (outcome == AttemptOutcome::kRejected) return;
+  if (outcome == AttemptOutcome::kSuccess) {
     this->failures_ = 0;
     return;
   }
@@ -19,14 +20,14 @@
   if (same_burst) return;
   this->failed_at_ = now;
   ++this->failures_;
-  const Duration ejection = this->ejectionAfter(end, options);
+  const Duration ejection = this->ejectionAfter(outcome, options);
   if (ejection > Duration::zero()) this->ejected_until_ = now + ejection;
 }
 
-Duration engine_health::ejectionAfter(AttemptEnd end, const health_options& options) const {
+Duration engine_health::ejectionAfter(AttemptOutcome outcome, const health_options& options) const {
   // A single broken answer is common and says little about the engine.
-  if (end == AttemptEnd::kBroke && this->failures_ < 2) return Duration::zero();
-  if (end == AttemptEnd::kMisdirected) return options.max_ejection;
+  if (outcome == AttemptOutcome::kBroken && this->failures_ < 2) return Duration::zero();
+  if (outcome == AttemptOutcome::kWrongEngine) return options.max_ejection;
   const int steps = std::min(this->failures_ - 1, kMaxBackoffSteps);
   return std::min(options.first_ejection * (1 << steps), options.max_ejection);
 }
--- a/src/gateway/engines/engine_health.h
+++ b/src/gateway/engines/engine_health.h
@@ -11,22 +11,22 @@
 namespace linenpier::engines {
 
 /** How an attempt at an engine ended, as far as the engine's health is concerned. */
-enum class AttemptEnd {
+enum class AttemptOutcome {
   /** The engine answered as asked, or the gateway itself stopped the attempt (its caller left, its
    * item moved): no failure. Resets the count of failures.
    */
-  kServed,
+  kSuccess,
   /** The engine rejected the request (full or loading weights), or the gateway withheld it before
    * it was sent: neither a failure nor a success.
    */
-  kRefused,
+  kRejected,
   kUnreachable,  ///< No connection. A failure.
   /** A failure: the answer broke off, is unsigned or malformed, or the engine failed (status 500
    * and above). The only kind whose first one does not eject.
    */
-  kBroke,
-  kSilent,       ///< Nothing came in time. A failure.
-  kMisdirected,  ///< Another engine has the address now. A failure; ejects for the longest time.
+  kBroken,
+  kTimeout,      ///< Nothing came in time. A failure.
+  kWrongEngine,  ///< Another engine has the address now. A failure; ejects for the longest time.
 };
 
 struct health_options {
@@ -46,15 +46,16 @@
    * that is known of the engine goes then), or if a further failure is counted, which sets the end
    * anew.
    */
-  void onAttemptEnded(Instant now, AttemptEnd end, const health_options& options);
+  void onAttemptEnded(Instant now, AttemptOutcome outcome, const health_options& options);
 
   bool isEjected(Instant now) const { return now < this->ejected_until_; }
   /** @return failures in a row; those of one burst count once. */
   int failures() const { return this->failures_; }
 
  private:
-  /** @return the time that the engine is ejected for after its last failure, `end`; may be zero. */
-  Duration ejectionAfter(AttemptEnd end, const health_options& options) const;
+  /** @return the time that the engine is ejected for after its last failure, `outcome`; may be
+   * zero. */
+  Duration ejectionAfter(AttemptOutcome outcome, const health_options& options) const;
 
   int failures_ = 0;
   Instant failed_at_{};  ///< When the last failure was counted.
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -30,11 +30,11 @@
   this->table_.inUse().add(*engine);
 }
 
-void engine_registry::onAttemptEnded(Instant now, const EngineId& id, AttemptEnd end) {
+void engine_registry::onAttemptEnded(Instant now, const EngineId& id, AttemptOutcome outcome) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptEnded();
-  engine->health.onAttemptEnded(now, end, this->options_.health);
+  engine->health.onAttemptEnded(now, outcome, this->options_.health);
 }
 
 void engine_registry::onTokens(const EngineId& id, double tokens) {
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -85,7 +85,7 @@
   // --- What attempts show ---
 
   void onAttemptStarted(Instant now, const EngineId& id);
-  void onAttemptEnded(Instant now, const EngineId& id, AttemptEnd end);
+  void onAttemptEnded(Instant now, const EngineId& id, AttemptOutcome outcome);
   /** @param tokens memory that an attempt is expected to need; negative at its end. */
   void onTokens(const EngineId& id, double tokens);
   /** The engine rejected a request for the model, as it does while it loads weights. */
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -5,7 +5,7 @@
 
 namespace linenpier::forward {
 
-using engines::AttemptEnd;
+using engines::AttemptOutcome;
 using http::ExchangeStatus;
 
 namespace {
@@ -59,10 +59,10 @@
 
 engine_call::~engine_call() {
   this->exchange_->abort();
-  this->end(AttemptEnd::kServed);
+  this->end(AttemptOutcome::kSuccess);
 }
 
-void engine_call::end(AttemptEnd end) {
+void engine_call::end(AttemptOutcome end) {
   if (this->ended_) return;
   this->ended_ = true;
   this->context_.registry.onAttemptEnded(steadyNow(), this->engine_, end);
@@ -97,16 +97,16 @@
 AttemptVerdict engine_call::judgeHead() {
   this->readLoad();
   if (this->exchange_->status() == kMisdirected) {
-    this->end(AttemptEnd::kMisdirected);
+    this->end(AttemptOutcome::kWrongEngine);
     return AttemptVerdict::kNotExecuted;
   }
   if (this->head().count(this->context_.names.not_executed) > 0) {
-    this->end(AttemptEnd::kRefused);
+    this->end(AttemptOutcome::kRejected);
     return AttemptVerdict::kNotExecuted;
   }
   if (this->head().count(this->context_.names.signature) == 0) {
     this->exchange_->abort();
-    this->end(AttemptEnd::kBroke);
+    this->end(AttemptOutcome::kBroken);
     return AttemptVerdict::kBroken;
   }
   return AttemptVerdict::kAnswered;
@@ -125,13 +125,13 @@
     case ExchangeStatus::kOk:
       return AttemptVerdict::kAnswered;
     case ExchangeStatus::kNotConnected:
-      this->end(AttemptEnd::kUnreachable);
+      this->end(AttemptOutcome::kUnreachable);
       return AttemptVerdict::kUnreachable;
     case ExchangeStatus::kWithheld:
-      this->end(AttemptEnd::kRefused);
+      this->end(AttemptOutcome::kRejected);
       return AttemptVerdict::kUnreachable;
     case ExchangeStatus::kBroken:
-      this->end(AttemptEnd::kBroke);
+      this->end(AttemptOutcome::kBroken);
       this->exchange_->abort();
       return AttemptVerdict::kBroken;
     case ExchangeStatus::kTimedOut:
@@ -139,7 +139,7 @@
       this->exchange_->abort();
       return AttemptVerdict::kSilent;
     case ExchangeStatus::kAborted:
-      this->end(AttemptEnd::kServed);
+      this->end(AttemptOutcome::kSuccess);
       return AttemptVerdict::kAborted;
   }
   return AttemptVerdict::kBroken;
@@ -149,7 +149,8 @@
   const auto self = this->shared_from_this();
   const ExchangeStatus status = co_await this->exchange_->readAll(body, kMaxAnswer, deadline);
   if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  this->end(this->exchange_->status() >= kServerError ? AttemptEnd::kBroke : AttemptEnd::kServed);
+  this->end(this->exchange_->status() >= kServerError ? AttemptOutcome::kBroken
+                                                      : AttemptOutcome::kSuccess);
   co_return AttemptVerdict::kAnswered;
 }
 
@@ -160,7 +161,7 @@
   const ExchangeStatus status = co_await this->exchange_->readSome(bytes, deadline);
   events = parser.feed(bytes);
   if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  if (this->exchange_->complete()) this->end(AttemptEnd::kServed);
+  if (this->exchange_->complete()) this->end(AttemptOutcome::kSuccess);
   co_return AttemptVerdict::kAnswered;
 }
 
--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -78,7 +78,7 @@
       if (engine == nullptr) break;
       sent.push_back(engine->record.id);
       registry.onAttemptStarted(now, engine->record.id);
-      registry.onAttemptEnded(now, engine->record.id, engines::AttemptEnd::kServed);
+      registry.onAttemptEnded(now, engine->record.id, engines::AttemptOutcome::kSuccess);
     }
     return sent;
   }
--- a/tests/gateway/engines/engine_health_test.cpp
+++ b/tests/gateway/engines/engine_health_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace linenpier;
 using namespace std::chrono_literals;
-using engines::AttemptEnd;
+using engines::AttemptOutcome;
 using engines::engine_health;
 
 namespace {
@@ -16,7 +16,7 @@
 const engines::health_options kOptions;
 
 /** Ends attempts, a second after one another. @return the time of the last. */
-Instant endAttempts(engine_health& health, AttemptEnd end, int attempts) {
+Instant endAttempts(engine_health& health, AttemptOutcome end, int attempts) {
   for (int i = 0; i < attempts; ++i) health.onAttemptEnded(kStart + i * 1s, end, kOptions);
   return kStart + (attempts - 1) * 1s;
 }
@@ -33,16 +33,16 @@
   for (const auto& [failures, ejection] : std::initializer_list<std::pair<int, Duration>>{
            {2, 1400ms}, {3, 2800ms}, {4, 5600ms}, {5, 6s}}) {
     engine_health health;
-    const Instant last = endAttempts(health, AttemptEnd::kBroke, failures);
+    const Instant last = endAttempts(health, AttemptOutcome::kBroken, failures);
     cr_assert_eq(health.failures(), failures);
     expectEjection(health, last, ejection);
   }
   engine_health health;
-  cr_assert_not(health.isEjected(endAttempts(health, AttemptEnd::kBroke, 1)));
+  cr_assert_not(health.isEjected(endAttempts(health, AttemptOutcome::kBroken, 1)));
 }
 
 Test(engine_health, a_silent_or_unreachable_engine_is_ejected_at_once) {
-  for (const AttemptEnd end : {AttemptEnd::kSilent, AttemptEnd::kUnreachable}) {
+  for (const AttemptOutcome end : {AttemptOutcome::kTimeout, AttemptOutcome::kUnreachable}) {
     engine_health health;
     expectEjection(health, endAttempts(health, end, 1), 700ms);
   }
@@ -50,23 +50,23 @@
 
 Test(engine_health, rejections_neither_eject_nor_reset) {
   engine_health health;
-  const Instant last = endAttempts(health, AttemptEnd::kSilent, 2);
-  health.onAttemptEnded(last + 1s, AttemptEnd::kRefused, kOptions);
+  const Instant last = endAttempts(health, AttemptOutcome::kTimeout, 2);
+  health.onAttemptEnded(last + 1s, AttemptOutcome::kRejected, kOptions);
   cr_assert_eq(health.failures(), 2);
   expectEjection(health, last, 1400ms);
 }
 
 Test(engine_health, a_success_resets_the_failures_but_does_not_end_the_ejection) {
   engine_health health;
-  const Instant last = endAttempts(health, AttemptEnd::kBroke, 3);
-  health.onAttemptEnded(last + 1s, AttemptEnd::kServed, kOptions);
+  const Instant last = endAttempts(health, AttemptOutcome::kBroken, 3);
+  health.onAttemptEnded(last + 1s, AttemptOutcome::kSuccess, kOptions);
   cr_assert_eq(health.failures(), 0);
   expectEjection(health, last, 2800ms);
 }
 
 Test(engine_health, a_further_failure_sets_the_end_of_the_ejection_anew) {
   engine_health health;
-  health.onAttemptEnded(kStart, AttemptEnd::kMisdirected, kOptions);
-  health.onAttemptEnded(kStart + 1s, AttemptEnd::kBroke, kOptions);
+  health.onAttemptEnded(kStart, AttemptOutcome::kWrongEngine, kOptions);
+  health.onAttemptEnded(kStart + 1s, AttemptOutcome::kBroken, kOptions);
   expectEjection(health, kStart + 1s, 1400ms);
 }
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -7,7 +7,7 @@
 #include "support/engine_lists.h"
 
 using namespace linenpier;
-using engines::AttemptEnd;
+using engines::AttemptOutcome;
 using engines::engine_record;
 using engines::engine_registry;
 using engines::engine_request;
@@ -85,10 +85,10 @@
 
 Test(engine_registry, one_broken_answer_ejects_nobody_but_repeated_ones_do) {
   engine_registry registry = registryOf({record("a")});
-  registry.onAttemptEnded(kStart, EngineId("a"), AttemptEnd::kBroke);
+  registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kBroken);
   cr_assert_not_null(registry.pick(kStart, any()));
   const Instant later = kStart + std::chrono::seconds(1);
-  registry.onAttemptEnded(later, EngineId("a"), AttemptEnd::kBroke);
+  registry.onAttemptEnded(later, EngineId("a"), AttemptOutcome::kBroken);
   cr_assert_null(registry.pick(later, any()));
   engine_request last_resort = any();
   last_resort.last_resort = true;
@@ -98,7 +98,7 @@
 Test(engine_registry, a_burst_of_resets_counts_as_one_failure) {
   engine_registry registry = registryOf({record("a")});
   for (int i = 0; i < 12; ++i) {
-    registry.onAttemptEnded(kStart, EngineId("a"), AttemptEnd::kBroke);
+    registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kBroken);
   }
   cr_assert_not_null(registry.pick(kStart, any()),
                      "an engine that changes weights resets everything");
@@ -106,7 +106,7 @@
 
 Test(engine_registry, an_engine_at_anothers_address_is_ejected_for_long) {
   engine_registry registry = registryOf({record("a")});
-  registry.onAttemptEnded(kStart, EngineId("a"), AttemptEnd::kMisdirected);
+  registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kWrongEngine);
   cr_assert_null(registry.pick(kStart + std::chrono::seconds(3), any()));
 }
 
@@ -330,7 +330,7 @@
     const EngineId id = registry.pick(now, any())->record.id;
     registry.onAttemptStarted(now, id);
     registry.onEventTime(now, id, std::chrono::milliseconds(25));
-    registry.onAttemptEnded(now, id, AttemptEnd::kServed);
+    registry.onAttemptEnded(now, id, AttemptOutcome::kSuccess);
     used.insert(id);
   }
   cr_assert_eq(used.size(), 1U, "%zu connections for ten requests", used.size());
@@ -345,7 +345,7 @@
   const EngineId id("a");
   registry.onAttemptStarted(kStart, id);
   registry.onVersionSeen(id, kModel, 9);
-  registry.onAttemptEnded(kStart, id, AttemptEnd::kSilent);
+  registry.onAttemptEnded(kStart, id, AttemptOutcome::kTimeout);
   cr_assert_eq(registry.find(id)->health.failures(), 1);
   engine_record again = record("a", 3);
   again.start = 2000;
