--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -11,7 +11,7 @@
 }
 
 void engine_registry::setHeartbeat(Duration heartbeat) {
-  this->options_.lapse.heartbeat = heartbeat;
+  this->options_.record_expiry.heartbeat = heartbeat;
   this->table_.setHeartbeat(heartbeat);
   this->cold_.setHeartbeat(heartbeat);
 }
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -29,7 +29,7 @@
 namespace linenpier::engines {
 
 struct registry_options {
-  lapse_options lapse;
+  record_expiry_options record_expiry;
   health_options health;
   loading_options loading;
   score_options score;
@@ -43,7 +43,7 @@
    */
   engine_registry(ZoneName zone, registry_options options, std::uint64_t seed)
       : options_(options),
-        table_(options.lapse, seed),
+        table_(options.record_expiry, seed),
         choice_(std::move(zone), options.choice, seed) {}
 
   // --- Configuration ---
@@ -64,15 +64,19 @@
   // --- Discovery: see `engine_table` ---
 
   RecordEffect onRecord(Instant now, const engine_record& record);
-  std::vector<Address> keepOnly(Instant now, const std::set<EngineId>& present) {
-    return this->table_.keepOnly(now, present);
+  std::vector<Address> removeMissing(Instant now, const std::set<EngineId>& present) {
+    return this->table_.removeMissing(now, present);
   }
-  std::optional<Address> onUnreadable(const EngineId& id) { return this->table_.onUnreadable(id); }
-  std::optional<Address> onGone(Instant now, const EngineId& id) {
-    return this->table_.onGone(now, id);
+  std::optional<Address> onInvalidRecord(const EngineId& id) {
+    return this->table_.onInvalidRecord(id);
   }
-  void onStoreRegained(Instant now, Duration away) { this->table_.onStoreRegained(now, away); }
-  std::vector<engine_record> dropLapsed(Instant now) { return this->table_.dropLapsed(now); }
+  std::optional<Address> onRemoved(Instant now, const EngineId& id) {
+    return this->table_.onRemoved(now, id);
+  }
+  void onStoreReconnected(Instant now, Duration outage) {
+    this->table_.onStoreReconnected(now, outage);
+  }
+  std::vector<engine_record> removeExpired(Instant now) { return this->table_.removeExpired(now); }
   const engine_state* find(const EngineId& id) const { return this->table_.find(id); }
   const engine_list& ofService(const ServiceName& service) const {
     return this->table_.ofService(service);
--- a/src/gateway/engines/engine_state.cpp
+++ b/src/gateway/engines/engine_state.cpp
@@ -26,7 +26,7 @@
     if (changed) this->seen_versions.erase(model);
   }
   this->record = newer;
-  this->lapsed = false;
+  this->expired = false;
 }
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_state.h
+++ b/src/gateway/engines/engine_state.h
@@ -25,7 +25,7 @@
   std::map<ModelName, WeightVersion> seen_versions;
   /** Its record disappeared around an outage of the store: it is forgotten unless that comes back.
    */
-  bool lapsed = false;
+  bool expired = false;
 
   /** @return the version that the engine holds; 0 if it holds none. */
   WeightVersion versionOf(const ModelName& model) const;
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -51,14 +51,14 @@
   return restarted ? RecordEffect::kRestarted : RecordEffect::kUpdated;
 }
 
-std::vector<Address> engine_table::keepOnly(Instant now, const std::set<EngineId>& present) {
+std::vector<Address> engine_table::removeMissing(Instant now, const std::set<EngineId>& present) {
   std::vector<Address> removed;
   for (auto at = this->engines_.begin(); at != this->engines_.end();) {
     engine_state& engine = at->second;
     if (present.contains(at->first)) {
       ++at;
-    } else if (this->mayHaveLapsed(now, engine)) {
-      engine.lapsed = true;
+    } else if (this->mayHaveExpired(now, engine)) {
+      engine.expired = true;
       ++at;
     } else {
       removed.push_back(engine.record.address);
@@ -68,7 +68,7 @@
   return removed;
 }
 
-std::optional<Address> engine_table::onUnreadable(const EngineId& id) {
+std::optional<Address> engine_table::onInvalidRecord(const EngineId& id) {
   const auto at = this->engines_.find(id);
   if (at == this->engines_.end()) return std::nullopt;
   const Address address = at->second.record.address;
@@ -76,11 +76,11 @@
   return address;
 }
 
-std::optional<Address> engine_table::onGone(Instant now, const EngineId& id) {
+std::optional<Address> engine_table::onRemoved(Instant now, const EngineId& id) {
   const auto at = this->engines_.find(id);
   if (at == this->engines_.end()) return std::nullopt;
-  if (this->mayHaveLapsed(now, at->second)) {
-    at->second.lapsed = true;
+  if (this->mayHaveExpired(now, at->second)) {
+    at->second.expired = true;
     return std::nullopt;
   }
   const Address address = at->second.record.address;
@@ -88,17 +88,17 @@
   return address;
 }
 
-void engine_table::onStoreRegained(Instant now, Duration away) {
-  const Duration shortest_lapse =
-      fromSeconds(this->options_.min_lapse_beats * toSeconds(this->options_.heartbeat));
-  if (away >= shortest_lapse) this->lapse_ends_at_ = now + this->options_.lapse_grace;
+void engine_table::onStoreReconnected(Instant now, Duration outage) {
+  const Duration min_outage =
+      fromSeconds(this->options_.min_expiry_heartbeats * toSeconds(this->options_.heartbeat));
+  if (outage >= min_outage) this->expiry_ends_at_ = now + this->options_.expiry_grace;
 }
 
-std::vector<engine_record> engine_table::dropLapsed(Instant now) {
+std::vector<engine_record> engine_table::removeExpired(Instant now) {
   std::vector<engine_record> dropped;
-  if (now < this->lapse_ends_at_) return dropped;
+  if (now < this->expiry_ends_at_) return dropped;
   for (auto at = this->engines_.begin(); at != this->engines_.end();) {
-    if (at->second.lapsed) {
+    if (at->second.expired) {
       dropped.push_back(at->second.record);
       at = this->erase(at);
     } else {
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -28,26 +28,27 @@
   kOutdated,   ///< An earlier start of the engine wrote it: it was ignored.
 };
 
-/** Engines can't renew their records while the store is away: the records lapse and disappear just
- * after the store is back, though their engines serve on.
+/** Engines can't renew their records during a store outage: the records expire and are deleted just
+ * after the store is back, although their engines still serve.
  */
-struct lapse_options {
-  /** After the store's return lapsed records are back within this time, or their engines are lost.
+struct record_expiry_options {
+  /** After the store's return expired records are back within this time, or their engines are lost.
    * A little less than the two seconds that the platform states.
    */
-  Duration lapse_grace = std::chrono::milliseconds(1900);
+  Duration expiry_grace = std::chrono::milliseconds(1900);
   /** Between two heartbeats of an engine, as the platform sets it. */
   Duration heartbeat = kDefaultEngineHeartbeat;
-  /** An outage of fewer heartbeats lets no record lapse: that takes three missed heartbeats, the
-   * first of which may have been due just after the outage began.
+  /** An outage of fewer heartbeats expires no record: that takes three missed
+   * heartbeats, the first of which may have been due just after the outage began.
    */
-  double min_lapse_beats = 2.5;
+  double min_expiry_heartbeats = 2.5;
 };
 
 class engine_table {
  public:
   /** @param seed of this daemon's order of engines. */
-  engine_table(lapse_options options, std::uint64_t seed) : options_(options), index_(seed) {}
+  engine_table(record_expiry_options options, std::uint64_t seed)
+      : options_(options), index_(seed) {}
   /** The indexes know the engines by their places in memory, which a move keeps. */
   engine_table(const engine_table&) = delete;
   engine_table(engine_table&&) = default;
@@ -65,20 +66,20 @@
   /** The table was read completely; these are all its engines.
    * @return the addresses of engines that were removed.
    */
-  std::vector<Address> keepOnly(Instant now, const std::set<EngineId>& present);
+  std::vector<Address> removeMissing(Instant now, const std::set<EngineId>& present);
   /** What stands where an engine's record stood can't be read.
    * @return the address of the engine that is out of use now, if one was known.
    */
-  std::optional<Address> onUnreadable(const EngineId& id);
-  /** The record of an engine was removed. Just after the store's return it may have lapsed: then
-   * the engine serves on until `dropLapsed`.
+  std::optional<Address> onInvalidRecord(const EngineId& id);
+  /** The record of an engine was removed. Just after the store's return it may have expired: then
+   * the engine serves on until `removeExpired`.
    * @return the address of the engine that was removed, if one was.
    */
-  std::optional<Address> onGone(Instant now, const EngineId& id);
-  /** The store answers again after an outage of `away`. */
-  void onStoreRegained(Instant now, Duration away);
+  std::optional<Address> onRemoved(Instant now, const EngineId& id);
+  /** The store answers again. @param outage how long it did not. */
+  void onStoreReconnected(Instant now, Duration outage);
   /** Removes the engines whose records did not come back in time. @return their records. */
-  std::vector<engine_record> dropLapsed(Instant now);
+  std::vector<engine_record> removeExpired(Instant now);
   /** @param version that an answer of the engine named; 0: it named none. */
   void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version);
 
@@ -108,21 +109,21 @@
   void addToIndexes(const engine_state& engine);
   engine_map::iterator erase(engine_map::iterator at);
   bool isOpen(const engine_state& engine) const;
-  /** @return whether a record that disappears now may have lapsed. An engine that was draining has
+  /** @return whether a record that disappears now may have expired. An engine that was draining has
    *     left, as it said it would.
    */
-  bool mayHaveLapsed(Instant now, const engine_state& engine) const {
-    return now < this->lapse_ends_at_ && !engine.record.draining;
+  bool mayHaveExpired(Instant now, const engine_state& engine) const {
+    return now < this->expiry_ends_at_ && !engine.record.draining;
   }
 
-  lapse_options options_;
+  record_expiry_options options_;
   fleet::closed_zones closed_;
   engine_map engines_;
   /** The members below point into `engines_`. */
   engine_index index_;
   std::map<ServiceName, engine_list> open_;  ///< Not draining and in no closed zone.
   engines_in_use in_use_;
-  Instant lapse_ends_at_{};  ///< Records that disappear before this may have lapsed.
+  Instant expiry_ends_at_{};  ///< Records that disappear before this may have expired.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -42,7 +42,7 @@
   listener.on_change = [&feed](const table::RowChange& change) { feed.onRow(change); };
   listener.on_health = [&feed](bool healthy) {
     if (!healthy) return;
-    feed.deps_.registry.onStoreRegained(steadyNow(), feed.watcher_.lastOutage());
+    feed.deps_.registry.onStoreReconnected(steadyNow(), feed.watcher_.lastOutage());
     spawn(feed.deps_.loop, [&feed] { return feed.dropLapsed(); });
     feed.deps_.on_store_answered();
   };
@@ -75,7 +75,7 @@
   LogEvent("engines", "listed")
       .number("count", static_cast<std::int64_t>(this->listed_.size()))
       .number("revision", static_cast<std::int64_t>(revision));
-  for (const Address& gone : this->deps_.registry.keepOnly(steadyNow(), this->listed_)) {
+  for (const Address& gone : this->deps_.registry.removeMissing(steadyNow(), this->listed_)) {
     this->deps_.connections.forget(gone);
   }
   this->listed_.clear();
@@ -85,7 +85,7 @@
   const std::string key = table::keyWithoutTable(row);
   auto record = this->deps_.platform.parseEngine(key, row.value);
   if (record) return std::move(*record);
-  const auto address = this->deps_.registry.onUnreadable(EngineId(key));
+  const auto address = this->deps_.registry.onInvalidRecord(EngineId(key));
   if (address) this->deps_.connections.forget(*address);
   LogEvent("engines", "bad_record")
       .text("engine", key)
@@ -119,7 +119,7 @@
 }
 
 std::optional<Address> engine_feed::remove(const EngineId& id) {
-  const auto address = this->deps_.registry.onGone(steadyNow(), id);
+  const auto address = this->deps_.registry.onRemoved(steadyNow(), id);
   if (address) this->deps_.connections.forget(*address);
   return address;
 }
@@ -142,8 +142,8 @@
 }
 
 Task<void> engine_feed::dropLapsed() {
-  co_await sleepFor(this->deps_.loop, this->deps_.registry.options().lapse.lapse_grace);
-  for (const engines::engine_record& record : this->deps_.registry.dropLapsed(steadyNow())) {
+  co_await sleepFor(this->deps_.loop, this->deps_.registry.options().record_expiry.expiry_grace);
+  for (const engines::engine_record& record : this->deps_.registry.removeExpired(steadyNow())) {
     this->deps_.connections.forget(record.address);
     LogEvent("engines", "gone").text("engine", record.id.str()).text("reason", "lapsed");
   }
@@ -165,14 +165,14 @@
   const auto changed = this->changes_.since(known);
   if (!changed) {
     for (const auto& [id, engine] : this->deps_.registry.all()) {
-      if (!engine.lapsed) snapshot.engines.push_back(toRow(engine.record));
+      if (!engine.expired) snapshot.engines.push_back(toRow(engine.record));
     }
     return;
   }
   snapshot.engines_since = known;
   for (const EngineId& id : *changed) {
     const engines::engine_state* engine = this->deps_.registry.find(id);
-    if (engine == nullptr || engine->lapsed) {
+    if (engine == nullptr || engine->expired) {
       snapshot.engines_gone.push_back(id.str());
     } else {
       snapshot.engines.push_back(toRow(engine->record));
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -42,7 +42,7 @@
   batch::batch_options batch;
   engines::cold_limit_options cold;  ///< Of engines that started lately.
   /// Between two heartbeats of an engine, as the platform sets it.
-  Duration engine_heartbeat = engines::lapse_options{}.heartbeat;
+  Duration engine_heartbeat = engines::record_expiry_options{}.heartbeat;
   bool log_enabled = true;
   bool log_text = false;
 };
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -63,7 +63,7 @@
   progress.last_engine = EngineId("a");
   const auto wanted = batch::pickRequestFor(oneItem(), 0, route(false), {}, 1.0);
   cr_assert_eq(batch::placeItem(kStart, registry, progress, wanted).engine->record.id.str(), "b");
-  registry.onGone(kStart, EngineId("b"));
+  registry.onRemoved(kStart, EngineId("b"));
   cr_assert_eq(batch::placeItem(kStart, registry, progress, wanted).engine->record.id.str(), "a");
 }
 
--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -360,7 +360,7 @@
   daemon.hear(kLater, 0s);
   const std::size_t sent = daemon.sendAll(kLater).size();
   cr_assert_eq(sent, kMost / 2);
-  daemon.registry.onGone(kLater + 100ms, kEngine);
+  daemon.registry.onRemoved(kLater + 100ms, kEngine);
   daemon.hear(kLater + 200ms, kColdFor);
   cr_assert(daemon.sendAll(kLater + 200ms).empty(), "others may have sent as much");
   cr_assert_eq(daemon.sendAll(kLater + 1500ms).size(), kMost / (kSenders + 1));
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -49,7 +49,7 @@
   leaving.draining = true;
   engine_registry registry = registryOf({leaving, record("b")});
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
-  cr_assert(registry.onGone(kStart, EngineId("b")).has_value());
+  cr_assert(registry.onRemoved(kStart, EngineId("b")).has_value());
   cr_assert_null(registry.pick(kStart, any()));
 }
 
@@ -192,22 +192,22 @@
 
 Test(engine_registry, an_entry_that_lapsed_while_the_store_was_away_may_come_back) {
   engine_registry registry = registryOf({record("a"), record("b")});
-  registry.onStoreRegained(kStart, std::chrono::seconds(5));
-  cr_assert_not(registry.onGone(kStart, EngineId("a")).has_value());
+  registry.onStoreReconnected(kStart, std::chrono::seconds(5));
+  cr_assert_not(registry.onRemoved(kStart, EngineId("a")).has_value());
   const Instant soon = kStart + std::chrono::milliseconds(1500);
-  cr_assert(registry.dropLapsed(soon).empty());
+  cr_assert(registry.removeExpired(soon).empty());
   cr_assert_not_null(registry.find(EngineId("a")), "it serves on");
   registry.onRecord(soon, record("a"));
-  cr_assert(registry.dropLapsed(kStart + std::chrono::seconds(2)).empty());
+  cr_assert(registry.removeExpired(kStart + std::chrono::seconds(2)).empty());
   cr_assert_not_null(registry.find(EngineId("a")), "its entry is back");
 }
 
 Test(engine_registry, an_entry_that_lapsed_and_stays_away_is_gone_within_two_seconds) {
   engine_registry registry = registryOf({record("a"), record("b")});
-  registry.onStoreRegained(kStart, std::chrono::seconds(5));
+  registry.onStoreReconnected(kStart, std::chrono::seconds(5));
   test::listEngines(registry, kStart, {record("b")});
   cr_assert_not_null(registry.find(EngineId("a")));
-  const auto dropped = registry.dropLapsed(kStart + std::chrono::milliseconds(1950));
+  const auto dropped = registry.removeExpired(kStart + std::chrono::milliseconds(1950));
   cr_assert_eq(dropped.size(), 1U);
   cr_assert_null(registry.find(EngineId("a")));
 }
@@ -216,11 +216,12 @@
   engine_record leaving = record("a");
   leaving.draining = true;
   engine_registry registry = registryOf({leaving, record("b"), record("c")});
-  registry.onStoreRegained(kStart, std::chrono::seconds(5));
-  cr_assert(registry.onGone(kStart, EngineId("a")).has_value());
+  registry.onStoreReconnected(kStart, std::chrono::seconds(5));
+  cr_assert(registry.onRemoved(kStart, EngineId("a")).has_value());
   registry = registryOf({record("b"), record("c")});
-  registry.onStoreRegained(kStart, std::chrono::seconds(1));
-  cr_assert(registry.onGone(kStart, EngineId("b")).has_value(), "too short for an entry to lapse");
+  registry.onStoreReconnected(kStart, std::chrono::seconds(1));
+  cr_assert(registry.onRemoved(kStart, EngineId("b")).has_value(),
+            "too short for an entry to lapse");
 }
 
 Test(engine_registry, an_engine_that_is_slow_by_make_is_avoided_when_its_measurement_is_old) {
@@ -286,7 +287,7 @@
   registry.onVersionSeen(EngineId("e77"), kModel, 6);
   item.minimum_version = 6;
   cr_assert_eq(registry.pick(kStart, item)->record.id.str(), "e77");
-  cr_assert(registry.onGone(kStart, EngineId("e77")).has_value());
+  cr_assert(registry.onRemoved(kStart, EngineId("e77")).has_value());
   cr_assert_null(registry.pick(kStart, item));
   cr_assert_eq(registry.lastAdmissionFailures().of(engines::AdmissionFailure::kVersionMismatch),
                1999U);
@@ -370,19 +371,19 @@
 
 Test(engine_registry, an_entry_that_names_no_engine_takes_the_one_that_stood_there_out_of_use) {
   engine_registry registry = registryOf({record("a"), record("b")});
-  registry.onStoreRegained(kStart, std::chrono::seconds(60));
-  cr_assert(registry.onUnreadable(EngineId("a")).has_value());
+  registry.onStoreReconnected(kStart, std::chrono::seconds(60));
+  cr_assert(registry.onInvalidRecord(EngineId("a")).has_value());
   cr_assert_null(registry.find(EngineId("a")), "that is no lapse");
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
-  cr_assert_not(registry.onUnreadable(EngineId("c")).has_value());
+  cr_assert_not(registry.onInvalidRecord(EngineId("c")).has_value());
 }
 
 Test(engine_registry, how_long_the_store_was_away_is_judged_by_the_heartbeat) {
   engine_registry registry = registryOf({record("a")});
   registry.setHeartbeat(std::chrono::seconds(5));
-  registry.onStoreRegained(kStart, std::chrono::seconds(12));
-  cr_assert(registry.onGone(kStart, EngineId("a")).has_value(), "no entry lapsed in that time");
+  registry.onStoreReconnected(kStart, std::chrono::seconds(12));
+  cr_assert(registry.onRemoved(kStart, EngineId("a")).has_value(), "no entry lapsed in that time");
   registry.onRecord(kStart, record("a"));
-  registry.onStoreRegained(kStart, std::chrono::seconds(13));
-  cr_assert_not(registry.onGone(kStart, EngineId("a")).has_value());
+  registry.onStoreReconnected(kStart, std::chrono::seconds(13));
+  cr_assert_not(registry.onRemoved(kStart, EngineId("a")).has_value());
 }
--- a/tests/support/engine_lists.h
+++ b/tests/support/engine_lists.h
@@ -20,7 +20,7 @@
     present.insert(record.id);
     registry.onRecord(now, record);
   }
-  return registry.keepOnly(now, present);
+  return registry.removeMissing(now, present);
 }
 
 }  // namespace linenpier::test
