--- a/src/gateway/engines/cold_engine_limiter.cpp
+++ b/src/gateway/engines/cold_engine_limiter.cpp
@@ -42,8 +42,8 @@
   }
 }
 
-void cold_engine_limiter::onRecord(Instant now, const EngineId& engine, Duration cold_for) {
-  const bool remembered = this->boundsAny() || cold_for > Duration::zero();
+void cold_engine_limiter::onRecord(Instant now, const EngineId& engine, Duration cold_remaining) {
+  const bool remembered = this->boundsAny() || cold_remaining > Duration::zero();
   if (!remembered && !this->engines_.contains(engine)) {
     this->onFeedAnswered(now);
     return;
@@ -52,17 +52,17 @@
   known_engine& state = at->second;
   const bool cold = this->isCold(now, state);
   // The same record received again (from a peer, after an outage) is as old as before.
-  const bool repeated = !is_new && cold && cold_for == state.last_cold_for;
-  state.last_cold_for = cold_for;
+  const bool repeated = !is_new && cold && cold_remaining == state.last_cold_for;
+  state.last_cold_for = cold_remaining;
   state.recorded_at = now;
   this->onFeedAnswered(now);
-  if (repeated || cold_for <= Duration::zero()) return;
+  if (repeated || cold_remaining <= Duration::zero()) return;
   if (!cold) {
     state.turned_cold_at = now;
     state.was_warm = !is_new;
   }
   // Records lag: one that says less than an earlier one does not shorten the time.
-  state.cold_until = std::max(state.cold_until, now + cold_for);
+  state.cold_until = std::max(state.cold_until, now + cold_remaining);
 }
 
 void cold_engine_limiter::onSent(Instant now, const EngineId& engine) {
--- a/src/gateway/engines/cold_engine_limiter.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -119,9 +119,9 @@
   void onFeedAnswered(Instant at) { this->feed_at_ = std::max(this->feed_at_, at); }
   /** A record of the engine was received. While no service is bounded only cold engines are
    * remembered: most engines of a large service never are.
-   * @param cold_for how much longer it is cold, as the record says.
+   * @param cold_remaining how much longer it is cold, as the record says.
    */
-  void onRecord(Instant now, const EngineId& engine, Duration cold_for);
+  void onRecord(Instant now, const EngineId& engine, Duration cold_remaining);
   /** A request goes to the engine now. */
   void onSent(Instant now, const EngineId& engine);
   /** A request was not sent to the engine, since the allowance was used up. */
--- a/src/gateway/engines/engine_record.h
+++ b/src/gateway/engines/engine_record.h
@@ -30,12 +30,12 @@
   ServiceName service;
   Address address;
   ZoneName zone;
-  std::uint32_t slots = 1;            ///< Requests that it runs at the same time.
-  bool draining = false;              ///< It finishes what it runs and takes nothing new.
-  bool spot = false;                  ///< The platform may reclaim it.
-  std::optional<Duration> leaves_in;  ///< Until the platform reclaims it, from this record on.
-  Duration cold_for{};                ///< It is still cold for this long, from this record on.
-  model_versions models;              ///< Weights that it holds; lags behind the engine's answers.
+  std::uint32_t slots = 1;             ///< Requests that it runs at the same time.
+  bool draining = false;               ///< It finishes what it runs and takes nothing new.
+  bool spot = false;                   ///< The platform may reclaim it.
+  std::optional<Duration> reclaim_in;  ///< Until the platform reclaims it, from this record on.
+  Duration cold_remaining{};           ///< It is still cold for this long, from this record on.
+  model_versions models;               ///< Weights that it holds; lags behind the engine's answers.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -18,7 +18,8 @@
 
 RecordEffect engine_registry::onRecord(Instant now, const engine_record& record) {
   const RecordEffect effect = this->table_.onRecord(record);
-  if (effect != RecordEffect::kOutdated) this->cold_.onRecord(now, record.id, record.cold_for);
+  if (effect != RecordEffect::kOutdated)
+    this->cold_.onRecord(now, record.id, record.cold_remaining);
   return effect;
 }
 
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -137,7 +137,7 @@
         record.spot ? fleet::EngineKind::kSpot : fleet::EngineKind::kOnDemand;
     observed_engines& seen = view.groups[{record.zone, kind}];
     ++(record.draining ? seen.draining : seen.serving);
-    if (record.draining && record.leaves_in) ++seen.reclaimed;
+    if (record.draining && record.reclaim_in) ++seen.reclaimed;
   }
   for (const auto& [zone, revision] : this->deps_.registry.closedZones().all()) {
     view.closed.insert(zone);
--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -44,14 +44,14 @@
   budget.setSenders(senders);
 }
 
-engine_record entry(const std::string& id, Duration cold_for) {
+engine_record entry(const std::string& id, Duration cold_remaining) {
   engine_record made;
   made.id = EngineId(id);
   made.service = kService;
   made.address = {0x7f000001, static_cast<std::uint16_t>(9000 + id.back())};
   made.zone = ZoneName("z");
   made.slots = 1000;
-  made.cold_for = cold_for;
+  made.cold_remaining = cold_remaining;
   return made;
 }
 
@@ -61,10 +61,12 @@
     bind(registry.coldLimiter(), senders, started);
   }
 
-  void hear(Instant now, Duration cold_for) { registry.onRecord(now, entry("e", cold_for)); }
-  void hearAll(Instant now, int engines, Duration cold_for) {
+  void hear(Instant now, Duration cold_remaining) {
+    registry.onRecord(now, entry("e", cold_remaining));
+  }
+  void hearAll(Instant now, int engines, Duration cold_remaining) {
     for (int i = 0; i < engines; ++i) {
-      registry.onRecord(now, entry("e" + std::to_string(i), cold_for));
+      registry.onRecord(now, entry("e" + std::to_string(i), cold_remaining));
     }
   }
   /** @return the engines that one look sends to. */
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -73,7 +73,7 @@
   cr_assert_eq(engine->id.str(), "i-1");
   cr_assert(engine->draining);
   cr_assert_eq(engine->models.at(ModelName("m")), 4U);
-  cr_assert(engine->cold_for == std::chrono::milliseconds(1500));
+  cr_assert(engine->cold_remaining == std::chrono::milliseconds(1500));
   cr_assert_not(parseEngine("i-1", "{}").has_value());
   cr_assert_not(parseEngine("i-1", R"({"service":"s","address":"nowhere"})").has_value());
   cr_assert_not(parseEngine("i-1", "nonsense").has_value());
@@ -129,8 +129,8 @@
   cr_assert(again->draining);
   cr_assert(again->spot);
   cr_assert(again->models == read->models);
-  cr_assert(again->cold_for == read->cold_for);
-  cr_assert(again->leaves_in == read->leaves_in);
+  cr_assert(again->cold_remaining == read->cold_remaining);
+  cr_assert(again->reclaim_in == read->reclaim_in);
 }
 
 Test(documents, a_named_version_is_read_from_its_own_rows_only) {
@@ -248,11 +248,11 @@
   cr_assert(spot.has_value());
   cr_assert(spot->spot);
   cr_assert(spot->draining);
-  cr_assert(*spot->leaves_in == std::chrono::milliseconds(2500));
+  cr_assert(*spot->reclaim_in == std::chrono::milliseconds(2500));
   const auto other = parseEngine("i-2", R"({"service":"s","address":"10.0.0.2:8080","zone":"a",
                  "slots":2,"state":"ready"})");
   cr_assert_not(other->spot);
-  cr_assert_not(other->leaves_in.has_value());
+  cr_assert_not(other->reclaim_in.has_value());
 }
 
 Test(documents, homes_of_routes_and_tenants_are_read) {
