--- a/src/gateway/fleet/zone_closings.cpp
+++ b/src/gateway/fleet/closed_zone_tracker.cpp
@@ -1,8 +1,9 @@
-#include "gateway/fleet/zone_closings.h"
+#include "gateway/fleet/closed_zone_tracker.h"
 
 namespace linenpier::fleet {
 
-zone_changes zone_closings::onTable(Revision revision, const std::map<ZoneName, Revision>& closed) {
+zone_changes closed_zone_tracker::onSnapshot(Revision revision,
+                                             const std::map<ZoneName, Revision>& closed) {
   zone_changes changes;
   if (revision < this->revision_) return changes;
   for (const auto& [zone, since] : this->closed_) {
@@ -16,7 +17,7 @@
   return changes;
 }
 
-zone_changes zone_closings::onClosed(const ZoneName& zone, Revision revision) {
+zone_changes closed_zone_tracker::onClosed(const ZoneName& zone, Revision revision) {
   zone_changes changes;
   if (revision <= this->revision_) return changes;
   if (!this->closed_.contains(zone)) changes.closed.push_back(zone);
@@ -24,7 +25,7 @@
   return changes;
 }
 
-zone_changes zone_closings::onOpened(const ZoneName& zone, Revision revision) {
+zone_changes closed_zone_tracker::onOpened(const ZoneName& zone, Revision revision) {
   zone_changes changes;
   if (revision <= this->revision_ || this->closed_.erase(zone) == 0) return changes;
   changes.opened.push_back(zone);
--- a/src/gateway/fleet/zone_closings.h
+++ b/src/gateway/fleet/closed_zone_tracker.h
@@ -2,7 +2,7 @@
 
 /** @file
  * What this daemon knows of closed zones, from the feed of the operator's table or from a peer.
- * Takes in only what is newer than what it knows, closings and openings alike. Pure.
+ * Takes in only what is newer than what it knows, tracker and openings alike. Pure.
  */
 
 #include <map>
@@ -20,14 +20,14 @@
   bool empty() const { return this->closed.empty() && this->opened.empty(); }
 };
 
-class zone_closings {
+class closed_zone_tracker {
  public:
   /** The operator's table was read completely. Replaces the set: a zone that is missing was opened,
    * perhaps while the feed was lost.
    * @param closed zones with the revision of the row that closed each.
    * @param revision at which the table was read; one older than what is known changes nothing.
    */
-  zone_changes onTable(Revision revision, const std::map<ZoneName, Revision>& closed);
+  zone_changes onSnapshot(Revision revision, const std::map<ZoneName, Revision>& closed);
   /** One row of the table; rows come in the order of their revisions. A row that a table from a
    * peer held already changes nothing.
    */
--- a/src/gateway/service/closed_zones_monitor.cpp
+++ b/src/gateway/service/closed_zones_monitor.cpp
@@ -16,7 +16,7 @@
 
 void closed_zones_monitor::onTable(Revision revision, const std::map<ZoneName, Revision>& closed,
                                    const char* source) {
-  this->apply(this->closings_.onTable(revision, closed), revision, source);
+  this->apply(this->closings_.onSnapshot(revision, closed), revision, source);
 }
 
 void closed_zones_monitor::onClosed(const ZoneName& zone, Revision revision) {
--- a/src/gateway/service/closed_zones_monitor.h
+++ b/src/gateway/service/closed_zones_monitor.h
@@ -11,7 +11,7 @@
 #include <map>
 
 #include "gateway/engines/engine_registry.h"
-#include "gateway/fleet/zone_closings.h"
+#include "gateway/fleet/closed_zone_tracker.h"
 
 namespace linenpier::gateway {
 
@@ -41,7 +41,7 @@
 
   engines::engine_registry& registry_;
   std::function<std::size_t(const ZoneName&)> runs_in_;
-  fleet::zone_closings closings_;
+  fleet::closed_zone_tracker closings_;
 };
 
 }  // namespace linenpier::gateway
--- a/tests/gateway/fleet/zone_closings_test.cpp
+++ b/tests/gateway/fleet/closed_zone_tracker_test.cpp
@@ -1,9 +1,9 @@
-#include "gateway/fleet/zone_closings.h"
+#include "gateway/fleet/closed_zone_tracker.h"
 
 #include <criterion/criterion.h>
 
 using namespace linenpier;
-using fleet::zone_closings;
+using fleet::closed_zone_tracker;
 
 namespace {
 
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-Test(zone_closings, a_row_closes_its_zone_until_it_is_gone) {
-  zone_closings closings;
+Test(closed_zone_tracker, a_row_closes_its_zone_until_it_is_gone) {
+  closed_zone_tracker closings;
   const auto closed = closings.onClosed(kNorth, 5);
   cr_assert_eq(closed.closed.size(), 1U);
   cr_assert(closed.closed[0] == kNorth);
@@ -23,8 +23,8 @@
   cr_assert(closings.zones().empty());
 }
 
-Test(zone_closings, a_closing_that_is_sent_twice_is_acted_on_once) {
-  zone_closings closings;
+Test(closed_zone_tracker, a_closing_that_is_sent_twice_is_acted_on_once) {
+  closed_zone_tracker closings;
   cr_assert_eq(closings.onClosed(kNorth, 5).closed.size(), 1U);
   cr_assert(closings.onClosed(kNorth, 7).empty());
   cr_assert_eq(closings.zones().all().at(kNorth), 7U);
@@ -32,8 +32,8 @@
   cr_assert(closings.onOpened(kNorth, 9).empty());
 }
 
-Test(zone_closings, two_zones_open_each_by_itself) {
-  zone_closings closings;
+Test(closed_zone_tracker, two_zones_open_each_by_itself) {
+  closed_zone_tracker closings;
   closings.onClosed(kNorth, 5);
   closings.onClosed(kSouth, 6);
   closings.onOpened(kNorth, 7);
@@ -41,27 +41,27 @@
   cr_assert(closings.zones().contains(kSouth));
 }
 
-Test(zone_closings, a_whole_table_shows_what_was_taken_back_unheard) {
-  zone_closings closings;
+Test(closed_zone_tracker, a_whole_table_shows_what_was_taken_back_unheard) {
+  closed_zone_tracker closings;
   closings.onClosed(kNorth, 5);
-  const auto changes = closings.onTable(9, {{kSouth, 8}});
+  const auto changes = closings.onSnapshot(9, {{kSouth, 8}});
   cr_assert_eq(changes.opened.size(), 1U);
   cr_assert_eq(changes.closed.size(), 1U);
   cr_assert_eq(changes.opened[0].str(), "north");
   cr_assert(changes.closed[0] == kSouth);
 }
 
-Test(zone_closings, an_older_table_changes_nothing) {
-  zone_closings closings;
-  closings.onTable(9, {{kNorth, 4}});
-  cr_assert(closings.onTable(8, {}).empty());
+Test(closed_zone_tracker, an_older_table_changes_nothing) {
+  closed_zone_tracker closings;
+  closings.onSnapshot(9, {{kNorth, 4}});
+  cr_assert(closings.onSnapshot(8, {}).empty());
   cr_assert(closings.zones().contains(kNorth));
 }
 
-Test(zone_closings, a_feed_that_goes_on_from_before_a_peers_word_does_not_turn_it_back) {
-  zone_closings closings;
+Test(closed_zone_tracker, a_feed_that_goes_on_from_before_a_peers_word_does_not_turn_it_back) {
+  closed_zone_tracker closings;
   // The zone was closed at 5 and opened at 7, as a peer's table of 8 shows.
-  closings.onTable(8, {});
+  closings.onSnapshot(8, {});
   cr_assert(closings.onClosed(kNorth, 5).empty());
   cr_assert(closings.onOpened(kNorth, 7).empty());
   cr_assert(closings.zones().empty());
