--- a/src/gateway/batch/job_residency.cpp
+++ b/src/gateway/batch/job_residency.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 std::string namesOf(const fleet::data_residency& residency) {
-  if (!residency.bound()) return "anywhere";
+  if (!residency.isRestricted()) return "anywhere";
   std::string names;
   for (const RegionName& each : residency.regions())
     names += (names.empty() ? "" : ",") + each.str();
@@ -57,7 +57,7 @@
   fleet::data_residency residency = tenants::residencyOf(*table, route, record.tenant);
   for (const RouteName& name : record.other_routes) {
     const routing::Route* other = routeNamed(*table, name);
-    if (other != nullptr) residency = residency.both(other->residency);
+    if (other != nullptr) residency = residency.intersect(other->residency);
   }
   return residency;
 }
@@ -68,7 +68,7 @@
   const fleet::data_residency residency = tenants::residencyOf(table, &route, active.record.tenant);
   const std::string path = pathOf(active.run.job().items[item].path);
   const routing::Route* own = table.find(active.record.host, path);
-  return own == nullptr ? residency : residency.both(own->residency);
+  return own == nullptr ? residency : residency.intersect(own->residency);
 }
 
 RegionName job_residency::ownRegion() const {
@@ -84,12 +84,12 @@
                                           const job_record& record) const {
   const std::optional<fleet::data_residency> owners = this->of(record);
   if (!owners) return false;
-  const bool owned_nowhere = owners->bound() && owners->regions().empty();
+  const bool owned_nowhere = owners->isRestricted() && owners->regions().empty();
   const routing::RouteTablePtr table = this->deps_.routes();
   engines::engine_request wanted;
   wanted.service = route.services.front().service;
   wanted.residency = tenants::residencyOf(*table, &route, record.tenant);
-  if (!wanted.residency.bound() && !owned_nowhere) return true;
+  if (!wanted.residency.isRestricted() && !owned_nowhere) return true;
   const bool any = this->deps_.registry.anyInPlace(wanted);
   if (any && !owned_nowhere) return true;
   LogEvent("batch", "no_engine_at_home")
--- a/src/gateway/fleet/data_residency.h
+++ b/src/gateway/fleet/data_residency.h
@@ -20,19 +20,20 @@
   /** In these regions alone; nowhere if there are none. */
   explicit data_residency(std::set<RegionName> regions) : regions_(std::move(regions)) {}
 
-  /** @return whether it is bound to some regions. */
-  bool bound() const { return this->regions_.has_value(); }
-  /** @param region empty: unknown, allowed only where residency is not bound. */
+  /** @return whether only some regions are allowed. */
+  bool isRestricted() const { return this->regions_.has_value(); }
+  /** @param region empty: unknown, allowed only without a restriction. */
   bool allows(const RegionName& region) const {
     return !this->regions_ || this->regions_->contains(region);
   }
   /** @return the regions; none if it may be anywhere. */
   std::set<RegionName> regions() const { return this->regions_.value_or(std::set<RegionName>{}); }
 
-  /** @return what both allow, such as the residency of a route and that of its caller. */
-  data_residency both(const data_residency& other) const {
-    if (!this->bound()) return other;
-    if (!other.bound()) return *this;
+  /** @return the regions that both allow, such as the residency of a route and that of its caller.
+   */
+  data_residency intersect(const data_residency& other) const {
+    if (!this->isRestricted()) return other;
+    if (!other.isRestricted()) return *this;
     std::set<RegionName> common;
     std::set_intersection(this->regions_->begin(), this->regions_->end(), other.regions_->begin(),
                           other.regions_->end(), std::inserter(common, common.end()));
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -54,11 +54,11 @@
     if (route.kind != routing::RequestKind::kBatch) continue;
     const std::size_t owners = modelsOf(table, route) + kSpareWithinResidency;
     const auto add = [&](const fleet::data_residency& residency) {
-      if (residency.bound()) addPlace(demand.places, zonesIn(layout, residency), owners);
+      if (residency.isRestricted()) addPlace(demand.places, zonesIn(layout, residency), owners);
     };
     add(route.residency);
     for (const routing::tenant& each : table.tenants.all())
-      add(route.residency.both(each.residency));
+      add(route.residency.intersect(each.residency));
   }
   return demand;
 }
--- a/src/gateway/tenants/residency.cpp
+++ b/src/gateway/tenants/residency.cpp
@@ -5,7 +5,7 @@
 fleet::data_residency residencyOf(const routing::RouteTable& table, const routing::Route* route,
                                   const TenantId& tenant) {
   const fleet::data_residency of_tenant = table.tenants.residencyOf(tenant);
-  return route == nullptr ? of_tenant : route->residency.both(of_tenant);
+  return route == nullptr ? of_tenant : route->residency.intersect(of_tenant);
 }
 
 }  // namespace linenpier::tenants
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -270,11 +270,11 @@
   const routing::Route* bound = table->find("h", "/b/1");
   const TenantId ada("ada");
   cr_assert(bound->residency == fleet::data_residency({RegionName("r1"), RegionName("r2")}));
-  cr_assert_not(table->find("h", "/f/1")->residency.bound());
-  cr_assert_not(table->find("h", "/e/1")->residency.bound(), "no home is named");
+  cr_assert_not(table->find("h", "/f/1")->residency.isRestricted());
+  cr_assert_not(table->find("h", "/e/1")->residency.isRestricted(), "no home is named");
   cr_assert(tenants::residencyOf(*table, bound, ada) == fleet::data_residency({RegionName("r2")}));
   cr_assert(tenants::residencyOf(*table, bound, TenantId("bob")) == bound->residency);
-  cr_assert_not(tenants::residencyOf(*table, table->find("h", "/f/1"), TenantId()).bound());
+  cr_assert_not(tenants::residencyOf(*table, table->find("h", "/f/1"), TenantId()).isRestricted());
 }
 
 Test(documents, homes_of_the_wrong_type_are_reported) {
