--- a/src/gateway/fleet/scaling_bounds.h
+++ b/src/gateway/fleet/scaling_bounds.h
@@ -33,8 +33,8 @@
 using group_counts = std::map<engine_group, std::size_t>;
 
 struct scaling_bounds {
-  std::size_t least = 0;                   ///< Engines in a zone, both kinds together.
-  std::size_t most = 0;                    ///< The same.
+  std::size_t min_engines = 0;             ///< In a zone, both kinds together.
+  std::size_t max_engines = 0;             ///< In a zone, both kinds together.
   Duration boot_time{};                    ///< From the order for an engine until it serves.
   double spot_price = 1;                   ///< Of a spot engine, where an on-demand one costs 1.
   std::map<ZoneName, double> zone_prices;  ///< Factor of the price; 1 where a zone is not named.
--- a/src/gateway/scaling/count_targets.cpp
+++ b/src/gateway/scaling/count_targets.cpp
@@ -47,7 +47,7 @@
     for (auto at = wanted.begin(); at != wanted.end(); ++at) {
       const fleet::engine_group& group = at->first;
       if (group.kind != kind || inputs.scarce.contains(group)) continue;
-      if (countInZone(wanted, group.zone) >= inputs.bounds.most) continue;
+      if (countInZone(wanted, group.zone) >= inputs.bounds.max_engines) continue;
       const std::size_t baseline = countOf(inputs.baseline, group);
       const std::size_t extra = at->second > baseline ? at->second - baseline : 0;
       const std::tuple<std::size_t, double> rank{extra, inputs.bounds.priceOf(group)};
@@ -70,7 +70,7 @@
     for (auto at = wanted.begin(); at != wanted.end(); ++at) {
       const auto baseline = static_cast<double>(countInZone(inputs.baseline, at->first.zone));
       const auto kept = static_cast<std::size_t>(std::ceil(baseline * inputs.options.min_share));
-      const std::size_t least = std::max(kept, inputs.bounds.least);
+      const std::size_t least = std::max(kept, inputs.bounds.min_engines);
       if (at->second == 0 || countInZone(wanted, at->first.zone) <= least) continue;
       const bool dearer = best == wanted.end() ||
                           inputs.bounds.priceOf(at->first) > inputs.bounds.priceOf(best->first);
@@ -86,8 +86,9 @@
   for (auto& [group, count] : wanted) {
     if (group.kind != fleet::EngineKind::kOnDemand) continue;
     const std::size_t spot = countOf(wanted, {group.zone, fleet::EngineKind::kSpot});
-    if (count + spot < bounds.least) count = bounds.least - spot;
-    if (count + spot > bounds.most) count = bounds.most - std::min(spot, bounds.most);
+    if (count + spot < bounds.min_engines) count = bounds.min_engines - spot;
+    if (count + spot > bounds.max_engines)
+      count = bounds.max_engines - std::min(spot, bounds.max_engines);
   }
 }
 
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -32,8 +32,8 @@
 
 scaling_bounds bounds(std::size_t most = 8) {
   scaling_bounds all;
-  all.least = 1;
-  all.most = most;
+  all.min_engines = 1;
+  all.max_engines = most;
   all.boot_time = std::chrono::seconds(4);
   all.spot_price = 0.22;
   all.zone_prices = {{ZoneName("a"), 1.0}, {ZoneName("b"), 0.8}, {ZoneName("c"), 1.25}};
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -223,8 +223,8 @@
   cr_assert(table.has_value());
   const auto& bounds = table->services.at(ServiceName("s")).scaling;
   cr_assert(bounds.has_value());
-  cr_assert_eq(bounds->least, 1U);
-  cr_assert_eq(bounds->most, 32U);
+  cr_assert_eq(bounds->min_engines, 1U);
+  cr_assert_eq(bounds->max_engines, 32U);
   cr_assert(bounds->boot_time == std::chrono::seconds(4));
   cr_assert_eq(bounds->spot_price, 0.22);
   cr_assert_eq(bounds->priceOf({ZoneName("b"), fleet::EngineKind::kOnDemand}), 0.8);
