--- a/src/gateway/batch/item_request.cpp
+++ b/src/gateway/batch/item_request.cpp
@@ -19,7 +19,7 @@
     request.set(names.last_event_id, std::to_string(progress.last_event));
   }
   if (table) {
-    tenants::nameTenant(*table, names.tenant, active.record.tenant, request);
+    tenants::setTenantField(*table, names.tenant, active.record.tenant, request);
     const std::optional<int> priority = table->tenants.priorityOf(active.record.tenant);
     if (priority) request.set(names.priority, std::to_string(*priority));
   }
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -86,7 +86,7 @@
 }
 
 bool mayAccess(const job_record& record, const tenants::caller& from) {
-  const bool needs_key = from.verdict != tenants::KeyVerdict::kNotNeeded;
+  const bool needs_key = from.key_status != tenants::KeyStatus::kNotNeeded;
   return !needs_key || record.tenant.empty() || record.tenant == from.tenant;
 }
 
--- a/src/gateway/forward/forwarded_request.cpp
+++ b/src/gateway/forward/forwarded_request.cpp
@@ -34,7 +34,7 @@
   http::copyEndToEndFields(request, copy);
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(forwarded.deadline - now);
   copy.set(names.deadline_ms, std::to_string(std::max(kMinDeadlineMs, left.count())));
-  tenants::nameTenant(*forwarded.table, names.tenant, forwarded.from.tenant, copy);
+  tenants::setTenantField(*forwarded.table, names.tenant, forwarded.from.tenant, copy);
   if (forwarded.from.priority) {
     copy.set(names.priority, std::to_string(*forwarded.from.priority));
   }
--- a/src/gateway/routing/tenant_table.cpp
+++ b/src/gateway/routing/tenant_table.cpp
@@ -49,7 +49,7 @@
 tl::expected<tenant_table, Findings> tenant_table::make(std::vector<tenant> tenants) {
   Findings findings;
   tenant_table table;
-  table.required_ = true;
+  table.requires_keys_ = true;
   std::map<key_digest, std::size_t> owners;
   for (std::size_t i = 0; i < tenants.size(); ++i) {
     const std::string place = "tenants[" + std::to_string(i) + "]";
--- a/src/gateway/routing/tenant_table.h
+++ b/src/gateway/routing/tenant_table.h
@@ -52,7 +52,7 @@
   static tl::expected<tenant_table, Findings> make(std::vector<tenant> tenants);
 
   /** @return whether requests need a key. */
-  bool required() const { return this->required_; }
+  bool requiresKeys() const { return this->requires_keys_; }
   /** Compares digests in constant time. @return the tenant with the key, or nullptr. */
   const tenant* find(const key_digest& digest) const;
   /** @return the tenant's own priority, if it has one. */
@@ -62,7 +62,7 @@
   const std::vector<tenant>& all() const { return this->tenants_; }
 
  private:
-  bool required_ = false;
+  bool requires_keys_ = false;
   std::vector<tenant> tenants_;
   std::map<TenantId, std::size_t> by_name_;
   std::multimap<std::uint64_t, std::pair<key_digest, std::size_t>> by_prefix_;
--- a/src/gateway/service/request_entry.cpp
+++ b/src/gateway/service/request_entry.cpp
@@ -19,7 +19,7 @@
   const auto call = this->deps_.platform.parseBatchCall(request);
   const routing::RouteTablePtr routes = this->deps_.operators.routes();
   const std::string id = http::fieldText(request, this->deps_.platform.fieldNames().request_id);
-  const tenants::caller from = routes ? tenants::identify(*routes, request) : tenants::caller{};
+  const tenants::caller from = routes ? tenants::authenticate(*routes, request) : tenants::caller{};
   // Without a configuration it isn't known whether a job needs a key: its calls are refused below.
   if (call && (routes || this->deps_.batches.isPublic(call->job))) {
     co_await this->handleBatchCall(*call, from, id, writer);
@@ -68,14 +68,14 @@
                                     http::ResponseWriter& writer) {
   const operator_feed& operators = this->deps_.operators;
   const unsigned status = operators.authoritative() ? kUnauthorized : kUnavailable;
-  this->deps_.metrics.onKeyRefused(tenants::toText(from.verdict));
+  this->deps_.metrics.onKeyRefused(tenants::toText(from.key_status));
   LogEvent("tenants", "key_refused")
       .text("request", id)
-      .text("key", tenants::toText(from.verdict))
+      .text("key", tenants::toText(from.key_status))
       .number("config", static_cast<std::int64_t>(operators.configurationVersion()))
       .number("status", status);
   http::Response response = this->deps_.forwarder.localReply(status, id);
-  if (status == kUnauthorized) tenants::challenge(from.verdict, response);
+  if (status == kUnauthorized) tenants::addChallenge(from.key_status, response);
   co_await writer.send(std::move(response));
 }
 
--- a/src/gateway/tenants/caller.cpp
+++ b/src/gateway/tenants/caller.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view kScheme = "Bearer ";
 
 /** @return the bearer token in the fields, or the empty text. */
-std::string keyOf(const http::Fields& fields) {
+std::string bearerToken(const http::Fields& fields) {
   const auto at = fields.find(field::authorization);
   if (at == fields.end()) return {};
   const std::string value = boost::algorithm::trim_copy(std::string(at->value()));
@@ -22,48 +22,48 @@
 
 }  // namespace
 
-const char* toText(KeyVerdict verdict) {
-  switch (verdict) {
-    case KeyVerdict::kNotNeeded:
+const char* toText(KeyStatus status) {
+  switch (status) {
+    case KeyStatus::kNotNeeded:
       return "not_needed";
-    case KeyVerdict::kKnown:
+    case KeyStatus::kKnown:
       return "known";
-    case KeyVerdict::kMissing:
+    case KeyStatus::kMissing:
       return "missing";
-    case KeyVerdict::kUnknown:
+    case KeyStatus::kUnknown:
       return "unknown";
   }
   return "unknown";
 }
 
-caller identify(const routing::RouteTable& table, const http::Fields& fields) {
-  caller from;
-  if (!table.tenants.required()) return from;
-  const std::string key = keyOf(fields);
+caller authenticate(const routing::RouteTable& table, const http::Fields& fields) {
+  caller sender;
+  if (!table.tenants.requiresKeys()) return sender;
+  const std::string key = bearerToken(fields);
   if (key.empty()) {
-    from.verdict = KeyVerdict::kMissing;
-    return from;
+    sender.key_status = KeyStatus::kMissing;
+    return sender;
   }
   const routing::tenant* owner = table.tenants.find(routing::digestOf(key));
-  from.verdict = owner == nullptr ? KeyVerdict::kUnknown : KeyVerdict::kKnown;
+  sender.key_status = owner == nullptr ? KeyStatus::kUnknown : KeyStatus::kKnown;
   if (owner != nullptr) {
-    from.tenant = owner->name;
-    from.priority = owner->priority;
+    sender.tenant = owner->name;
+    sender.priority = owner->priority;
   }
-  return from;
+  return sender;
 }
 
-void nameTenant(const routing::RouteTable& table, const std::string& tenant_field,
-                const TenantId& tenant, http::Fields& fields) {
-  if (!table.tenants.required()) return;
+void setTenantField(const routing::RouteTable& table, const std::string& tenant_field,
+                    const TenantId& tenant, http::Fields& fields) {
+  if (!table.tenants.requiresKeys()) return;
   fields.erase(field::authorization);
   fields.erase(tenant_field);
   if (!tenant.empty()) fields.set(tenant_field, tenant.str());
 }
 
-void challenge(KeyVerdict verdict, http::Response& response) {
+void addChallenge(KeyStatus status, http::Response& response) {
   std::string text = "Bearer realm=\"linenpier\"";
-  if (verdict == KeyVerdict::kUnknown) text += ", error=\"invalid_token\"";
+  if (status == KeyStatus::kUnknown) text += ", error=\"invalid_token\"";
   response.set(field::www_authenticate, text);
 }
 
--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -15,7 +15,7 @@
 using routing::digestOf;
 using routing::tenant;
 using routing::tenant_table;
-using tenants::KeyVerdict;
+using tenants::KeyStatus;
 
 namespace {
 
@@ -41,12 +41,12 @@
 Test(tenant_table, every_key_of_a_tenant_opens_the_same) {
   const routing::RouteTable table = parsed(kConfiguration);
   for (const char* key : {"Bearer secret-a1", "bearer  secret-a2 "}) {
-    const tenants::caller from = tenants::identify(table, withKey(key));
-    cr_assert_eq(from.verdict, KeyVerdict::kKnown);
+    const tenants::caller from = tenants::authenticate(table, withKey(key));
+    cr_assert_eq(from.key_status, KeyStatus::kKnown);
     cr_assert_eq(from.tenant.str(), "ada");
     cr_assert_eq(from.priority.value_or(-1), 1);
   }
-  const tenants::caller bob = tenants::identify(table, withKey("Bearer secret-b1"));
+  const tenants::caller bob = tenants::authenticate(table, withKey("Bearer secret-b1"));
   cr_assert_eq(bob.tenant.str(), "bob");
   cr_assert_not(bob.priority.has_value());
 }
@@ -54,19 +54,19 @@
 Test(tenant_table, other_keys_and_schemes_open_nothing) {
   const routing::RouteTable table = parsed(kConfiguration);
   for (const char* key : {"Bearer secret-a", "Bearer secret-a11", "Bearer SECRET-A1"}) {
-    cr_assert_eq(tenants::identify(table, withKey(key)).verdict, KeyVerdict::kUnknown);
+    cr_assert_eq(tenants::authenticate(table, withKey(key)).key_status, KeyStatus::kUnknown);
   }
   for (const char* key : {"", "Bearer ", "Basic secret-a1", "secret-a1"}) {
-    cr_assert_eq(tenants::identify(table, withKey(key)).verdict, KeyVerdict::kMissing);
+    cr_assert_eq(tenants::authenticate(table, withKey(key)).key_status, KeyStatus::kMissing);
   }
-  cr_assert_not(tenants::identify(table, withKey("Bearer x")).admitted());
+  cr_assert_not(tenants::authenticate(table, withKey("Bearer x")).admitted());
 }
 
 Test(tenant_table, without_tenants_no_key_is_needed_and_fields_pass) {
   const routing::RouteTable table = parsed(R"({"version":4,"routes":[],"services":[]})");
-  cr_assert(tenants::identify(table, withKey("")).admitted());
+  cr_assert(tenants::authenticate(table, withKey("")).admitted());
   http::Fields fields = withKey("Bearer mine");
-  tenants::nameTenant(table, "Tenant-Id", TenantId(), fields);
+  tenants::setTenantField(table, "Tenant-Id", TenantId(), fields);
   cr_assert_eq(http::fieldText(fields, "Authorization"), "Bearer mine");
 }
 
