--- a/src/gateway/batch/closed_zone_mover.cpp
+++ b/src/gateway/batch/closed_zone_mover.cpp
@@ -59,7 +59,7 @@
   const engines::engine_state* target = this->deps_.registry.pick(now, wanted);
   if (target == nullptr) return false;
   const EngineId towards = target->record.id;
-  moves.onMove(towards, this->deps_.registry.room(now, towards));
+  moves.onMove(towards, this->deps_.registry.freeSlots(now, towards));
   run.active->calls.at(run.item)->abort();
   return true;
 }
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -104,7 +104,7 @@
       itemRequest(*active, item, this->deps_.engines.names, this->deps_.routes()));
   active->run.onStarted(now, item, placement.engine->record.id);
   active->calls[item] = call;
-  registry.onTokens(call->engine(), wanted.tokens);
+  registry.addExpectedTokens(call->engine(), wanted.tokens);
   ++this->deps_.counts.attempts;
   const item_attempt run{active, item, call, itemOf(*active, item).model, *admission};
   spawn(this->deps_.loop, [this, run] { return this->runItem(run); });
@@ -138,8 +138,8 @@
   }
   this->settleSuspicion(run, verdict, course.engine_ended);
   run.active->calls.erase(run.item);
-  this->deps_.engines.registry.onTokens(run.call->engine(),
-                                        -expectedTokens(itemOf(*run.active, run.item)));
+  this->deps_.engines.registry.addExpectedTokens(run.call->engine(),
+                                                 -expectedTokens(itemOf(*run.active, run.item)));
   if (run.active->stopped) co_return;
   this->settleItem(run, verdict, course);
   this->startRunnableItems();
@@ -199,7 +199,7 @@
   const bool silent = verdict == AttemptVerdict::kSilent;
   // A silent engine is full, or stands still while it loads.
   if ((rejected || silent) && !run.model.empty()) {
-    registry.onModelRefused(now, run.call->engine(), run.model);
+    registry.onModelRejected(now, run.call->engine(), run.model);
   }
   if (silent && !course.to_first_event) state.onLateStart(run.item);
   if (verdict == AttemptVerdict::kBroken && !run.model.empty()) {
--- a/src/gateway/batch/job_residency.cpp
+++ b/src/gateway/batch/job_residency.cpp
@@ -90,7 +90,7 @@
   wanted.service = route.services.front().service;
   wanted.residency = tenants::residencyOf(*table, &route, record.tenant);
   if (!wanted.residency.isRestricted() && !owned_nowhere) return true;
-  const bool any = this->deps_.registry.anyInPlace(wanted);
+  const bool any = this->deps_.registry.isPlaceable(wanted);
   if (any && !owned_nowhere) return true;
   LogEvent("batch", "no_engine_at_home")
       .text("batch", record.id.str())
--- a/src/gateway/batch/slow_run_mover.cpp
+++ b/src/gateway/batch/slow_run_mover.cpp
@@ -50,7 +50,7 @@
       .real("events_left", move->events_left)
       .real("slowness", move->latency_ratio)
       .real("slowness_there", move->latency_ratio_there);
-  moves.onMove(move->target, registry.room(now, move->target));
+  moves.onMove(move->target, registry.freeSlots(now, move->target));
   active.calls.at(run.item)->abort();
 }
 
--- a/src/gateway/engines/engine_choice.cpp
+++ b/src/gateway/engines/engine_choice.cpp
@@ -19,7 +19,7 @@
   if (by_version && !request.model.empty()) {
     this->compareHolders(comparison, engines.holding(request.service, request.model));
   } else {
-    this->compareAll(comparison, engines.known(request.service));
+    this->compareAll(comparison, engines.allEngines(request.service));
   }
   return comparison.best;
 }
@@ -28,7 +28,7 @@
                                         engine_table& engines, const score_options& score) const {
   score_context context;
   context.median_event_time = engines.inUse().medianEventTime(now, request.service, score.latency);
-  context.many_engines = engines.known(request.service).size() > this->options_.max_compared;
+  context.many_engines = engines.allEngines(request.service).size() > this->options_.max_compared;
   if (request.memory_tokens > 0) context.mean_tokens = engines.inUse().meanTokens();
   if (!request.prefer_newest) return context;
   const engine_index::holders& holders = engines.holding(request.service, request.model);
@@ -79,10 +79,10 @@
   return 1 + step / (kJitterDivisor * kJitterSteps);
 }
 
-bool engine_choice::anyInPlace(const engine_request& request, const engine_table& engines,
-                               const engine_admission& admission) {
+bool engine_choice::isPlaceable(const engine_request& request, const engine_table& engines,
+                                const engine_admission& admission) {
   this->last_failures_ = admission_failure_counts();
-  for (const engine_index::entry& each : engines.known(request.service)) {
+  for (const engine_index::entry& each : engines.allEngines(request.service)) {
     const AdmissionFailure refusal = admission.admitPlace(*each.engine, request);
     if (refusal == AdmissionFailure::kNone) return true;
     this->last_failures_.add(refusal);
--- a/src/gateway/engines/engine_choice.h
+++ b/src/gateway/engines/engine_choice.h
@@ -42,8 +42,8 @@
   /** @return whether an engine is where the request may be served; it may be full, or away for a
    *     while.
    */
-  bool anyInPlace(const engine_request& request, const engine_table& engines,
-                  const engine_admission& admission);
+  bool isPlaceable(const engine_request& request, const engine_table& engines,
+                   const engine_admission& admission);
   /** @return why engines were refused at the last call of the above that found none. */
   const admission_failure_counts& lastAdmissionFailures() const { return this->last_failures_; }
   /** @return engines that all choices so far have examined, refused ones among them. */
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -38,14 +38,14 @@
   engine->health.onAttemptEnded(now, outcome, this->options_.health);
 }
 
-void engine_registry::onTokens(const EngineId& id, double tokens) {
+void engine_registry::addExpectedTokens(const EngineId& id, double tokens) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.addTokens(tokens);
   if (engine->load.tokens() > 0) this->table_.inUse().add(*engine);
 }
 
-void engine_registry::onModelRefused(Instant now, const EngineId& id, const ModelName& model) {
+void engine_registry::onModelRejected(Instant now, const EngineId& id, const ModelName& model) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const double load = engine->load.total(now, this->options_.score.load);
@@ -59,7 +59,7 @@
   engine->loading.onReset(now, model, this->options_.loading);
 }
 
-void engine_registry::onLoad(Instant now, const EngineId& id, const load_report& report) {
+void engine_registry::onLoadReport(Instant now, const EngineId& id, const load_report& report) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onReport(now, report);
@@ -73,7 +73,7 @@
   if (complete) engine->latency.closeSpan(this->medianEventTime(now, engine->record.service));
 }
 
-double engine_registry::room(Instant now, const EngineId& id) const {
+double engine_registry::freeSlots(Instant now, const EngineId& id) const {
   const engine_state* engine = this->find(id);
   if (engine == nullptr) return 0;
   return engine->record.slots - engine->load.total(now, this->options_.score.load);
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -78,11 +78,11 @@
   }
   std::vector<engine_record> removeExpired(Instant now) { return this->table_.removeExpired(now); }
   const engine_state* find(const EngineId& id) const { return this->table_.find(id); }
-  const engine_list& ofService(const ServiceName& service) const {
-    return this->table_.ofService(service);
+  const engine_list& availableEngines(const ServiceName& service) const {
+    return this->table_.availableEngines(service);
   }
-  const engine_index::engine_order& known(const ServiceName& service) const {
-    return this->table_.known(service);
+  const engine_index::engine_order& allEngines(const ServiceName& service) const {
+    return this->table_.allEngines(service);
   }
   const std::map<EngineId, engine_state>& all() const { return this->table_.all(); }
 
@@ -91,12 +91,12 @@
   void onAttemptStarted(Instant now, const EngineId& id);
   void onAttemptEnded(Instant now, const EngineId& id, AttemptOutcome outcome);
   /** @param tokens memory that an attempt is expected to need; negative at its end. */
-  void onTokens(const EngineId& id, double tokens);
+  void addExpectedTokens(const EngineId& id, double tokens);
   /** The engine rejected a request for the model, as it does while it loads weights. */
-  void onModelRefused(Instant now, const EngineId& id, const ModelName& model);
+  void onModelRejected(Instant now, const EngineId& id, const ModelName& model);
   /** The engine reset a run of the model, as it does when it begins to load weights. */
   void onModelReset(Instant now, const EngineId& id, const ModelName& model);
-  void onLoad(Instant now, const EngineId& id, const load_report& report);
+  void onLoadReport(Instant now, const EngineId& id, const load_report& report);
   /** An event or an answer took `duration`. */
   void onEventTime(Instant now, const EngineId& id, Duration duration);
   /** @param version that an answer named; 0: it named none. */
@@ -114,8 +114,8 @@
   /** @return whether an engine is where the request may be served; it may be full, or away for a
    *     while. If none is, `lastAdmissionFailures` tells why.
    */
-  bool anyInPlace(const engine_request& request) {
-    return this->choice_.anyInPlace(request, this->table_, this->admission());
+  bool isPlaceable(const engine_request& request) {
+    return this->choice_.isPlaceable(request, this->table_, this->admission());
   }
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
   const engine_state* pick(Instant now, const engine_request& request) {
@@ -136,7 +136,7 @@
   /** @return how many more requests the engine has slots for, counting those of others; below 0 if
    *     it is overfull.
    */
-  double room(Instant now, const EngineId& id) const;
+  double freeSlots(Instant now, const EngineId& id) const;
   /** @return the engine's event time over the median of its service; the ratio of its history if
    *     it was not measured lately; 1 if nothing is known.
    */
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -130,7 +130,7 @@
   return at == this->engines_.end() ? nullptr : &at->second;
 }
 
-const engine_list& engine_table::ofService(const ServiceName& service) const {
+const engine_list& engine_table::availableEngines(const ServiceName& service) const {
   static const engine_list kNone;
   const auto at = this->open_.find(service);
   return at == this->open_.end() ? kNone : at->second;
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -88,9 +88,9 @@
   /** @return the service's engines that are not draining and in no closed zone. Kept up as engines
    *     change; asking costs one look-up.
    */
-  const engine_list& ofService(const ServiceName& service) const;
+  const engine_list& availableEngines(const ServiceName& service) const;
   /** @return the service's engines, whatever their state, in this daemon's order. */
-  const engine_index::engine_order& known(const ServiceName& service) const {
+  const engine_index::engine_order& allEngines(const ServiceName& service) const {
     return this->index_.ofService(service);
   }
   /** @return the service's engines by the version of the model that they hold, newest first. */
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -116,7 +116,7 @@
   const std::string text = http::fieldText(this->head(), this->context_.names.load);
   engines::load_report load;
   if (std::sscanf(text.c_str(), "%u,%u,%u", &load.running, &load.waiting, &load.slots) == 3) {
-    this->context_.registry.onLoad(steadyNow(), this->engine_, load);
+    this->context_.registry.onLoadReport(steadyNow(), this->engine_, load);
   }
 }
 
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -42,7 +42,7 @@
   int ejected = 0;
   int cold = 0;
   for (const routing::WeightedService& part : route.services) {
-    for (const engines::engine_index::entry& entry : this->registry_.known(part.service)) {
+    for (const engines::engine_index::entry& entry : this->registry_.allEngines(part.service)) {
       const engines::engine_state& engine = *entry.engine;
       ++known;
       draining += engine.record.draining ? 1 : 0;
--- a/src/gateway/versions/order_service.cpp
+++ b/src/gateway/versions/order_service.cpp
@@ -88,7 +88,7 @@
   service_leadership& leadership = this->leadershipOf(service);
   leadership.lock.onTick(now, this->table_read_);
   if (!leadership.lock.mayAct(now)) return;
-  const engines::engine_list& engines = this->deps_.registry.ofService(service);
+  const engines::engine_list& engines = this->deps_.registry.availableEngines(service);
   open_work_by_model work = this->deps_.open_work();
   for (const auto& [model, version] : this->named_) work.try_emplace(model);
   std::set<EngineId> awaited;
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -46,7 +46,7 @@
   request.last_resort = true;
   cr_assert_null(registry.pick(kStart, request));
   cr_assert_eq(registry.lastAdmissionFailures().mostFrequent(), AdmissionFailure::kZoneClosed);
-  cr_assert(registry.ofService(kService).empty());
+  cr_assert(registry.availableEngines(kService).empty());
 }
 
 Test(engine_admission, a_zone_that_is_opened_again_is_used_at_once) {
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -65,7 +65,7 @@
   registry.onAttemptStarted(kStart, EngineId("a"));
   registry.onAttemptStarted(kStart, EngineId("a"));
   cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
-  registry.onLoad(kStart, EngineId("b"), {4, 3, 4});
+  registry.onLoadReport(kStart, EngineId("b"), {4, 3, 4});
   cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "a", "others' load counts");
   const Instant later = kStart + std::chrono::seconds(5);
   cr_assert_eq(registry.pick(later, any())->record.id.str(), "b", "old reports are forgotten");
@@ -138,7 +138,7 @@
   engine_registry registry = registryOf({record("a")});
   engine_request request = any();
   request.model = kModel;
-  registry.onModelRefused(kStart, EngineId("a"), kModel);
+  registry.onModelRejected(kStart, EngineId("a"), kModel);
   cr_assert_null(registry.pick(kStart + std::chrono::milliseconds(300), request));
   cr_assert_not_null(registry.pick(kStart + std::chrono::milliseconds(300), any()),
                      "other models go on");
@@ -161,7 +161,7 @@
   registry.onEventTime(kStart, EngineId("slow"), std::chrono::milliseconds(120));
   registry.onEventTime(kStart, EngineId("full"), std::chrono::milliseconds(100));
   registry.onAttemptStarted(kStart, EngineId("slow"));
-  registry.onTokens(EngineId("slow"), 100);
+  registry.addExpectedTokens(EngineId("slow"), 100);
   engine_request request = any();
   request.batching = true;
   request.tokens = 100;
@@ -169,7 +169,7 @@
   for (int i = 0; i < 20; ++i) {
     cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "full", "it is empty yet");
   }
-  registry.onLoad(kStart, EngineId("full"), {3, 0, 4});
+  registry.onLoadReport(kStart, EngineId("full"), {3, 0, 4});
   for (int i = 0; i < 20; ++i) {
     cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "slow");
   }
@@ -302,7 +302,7 @@
     registry.onRecord(kStart, leaving);
   }
   cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "e1234");
-  cr_assert_eq(registry.ofService(kService).size(), 1U);
+  cr_assert_eq(registry.availableEngines(kService).size(), 1U);
 }
 
 Test(engine_registry, daemons_keep_to_different_engines_of_a_large_service) {
