--- a/src/gateway/engines/admission_failure.cpp
+++ b/src/gateway/engines/admission_failure.cpp
@@ -4,8 +4,8 @@
 
 namespace linenpier::engines {
 
-const char* toText(AdmissionFailure refusal) {
-  switch (refusal) {
+const char* toText(AdmissionFailure failure) {
+  switch (failure) {
     case AdmissionFailure::kNone:
       return "none";
     case AdmissionFailure::kWrongService:
--- a/src/gateway/engines/admission_failure.h
+++ b/src/gateway/engines/admission_failure.h
@@ -30,16 +30,16 @@
     static_cast<std::size_t>(AdmissionFailure::kExcluded) + 1;
 
 /** @return the word of log lines. */
-const char* toText(AdmissionFailure refusal);
+const char* toText(AdmissionFailure failure);
 
 /** How many engines of a service were refused for each reason when one was looked for. */
 class admission_failure_counts {
  public:
-  void add(AdmissionFailure refusal, std::size_t engines = 1) {
-    this->counts_[static_cast<std::size_t>(refusal)] += engines;
+  void add(AdmissionFailure failure, std::size_t engines = 1) {
+    this->counts_[static_cast<std::size_t>(failure)] += engines;
   }
-  std::size_t of(AdmissionFailure refusal) const {
-    return this->counts_[static_cast<std::size_t>(refusal)];
+  std::size_t of(AdmissionFailure failure) const {
+    return this->counts_[static_cast<std::size_t>(failure)];
   }
   /** @return the reason for most engines; kNone if the service has no engine. */
   AdmissionFailure mostFrequent() const;
--- a/src/gateway/engines/engine_admission.cpp
+++ b/src/gateway/engines/engine_admission.cpp
@@ -6,9 +6,9 @@
 
 AdmissionFailure engine_admission::admit(Instant now, const engine_state& engine,
                                          const engine_request& request) const {
-  const AdmissionFailure place = this->admitPlace(engine, request);
+  const AdmissionFailure place = this->checkPlacement(engine, request);
   if (place != AdmissionFailure::kNone) return place;
-  const AdmissionFailure version = admitVersion(engine, request);
+  const AdmissionFailure version = checkVersion(engine, request);
   if (version != AdmissionFailure::kNone) return version;
   if (!this->cold_.hasRoom(now, request.service, engine.record.id)) return AdmissionFailure::kCold;
   if (engine.loading.isLoading(now, request.model)) return AdmissionFailure::kLoading;
@@ -19,8 +19,8 @@
   return excluded ? AdmissionFailure::kExcluded : AdmissionFailure::kNone;
 }
 
-AdmissionFailure engine_admission::admitPlace(const engine_state& engine,
-                                              const engine_request& request) const {
+AdmissionFailure engine_admission::checkPlacement(const engine_state& engine,
+                                                  const engine_request& request) const {
   if (engine.record.service != request.service) return AdmissionFailure::kWrongService;
   if (engine.record.draining) return AdmissionFailure::kDraining;
   if (this->closed_.contains(engine.record.zone)) return AdmissionFailure::kZoneClosed;
@@ -29,7 +29,7 @@
   return within_residency ? AdmissionFailure::kNone : AdmissionFailure::kOutsideResidency;
 }
 
-AdmissionFailure engine_admission::admitVersion(const engine_state& engine,
+AdmissionFailure engine_admission::checkVersion(const engine_state& engine,
                                                 const engine_request& request) {
   if (request.model.empty()) return AdmissionFailure::kNone;
   const WeightVersion version = engine.versionOf(request.model);
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -30,10 +30,10 @@
   AdmissionFailure admit(Instant now, const engine_state& engine,
                          const engine_request& request) const;
   /** The checks that no waiting passes: service, draining, closed zone, residency. */
-  AdmissionFailure admitPlace(const engine_state& engine, const engine_request& request) const;
+  AdmissionFailure checkPlacement(const engine_state& engine, const engine_request& request) const;
 
  private:
-  static AdmissionFailure admitVersion(const engine_state& engine, const engine_request& request);
+  static AdmissionFailure checkVersion(const engine_state& engine, const engine_request& request);
   bool isFull(Instant now, const engine_state& engine, const engine_request& request) const;
 
   const fleet::closed_zones& closed_;
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -2,10 +2,10 @@
 
 /** @file
  * The engines that this daemon knows of, and which of them gets a request. The face of this folder:
- * composes discovery (`engine_table`), admission (`engine_admission`), the choice (`engine_choice`)
- * and the bound on cold engines (`cold_engine_limiter`), and tells the state of each engine
- * (health, load, latency, loading) what attempts at it showed. Pure state with one owner, which
- * calls it on its event loop only.
+ * composes discovery (`engine_table`), admission (`engine_admission`), the choice
+ * (`engine_selector`) and the bound on cold engines (`cold_engine_limiter`), and tells the state of
+ * each engine (health, load, latency, loading) what attempts at it showed. Pure state with one
+ * owner, which calls it on its event loop only.
  */
 
 #include <map>
@@ -18,8 +18,8 @@
 #include "common/time.h"
 #include "gateway/engines/cold_engine_limiter.h"
 #include "gateway/engines/engine_admission.h"
-#include "gateway/engines/engine_choice.h"
 #include "gateway/engines/engine_request.h"
+#include "gateway/engines/engine_selector.h"
 #include "gateway/engines/engine_state.h"
 #include "gateway/engines/engine_table.h"
 #include "gateway/fleet/closed_zones.h"
@@ -33,7 +33,7 @@
   health_options health;
   loading_options loading;
   score_options score;
-  choice_options choice;
+  selection_options selection;
 };
 
 class engine_registry {
@@ -44,7 +44,7 @@
   engine_registry(ZoneName zone, registry_options options, std::uint64_t seed)
       : options_(options),
         table_(options.record_expiry, seed),
-        choice_(std::move(zone), options.choice, seed) {}
+        selector_(std::move(zone), options.selection, seed) {}
 
   // --- Configuration ---
 
@@ -115,19 +115,19 @@
    *     while. If none is, `lastAdmissionFailures` tells why.
    */
   bool isPlaceable(const engine_request& request) {
-    return this->choice_.isPlaceable(request, this->table_, this->admission());
+    return this->selector_.isPlaceable(request, this->table_, this->admission());
   }
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
   const engine_state* pick(Instant now, const engine_request& request) {
-    return this->choice_.pick(now, request, this->table_, this->admission(), this->cold_,
-                              this->options_.score);
+    return this->selector_.pick(now, request, this->table_, this->admission(), this->cold_,
+                                this->options_.score);
   }
   /** @return why engines were refused when none was found at the last choice. */
   const admission_failure_counts& lastAdmissionFailures() const {
-    return this->choice_.lastAdmissionFailures();
+    return this->selector_.lastAdmissionFailures();
   }
   /** @return engines that choices have examined so far. */
-  std::uint64_t examined() const { return this->choice_.examined(); }
+  std::uint64_t examined() const { return this->selector_.examined(); }
   cold_engine_limiter& coldLimiter() { return this->cold_; }
   const cold_engine_limiter& coldLimiter() const { return this->cold_; }
 
@@ -169,7 +169,7 @@
   fleet::fleet_layout layout_;
   engine_table table_;
   cold_engine_limiter cold_;
-  engine_choice choice_;
+  engine_selector selector_;
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_choice.h
+++ b/src/gateway/engines/engine_selector.h
@@ -2,7 +2,7 @@
 
 /** @file
  * Which of the admitted engines gets a request: the one with the least expected wait among the
- * first `max_compared` in this daemon's order. Owns the random source of the tie break and the
+ * first `max_candidates` in this daemon's order. Owns the random source of the tie break and the
  * refusals of the last choice. Pure.
  */
 
@@ -22,17 +22,17 @@
 
 namespace linenpier::engines {
 
-struct choice_options {
+struct selection_options {
   /** Admitted engines that a choice compares. Among so many some are little loaded by chance, and
    * more gain next to nothing; the cost of a choice does not grow with the service.
    */
-  std::size_t max_compared = 64;
+  std::size_t max_candidates = 64;
 };
 
-class engine_choice {
+class engine_selector {
  public:
   /** @param zone of this daemon. */
-  engine_choice(ZoneName zone, choice_options options, std::uint64_t seed)
+  engine_selector(ZoneName zone, selection_options options, std::uint64_t seed)
       : zone_(std::move(zone)), options_(options), random_(seed) {}
 
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
@@ -62,18 +62,18 @@
     std::size_t compared = 0;
   };
 
-  score_context contextFor(Instant now, const engine_request& request, engine_table& engines,
-                           const score_options& score) const;
+  score_context makeScoreContext(Instant now, const engine_request& request, engine_table& engines,
+                                 const score_options& score) const;
   /** Compares the engines in this daemon's order until there are enough. */
-  void compareAll(comparison& comparison, const engine_index::engine_order& engines);
+  void compareEngines(comparison& current, const engine_index::engine_order& engines);
   /** Compares those that hold a version that the request takes, newest version first. */
-  void compareHolders(comparison& comparison, const engine_index::holders& holders);
-  bool isAdmitted(comparison& comparison, const engine_state& engine);
+  void compareByVersion(comparison& current, const engine_index::holders& holders);
+  bool isAdmitted(comparison& current, const engine_state& engine);
   /** @return a factor between 1 and 1.05, which decides between equal engines. */
   double jitter();
 
   ZoneName zone_;
-  choice_options options_;
+  selection_options options_;
   Random random_;
   admission_failure_counts last_failures_;
   std::uint64_t examined_ = 0;
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -274,7 +274,7 @@
   engine_registry large = serviceOf(2000);
   const std::uint64_t looks = looksFor(small, item, 200);
   cr_assert_eq(looksFor(large, item, 200), looks);
-  cr_assert_leq(looks, 200U * 2 * engines::choice_options{}.max_compared);
+  cr_assert_leq(looks, 200U * 2 * engines::selection_options{}.max_candidates);
 }
 
 Test(engine_registry, engines_with_other_weights_are_not_looked_at) {
