--- a/src/gateway/engines/engines_in_use.cpp
+++ b/src/gateway/engines/active_engines.cpp
@@ -1,18 +1,18 @@
-#include "gateway/engines/engines_in_use.h"
+#include "gateway/engines/active_engines.h"
 
 #include <algorithm>
 #include <vector>
 
 namespace linenpier::engines {
 
-void engines_in_use::sweep(Instant now, const latency_options& options) {
+void active_engines::sweep(Instant now, const latency_options& options) {
   std::erase_if(this->engines_, [&](const engine_state* engine) {
     const engine_load& load = engine->load;
     return load.inFlight() == 0 && load.tokens() <= 0 && !engine->latency.isRecent(now, options);
   });
 }
 
-double engines_in_use::medianEventTime(Instant now, const ServiceName& service,
+double active_engines::medianEventTime(Instant now, const ServiceName& service,
                                        const latency_options& options) const {
   std::vector<double> event_times;
   for (const engine_state* engine : this->engines_) {
@@ -27,7 +27,7 @@
   return *middle;
 }
 
-double engines_in_use::meanTokens() const {
+double active_engines::meanTokens() const {
   double tokens = 0;
   double requests = 0;
   for (const engine_state* engine : this->engines_) {
--- a/src/gateway/engines/engines_in_use.h
+++ b/src/gateway/engines/active_engines.h
@@ -17,7 +17,7 @@
 /** Points to engines of an `engine_table`. Invariant: the table removes an engine here before it
  * removes the engine itself.
  */
-class engines_in_use {
+class active_engines {
  public:
   void add(const engine_state& engine) { this->engines_.insert(&engine); }
   void remove(const engine_state& engine) { this->engines_.erase(&engine); }
--- a/src/gateway/engines/engine_index.cpp
+++ b/src/gateway/engines/engine_index.cpp
@@ -5,9 +5,9 @@
 
 namespace linenpier::engines {
 
-bool engine_index::by_rank::operator()(const entry& one, const entry& other) const {
-  if (one.rank != other.rank) return one.rank < other.rank;
-  return one.engine->record.id < other.engine->record.id;
+bool engine_index::by_rank::operator()(const entry& left, const entry& right) const {
+  if (left.rank != right.rank) return left.rank < right.rank;
+  return left.engine->record.id < right.engine->record.id;
 }
 
 engine_index::entry engine_index::entryOf(const engine_state& engine) const {
@@ -42,8 +42,8 @@
   return at == this->services_.end() ? kNone : at->second;
 }
 
-const engine_index::holders& engine_index::holding(const ServiceName& service,
-                                                   const ModelName& model) {
+const engine_index::version_index& engine_index::byVersion(const ServiceName& service,
+                                                           const ModelName& model) {
   const auto [at, is_new] = this->models_[service].try_emplace(model);
   if (!is_new) return at->second;
   for (const entry& each : this->ofService(service)) {
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -29,11 +29,11 @@
     const engine_state* engine = nullptr;
   };
   struct by_rank {
-    bool operator()(const entry& one, const entry& other) const;
+    bool operator()(const entry& left, const entry& right) const;
   };
   using engine_order = std::set<entry, by_rank>;
   /** Newest first: a choice that ends early ends among the newest weights. */
-  using holders = std::map<WeightVersion, engine_order, std::greater<>>;
+  using version_index = std::map<WeightVersion, engine_order, std::greater<>>;
 
   /** @param seed of this daemon's order. */
   explicit engine_index(std::uint64_t seed) : seed_(seed) {}
@@ -45,16 +45,16 @@
   /** @return the service's engines by the version of the model that they hold. The first call for a
    *     model goes over all engines of the service; from then on the index is kept up.
    */
-  const holders& holding(const ServiceName& service, const ModelName& model);
+  const version_index& byVersion(const ServiceName& service, const ModelName& model);
 
  private:
-  using holders_by_model = std::map<ModelName, holders>;
+  using indexes_by_model = std::map<ModelName, version_index>;
 
   entry entryOf(const engine_state& engine) const;
 
   std::uint64_t seed_;
   std::map<ServiceName, engine_order> services_;
-  std::map<ServiceName, holders_by_model> models_;  ///< Of the models asked for.
+  std::map<ServiceName, indexes_by_model> models_;  ///< Of the models asked for.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -28,7 +28,7 @@
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptStarted();
-  this->table_.inUse().add(*engine);
+  this->table_.activeEngines().add(*engine);
 }
 
 void engine_registry::onAttemptEnded(Instant now, const EngineId& id, AttemptOutcome outcome) {
@@ -42,7 +42,7 @@
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.addTokens(tokens);
-  if (engine->load.tokens() > 0) this->table_.inUse().add(*engine);
+  if (engine->load.tokens() > 0) this->table_.activeEngines().add(*engine);
 }
 
 void engine_registry::onModelRejected(Instant now, const EngineId& id, const ModelName& model) {
@@ -69,7 +69,7 @@
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const bool complete = engine->latency.onEventTime(now, duration, this->options_.score.latency);
-  this->table_.inUse().add(*engine);
+  this->table_.activeEngines().add(*engine);
   if (complete) engine->latency.closeSpan(this->medianEventTime(now, engine->record.service));
 }
 
@@ -99,7 +99,7 @@
 
 void engine_registry::sweep(Instant now) {
   this->cold_.sweep(now, [this](const EngineId& id) { return this->table_.find(id) != nullptr; });
-  this->table_.inUse().sweep(now, this->options_.score.latency);
+  this->table_.activeEngines().sweep(now, this->options_.score.latency);
 }
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -153,7 +153,7 @@
   double measuredEventTime(Instant now, const EngineId& id) const;
   /** @return the median of the event times measured lately, in seconds; 0: none was. */
   double medianEventTime(Instant now, const ServiceName& service) const {
-    return this->table_.inUse().medianEventTime(now, service, this->options_.score.latency);
+    return this->table_.activeEngines().medianEventTime(now, service, this->options_.score.latency);
   }
 
   /** Forgets the sends to engines that were removed long ago, and engines that are no longer used.
--- a/src/gateway/engines/engine_selector.cpp
+++ b/src/gateway/engines/engine_selector.cpp
@@ -17,7 +17,7 @@
   this->last_failures_ = admission_failure_counts();
   const bool by_version = request.minimum_version > 0 || request.exact_version;
   if (by_version && !request.model.empty()) {
-    this->compareByVersion(current, engines.holding(request.service, request.model));
+    this->compareByVersion(current, engines.byVersion(request.service, request.model));
   } else {
     this->compareEngines(current, engines.allEngines(request.service));
   }
@@ -28,19 +28,21 @@
                                                 engine_table& engines,
                                                 const score_options& score) const {
   score_context context;
-  context.median_event_time = engines.inUse().medianEventTime(now, request.service, score.latency);
+  context.median_event_time =
+      engines.activeEngines().medianEventTime(now, request.service, score.latency);
   context.many_engines = engines.allEngines(request.service).size() > this->options_.max_candidates;
-  if (request.memory_tokens > 0) context.mean_tokens = engines.inUse().meanTokens();
+  if (request.memory_tokens > 0) context.mean_tokens = engines.activeEngines().meanTokens();
   if (!request.prefer_newest) return context;
-  const engine_index::holders& holders = engines.holding(request.service, request.model);
-  if (!holders.empty()) context.newest = holders.begin()->first;
+  const engine_index::version_index& versions = engines.byVersion(request.service, request.model);
+  if (!versions.empty()) context.newest = versions.begin()->first;
   return context;
 }
 
-void engine_selector::compareByVersion(comparison& current, const engine_index::holders& holders) {
+void engine_selector::compareByVersion(comparison& current,
+                                       const engine_index::version_index& versions) {
   const engine_request& request = current.request;
   const WeightVersion oldest = request.exact_version.value_or(request.minimum_version);
-  for (const auto& [version, engines] : holders) {
+  for (const auto& [version, engines] : versions) {
     if (version < oldest) {
       this->last_failures_.add(AdmissionFailure::kVersionMismatch, engines.size());
     } else {
--- a/src/gateway/engines/engine_selector.h
+++ b/src/gateway/engines/engine_selector.h
@@ -67,7 +67,7 @@
   /** Compares the engines in this daemon's order until there are enough. */
   void compareEngines(comparison& current, const engine_index::engine_order& engines);
   /** Compares those that hold a version that the request takes, newest version first. */
-  void compareByVersion(comparison& current, const engine_index::holders& holders);
+  void compareByVersion(comparison& current, const engine_index::version_index& versions);
   bool isAdmitted(comparison& current, const engine_state& engine);
   /** @return a factor between 1 and 1.05, which decides between equal engines. */
   double jitter();
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -21,7 +21,7 @@
 
 engine_table::engine_map::iterator engine_table::erase(engine_map::iterator at) {
   this->removeFromIndexes(at->second);
-  this->in_use_.remove(at->second);
+  this->active_.remove(at->second);
   return this->engines_.erase(at);
 }
 
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -13,9 +13,9 @@
 #include "common/address.h"
 #include "common/ids.h"
 #include "common/time.h"
+#include "gateway/engines/active_engines.h"
 #include "gateway/engines/engine_index.h"
 #include "gateway/engines/engine_state.h"
-#include "gateway/engines/engines_in_use.h"
 #include "gateway/fleet/closed_zones.h"
 
 namespace linenpier::engines {
@@ -94,12 +94,12 @@
     return this->index_.ofService(service);
   }
   /** @return the service's engines by the version of the model that they hold, newest first. */
-  const engine_index::holders& holding(const ServiceName& service, const ModelName& model) {
-    return this->index_.holding(service, model);
+  const engine_index::version_index& byVersion(const ServiceName& service, const ModelName& model) {
+    return this->index_.byVersion(service, model);
   }
   const std::map<EngineId, engine_state>& all() const { return this->engines_; }
-  engines_in_use& inUse() { return this->in_use_; }
-  const engines_in_use& inUse() const { return this->in_use_; }
+  active_engines& activeEngines() { return this->active_; }
+  const active_engines& activeEngines() const { return this->active_; }
 
  private:
   using engine_map = std::map<EngineId, engine_state>;
@@ -122,7 +122,7 @@
   /** The members below point into `engines_`. */
   engine_index index_;
   std::map<ServiceName, engine_list> open_;  ///< Not draining and in no closed zone.
-  engines_in_use in_use_;
+  active_engines active_;
   Instant expiry_ends_at_{};  ///< Records that disappear before this may have expired.
 };
 
