--- a/src/gateway/engines/active_engines.cpp
+++ b/src/gateway/engines/active_engines.cpp
@@ -8,7 +8,8 @@
 void active_engines::sweep(Instant now, const latency_options& options) {
   std::erase_if(this->engines_, [&](const engine_state* engine) {
     const engine_load& load = engine->load;
-    return load.inFlight() == 0 && load.tokens() <= 0 && !engine->latency.isRecent(now, options);
+    return load.inFlight() == 0 && load.expectedTokens() <= 0 &&
+           !engine->latency.isRecent(now, options);
   });
 }
 
@@ -31,8 +32,8 @@
   double tokens = 0;
   double requests = 0;
   for (const engine_state* engine : this->engines_) {
-    if (engine->load.tokens() <= 0) continue;
-    tokens += engine->load.tokens();
+    if (engine->load.expectedTokens() <= 0) continue;
+    tokens += engine->load.expectedTokens();
     requests += engine->load.inFlight();
   }
   return requests > 0 ? tokens / requests : 0;
--- a/src/gateway/engines/engine_latency.cpp
+++ b/src/gateway/engines/engine_latency.cpp
@@ -23,7 +23,7 @@
 double engine_latency::ratio(Instant now, double median_event_time,
                              const latency_options& options) const {
   const bool known = median_event_time > 0 && this->isRecent(now, options);
-  if (!known) return this->history_.value(now);
+  if (!known) return this->history_.baselineRatio(now);
   return std::min(this->event_time_ / median_event_time, kMaxLatencyRatio);
 }
 
--- a/src/gateway/engines/engine_latency.h
+++ b/src/gateway/engines/engine_latency.h
@@ -21,11 +21,13 @@
 class engine_latency {
  public:
   /** An event or an answer took `duration`.
-   * @return whether a span of the history is complete: `closeSpan` must be called.
+   * @return whether a span of the history is complete: `closeHistoryWindow` must be called.
    */
   bool onEventTime(Instant now, Duration duration, const latency_options& options);
   /** @param median_event_time of the service's engines, in seconds; 0: none is known. */
-  void closeSpan(double median_event_time) { this->history_.close(median_event_time); }
+  void closeHistoryWindow(double median_event_time) {
+    this->history_.closeWindow(median_event_time);
+  }
 
   /** @return whether an event time was measured lately. The daemon keeps its connections to the
    *     engine for about as long.
--- a/src/gateway/engines/engine_load.cpp
+++ b/src/gateway/engines/engine_load.cpp
@@ -8,8 +8,8 @@
   if (this->in_flight_ > 0) --this->in_flight_;
 }
 
-void engine_load::addTokens(double tokens) {
-  this->tokens_ = std::max(0.0, this->tokens_ + tokens);
+void engine_load::addExpectedTokens(double tokens) {
+  this->expected_tokens_ = std::max(0.0, this->expected_tokens_ + tokens);
 }
 
 void engine_load::onReport(Instant now, const load_report& report) {
--- a/src/gateway/engines/engine_load.h
+++ b/src/gateway/engines/engine_load.h
@@ -27,7 +27,7 @@
   void onAttemptStarted() { ++this->in_flight_; }
   void onAttemptEnded();
   /** @param tokens memory that an attempt is expected to need; negative at its end. */
-  void addTokens(double tokens);
+  void addExpectedTokens(double tokens);
   void onReport(Instant now, const load_report& report);
   /** The engine started again. Attempts at its earlier start are still in flight until their
    * connections end; the report of the earlier start holds no more.
@@ -37,7 +37,7 @@
   /** @return attempts of this daemon under way. */
   std::uint32_t inFlight() const { return this->in_flight_; }
   /** @return memory that those are expected to need. */
-  double tokens() const { return this->tokens_; }
+  double expectedTokens() const { return this->expected_tokens_; }
   /** @return requests of other daemons, as of the last report. */
   double others() const { return this->others_; }
   /** @return when the engine last reported; the start of time if it never did. */
@@ -50,7 +50,7 @@
 
  private:
   std::uint32_t in_flight_ = 0;
-  double tokens_ = 0;
+  double expected_tokens_ = 0;
   double others_ = 0;
   Instant reported_at_{};
 };
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -41,8 +41,8 @@
 void engine_registry::addExpectedTokens(const EngineId& id, double tokens) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
-  engine->load.addTokens(tokens);
-  if (engine->load.tokens() > 0) this->table_.activeEngines().add(*engine);
+  engine->load.addExpectedTokens(tokens);
+  if (engine->load.expectedTokens() > 0) this->table_.activeEngines().add(*engine);
 }
 
 void engine_registry::onModelRejected(Instant now, const EngineId& id, const ModelName& model) {
@@ -70,7 +70,8 @@
   if (engine == nullptr) return;
   const bool complete = engine->latency.onEventTime(now, duration, this->options_.score.latency);
   this->table_.activeEngines().add(*engine);
-  if (complete) engine->latency.closeSpan(this->medianEventTime(now, engine->record.service));
+  if (complete)
+    engine->latency.closeHistoryWindow(this->medianEventTime(now, engine->record.service));
 }
 
 double engine_registry::freeSlots(Instant now, const EngineId& id) const {
--- a/src/gateway/engines/engine_score.cpp
+++ b/src/gateway/engines/engine_scorer.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engines/engine_score.h"
+#include "gateway/engines/engine_scorer.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 /// How much a full batch slows an engine that works in batches.
 constexpr double kBatchWeight = 0.12;
 /// Used part of an engine's memory beyond which requests cost more.
-constexpr double kTightMemory = 0.7;
+constexpr double kMemoryThreshold = 0.7;
 constexpr double kMaxMemoryFactor = 4;
 /// Of an engine with an older version, for a request that prefers the newest.
 constexpr double kOlderVersionFactor = 1.5;
@@ -27,7 +27,7 @@
 constexpr double kNewConnectionFactor = 1.06;
 }  // namespace
 
-double engine_score::expectedWait(const engine_state& engine) const {
+double engine_scorer::expectedWait(const engine_state& engine) const {
   const std::uint32_t slots = engine.record.slots;
   const double per_slot = engine.load.total(this->now_, this->options_.load) / std::max(1U, slots);
   const double weight = this->request_.batching ? kBatchWeight : kLoadWeight * slots;
@@ -44,7 +44,7 @@
   return wait * this->coldFactor(engine);
 }
 
-double engine_score::reluctance(const engine_state& engine) const {
+double engine_scorer::penaltyFactor(const engine_state& engine) const {
   double factor = 1;
   const WeightVersion newest = this->context_.newest;
   const bool older = newest > 0 && engine.versionOf(this->request_.model) < newest;
@@ -55,19 +55,19 @@
   return factor;
 }
 
-double engine_score::memoryFactor(const engine_state& engine) const {
+double engine_scorer::memoryFactor(const engine_state& engine) const {
   if (this->request_.memory_tokens <= 0) return 1;
   const engine_load& load = engine.load;
   // Engines do not report the memory of others' requests; those are likely to be of the same kind.
   const double total = load.total(this->now_, this->options_.load);
   const double others = std::max(0.0, total - load.inFlight()) * this->context_.mean_tokens;
   const double used =
-      (load.tokens() + others + this->request_.tokens) / this->request_.memory_tokens;
-  if (used <= kTightMemory) return 1;
-  return std::min(kMaxMemoryFactor, 1 + (used - kTightMemory) / (1 - kTightMemory));
+      (load.expectedTokens() + others + this->request_.tokens) / this->request_.memory_tokens;
+  if (used <= kMemoryThreshold) return 1;
+  return std::min(kMaxMemoryFactor, 1 + (used - kMemoryThreshold) / (1 - kMemoryThreshold));
 }
 
-double engine_score::coldFactor(const engine_state& engine) const {
+double engine_scorer::coldFactor(const engine_state& engine) const {
   if (!this->cold_.isCold(this->now_, engine.record.id)) return 1;
   return this->cold_.isBounded(this->request_.service) ? kBoundedColdFactor : kColdFactor;
 }
--- a/src/gateway/engines/engine_score.h
+++ b/src/gateway/engines/engine_scorer.h
@@ -31,11 +31,11 @@
 /** Scores engines for one request at one moment. Made for a call; everything referred to must
  * outlive it.
  */
-class engine_score {
+class engine_scorer {
  public:
   /** @param zone of this daemon. */
-  engine_score(Instant now, const engine_request& request, const score_context& context,
-               const ZoneName& zone, const cold_engine_limiter& cold, const score_options& options)
+  engine_scorer(Instant now, const engine_request& request, const score_context& context,
+                const ZoneName& zone, const cold_engine_limiter& cold, const score_options& options)
       : now_(now),
         request_(request),
         context_(context),
@@ -50,7 +50,7 @@
   /** @return by how much the expected wait of an engine counts more because the request would
    *     rather not go there: it holds an older version, or is taken as a last resort only.
    */
-  double reluctance(const engine_state& engine) const;
+  double penaltyFactor(const engine_state& engine) const;
 
  private:
   /** An engine whose memory runs out puts requests back, which then wait and are read anew. */
--- a/src/gateway/engines/engine_selector.cpp
+++ b/src/gateway/engines/engine_selector.cpp
@@ -12,8 +12,8 @@
                                           engine_table& engines, const engine_admission& admission,
                                           cold_engine_limiter& cold, const score_options& score) {
   const score_context context = this->makeScoreContext(now, request, engines, score);
-  const engine_score scored(now, request, context, this->zone_, cold, score);
-  comparison current{now, request, admission, scored, cold};
+  const engine_scorer scorer(now, request, context, this->zone_, cold, score);
+  comparison current{now, request, admission, scorer, cold};
   this->last_failures_ = admission_failure_counts();
   const bool by_version = request.minimum_version > 0 || request.exact_version;
   if (by_version && !request.model.empty()) {
@@ -59,7 +59,7 @@
     if (!this->isAdmitted(current, engine)) continue;
     ++current.compared;
     const double wait =
-        current.score.expectedWait(engine) * this->jitter() * current.score.reluctance(engine);
+        current.scorer.expectedWait(engine) * this->jitter() * current.scorer.penaltyFactor(engine);
     if (current.best != nullptr && wait >= current.wait) continue;
     current.best = &engine;
     current.wait = wait;
--- a/src/gateway/engines/engine_selector.h
+++ b/src/gateway/engines/engine_selector.h
@@ -17,7 +17,7 @@
 #include "gateway/engines/engine_admission.h"
 #include "gateway/engines/engine_index.h"
 #include "gateway/engines/engine_request.h"
-#include "gateway/engines/engine_score.h"
+#include "gateway/engines/engine_scorer.h"
 #include "gateway/engines/engine_table.h"
 
 namespace linenpier::engines {
@@ -55,7 +55,7 @@
     Instant now;
     const engine_request& request;
     const engine_admission& admission;
-    const engine_score& score;
+    const engine_scorer& scorer;
     cold_engine_limiter& cold;
     const engine_state* best = nullptr;
     double wait = 0;  ///< Of the best one.
--- a/src/gateway/engines/latency_history.h
+++ b/src/gateway/engines/latency_history.h
@@ -21,18 +21,18 @@
   /** Ends the span. @param median_event_time of the service's engines, in seconds; 0: none is
    * known.
    */
-  void close(double median_event_time);
+  void closeWindow(double median_event_time);
   /** @return the least ratio of event time to median: an engine that is slow by its hardware was
    *     slow in every span. 1 as long as no span is complete, or if nothing was measured lately.
    */
-  double value(Instant now) const;
+  double baselineRatio(Instant now) const;
 
  private:
-  double seconds_ = 0;      ///< Sum over the open span.
-  std::size_t events_ = 0;  ///< In the open span.
-  Instant opened_at_{};
+  double event_time_sum_ = 0;    ///< Sum over the open span.
+  std::size_t event_count_ = 0;  ///< In the open span.
+  Instant window_start_{};
   Instant measured_at_{};
-  std::vector<double> spans_;  ///< Ratios to the median, oldest first.
+  std::vector<double> window_ratios_;  ///< Ratios to the median, oldest first.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/model_loading.h
+++ b/src/gateway/engines/model_loading.h
@@ -32,7 +32,7 @@
   bool isLoading(Instant now, const ModelName& model) const;
 
  private:
-  std::map<ModelName, Instant> until_;
+  std::map<ModelName, Instant> backoff_until_;
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/routing/weighted_round_robin.cpp
+++ b/src/gateway/routing/weighted_round_robin.cpp
@@ -17,33 +17,33 @@
 }
 
 /** Bound of the turns that a daemon skips when it first sees the services of a route. */
-constexpr std::uint64_t kMaxSkipped = 97;
+constexpr std::uint64_t kMaxInitialTurns = 97;
 
 }  // namespace
 
-std::size_t weighted_round_robin::pickService(balance& of, double total) {
+std::size_t weighted_round_robin::pickService(route_state& state, double total) {
   std::size_t best = 0;
-  for (std::size_t i = 0; i < of.services.size(); ++i) {
-    of.credits[i] += of.services[i].weight;
-    if (of.credits[i] > of.credits[best]) best = i;
+  for (std::size_t i = 0; i < state.services.size(); ++i) {
+    state.credits[i] += state.services[i].weight;
+    if (state.credits[i] > state.credits[best]) best = i;
   }
-  of.credits[best] -= total;
+  state.credits[best] -= total;
   return best;
 }
 
 ServiceName weighted_round_robin::next(const Route& route) {
   if (route.services.size() == 1) return route.services.front().service;
-  balance& of = this->balances_[route.name];
+  route_state& state = this->states_[route.name];
   double total = 0;
   for (const WeightedService& each : route.services) total += each.weight;
-  if (!sameServices(of.services, route.services)) {
-    of.services = route.services;
-    of.credits.assign(route.services.size(), 0);
+  if (!sameServices(state.services, route.services)) {
+    state.services = route.services;
+    state.credits.assign(route.services.size(), 0);
     // Many daemons that see few requests each would otherwise all begin with the same service.
-    const std::uint64_t skipped = hash64(route.name.str(), this->start_) % kMaxSkipped;
-    for (std::uint64_t i = 0; i < skipped; ++i) pickService(of, total);
+    const std::uint64_t skipped = hash64(route.name.str(), this->start_) % kMaxInitialTurns;
+    for (std::uint64_t i = 0; i < skipped; ++i) pickService(state, total);
   }
-  return route.services[pickService(of, total)].service;
+  return route.services[pickService(state, total)].service;
 }
 
 }  // namespace linenpier::routing
--- a/src/gateway/routing/weighted_round_robin.h
+++ b/src/gateway/routing/weighted_round_robin.h
@@ -26,15 +26,15 @@
   ServiceName next(const Route& route);
 
  private:
-  struct balance {
+  struct route_state {
     std::vector<WeightedService> services;  ///< As they were when the credits were last reset.
     std::vector<double> credits;
   };
   /** @return the index of the service whose turn it is. */
-  static std::size_t pickService(balance& of, double total);
+  static std::size_t pickService(route_state& state, double total);
 
   std::uint64_t start_;
-  std::map<RouteName, balance> balances_;
+  std::map<RouteName, route_state> states_;
 };
 
 }  // namespace linenpier::routing
