--- a/src/gateway/engines/cold_engine_limiter.cpp
+++ b/src/gateway/engines/cold_engine_limiter.cpp
@@ -8,11 +8,11 @@
 namespace {
 /// This daemon's part of the bound at an engine that seems warm: should it have turned cold, two
 /// daemons that both send there, as when a job changes its owner, are within the bound together.
-constexpr std::size_t kWarmShares = 2;
+constexpr std::size_t kWarmDivisor = 2;
 /// The same where records are stale: three daemons are within the bound.
-constexpr std::size_t kStaleShares = 3;
+constexpr std::size_t kStaleDivisor = 3;
 /// Senders beside those whose leases are seen: a lease may be new, or its daemon cut off.
-constexpr std::size_t kUnseenSenders = 1;
+constexpr std::size_t kUnlistedSenders = 1;
 }  // namespace
 
 const char* toText(ColdLimit limit) {
@@ -25,11 +25,11 @@
       return "unheard";
     case ColdLimit::kShared:
       return "shared";
-    case ColdLimit::kJustTurned:
+    case ColdLimit::kRecentlyCold:
       return "pause";
-    case ColdLimit::kRestart:
+    case ColdLimit::kRestarted:
       return "restart";
-    case ColdLimit::kNoSender:
+    case ColdLimit::kNotSender:
       return "no_sender";
   }
   return "unknown";
@@ -43,13 +43,13 @@
 }
 
 void cold_engine_limiter::onRecord(Instant now, const EngineId& engine, Duration cold_remaining) {
-  const bool remembered = this->boundsAny() || cold_remaining > Duration::zero();
+  const bool remembered = this->limitsAny() || cold_remaining > Duration::zero();
   if (!remembered && !this->engines_.contains(engine)) {
     this->onFeedAnswered(now);
     return;
   }
   const auto [at, is_new] = this->engines_.try_emplace(engine);
-  known_engine& state = at->second;
+  engine_entry& state = at->second;
   const bool cold = this->isCold(now, state);
   // The same record received again (from a peer, after an outage) is as old as before.
   const bool repeated = !is_new && cold && cold_remaining == state.last_cold_for;
@@ -58,7 +58,7 @@
   this->onFeedAnswered(now);
   if (repeated || cold_remaining <= Duration::zero()) return;
   if (!cold) {
-    state.turned_cold_at = now;
+    state.cold_since = now;
     state.was_warm = !is_new;
   }
   // Records lag: one that says less than an earlier one does not shorten the time.
@@ -67,8 +67,8 @@
 
 void cold_engine_limiter::onSent(Instant now, const EngineId& engine) {
   if (this->per_second_.empty()) return;
-  known_engine& state = this->engines_[engine];
-  while (!state.sent.empty() && now - state.sent.front() >= this->times_.window) {
+  engine_entry& state = this->engines_[engine];
+  while (!state.sent.empty() && now - state.sent.front() >= this->timing_.window) {
     state.sent.pop_front();
   }
   state.sent.push_back(now);
@@ -91,61 +91,61 @@
   return taken;
 }
 
-const cold_engine_limiter::known_engine* cold_engine_limiter::find(const EngineId& engine) const {
+const cold_engine_limiter::engine_entry* cold_engine_limiter::find(const EngineId& engine) const {
   const auto at = this->engines_.find(engine);
   return at == this->engines_.end() ? nullptr : &at->second;
 }
 
 bool cold_engine_limiter::isCold(Instant now, const EngineId& engine) const {
-  const known_engine* state = this->find(engine);
+  const engine_entry* state = this->find(engine);
   return state != nullptr && this->isCold(now, *state);
 }
 
-std::size_t cold_engine_limiter::sent(Instant now, const known_engine& state) const {
+std::size_t cold_engine_limiter::sent(Instant now, const engine_entry& state) const {
   const auto first = std::find_if(state.sent.begin(), state.sent.end(),
-                                  [&](Instant at) { return now - at < this->times_.window; });
+                                  [&](Instant at) { return now - at < this->timing_.window; });
   return static_cast<std::size_t>(state.sent.end() - first);
 }
 
 std::size_t cold_engine_limiter::sent(Instant now, const EngineId& engine) const {
-  const known_engine* state = this->find(engine);
+  const engine_entry* state = this->find(engine);
   return state == nullptr ? 0 : this->sent(now, *state);
 }
 
-std::size_t cold_engine_limiter::fleetBound(const ServiceName& service) const {
-  if (this->rules_.bound_factor <= 0) return 0;
+std::size_t cold_engine_limiter::fleetLimit(const ServiceName& service) const {
+  if (this->limit_.bound_factor <= 0) return 0;
   const auto at = this->per_second_.find(service);
   if (at == this->per_second_.end()) return 0;
-  const double bound = at->second * this->rules_.bound_factor + this->rules_.extra_per_second;
+  const double bound = at->second * this->limit_.bound_factor + this->limit_.extra_per_second;
   return static_cast<std::size_t>(std::max(1.0, std::floor(bound)));
 }
 
-cold_allowance cold_engine_limiter::coldAllowance(Instant now, const known_engine& state,
+cold_allowance cold_engine_limiter::coldAllowance(Instant now, const engine_entry& state,
                                                   std::size_t bound) const {
-  const Duration window = this->times_.window;
-  if (now - this->started_at_ < window) return {ColdLimit::kRestart, 0};
-  if (!this->senders_.self || this->senders_.count == 0) return {ColdLimit::kNoSender, 0};
-  if (state.was_warm && now - state.turned_cold_at < window) return {ColdLimit::kJustTurned, 0};
-  return {ColdLimit::kShared, bound / (this->senders_.count + kUnseenSenders)};
+  const Duration window = this->timing_.window;
+  if (now - this->started_at_ < window) return {ColdLimit::kRestarted, 0};
+  if (!this->senders_.self || this->senders_.count == 0) return {ColdLimit::kNotSender, 0};
+  if (state.was_warm && now - state.cold_since < window) return {ColdLimit::kRecentlyCold, 0};
+  return {ColdLimit::kShared, bound / (this->senders_.count + kUnlistedSenders)};
 }
 
 cold_allowance cold_engine_limiter::warmAllowance(Instant now, std::size_t bound) const {
-  const double beats = toSeconds(now - this->feed_at_) / toSeconds(this->times_.heartbeat);
-  const bool current = beats < this->times_.stale_after_beats;
-  const bool settled = now - this->started_at_ >= this->times_.window;
+  const double heartbeats = toSeconds(now - this->feed_at_) / toSeconds(this->timing_.heartbeat);
+  const bool current = heartbeats < this->timing_.stale_after_heartbeats;
+  const bool settled = now - this->started_at_ >= this->timing_.window;
   const bool known = current && settled;
-  const std::size_t shares = known ? kWarmShares : kStaleShares;
+  const std::size_t divisor = known ? kWarmDivisor : kStaleDivisor;
   const ColdLimit limit = known ? ColdLimit::kWarm : ColdLimit::kStale;
-  return {limit, std::max<std::size_t>(1, bound / shares)};
+  return {limit, std::max<std::size_t>(1, bound / divisor)};
 }
 
 cold_allowance cold_engine_limiter::allowance(Instant now, const ServiceName& service,
                                               const EngineId& engine) const {
-  const std::size_t bound = this->fleetBound(service);
+  const std::size_t bound = this->fleetLimit(service);
   return bound == 0 ? cold_allowance{} : this->allowance(now, this->find(engine), bound);
 }
 
-cold_allowance cold_engine_limiter::allowance(Instant now, const known_engine* state,
+cold_allowance cold_engine_limiter::allowance(Instant now, const engine_entry* state,
                                               std::size_t bound) const {
   const bool cold = state != nullptr && this->isCold(now, *state);
   return cold ? this->coldAllowance(now, *state, bound) : this->warmAllowance(now, bound);
@@ -153,10 +153,10 @@
 
 bool cold_engine_limiter::hasRoom(Instant now, const ServiceName& service,
                                   const EngineId& engine) const {
-  const std::size_t bound = this->fleetBound(service);
+  const std::size_t bound = this->fleetLimit(service);
   if (bound == 0) return true;
   // Asked for every engine that a choice examines: one look-up of its state.
-  const known_engine* state = this->find(engine);
+  const engine_entry* state = this->find(engine);
   const std::size_t sent = state == nullptr ? 0 : this->sent(now, *state);
   return sent < this->allowance(now, state, bound).requests;
 }
@@ -175,8 +175,8 @@
 
 void cold_engine_limiter::sweep(Instant now, const std::function<bool(const EngineId&)>& listed) {
   std::erase_if(this->engines_, [&](const auto& each) {
-    const known_engine& state = each.second;
-    const bool silent = now - state.recorded_at >= this->times_.forget_after;
+    const engine_entry& state = each.second;
+    const bool silent = now - state.recorded_at >= this->timing_.forget_after;
     const bool idle = !this->isCold(now, state) && this->sent(now, state) == 0;
     return silent && idle && !listed(each.first);
   });
--- a/src/gateway/engines/cold_engine_limiter.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -43,7 +43,7 @@
   bool operator==(const cold_senders&) const = default;
 };
 
-struct cold_times {
+struct cold_limit_timing {
   /** Sends within this time count together: the second that the bound is for, and how much later
    * than it was counted a request may leave (0.2 s to connect, 0.1 s for a late event loop).
    */
@@ -53,7 +53,7 @@
   /** Once the feed of records has not answered for this many heartbeats, engines may have turned
    * cold unnoticed. More than the 2.7 s within which a working feed answers.
    */
-  double stale_after_beats = 2.5;
+  double stale_after_heartbeats = 2.5;
   /** Until an engine that is not listed any more is forgotten; one that crashed comes back under
    * its id.
    */
@@ -62,13 +62,13 @@
 
 /** The rule by which an engine may be sent only so much. */
 enum class ColdLimit {
-  kUnbounded,   ///< Engines of its service are not bounded.
-  kWarm,        ///< Warm by its last record; it may have turned cold since.
-  kStale,       ///< The same, but the records are stale, or this daemon has just started.
-  kShared,      ///< Cold: the bound is shared out among the senders.
-  kJustTurned,  ///< Known to be cold for less than a window: others may have sent it more before.
-  kRestart,     ///< Cold, and this daemon may have sent to it before it restarted.
-  kNoSender,    ///< Cold, and this daemon owns no work.
+  kUnbounded,     ///< Engines of its service are not bounded.
+  kWarm,          ///< Warm by its last record; it may have turned cold since.
+  kStale,         ///< The same, but the records are stale, or this daemon has just started.
+  kShared,        ///< Cold: the bound is shared out among the senders.
+  kRecentlyCold,  ///< Known to be cold for less than a window: others may have sent it more before.
+  kRestarted,     ///< Cold, and this daemon may have sent to it before it restarted.
+  kNotSender,     ///< Cold, and this daemon owns no work.
 };
 
 /** @return the word of log lines. */
@@ -101,17 +101,17 @@
  */
 class cold_engine_limiter {
  public:
-  explicit cold_engine_limiter(cold_times times = {}) : times_(times) {}
+  explicit cold_engine_limiter(cold_limit_timing timing = {}) : timing_(timing) {}
 
   /** This daemon started. */
   void onStart(Instant now) { this->started_at_ = now; }
-  void setLimitOptions(const cold_limit_options& rules) { this->rules_ = rules; }
+  void setLimitOptions(const cold_limit_options& options) { this->limit_ = options; }
   /** @param services of the configuration in force. */
   void setServices(const std::map<ServiceName, routing::Service>& services);
-  bool boundsAny() const { return !this->per_second_.empty(); }
-  void setHeartbeat(Duration heartbeat) { this->times_.heartbeat = heartbeat; }
+  bool limitsAny() const { return !this->per_second_.empty(); }
+  void setHeartbeat(Duration heartbeat) { this->timing_.heartbeat = heartbeat; }
   /** Remembers a listed engine: should it turn cold, it is known to have been warm before. */
-  void keep(const EngineId& engine) { this->engines_.try_emplace(engine); }
+  void track(const EngineId& engine) { this->engines_.try_emplace(engine); }
   void setSenders(const cold_senders& senders) { this->senders_ = senders; }
   const cold_senders& senders() const { return this->senders_; }
 
@@ -134,7 +134,7 @@
   /** @return whether the engine may be sent one more request. */
   bool hasRoom(Instant now, const ServiceName& service, const EngineId& engine) const;
   /** @return whether engines of the service are bounded while they are cold. */
-  bool isBounded(const ServiceName& service) const { return this->fleetBound(service) > 0; }
+  bool isBounded(const ServiceName& service) const { return this->fleetLimit(service) > 0; }
 
   /** @return the engines that turned cold or warm since this was last asked. */
   std::vector<cold_change> takeChanges(Instant now);
@@ -145,34 +145,34 @@
   void sweep(Instant now, const std::function<bool(const EngineId&)>& listed);
 
  private:
-  struct known_engine {
+  struct engine_entry {
     Instant recorded_at{};
     Instant cold_until{};
-    Instant turned_cold_at{};
+    Instant cold_since{};
     bool was_warm = false;       ///< Before it turned cold: others may have sent to it then.
     bool reported_cold = false;  ///< As of the last `takeChanges`.
     Duration last_cold_for{};
     std::deque<Instant> sent;
   };
 
-  const known_engine* find(const EngineId& engine) const;
-  bool isCold(Instant now, const known_engine& state) const { return now < state.cold_until; }
-  std::size_t sent(Instant now, const known_engine& state) const;
+  const engine_entry* find(const EngineId& engine) const;
+  bool isCold(Instant now, const engine_entry& state) const { return now < state.cold_until; }
+  std::size_t sent(Instant now, const engine_entry& state) const;
   /** @return requests a second that all daemons together may send to a cold engine; 0: no bound.
    */
-  std::size_t fleetBound(const ServiceName& service) const;
+  std::size_t fleetLimit(const ServiceName& service) const;
   /** @param state nullptr: nothing is known of the engine. */
-  cold_allowance allowance(Instant now, const known_engine* state, std::size_t bound) const;
-  cold_allowance coldAllowance(Instant now, const known_engine& state, std::size_t bound) const;
+  cold_allowance allowance(Instant now, const engine_entry* state, std::size_t bound) const;
+  cold_allowance coldAllowance(Instant now, const engine_entry& state, std::size_t bound) const;
   cold_allowance warmAllowance(Instant now, std::size_t bound) const;
 
-  cold_times times_;
-  cold_limit_options rules_;
+  cold_limit_timing timing_;
+  cold_limit_options limit_;
   cold_senders senders_;
   Instant started_at_{};
   Instant feed_at_{};                         ///< When the feed of records last answered.
   std::map<ServiceName, double> per_second_;  ///< Services whose engines are bounded.
-  std::map<EngineId, known_engine> engines_;
+  std::map<EngineId, engine_entry> engines_;
   std::map<EngineId, cold_refusals> refusals_;  ///< Since they were last asked for.
   std::uint64_t refused_ = 0;
 };
--- a/src/gateway/engines/engine_admission.cpp
+++ b/src/gateway/engines/engine_admission.cpp
@@ -10,7 +10,8 @@
   if (place != AdmissionFailure::kNone) return place;
   const AdmissionFailure version = checkVersion(engine, request);
   if (version != AdmissionFailure::kNone) return version;
-  if (!this->cold_.hasRoom(now, request.service, engine.record.id)) return AdmissionFailure::kCold;
+  if (!this->cold_limiter_.hasRoom(now, request.service, engine.record.id))
+    return AdmissionFailure::kCold;
   if (engine.loading.isLoading(now, request.model)) return AdmissionFailure::kLoading;
   if (this->isFull(now, engine, request)) return AdmissionFailure::kFull;
   if (request.last_resort) return AdmissionFailure::kNone;
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -21,7 +21,7 @@
  public:
   engine_admission(const fleet::closed_zones& closed, const fleet::fleet_layout& layout,
                    const cold_engine_limiter& cold, const load_options& load)
-      : closed_(closed), layout_(layout), cold_(cold), load_(load) {}
+      : closed_(closed), layout_(layout), cold_limiter_(cold), load_(load) {}
 
   /** Runs the checks in the order of `AdmissionFailure` and stops at the first that refuses: what
    * the operator and the request forbid, what passes by itself within seconds, and what a last
@@ -38,7 +38,7 @@
 
   const fleet::closed_zones& closed_;
   const fleet::fleet_layout& layout_;
-  const cold_engine_limiter& cold_;
+  const cold_engine_limiter& cold_limiter_;
   const load_options& load_;
 };
 
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -3,28 +3,28 @@
 namespace linenpier::engines {
 
 void engine_registry::setServices(const std::map<ServiceName, routing::Service>& services) {
-  const bool before = this->cold_.boundsAny();
-  this->cold_.setServices(services);
-  if (before || !this->cold_.boundsAny()) return;
+  const bool before = this->cold_limiter_.limitsAny();
+  this->cold_limiter_.setServices(services);
+  if (before || !this->cold_limiter_.limitsAny()) return;
   // From now on it matters which engines were warm.
-  for (const auto& [id, engine] : this->table_.all()) this->cold_.keep(id);
+  for (const auto& [id, engine] : this->table_.all()) this->cold_limiter_.track(id);
 }
 
 void engine_registry::setHeartbeat(Duration heartbeat) {
   this->options_.record_expiry.heartbeat = heartbeat;
   this->table_.setHeartbeat(heartbeat);
-  this->cold_.setHeartbeat(heartbeat);
+  this->cold_limiter_.setHeartbeat(heartbeat);
 }
 
 RecordEffect engine_registry::onRecord(Instant now, const engine_record& record) {
   const RecordEffect effect = this->table_.onRecord(record);
   if (effect != RecordEffect::kOutdated)
-    this->cold_.onRecord(now, record.id, record.cold_remaining);
+    this->cold_limiter_.onRecord(now, record.id, record.cold_remaining);
   return effect;
 }
 
 void engine_registry::onAttemptStarted(Instant now, const EngineId& id) {
-  this->cold_.onSent(now, id);
+  this->cold_limiter_.onSent(now, id);
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptStarted();
@@ -99,7 +99,8 @@
 }
 
 void engine_registry::sweep(Instant now) {
-  this->cold_.sweep(now, [this](const EngineId& id) { return this->table_.find(id) != nullptr; });
+  this->cold_limiter_.sweep(
+      now, [this](const EngineId& id) { return this->table_.find(id) != nullptr; });
   this->table_.activeEngines().sweep(now, this->options_.score.latency);
 }
 
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -119,7 +119,7 @@
   }
   /** @return the engine that should answer soonest, or nullptr if none is admitted. */
   const engine_state* pick(Instant now, const engine_request& request) {
-    return this->selector_.pick(now, request, this->table_, this->admission(), this->cold_,
+    return this->selector_.pick(now, request, this->table_, this->admission(), this->cold_limiter_,
                                 this->options_.score);
   }
   /** @return why engines were refused when none was found at the last choice. */
@@ -128,8 +128,8 @@
   }
   /** @return engines that choices have examined so far. */
   std::uint64_t examined() const { return this->selector_.examined(); }
-  cold_engine_limiter& coldLimiter() { return this->cold_; }
-  const cold_engine_limiter& coldLimiter() const { return this->cold_; }
+  cold_engine_limiter& coldLimiter() { return this->cold_limiter_; }
+  const cold_engine_limiter& coldLimiter() const { return this->cold_limiter_; }
 
   // --- Load and latency ---
 
@@ -162,13 +162,14 @@
 
  private:
   engine_admission admission() const {
-    return {this->table_.closedZones(), this->layout_, this->cold_, this->options_.score.load};
+    return {this->table_.closedZones(), this->layout_, this->cold_limiter_,
+            this->options_.score.load};
   }
 
   registry_options options_;
   fleet::fleet_layout layout_;
   engine_table table_;
-  cold_engine_limiter cold_;
+  cold_engine_limiter cold_limiter_;
   engine_selector selector_;
 };
 
--- a/src/gateway/engines/engine_scorer.cpp
+++ b/src/gateway/engines/engine_scorer.cpp
@@ -68,8 +68,8 @@
 }
 
 double engine_scorer::coldFactor(const engine_state& engine) const {
-  if (!this->cold_.isCold(this->now_, engine.record.id)) return 1;
-  return this->cold_.isBounded(this->request_.service) ? kBoundedColdFactor : kColdFactor;
+  if (!this->cold_limiter_.isCold(this->now_, engine.record.id)) return 1;
+  return this->cold_limiter_.isBounded(this->request_.service) ? kBoundedColdFactor : kColdFactor;
 }
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_scorer.h
+++ b/src/gateway/engines/engine_scorer.h
@@ -40,7 +40,7 @@
         request_(request),
         context_(context),
         zone_(zone),
-        cold_(cold),
+        cold_limiter_(cold),
         options_(options) {}
 
   /** @return a number without unit that grows with the time until the engine answers: 1 for an
@@ -61,7 +61,7 @@
   const engine_request& request_;
   const score_context& context_;
   const ZoneName& zone_;
-  const cold_engine_limiter& cold_;
+  const cold_engine_limiter& cold_limiter_;
   const score_options& options_;
 };
 
