--- a/src/gateway/engines/active_engines.h
+++ b/src/gateway/engines/active_engines.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * The engines that this daemon uses: with requests in flight or a recent event time. Few of a large
- * service, so that sums and medians over them cost little at each choice.
+ * Engines with requests of this daemon in flight or with a recent event time. They are few even in
+ * a large service, which keeps means and medians cheap.
  */
 
 #include <set>
@@ -14,24 +14,20 @@
 
 namespace linenpier::engines {
 
-/** Points to engines of an `engine_table`. Invariant: the table removes an engine here before it
- * removes the engine itself.
+/** Holds pointers to engines of an `engine_table`, which must remove an engine here before it
+ * erases it.
  */
 class active_engines {
  public:
   void add(const engine_state& engine) { this->engines_.insert(&engine); }
   void remove(const engine_state& engine) { this->engines_.erase(&engine); }
-  /** Drops engines without requests and without a recent event time. */
+  /** Removes engines with neither requests in flight nor a recent event time. */
   void sweep(Instant now, const latency_options& options);
 
-  /** @return the median of the recent event times of the service's engines, in seconds; 0 if there
-   *     is none.
-   */
+  /** @return the median of the recent event times of a service in seconds; 0: none. */
   double medianEventTime(Instant now, const ServiceName& service,
                          const latency_options& options) const;
-  /** @return memory that a request of this daemon is expected to need, in the mean; 0 if none is in
-   *     flight with such an expectation.
-   */
+  /** @return the mean of the expected tokens per request in flight; 0: unknown. */
   double meanTokens() const;
 
  private:
--- a/src/gateway/engines/admission_failure.h
+++ b/src/gateway/engines/admission_failure.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * The reasons for which an engine may not be sent a request, and how often each applied. The checks
- * behind them stand in `engine_admission`.
+ * The reasons why an engine may not be sent a request, and counts of them. See `engine_admission`
+ * for the checks.
  */
 
 #include <array>
@@ -13,26 +13,26 @@
 
 /** In the order of the checks of `engine_admission::admit`. */
 enum class AdmissionFailure {
-  kNone,          ///< It may be sent the request.
-  kWrongService,  ///< It does not serve the service.
+  kNone,          ///< The engine may be sent the request.
+  kWrongService,  ///< The engine belongs to another service.
   kDraining,
-  kZoneClosed,        ///< The operator closed its zone.
-  kOutsideResidency,  ///< It is in a region where the request must not be.
-  kVersionMismatch,   ///< Its weights are not those that the request needs.
-  kCold,              ///< This daemon sent it its share of what a cold engine bears.
-  kLoading,           ///< It is loading weights of the request's model.
-  kFull,              ///< It runs as much as the request allows.
-  kEjected,           ///< It failed lately.
-  kExcluded,          ///< The request excludes it: it was tried there.
+  kZoneClosed,        ///< The operator closed the zone of the engine.
+  kOutsideResidency,  ///< The request may not be served in the region of the engine.
+  kVersionMismatch,   ///< The engine does not hold the weights that the request needs.
+  kCold,              ///< The share of this daemon at a cold engine is used up.
+  kLoading,           ///< The engine is loading weights of the requested model.
+  kFull,              ///< The engine has reached the load limit of the request.
+  kEjected,           ///< The engine failed recently.
+  kExcluded,          ///< The request excludes the engine, as after an earlier attempt there.
 };
 
 inline constexpr std::size_t kAdmissionFailures =
     static_cast<std::size_t>(AdmissionFailure::kExcluded) + 1;
 
-/** @return the word of log lines. */
+/** @return the name in log lines. */
 const char* toText(AdmissionFailure failure);
 
-/** How many engines of a service were refused for each reason when one was looked for. */
+/** Counts the engines of a service that were rejected in one selection, by reason. */
 class admission_failure_counts {
  public:
   void add(AdmissionFailure failure, std::size_t engines = 1) {
@@ -41,9 +41,9 @@
   std::size_t of(AdmissionFailure failure) const {
     return this->counts_[static_cast<std::size_t>(failure)];
   }
-  /** @return the reason for most engines; kNone if the service has no engine. */
+  /** @return the most frequent reason; kNone without any failure. */
   AdmissionFailure mostFrequent() const;
-  /** @return the reasons with their counts, for a log line: "zone_closed 16, full 32". */
+  /** @return the counts for a log line, such as "zone_closed 16, full 32". */
   std::string describe() const;
 
  private:
--- a/src/gateway/engines/cold_engine_limiter.cpp
+++ b/src/gateway/engines/cold_engine_limiter.cpp
@@ -6,12 +6,12 @@
 namespace linenpier::engines {
 
 namespace {
-/// This daemon's part of the bound at an engine that seems warm: should it have turned cold, two
-/// daemons that both send there, as when a job changes its owner, are within the bound together.
+/// This daemon's share of the limit for an engine that seems warm: if it has turned cold meanwhile,
+/// two daemons that both send to it, as during a change of a job's owner, stay within the limit.
 constexpr std::size_t kWarmDivisor = 2;
-/// The same where records are stale: three daemons are within the bound.
+/// The same for stale records: three daemons stay within the limit.
 constexpr std::size_t kStaleDivisor = 3;
-/// Senders beside those whose leases are seen: a lease may be new, or its daemon cut off.
+/// Allowance for senders whose lease is not visible yet, or who can't reach the store.
 constexpr std::size_t kUnlistedSenders = 1;
 }  // namespace
 
@@ -51,7 +51,7 @@
   const auto [at, is_new] = this->engines_.try_emplace(engine);
   engine_entry& state = at->second;
   const bool cold = this->isCold(now, state);
-  // The same record received again (from a peer, after an outage) is as old as before.
+  // A record that is received again, from a peer or after an outage, is no newer than before.
   const bool repeated = !is_new && cold && cold_remaining == state.last_cold_for;
   state.last_cold_for = cold_remaining;
   state.recorded_at = now;
@@ -61,7 +61,7 @@
     state.cold_since = now;
     state.was_warm = !is_new;
   }
-  // Records lag: one that says less than an earlier one does not shorten the time.
+  // Records lag, so a shorter remaining time does not replace a longer one.
   state.cold_until = std::max(state.cold_until, now + cold_remaining);
 }
 
@@ -155,7 +155,7 @@
                                   const EngineId& engine) const {
   const std::size_t bound = this->fleetLimit(service);
   if (bound == 0) return true;
-  // Asked for every engine that a choice examines: one look-up of its state.
+  // Called for every candidate engine, hence a single lookup.
   const engine_entry* state = this->find(engine);
   const std::size_t sent = state == nullptr ? 0 : this->sent(now, *state);
   return sent < this->allowance(now, state, bound).requests;
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Admission: whether an engine may be sent a request, and if not, why. Requests of callers, items,
- * resumed runs, reward calls and moves all ask here. Pure.
+ * Checks whether an engine may be sent a request. Used for requests of callers, batch items,
+ * resumed runs, reward calls and moved runs. Does no I/O.
  */
 
 #include "common/time.h"
@@ -16,20 +16,21 @@
 
 namespace linenpier::engines {
 
-/** The checks, over what they look at. Made for a call; everything referred to must outlive it. */
+/** Created for a single call; holds references only. */
 class engine_admission {
  public:
   engine_admission(const fleet::closed_zones& closed, const fleet::fleet_layout& layout,
                    const cold_engine_limiter& cold, const load_options& load)
       : closed_(closed), layout_(layout), cold_limiter_(cold), load_(load) {}
 
-  /** Runs the checks in the order of `AdmissionFailure` and stops at the first that refuses: what
-   * the operator and the request forbid, what passes by itself within seconds, and what a last
-   * resort passes over (ejected, excluded).
+  /** Runs the checks in the order of `AdmissionFailure` and returns the first failure: conditions
+   * set by the operator or the request, then those that clear within seconds, then those that a
+   * request with `last_resort` ignores (ejected, excluded).
    */
   AdmissionFailure admit(Instant now, const engine_state& engine,
                          const engine_request& request) const;
-  /** The checks that no waiting passes: service, draining, closed zone, residency. */
+  /** Runs only the checks whose failure does not clear by waiting: service, draining, closed zone
+   * and residency. */
   AdmissionFailure checkPlacement(const engine_state& engine, const engine_request& request) const;
 
  private:
--- a/src/gateway/engines/engine_health.cpp
+++ b/src/gateway/engines/engine_health.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::engines {
 
 namespace {
-/// The time of an ejection doubles at most this often.
+/// Maximum number of times that the ejection time doubles.
 constexpr int kMaxBackoffSteps = 4;
 }  // namespace
 
@@ -25,7 +25,7 @@
 }
 
 Duration engine_health::ejectionAfter(AttemptOutcome outcome, const health_options& options) const {
-  // A single broken answer is common and says little about the engine.
+  // A single broken response is common and no sign of an unhealthy engine.
   if (outcome == AttemptOutcome::kBroken && this->failures_ < 2) return Duration::zero();
   if (outcome == AttemptOutcome::kWrongEngine) return options.max_ejection;
   const int steps = std::min(this->failures_ - 1, kMaxBackoffSteps);
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -1,11 +1,10 @@
 #pragma once
 
 /** @file
- * The engines of each service in this daemon's order, and which of them hold a version of a model.
- * A choice goes through this order and stops when it has compared enough, so that it examines as
- * many engines in a service of ten thousand as in one of a hundred. The orders of two daemons are
- * unrelated: over all daemons each engine comes early as often as any other, while one daemon keeps
- * to the engines that it has connections to. Pure.
+ * Index of the engines of each service in a hashed order, and by the version of a model that they
+ * hold. A selection stops after a bounded number of candidates, so that its cost does not grow with
+ * the service. The hash is seeded per daemon: load spreads over all engines, while each daemon
+ * reuses its connections to a few of them. Does no I/O.
  */
 
 #include <cstdint>
@@ -19,8 +18,8 @@
 
 struct engine_state;
 
-/** Points to engines of an `engine_table`. Invariant: the table removes an engine here before it
- * changes the service or a version of the engine, and adds it again afterwards.
+/** Holds pointers to engines of an `engine_table`. The table must remove an engine before it
+ * changes its service or versions, and add it again afterwards.
  */
 class engine_index {
  public:
@@ -32,18 +31,18 @@
     bool operator()(const entry& left, const entry& right) const;
   };
   using engine_order = std::set<entry, by_rank>;
-  /** Newest first: a choice that ends early ends among the newest weights. */
+  /** Newest first, so that a bounded selection prefers the newest weights. */
   using version_index = std::map<WeightVersion, engine_order, std::greater<>>;
 
-  /** @param seed of this daemon's order. */
+  /** @param seed seed of this daemon's order. */
   explicit engine_index(std::uint64_t seed) : seed_(seed) {}
 
   void add(const engine_state& engine);
   void remove(const engine_state& engine);
 
   const engine_order& ofService(const ServiceName& service) const;
-  /** @return the service's engines by the version of the model that they hold. The first call for a
-   *     model goes over all engines of the service; from then on the index is kept up.
+  /** @return the engines of the service by the version of the model that they hold. Built at the
+   *     first call for a model and updated incrementally from then on.
    */
   const version_index& byVersion(const ServiceName& service, const ModelName& model);
 
@@ -54,7 +53,8 @@
 
   std::uint64_t seed_;
   std::map<ServiceName, engine_order> services_;
-  std::map<ServiceName, indexes_by_model> models_;  ///< Of the models asked for.
+  std::map<ServiceName, indexes_by_model>
+      models_;  ///< Only models that `byVersion` was called for.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_latency.cpp
+++ b/src/gateway/engines/engine_latency.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::engines {
 
 namespace {
-/// Slower engines count as this slow: the ratio is for comparing, and such an engine loses anyway.
+/// Upper bound of the ratio; an engine this slow loses any comparison.
 constexpr double kMaxLatencyRatio = 8;
 }  // namespace
 
--- a/src/gateway/engines/engine_load.h
+++ b/src/gateway/engines/engine_load.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * The load of one engine: what this daemon has in flight there, and what the engine last reported
- * of other daemons' requests. Pure; owned by the engine's `engine_state`.
+ * Load of one engine: requests of this daemon in flight, and requests of other daemons as last
+ * reported by the engine. Does no I/O.
  */
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace linenpier::engines {
 
-/** What an engine reports of itself with an answer, in requests. */
+/** Load that an engine reports with a response, in requests. */
 struct load_report {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
@@ -19,30 +19,30 @@
 };
 
 struct load_options {
-  Duration load_lifetime = std::chrono::milliseconds(1500);  ///< Until others' load is forgotten.
+  Duration load_lifetime = std::chrono::milliseconds(1500);  ///< Validity of a report.
 };
 
 class engine_load {
  public:
   void onAttemptStarted() { ++this->in_flight_; }
   void onAttemptEnded();
-  /** @param tokens memory that an attempt is expected to need; negative at its end. */
+  /** @param tokens memory that an attempt is expected to need; negative when it ends. */
   void addExpectedTokens(double tokens);
   void onReport(Instant now, const load_report& report);
-  /** The engine started again. Attempts at its earlier start are still in flight until their
-   * connections end; the report of the earlier start holds no more.
+  /** Discards the last report. Attempts before the restart stay in flight until their connections
+   * close.
    */
   void onRestarted();
 
-  /** @return attempts of this daemon under way. */
+  /** @return attempts of this daemon in flight. */
   std::uint32_t inFlight() const { return this->in_flight_; }
-  /** @return memory that those are expected to need. */
+  /** @return memory that the attempts in flight are expected to need, in tokens. */
   double expectedTokens() const { return this->expected_tokens_; }
-  /** @return requests of other daemons, as of the last report. */
+  /** @return requests of other daemons as of the last report. */
   double others() const { return this->others_; }
-  /** @return when the engine last reported; the start of time if it never did. */
+  /** @return time of the last report; the epoch if there was none. */
   Instant reportedAt() const { return this->reported_at_; }
-  /** @return requests at the engine; those of others count as long as their report is recent. */
+  /** @return requests at the engine, including those of other daemons while the report is valid. */
   double total(Instant now, const load_options& options) const {
     const bool recent = now - this->reported_at_ < options.load_lifetime;
     return this->in_flight_ + (recent ? this->others_ : 0);
--- a/src/gateway/engines/engine_record.h
+++ b/src/gateway/engines/engine_record.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * An engine as the platform's table of engines describes it. A value.
+ * Record of an engine in the platform's table of engines.
  */
 
 #include <boost/container/flat_map.hpp>
@@ -15,14 +15,14 @@
 
 namespace linenpier::engines {
 
-/** Between two heartbeats of an engine, until the platform's settings say otherwise. */
+/** Heartbeat interval of an engine unless the platform's settings override it. */
 inline constexpr Duration kDefaultEngineHeartbeat = std::chrono::milliseconds(1200);
 
-/** Weights by model. Flat, since a service may have ten thousand engines with a few models each. */
+/** Weight version by model. A flat map saves memory: thousands of engines hold a few models each.
+ */
 using model_versions = boost::container::flat_map<ModelName, WeightVersion>;
 
-/** The id and the start together identify an engine: what is known of an engine holds for one start
- * only.
+/** Id and start time together identify a run of an engine; no state carries over to the next run.
  */
 struct engine_record {
   EngineId id;
@@ -30,12 +30,12 @@
   ServiceName service;
   Address address;
   ZoneName zone;
-  std::uint32_t slots = 1;             ///< Requests that it runs at the same time.
-  bool draining = false;               ///< It finishes what it runs and takes nothing new.
-  bool spot = false;                   ///< The platform may reclaim it.
-  std::optional<Duration> reclaim_in;  ///< Until the platform reclaims it, from this record on.
-  Duration cold_remaining{};           ///< It is still cold for this long, from this record on.
-  model_versions models;               ///< Weights that it holds; lags behind the engine's answers.
+  std::uint32_t slots = 1;             ///< Requests that it runs concurrently.
+  bool draining = false;               ///< Finishes its requests and accepts no new ones.
+  bool spot = false;                   ///< A spot instance, which the platform may reclaim.
+  std::optional<Duration> reclaim_in;  ///< Time until the platform reclaims it, as of this record.
+  Duration cold_remaining{};           ///< Remaining time until it is warm, as of this record.
+  model_versions models;               ///< Weights that it holds; lags behind its responses.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -6,7 +6,7 @@
   const bool before = this->cold_limiter_.limitsAny();
   this->cold_limiter_.setServices(services);
   if (before || !this->cold_limiter_.limitsAny()) return;
-  // From now on it matters which engines were warm.
+  // A limit has been added: register the present engines, so that they count as previously warm.
   for (const auto& [id, engine] : this->table_.all()) this->cold_limiter_.track(id);
 }
 
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /** @file
- * The engines that this daemon knows of, and which of them gets a request. The face of this folder:
- * composes discovery (`engine_table`), admission (`engine_admission`), the choice
- * (`engine_selector`) and the bound on cold engines (`cold_engine_limiter`), and tells the state of
- * each engine (health, load, latency, loading) what attempts at it showed. Pure state with one
- * owner, which calls it on its event loop only.
+ * Public interface of this folder: the engines known to this daemon and the selection of an engine
+ * for a request. Combines discovery (`engine_table`), admission (`engine_admission`), selection
+ * (`engine_selector`) and the rate limit of cold engines (`cold_engine_limiter`), and updates the
+ * health, load, latency and loading state of each engine from attempts. Does no I/O and is not
+ * thread-safe: use it on one event loop only.
  */
 
 #include <map>
@@ -38,8 +38,8 @@
 
 class engine_registry {
  public:
-  /** @param zone of this daemon.
-   * @param seed of its order of engines and of its tie breaks.
+  /** @param zone the zone of this daemon.
+   * @param seed seed of its order of engines and of its tie breaks.
    */
   engine_registry(ZoneName zone, registry_options options, std::uint64_t seed)
       : options_(options),
@@ -50,18 +50,16 @@
 
   void setLayout(fleet::fleet_layout layout) { this->layout_ = std::move(layout); }
   const fleet::fleet_layout& layout() const { return this->layout_; }
-  /** Engines of these zones get nothing new from now on. */
+  /** Stops new requests to engines of these zones. */
   void setClosedZones(fleet::closed_zones closed) {
     this->table_.setClosedZones(std::move(closed));
   }
   const fleet::closed_zones& closedZones() const { return this->table_.closedZones(); }
-  /** @param services of the configuration in force. */
   void setServices(const std::map<ServiceName, routing::Service>& services);
-  /** The platform's settings may change while the daemon runs. */
   void setHeartbeat(Duration heartbeat);
   const registry_options& options() const { return this->options_; }
 
-  // --- Discovery: see `engine_table` ---
+  // --- Discovery, see `engine_table` ---
 
   RecordEffect onRecord(Instant now, const engine_record& record);
   std::vector<Address> removeMissing(Instant now, const std::set<EngineId>& present) {
@@ -86,78 +84,77 @@
   }
   const std::map<EngineId, engine_state>& all() const { return this->table_.all(); }
 
-  // --- What attempts show ---
+  // --- Results of attempts ---
 
   void onAttemptStarted(Instant now, const EngineId& id);
   void onAttemptEnded(Instant now, const EngineId& id, AttemptOutcome outcome);
-  /** @param tokens memory that an attempt is expected to need; negative at its end. */
+  /** @param tokens memory that an attempt is expected to need; negative when it ends. */
   void addExpectedTokens(const EngineId& id, double tokens);
-  /** The engine rejected a request for the model, as it does while it loads weights. */
+  /** The engine rejected a request for the model, as while it loads weights. */
   void onModelRejected(Instant now, const EngineId& id, const ModelName& model);
-  /** The engine reset a run of the model, as it does when it begins to load weights. */
+  /** The engine reset a run of the model, as when it starts to load weights. */
   void onModelReset(Instant now, const EngineId& id, const ModelName& model);
   void onLoadReport(Instant now, const EngineId& id, const load_report& report);
-  /** An event or an answer took `duration`. */
+  /** Records the time that an event or a response took. */
   void onEventTime(Instant now, const EngineId& id, Duration duration);
-  /** @param version that an answer named; 0: it named none. */
+  /** @param version the version in a response; 0: none. */
   void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version) {
     this->table_.onVersionSeen(id, model, version);
   }
 
-  // --- Admission and choice ---
+  // --- Admission and selection ---
 
-  /** @return whether the engine may be sent the request, and if not, why. */
+  /** @return kNone if the engine may be sent the request. */
   AdmissionFailure admit(Instant now, const engine_state& engine,
                          const engine_request& request) const {
     return this->admission().admit(now, engine, request);
   }
-  /** @return whether an engine is where the request may be served; it may be full, or away for a
-   *     while. If none is, `lastAdmissionFailures` tells why.
+  /** @return whether any engine may serve the request, even if it is full or ejected now. See
+   *     `lastAdmissionFailures` if not.
    */
   bool isPlaceable(const engine_request& request) {
     return this->selector_.isPlaceable(request, this->table_, this->admission());
   }
-  /** @return the engine that should answer soonest, or nullptr if none is admitted. */
+  /** @return the engine with the shortest expected wait, or nullptr if none is admitted. */
   const engine_state* pick(Instant now, const engine_request& request) {
     return this->selector_.pick(now, request, this->table_, this->admission(), this->cold_limiter_,
                                 this->options_.score);
   }
-  /** @return why engines were refused when none was found at the last choice. */
+  /** @return the failures counted in the last call of `pick` or `isPlaceable`. */
   const admission_failure_counts& lastAdmissionFailures() const {
     return this->selector_.lastAdmissionFailures();
   }
-  /** @return engines that choices have examined so far. */
+  /** @return the number of engines checked in all selections so far. */
   std::uint64_t examined() const { return this->selector_.examined(); }
   cold_engine_limiter& coldLimiter() { return this->cold_limiter_; }
   const cold_engine_limiter& coldLimiter() const { return this->cold_limiter_; }
 
   // --- Load and latency ---
 
-  /** @return how many more requests the engine has slots for, counting those of others; below 0 if
-   *     it is overfull.
+  /** @return free slots of the engine, counting requests of other daemons; negative if it is
+   *     overloaded.
    */
   double freeSlots(Instant now, const EngineId& id) const;
-  /** @return the engine's event time over the median of its service; the ratio of its history if
-   *     it was not measured lately; 1 if nothing is known.
+  /** @return the engine's event time relative to the median of its service; the ratio of its
+   * history without a recent measurement; 1 without any.
    */
   double latencyRatio(Instant now, const EngineId& id) const;
-  /** The same where the median is known, as for many engines in a row. */
+  /** Avoids computing the median again for each of many engines. */
   double latencyRatio(Instant now, const engine_state& engine, double median_event_time) const {
     return engine.latency.ratio(now, median_event_time, this->options_.score.latency);
   }
-  /** @return seconds that an event or answer of the engine is expected to take; 0 if nothing is
-   *     known of its service.
+  /** @return the expected time of an event or a response in seconds; 0 if its service has no recent
+   *     measurement.
    */
   double expectedEventTime(Instant now, const EngineId& id) const;
-  /** @return the smoothed event time that was measured lately, in seconds; 0: none was. */
+  /** @return the moving average of recent event times in seconds; 0: none. */
   double measuredEventTime(Instant now, const EngineId& id) const;
-  /** @return the median of the event times measured lately, in seconds; 0: none was. */
+  /** @return the median of the recent event times of a service in seconds; 0: none. */
   double medianEventTime(Instant now, const ServiceName& service) const {
     return this->table_.activeEngines().medianEventTime(now, service, this->options_.score.latency);
   }
 
-  /** Forgets the sends to engines that were removed long ago, and engines that are no longer used.
-   */
+  /** Removes outdated state: of engines that were removed and of engines no longer in use. */
   void sweep(Instant now);
 
  private:
--- a/src/gateway/engines/engine_request.h
+++ b/src/gateway/engines/engine_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * What a request needs of an engine: the input of admission and choice. A value.
+ * Requirements of a request on its engine: the input of admission and selection.
  */
 
 #include <optional>
@@ -14,23 +14,23 @@
 
 struct engine_request {
   ServiceName service;
-  std::set<EngineId> excluded;  ///< Tried before, or not wanted.
-  ModelName model;              ///< Empty: any.
+  std::set<EngineId> excluded;  ///< Engines that were tried before or are unsuitable.
+  ModelName model;              ///< Empty: any model.
   WeightVersion minimum_version = 0;
-  fleet::data_residency residency;  ///< Only engines within it.
-  /** Only engines with this version: a text that one version must make goes on there. */
+  fleet::data_residency residency;  ///< Regions in which the engine may be.
+  /** Requires this version, to continue a text that a single version must generate. */
   std::optional<WeightVersion> exact_version;
-  /** Prefer engines with the newest version, which they keep longest: a text that one version must
-   * make is finished there.
+  /** Prefers engines with the newest version: they keep it longest, so that a text that a single
+   * version must generate can be finished there.
    */
   bool prefer_newest = false;
-  double tokens = 0;         ///< Memory that the request is expected to need.
-  double memory_tokens = 0;  ///< Memory of an engine; 0: not bounded.
-  /** The engines work in batches: one more request slows the others by little. */
+  double tokens = 0;         ///< Memory that the request is expected to need, in tokens.
+  double memory_tokens = 0;  ///< Memory of an engine in tokens; 0: unlimited.
+  /** The engines batch requests: one more request hardly slows the others. */
   bool batching = false;
-  /** No more than this many requests a slot, counting others'; 0: no limit. */
+  /** Limit of requests per slot, including those of other daemons; 0: no limit. */
   double max_per_slot = 0;
-  /** Second pass: ejected and excluded engines are taken rather than none. */
+  /** Accepts ejected and excluded engines; set when no other engine was found. */
   bool last_resort = false;
 };
 
--- a/src/gateway/engines/engine_scorer.cpp
+++ b/src/gateway/engines/engine_scorer.cpp
@@ -5,25 +5,23 @@
 namespace linenpier::engines {
 
 namespace {
-/// How much a request slows an engine that works on its requests one by one: of its own time, for
-/// each request that is there already.
+/// Slowdown per request already present, for engines that process requests one by one.
 constexpr double kLoadWeight = 0.5;
-/// How much a full batch slows an engine that works in batches.
+/// Slowdown of a full batch, for engines that batch requests.
 constexpr double kBatchWeight = 0.12;
-/// Used part of an engine's memory beyond which requests cost more.
+/// Fraction of an engine's memory in use above which the score grows.
 constexpr double kMemoryThreshold = 0.7;
 constexpr double kMaxMemoryFactor = 4;
-/// Of an engine with an older version, for a request that prefers the newest.
+/// For an engine with an older version, if the request prefers the newest.
 constexpr double kOlderVersionFactor = 1.5;
-/// Of an engine that the request excludes, and of one that is ejected; both multiply.
+/// For an excluded engine, and for an ejected one; both may apply.
 constexpr double kLastResortFactor = 8;
-/// A cold engine is slow.
 constexpr double kColdFactor = 2;
-/// Where the fleet may send a cold engine little, it is taken when the others are full.
+/// For a cold engine with a rate limit, so that it is used only when the others are full.
 constexpr double kBoundedColdFactor = 4;
-/// Of an engine of a large service that this daemon has not used lately: a connection must be
-/// opened first. More than the jitter of equal choices, so that a daemon with few requests keeps to
-/// its connections; less than one more request there costs.
+/// For an engine of a large service that this daemon has not used recently, as it has to connect
+/// first. Above the random tie break, so that a daemon with few requests reuses its connections,
+/// and below the cost of one more request.
 constexpr double kNewConnectionFactor = 1.06;
 }  // namespace
 
@@ -35,7 +33,7 @@
   wait *=
       engine.latency.ratio(this->now_, this->context_.median_event_time, this->options_.latency);
   wait *= this->memoryFactor(engine);
-  // Without a free slot the request waits for those that are there.
+  // Without a free slot the request queues behind the present ones.
   if (per_slot >= 1) wait *= 1 + per_slot;
   const bool remote = engine.record.zone != this->zone_;
   if (remote && !this->request_.batching) wait *= this->options_.remote_factor;
@@ -58,7 +56,7 @@
 double engine_scorer::memoryFactor(const engine_state& engine) const {
   if (this->request_.memory_tokens <= 0) return 1;
   const engine_load& load = engine.load;
-  // Engines do not report the memory of others' requests; those are likely to be of the same kind.
+  // Engines do not report the memory of other daemons' requests; assume the mean of this daemon's.
   const double total = load.total(this->now_, this->options_.load);
   const double others = std::max(0.0, total - load.inFlight()) * this->context_.mean_tokens;
   const double used =
--- a/src/gateway/engines/engine_scorer.h
+++ b/src/gateway/engines/engine_scorer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * The expected wait of a request at an engine, by which a choice compares engines. Pure.
+ * Expected wait of a request at an engine, the score by which engines are compared. Does no I/O.
  */
 
 #include "common/ids.h"
@@ -15,25 +15,23 @@
 namespace linenpier::engines {
 
 struct score_options {
-  double remote_factor = 1.15;  ///< Engines of other zones count as this much slower.
+  double remote_factor = 1.15;  ///< Factor for engines of other zones.
   load_options load;
   latency_options latency;
 };
 
-/** What is the same for all engines that one choice compares. */
+/** Inputs that are the same for all candidates of one selection. */
 struct score_context {
-  double median_event_time = 0;  ///< Of the service's engines, in seconds; 0: none is known.
-  double mean_tokens = 0;        ///< Of a request of this daemon; 0 where memory is not bounded.
-  bool many_engines = false;     ///< The service has more than a choice compares.
-  WeightVersion newest = 0;      ///< That an engine holds; 0 where it does not matter.
+  double median_event_time = 0;  ///< Over the service's engines, in seconds; 0: unknown.
+  double mean_tokens = 0;        ///< Per request of this daemon; 0 with unlimited memory.
+  bool many_engines = false;     ///< The service has more engines than a selection compares.
+  WeightVersion newest = 0;      ///< Newest version that any engine holds; 0: irrelevant.
 };
 
-/** Scores engines for one request at one moment. Made for a call; everything referred to must
- * outlive it.
- */
+/** Scores engines for one request at one point in time. Holds references only. */
 class engine_scorer {
  public:
-  /** @param zone of this daemon. */
+  /** @param zone the zone of this daemon. */
   engine_scorer(Instant now, const engine_request& request, const score_context& context,
                 const ZoneName& zone, const cold_engine_limiter& cold, const score_options& options)
       : now_(now),
@@ -43,17 +41,17 @@
         cold_limiter_(cold),
         options_(options) {}
 
-  /** @return a number without unit that grows with the time until the engine answers: 1 for an
-   *     idle engine of the median event time in this daemon's zone.
+  /** @return the relative time until the engine answers: 1 for an idle engine with the median event
+   *     time in this daemon's zone.
    */
   double expectedWait(const engine_state& engine) const;
-  /** @return by how much the expected wait of an engine counts more because the request would
-   *     rather not go there: it holds an older version, or is taken as a last resort only.
+  /** @return a factor of the expected wait for engines with an older version and for those that are
+   *     used as a last resort only.
    */
   double penaltyFactor(const engine_state& engine) const;
 
  private:
-  /** An engine whose memory runs out puts requests back, which then wait and are read anew. */
+  /** An engine that runs out of memory preempts requests and has to compute them again. */
   double memoryFactor(const engine_state& engine) const;
   double coldFactor(const engine_state& engine) const;
 
--- a/src/gateway/engines/engine_selector.cpp
+++ b/src/gateway/engines/engine_selector.cpp
@@ -3,7 +3,7 @@
 namespace linenpier::engines {
 
 namespace {
-/// Waits that differ by less than one part in this many count as equal: chance decides.
+/// Inverse of the relative difference of expected waits below which engines count as equal.
 constexpr std::uint64_t kJitterDivisor = 20;
 constexpr std::uint64_t kJitterSteps = 1000;
 }  // namespace
--- a/src/gateway/engines/engine_selector.h
+++ b/src/gateway/engines/engine_selector.h
@@ -1,9 +1,8 @@
 #pragma once
 
 /** @file
- * Which of the admitted engines gets a request: the one with the least expected wait among the
- * first `max_candidates` in this daemon's order. Owns the random source of the tie break and the
- * refusals of the last choice. Pure.
+ * Selects the engine for a request: the one with the shortest expected wait among the first
+ * `max_candidates` admitted engines in this daemon's order. Ties are broken at random. Does no I/O.
  */
 
 #include <cstddef>
@@ -23,34 +22,32 @@
 namespace linenpier::engines {
 
 struct selection_options {
-  /** Admitted engines that a choice compares. Among so many some are little loaded by chance, and
-   * more gain next to nothing; the cost of a choice does not grow with the service.
+  /** Admitted engines that a selection compares. Bounds the cost of a selection in a large service;
+   * more candidates hardly improve the result.
    */
   std::size_t max_candidates = 64;
 };
 
 class engine_selector {
  public:
-  /** @param zone of this daemon. */
+  /** @param zone the zone of this daemon. */
   engine_selector(ZoneName zone, selection_options options, std::uint64_t seed)
       : zone_(std::move(zone)), options_(options), random_(seed) {}
 
-  /** @return the engine that should answer soonest, or nullptr if none is admitted. */
+  /** @return the engine with the shortest expected wait, or nullptr if none is admitted. */
   const engine_state* pick(Instant now, const engine_request& request, engine_table& engines,
                            const engine_admission& admission, cold_engine_limiter& cold,
                            const score_options& score);
-  /** @return whether an engine is where the request may be served; it may be full, or away for a
-   *     while.
-   */
+  /** @return whether any engine passes `checkPlacement`; it may still be full or ejected. */
   bool isPlaceable(const engine_request& request, const engine_table& engines,
                    const engine_admission& admission);
-  /** @return why engines were refused at the last call of the above that found none. */
+  /** @return the failures counted in the last call of `pick` or `isPlaceable`. */
   const admission_failure_counts& lastAdmissionFailures() const { return this->last_failures_; }
-  /** @return engines that all choices so far have examined, refused ones among them. */
+  /** @return the number of engines checked in all selections so far. */
   std::uint64_t examined() const { return this->examined_; }
 
  private:
-  /** One choice under way: its rules, and the best engine so far. */
+  /** State of one selection. */
   struct comparison {
     Instant now;
     const engine_request& request;
@@ -58,18 +55,18 @@
     const engine_scorer& scorer;
     cold_engine_limiter& cold;
     const engine_state* best = nullptr;
-    double wait = 0;  ///< Of the best one.
+    double wait = 0;  ///< Expected wait at `best`.
     std::size_t compared = 0;
   };
 
   score_context makeScoreContext(Instant now, const engine_request& request, engine_table& engines,
                                  const score_options& score) const;
-  /** Compares the engines in this daemon's order until there are enough. */
+  /** Compares admitted engines in this daemon's order, up to `max_candidates`. */
   void compareEngines(comparison& current, const engine_index::engine_order& engines);
-  /** Compares those that hold a version that the request takes, newest version first. */
+  /** Compares the engines with an accepted version, newest version first. */
   void compareByVersion(comparison& current, const engine_index::version_index& versions);
   bool isAdmitted(comparison& current, const engine_state& engine);
-  /** @return a factor between 1 and 1.05, which decides between equal engines. */
+  /** @return a random factor from 1 to 1.05 that breaks ties. */
   double jitter();
 
   ZoneName zone_;
--- a/src/gateway/engines/engine_start.h
+++ b/src/gateway/engines/engine_start.h
@@ -1,15 +1,15 @@
 #pragma once
 
 /** @file
- * When an engine started. An engine may start again under its id and then keeps nothing of before:
- * its id and its start together identify it.
+ * Start time of an engine. An engine may restart under its id without its former state, so that
+ * only id and start time together identify it.
  */
 
 #include <cstdint>
 
 namespace linenpier::engines {
 
-/** Unix time in milliseconds, as the engine says; 0: unknown. */
+/** Unix time in milliseconds, as reported by the engine; 0: unknown. */
 using engine_start = std::int64_t;
 
 /** @return whether both are known and `one` came first. */
--- a/src/gateway/engines/engine_state.h
+++ b/src/gateway/engines/engine_state.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Everything that this daemon knows of one engine: its record and what attempts at it showed.
+ * State of one engine: its record and the results of attempts.
  */
 
 #include <map>
@@ -21,19 +21,18 @@
   engine_latency latency;
   engine_health health;
   model_loading loading;
-  /** From answers, for models whose versions in the record have not changed since. */
+  /** Versions from responses; an entry is dropped when the record changes the version of its model.
+   */
   std::map<ModelName, WeightVersion> seen_versions;
-  /** Its record disappeared around an outage of the store: it is forgotten unless that comes back.
+  /** Its record disappeared around a store outage; the engine is removed unless the record returns.
    */
   bool expired = false;
 
-  /** @return the version that the engine holds; 0 if it holds none. */
+  /** @return the version that the engine holds; 0: none. */
   WeightVersion versionOf(const ModelName& model) const;
-  /** The engine started again under its id: nothing known of the earlier start holds, except that
-   * attempts at it are still in flight.
-   */
+  /** Discards the state of the previous run, except for its attempts in flight. */
   void onRestarted();
-  /** Takes over a newer record. A version that it changes is newer than one seen in answers. */
+  /** Replaces the record. A version that changes in it overrides the one seen in responses. */
   void setRecord(const engine_record& newer);
 };
 
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -110,8 +110,8 @@
 
 void engine_table::onVersionSeen(const EngineId& id, const ModelName& model,
                                  WeightVersion version) {
-  // A malformed answer may name no version. Taken for the oldest one, 0 would keep the engine out
-  // of use until its record tells of another load.
+  // A malformed response may lack the version. Stored as 0, the oldest version, it would exclude
+  // the engine until its record changes.
   if (version == 0) return;
   engine_state* engine = this->find(id);
   if (engine == nullptr || engine->versionOf(model) == version) return;
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Discovery: which engines there are, from the records of the platform's table, and the zones that
- * the operator closed. Owns the state of each engine and the indexes over them. Pure.
+ * Discovery: the engines from the platform's table of records, and the zones that the operator
+ * closed. Owns the state of each engine and the indexes over them. Does no I/O.
  */
 
 #include <map>
@@ -20,80 +20,76 @@
 
 namespace linenpier::engines {
 
-/** What a record that was received changed. */
+/** Effect of a received record. */
 enum class RecordEffect {
   kNew,
   kUpdated,
-  kRestarted,  ///< The engine started again under its id: nothing known of it before holds.
-  kOutdated,   ///< An earlier start of the engine wrote it: it was ignored.
+  kRestarted,  ///< The engine restarted under its id; its former state was discarded.
+  kOutdated,   ///< From an earlier run of the engine; ignored.
 };
 
 /** Engines can't renew their records during a store outage: the records expire and are deleted just
- * after the store is back, although their engines still serve.
+ * after the store is back, although the engines are still serving.
  */
 struct record_expiry_options {
-  /** After the store's return expired records are back within this time, or their engines are lost.
-   * A little less than the two seconds that the platform states.
+  /** Time after the outage within which an engine must renew its record. Slightly less than the two
+   * seconds that the platform specifies.
    */
   Duration expiry_grace = std::chrono::milliseconds(1900);
-  /** Between two heartbeats of an engine, as the platform sets it. */
-  Duration heartbeat = kDefaultEngineHeartbeat;
-  /** An outage of fewer heartbeats expires no record: that takes three missed
-   * heartbeats, the first of which may have been due just after the outage began.
+  Duration heartbeat = kDefaultEngineHeartbeat;  ///< Heartbeat interval of an engine.
+  /** Shortest outage, in heartbeats, in which a record can expire: that takes three missed ones,
+   * the first of which may have been due just after the outage began.
    */
   double min_expiry_heartbeats = 2.5;
 };
 
 class engine_table {
  public:
-  /** @param seed of this daemon's order of engines. */
+  /** @param seed seed of this daemon's order of engines. */
   engine_table(record_expiry_options options, std::uint64_t seed)
       : options_(options), index_(seed) {}
-  /** The indexes know the engines by their places in memory, which a move keeps. */
+  /** Move-only: the indexes point to the engines, whose addresses survive a move. */
   engine_table(const engine_table&) = delete;
   engine_table(engine_table&&) = default;
   engine_table& operator=(engine_table&&) = default;
   engine_table& operator=(const engine_table&) = delete;
 
-  /** Engines of these zones get nothing new from now on. */
+  /** Stops new requests to engines of these zones. */
   void setClosedZones(fleet::closed_zones closed);
   const fleet::closed_zones& closedZones() const { return this->closed_; }
-  /** The platform's settings may change while the daemon runs. */
   void setHeartbeat(Duration heartbeat) { this->options_.heartbeat = heartbeat; }
 
-  /** One engine is new or has changed. */
   RecordEffect onRecord(const engine_record& record);
-  /** The table was read completely; these are all its engines.
-   * @return the addresses of engines that were removed.
+  /** Removes engines that are not in `present`, the ids of a complete listing.
+   * @return the addresses of the removed engines.
    */
   std::vector<Address> removeMissing(Instant now, const std::set<EngineId>& present);
-  /** What stands where an engine's record stood can't be read.
-   * @return the address of the engine that is out of use now, if one was known.
+  /** Removes an engine whose record can't be parsed.
+   * @return the address of the removed engine, if it was known.
    */
   std::optional<Address> onInvalidRecord(const EngineId& id);
-  /** The record of an engine was removed. Just after the store's return it may have expired: then
-   * the engine serves on until `removeExpired`.
-   * @return the address of the engine that was removed, if one was.
+  /** Removes an engine whose record was deleted. Just after a store outage the record may have
+   * expired instead; the engine is then kept until `removeExpired`.
+   * @return the address of the engine if it was removed.
    */
   std::optional<Address> onRemoved(Instant now, const EngineId& id);
-  /** The store answers again. @param outage how long it did not. */
+  /** @param outage how long the store was unavailable. */
   void onStoreReconnected(Instant now, Duration outage);
-  /** Removes the engines whose records did not come back in time. @return their records. */
+  /** Removes engines whose records did not return in time. @return their records. */
   std::vector<engine_record> removeExpired(Instant now);
-  /** @param version that an answer of the engine named; 0: it named none. */
+  /** @param version the version in a response of the engine; 0: none. */
   void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version);
 
   const engine_state* find(const EngineId& id) const;
   engine_state* find(const EngineId& id);
-  /** @return the service's engines that are not draining and in no closed zone. Kept up as engines
-   *     change; asking costs one look-up.
-   */
+  /** @return the engines of the service that are neither draining nor in a closed zone. */
   const engine_list& availableEngines(const ServiceName& service) const;
-  /** @return the service's engines, whatever their state, in this daemon's order. */
+  /** @return all engines of the service in this daemon's order. */
   const engine_index::engine_order& allEngines(const ServiceName& service) const {
     return this->index_.ofService(service);
   }
-  /** @return the service's engines by the version of the model that they hold, newest first. */
+  /** @return the engines of the service by the version of the model that they hold, newest first.
+   */
   const engine_index::version_index& byVersion(const ServiceName& service, const ModelName& model) {
     return this->index_.byVersion(service, model);
   }
@@ -104,13 +100,13 @@
  private:
   using engine_map = std::map<EngineId, engine_state>;
 
-  /** Before and after a change of anything that an engine is found by. */
+  /** Call before and `addToIndexes` after a change of an indexed field. */
   void removeFromIndexes(const engine_state& engine);
   void addToIndexes(const engine_state& engine);
   engine_map::iterator erase(engine_map::iterator at);
   bool isOpen(const engine_state& engine) const;
-  /** @return whether a record that disappears now may have expired. An engine that was draining has
-   *     left, as it said it would.
+  /** @return whether a record that disappears now may have expired. A draining engine removes its
+   *     record itself.
    */
   bool mayHaveExpired(Instant now, const engine_state& engine) const {
     return now < this->expiry_ends_at_ && !engine.record.draining;
@@ -121,7 +117,7 @@
   engine_map engines_;
   /** The members below point into `engines_`. */
   engine_index index_;
-  std::map<ServiceName, engine_list> open_;  ///< Not draining and in no closed zone.
+  std::map<ServiceName, engine_list> open_;  ///< Neither draining nor in a closed zone.
   active_engines active_;
   Instant expiry_ends_at_{};  ///< Records that disappear before this may have expired.
 };
--- a/src/gateway/engines/latency_history.cpp
+++ b/src/gateway/engines/latency_history.cpp
@@ -5,15 +5,15 @@
 namespace linenpier::engines {
 
 namespace {
-/// The mean of so many event times is within a few hundredths.
+/// Enough samples for a mean that is exact to a few per cent.
 constexpr std::size_t kMinEventsPerWindow = 16;
-/// Spans take at least this long, so that those kept outlast what slows an engine for some seconds.
+/// Minimum length of a window, so that the history outlasts a slowdown of some seconds.
 constexpr Duration kMinWindow = std::chrono::seconds(1);
 constexpr std::size_t kMaxWindows = 16;
-/// Hardware classes of one service differ by less. A slower engine has a fault, which may pass at
-/// any time, and counts as usual.
+/// Hardware classes of one service differ by less. A slower engine has a fault, which may clear at
+/// any time, and counts as normal.
 constexpr double kMaxHardwareRatio = 2;
-/// An engine that is avoided is not measured: it must be tried again some time.
+/// An avoided engine is not measured, so its ratio expires and it is tried again.
 constexpr Duration kRatioLifetime = std::chrono::seconds(60);
 }  // namespace
 
--- a/src/gateway/engines/model_loading.h
+++ b/src/gateway/engines/model_loading.h
@@ -1,9 +1,8 @@
 #pragma once
 
 /** @file
- * Models for which one engine is taken to be loading weights, concluded from its rejections and
- * resets. Requests for them wait; those for other models go on. Pure; owned by the engine's
- * `engine_state`.
+ * Models whose weights an engine is presumably loading, as its rejections and resets suggest.
+ * Requests for these models back off; other models are unaffected. Does no I/O.
  */
 
 #include <map>
@@ -13,22 +12,21 @@
 
 namespace linenpier::engines {
 
-/** How long requests for the model stay away from the engine. */
+/** How long requests for the model avoid the engine. */
 struct loading_options {
-  Duration full_backoff = std::chrono::milliseconds(120);  ///< It rejected, and it was full.
-  /** It rejected although it had room: it is loading weights. */
-  Duration loading_backoff = std::chrono::milliseconds(350);
-  Duration reset_backoff = std::chrono::milliseconds(900);  ///< It reset a run: it begins to load.
+  Duration full_backoff = std::chrono::milliseconds(120);     ///< Rejected while full.
+  Duration loading_backoff = std::chrono::milliseconds(350);  ///< Rejected with free slots.
+  Duration reset_backoff = std::chrono::milliseconds(900);    ///< Reset a run.
 };
 
 class model_loading {
  public:
-  /** @param full whether all slots of the engine were taken when it rejected the request. */
+  /** @param full whether all slots of the engine were in use. */
   void onRejected(Instant now, const ModelName& model, bool full, const loading_options& options);
-  /** Resets that follow the first one belong to the same load and prolong nothing. */
+  /** Further resets belong to the same load and do not extend the backoff. */
   void onReset(Instant now, const ModelName& model, const loading_options& options);
 
-  /** @param model empty: the request names none, and any engine serves it. */
+  /** @param model empty: any model; never loading. */
   bool isLoading(Instant now, const ModelName& model) const;
 
  private:
