--- a/src/gateway/fleet/closed_zone_tracker.h
+++ b/src/gateway/fleet/closed_zone_tracker.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * What this daemon knows of closed zones, from the feed of the operator's table or from a peer.
- * Takes in only what is newer than what it knows, tracker and openings alike. Pure.
+ * Tracks closed zones from a watch on the operator's table and from snapshots of peers. Ignores
+ * changes that are older than the known revision. Does no I/O.
  */
 
 #include <map>
@@ -12,7 +12,7 @@
 
 namespace linenpier::fleet {
 
-/** Zones that were open and are closed now, and the reverse. */
+/** Zones whose state changed. */
 struct zone_changes {
   std::vector<ZoneName> closed;
   std::vector<ZoneName> opened;
@@ -22,20 +22,20 @@
 
 class closed_zone_tracker {
  public:
-  /** The operator's table was read completely. Replaces the set: a zone that is missing was opened,
-   * perhaps while the feed was lost.
-   * @param closed zones with the revision of the row that closed each.
-   * @param revision at which the table was read; one older than what is known changes nothing.
+  /** Replaces the set by a complete read of the operator's table. A zone that is missing was
+   * opened, possibly while the watch was interrupted.
+   * @param revision revision of the read; ignored if older than the known one.
+   * @param closed closed zones with the revision of the row that closed each.
    */
   zone_changes onSnapshot(Revision revision, const std::map<ZoneName, Revision>& closed);
-  /** One row of the table; rows come in the order of their revisions. A row that a table from a
-   * peer held already changes nothing.
+  /** Applies one row; rows must come in the order of their revisions. A row that a snapshot already
+   * covers has no effect.
    */
   zone_changes onClosed(const ZoneName& zone, Revision revision);
   zone_changes onOpened(const ZoneName& zone, Revision revision);
 
   closed_zones zones() const { return closed_zones(this->closed_); }
-  /** @return the revision up to which all rows are known; later ones may be known, too. */
+  /** @return the revision of the last snapshot; later rows may have been applied. */
   Revision revision() const { return this->revision_; }
 
  private:
--- a/src/gateway/fleet/closed_zones.h
+++ b/src/gateway/fleet/closed_zones.h
@@ -1,8 +1,7 @@
 #pragma once
 
 /** @file
- * Zones that the operator has closed: their engines are sent nothing until they are opened again.
- * An immutable value.
+ * Zones that the operator has closed. Their engines get no requests until the zone is opened again.
  */
 
 #include <map>
@@ -14,7 +13,7 @@
 class closed_zones {
  public:
   closed_zones() = default;
-  /** @param zones with the revision of the row that closed each. */
+  /** @param zones closed zones with the revision of the row that closed each. */
   explicit closed_zones(std::map<ZoneName, Revision> zones) : zones_(std::move(zones)) {}
 
   bool contains(const ZoneName& zone) const { return this->zones_.contains(zone); }
--- a/src/gateway/fleet/data_residency.h
+++ b/src/gateway/fleet/data_residency.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * The regions in which a request and its data may be served, cached and stored. An immutable value.
+ * Regions in which a request and its data may be served, cached and stored.
  */
 
 #include <algorithm>
@@ -15,18 +15,17 @@
 
 class data_residency {
  public:
-  /** Anywhere. */
+  /** No restriction. */
   data_residency() = default;
-  /** In these regions alone; nowhere if there are none. */
+  /** Restricts to these regions; an empty set allows none. */
   explicit data_residency(std::set<RegionName> regions) : regions_(std::move(regions)) {}
 
-  /** @return whether only some regions are allowed. */
   bool isRestricted() const { return this->regions_.has_value(); }
   /** @param region empty: unknown, allowed only without a restriction. */
   bool allows(const RegionName& region) const {
     return !this->regions_ || this->regions_->contains(region);
   }
-  /** @return the regions; none if it may be anywhere. */
+  /** @return the allowed regions; empty without a restriction. */
   std::set<RegionName> regions() const { return this->regions_.value_or(std::set<RegionName>{}); }
 
   /** @return the regions that both allow, such as the residency of a route and that of its caller.
--- a/src/gateway/fleet/fleet_layout.h
+++ b/src/gateway/fleet/fleet_layout.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Which region each zone of the fleet lies in, from the settings. An immutable value.
+ * Region of each zone of the fleet, from the settings.
  */
 
 #include <map>
@@ -15,7 +15,7 @@
   fleet_layout() = default;
   explicit fleet_layout(std::map<ZoneName, RegionName> regions) : regions_(std::move(regions)) {}
 
-  /** @return the zone's region; empty if the zone is not known. */
+  /** @return the region of the zone; empty if the zone is unknown. */
   RegionName regionOf(const ZoneName& zone) const {
     const auto at = this->regions_.find(zone);
     return at == this->regions_.end() ? RegionName() : at->second;
--- a/src/gateway/fleet/scaling_bounds.h
+++ b/src/gateway/fleet/scaling_bounds.h
@@ -1,8 +1,7 @@
 #pragma once
 
 /** @file
- * The bounds that a service's configuration sets for the number of its engines, and their prices.
- * Values.
+ * Limits and prices for the automatic scaling of a service, from its configuration.
  */
 
 #include <compare>
@@ -14,15 +13,14 @@
 
 namespace linenpier::fleet {
 
-/** How an engine is paid for. */
+/** Purchase option of an engine. */
 enum class EngineKind {
   kOnDemand,
-  kSpot,  ///< Cheaper; the platform may take it away, all of a zone at once.
+  kSpot,  ///< Cheaper; may be reclaimed, possibly all in a zone at once.
 };
 
 const char* toText(EngineKind kind);
 
-/** The engines of one kind in a zone. */
 struct engine_group {
   ZoneName zone;
   EngineKind kind = EngineKind::kOnDemand;
@@ -35,9 +33,9 @@
 struct scaling_bounds {
   std::size_t min_engines = 0;             ///< In a zone, both kinds together.
   std::size_t max_engines = 0;             ///< In a zone, both kinds together.
-  Duration boot_time{};                    ///< From the order for an engine until it serves.
-  double spot_price = 1;                   ///< Of a spot engine, where an on-demand one costs 1.
-  std::map<ZoneName, double> zone_prices;  ///< Factor of the price; 1 where a zone is not named.
+  Duration boot_time{};                    ///< From the order of an engine until it is ready.
+  double spot_price = 1;                   ///< Relative to an on-demand engine.
+  std::map<ZoneName, double> zone_prices;  ///< Price factor by zone; 1 by default.
 
   double priceOf(const engine_group& group) const {
     const auto at = this->zone_prices.find(group.zone);
--- a/src/gateway/routing/route_table.h
+++ b/src/gateway/routing/route_table.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * The operator's configuration: which service serves a request, and under which rules. Values only;
- * every daemon holds the newest table that it has read and replaces it as a whole.
+ * The operator's configuration: routes, services and tenants. Immutable; a daemon replaces its
+ * table as a whole when it reads a newer version.
  */
 
 #include <cstdint>
@@ -21,15 +21,15 @@
 
 namespace linenpier::routing {
 
-/** Whether a route's requests may be repeated, and in what form they are answered. */
+/** Whether requests of a route may be repeated, and how they are answered. */
 enum class RequestKind {
-  kIdempotent,     ///< May run more than once, also at the same time.
+  kIdempotent,     ///< May run several times, even concurrently.
   kNonIdempotent,  ///< May run at most once.
-  kStreaming,      ///< Answers with events; repeated only if resumable.
+  kStreaming,      ///< Answered with events; repeated only if resumable.
   kBatch,          ///< Batch jobs are submitted under this route.
 };
 
-/** @return the kind as logs and metrics name it. */
+/** @return the name in logs and metrics. */
 const char* toText(RequestKind kind);
 
 struct WeightedService {
@@ -44,21 +44,21 @@
   RequestKind kind = RequestKind::kNonIdempotent;
   std::vector<WeightedService> services;  ///< At least one.
   Duration timeout = std::chrono::seconds(30);
-  Duration target_latency = std::chrono::seconds(1);  ///< Half of it is the delay of a hedge.
-  Duration target_finish{};         ///< Batch: all results are due this long after submission.
-  Duration queue_limit{};           ///< Batch: an item may be given up this long after submission.
-  fleet::data_residency residency;  ///< Where its requests may be served, cached and stored.
-  int priority = 5;                 ///< 0 is the highest. A tenant's own priority goes before it.
-  /** Attempts that are sent for one request. Engines that can't be reached do not count; they are
-   * bounded apart (`forward::attempt_policy`).
+  Duration target_latency = std::chrono::seconds(1);  ///< A hedge starts after half of it.
+  Duration target_finish{};         ///< Batch: deadline of all results after submission.
+  Duration queue_limit{};           ///< Batch: age after which an item may be dropped.
+  fleet::data_residency residency;  ///< Where requests may be served, cached and stored.
+  int priority = 5;                 ///< 0 is the highest. Overridden by the priority of a tenant.
+  /** Attempts per request. Unreachable engines do not count; `forward::attempt_policy` limits them
+   * separately.
    */
   int max_attempts = 1;
-  bool sticky = false;          ///< Read from the configuration; nothing acts on it.
-  bool resumable = false;       ///< Streaming: may go on at another engine after the last event.
-  bool single_version = false;  ///< Batch: one version of weights makes an item's whole text.
-  bool is_public = false;       ///< Requests need no key.
+  bool sticky = false;          ///< Accepted in the configuration, but not implemented.
+  bool resumable = false;       ///< Streaming: may be resumed at another engine.
+  bool single_version = false;  ///< Batch: a single weight version generates all of an item.
+  bool is_public = false;       ///< Requires no key.
 
-  /** @return whether a request may be sent to a second engine after the first may have run it. */
+  /** @return whether a request may be sent again after an engine may have run it. */
   bool repeatable() const {
     return kind == RequestKind::kIdempotent || (kind == RequestKind::kStreaming && resumable);
   }
@@ -67,17 +67,16 @@
 struct Service {
   ServiceName name;
   std::string health_path;
-  std::uint32_t max_connections = 100;  ///< An engine's limit, over all daemons.
-  /** Requests a second that a cold engine bears; 0: no bound. */
+  std::uint32_t max_connections = 100;  ///< Per engine, over all daemons.
+  /** Requests a second that a cold engine can serve; 0: no limit. */
   double cold_per_second = 0;
   Duration cold_time{};           ///< How long an engine is cold after its start.
-  double memory_tokens = 0;       ///< Tokens that an engine's memory holds; 0: not known.
-  std::vector<ModelName> models;  ///< Empty for services that serve no model.
-  std::optional<fleet::scaling_bounds>
-      scaling;  ///< Absent: the gateway does not scale the service.
+  double memory_tokens = 0;       ///< Capacity of an engine's memory in tokens; 0: unknown.
+  std::vector<ModelName> models;  ///< Empty for services without models.
+  std::optional<fleet::scaling_bounds> scaling;  ///< Absent: no automatic scaling.
 };
 
-/** One version of the operator's configuration. Versions only grow. */
+/** One version of the operator's configuration. Versions increase. */
 struct RouteTable {
   std::uint64_t version = 0;
   std::vector<Route> routes;
@@ -85,7 +84,7 @@
   tenant_table tenants;
   http::ServerLimits limits;
 
-  /** @return the route of that host with the longest prefix of `path`, or nullptr. */
+  /** @return the route of the host with the longest matching path prefix, or nullptr. */
   const Route* find(const std::string& host, const std::string& path) const;
 };
 
--- a/src/gateway/routing/tenant_table.cpp
+++ b/src/gateway/routing/tenant_table.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kDigits = "0123456789abcdef";
 
-/** Finds candidates only; whole digests are compared in constant time. */
+/** Index key of a digest. The whole digests are compared in constant time. */
 std::uint64_t prefixOf(const key_digest& digest) {
   std::uint64_t prefix = 0;
   std::memcpy(&prefix, digest.data(), sizeof(prefix));
@@ -54,14 +54,15 @@
   for (std::size_t i = 0; i < tenants.size(); ++i) {
     const std::string place = "tenants[" + std::to_string(i) + "]";
     if (!table.by_name_.emplace(tenants[i].name, i).second) {
-      findings.push_back({place + ".name", "stands twice"});
+      findings.push_back({place + ".name", "is not unique"});
     }
     for (const key_digest& digest : tenants[i].keys) {
       const auto [owner, fresh] = owners.try_emplace(digest, i);
       if (fresh) {
         table.by_prefix_.emplace(prefixOf(digest), std::pair(digest, i));
       } else if (owner->second != i) {
-        findings.push_back({place, "has a key of tenants[" + std::to_string(owner->second) + "]"});
+        findings.push_back(
+            {place, "shares a key with tenants[" + std::to_string(owner->second) + "]"});
       }
     }
   }
--- a/src/gateway/routing/weighted_round_robin.cpp
+++ b/src/gateway/routing/weighted_round_robin.cpp
@@ -16,7 +16,7 @@
                     });
 }
 
-/** Bound of the turns that a daemon skips when it first sees the services of a route. */
+/** Exclusive upper bound of the turns that are skipped initially. */
 constexpr std::uint64_t kMaxInitialTurns = 97;
 
 }  // namespace
@@ -39,7 +39,7 @@
   if (!sameServices(state.services, route.services)) {
     state.services = route.services;
     state.credits.assign(route.services.size(), 0);
-    // Many daemons that see few requests each would otherwise all begin with the same service.
+    // Otherwise all daemons would start with the same service, which skews the shares at low load.
     const std::uint64_t skipped = hash64(route.name.str(), this->start_) % kMaxInitialTurns;
     for (std::uint64_t i = 0; i < skipped; ++i) pickService(state, total);
   }
--- a/src/gateway/routing/weighted_round_robin.h
+++ b/src/gateway/routing/weighted_round_robin.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Whose turn it is among the services of a route. Pure state; one owner.
+ * Distributes the requests of a route among its services. Does no I/O; not thread-safe.
  */
 
 #include <cstdint>
@@ -12,25 +12,22 @@
 
 namespace linenpier::routing {
 
-/** Smooth weighted round robin: after each round of as many requests as the weights of a route's
- * services sum to, every service had exactly its share.
+/** Smooth weighted round robin: over as many requests as the sum of the weights, each service gets
+ * exactly its weight.
  */
 class weighted_round_robin {
  public:
-  /** @param start a number that differs between daemons, so that they do not all begin with the
-   * same service.
-   */
+  /** @param start differs between daemons, so that they start with different services. */
   explicit weighted_round_robin(std::uint64_t start) : start_(start) {}
 
-  /** @return the service whose turn it is. */
   ServiceName next(const Route& route);
 
  private:
   struct route_state {
-    std::vector<WeightedService> services;  ///< As they were when the credits were last reset.
+    std::vector<WeightedService> services;  ///< As of the last reset of the credits.
     std::vector<double> credits;
   };
-  /** @return the index of the service whose turn it is. */
+  /** @return the index of the next service. */
   static std::size_t pickService(route_state& state, double total);
 
   std::uint64_t start_;
--- a/src/gateway/tenants/residency.h
+++ b/src/gateway/tenants/residency.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Where requests may be served, cached and stored, by their route and their tenant. Pure.
+ * Data residency of a request by its route and its tenant.
  */
 
 #include "gateway/fleet/data_residency.h"
@@ -9,8 +9,8 @@
 
 namespace linenpier::tenants {
 
-/** @param route nullptr: no restriction by a route.
- * @param tenant empty or unknown: no restriction by a tenant.
+/** @param route nullptr: no restriction by route.
+ * @param tenant empty or unknown: no restriction by tenant.
  * @return the regions that both allow.
  */
 fleet::data_residency residencyOf(const routing::RouteTable& table, const routing::Route* route,
