--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -23,11 +23,11 @@
 const ServiceName kService("s");
 const EngineId kEngine("e");
 constexpr Instant kStart{std::chrono::seconds(1000)};
-constexpr Instant kLater = kStart + 10s;  ///< Earlier lives of daemons are of no matter then.
+constexpr Instant kLater = kStart + 10s;  ///< Well after the start of the daemon.
 constexpr Duration kColdFor = 3s;
-constexpr std::size_t kMaxPerSecond = 18;  ///< 9.3 x 1.5 + 5, whole requests.
+constexpr std::size_t kMaxPerSecond = 18;  ///< 9.3 x 1.5 + 5, rounded down.
 constexpr std::size_t kSenders = 5;
-/// Without a bound a daemon would send for ever: a test that fails must end.
+/// Ends a failing test in which nothing limits the requests.
 constexpr std::size_t kMaxTried = 200;
 
 std::map<ServiceName, routing::Service> services() {
@@ -55,7 +55,7 @@
   return made;
 }
 
-/** A daemon that sends whatever it may. */
+/** A daemon that sends as many requests as it may. */
 struct greedy_daemon {
   greedy_daemon(cold_senders senders, Instant started = kStart) : registry(ZoneName("z"), {}, 1) {
     configure(registry.coldLimiter(), senders, started);
@@ -69,7 +69,7 @@
       registry.onRecord(now, record("e" + std::to_string(i), cold_remaining));
     }
   }
-  /** @return the engines that one look sends to. */
+  /** @return the engines that were sent a request, once per request. */
   std::vector<EngineId> sendAll(Instant now) {
     std::vector<EngineId> sent;
     engines::engine_request wanted;
@@ -88,12 +88,11 @@
   engine_registry registry;
 };
 
-/** What one engine got, and when. */
+/** Requests received by one engine. */
 class request_log {
  public:
   void add(Instant at, std::size_t requests) { times_.insert(times_.end(), requests, at); }
   std::size_t total() const { return times_.size(); }
-  /** @return the most within any second. */
   std::size_t maxPerSecond() const {
     std::size_t most = 0;
     for (const Instant from : times_) {
@@ -108,7 +107,7 @@
   std::vector<Instant> times_;
 };
 
-/** Lets the daemons send what they may to the one engine, from `from` on. */
+/** Lets the daemons send to the engine for a time. */
 void sendFor(std::vector<greedy_daemon*> daemons, Instant from, Duration length,
              request_log& engine) {
   for (Instant now = from; now < from + length; now += 20ms) {
@@ -118,7 +117,7 @@
 
 }  // namespace
 
-Test(cold_engine_limiter, without_rules_nothing_is_bounded) {
+Test(cold_engine_limiter, allows_everything_without_options) {
   cold_engine_limiter limiter;
   limiter.setServices(services());
   limiter.onRecord(kLater, kEngine, kColdFor);
@@ -128,14 +127,14 @@
   cr_assert(limiter.hasRoom(kLater, kService, kEngine));
 }
 
-Test(cold_engine_limiter, a_service_without_a_bound_is_not_bounded) {
+Test(cold_engine_limiter, does_not_limit_other_services) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   cr_assert_not(limiter.isBounded(ServiceName("other")));
   cr_assert(limiter.hasRoom(kLater, ServiceName("other"), kEngine));
 }
 
-Test(cold_engine_limiter, coldness_counts_from_when_its_entry_was_heard_and_comes_again) {
+Test(cold_engine_limiter, engine_is_cold_from_receipt_of_its_record_and_may_turn_cold_again) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, 0s);
@@ -146,10 +145,11 @@
   cr_assert_not(limiter.isCold(turned + kColdFor, kEngine));
   const Instant again = turned + 30s;
   limiter.onRecord(again, kEngine, kColdFor);
-  cr_assert(limiter.isCold(again + 1s, kEngine), "the same figure is news once it ran out");
+  cr_assert(limiter.isCold(again + 1s, kEngine),
+            "an equal remaining time counts again after the first has elapsed");
 }
 
-Test(cold_engine_limiter, an_entry_that_is_told_once_more_does_not_prolong_the_coldness) {
+Test(cold_engine_limiter, repeated_record_does_not_extend_the_cold_time) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, kColdFor);
@@ -157,7 +157,7 @@
   cr_assert_not(limiter.isCold(kLater + kColdFor, kEngine));
 }
 
-Test(cold_engine_limiter, an_entry_that_lags_does_not_end_the_coldness) {
+Test(cold_engine_limiter, outdated_record_does_not_end_the_cold_time) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, kColdFor);
@@ -165,7 +165,7 @@
   cr_assert(limiter.isCold(kLater + 1s, kEngine));
 }
 
-Test(cold_engine_limiter, the_bound_is_shared_out_among_the_senders) {
+Test(cold_engine_limiter, divides_the_limit_among_the_senders) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, kColdFor);
@@ -177,7 +177,7 @@
   cr_assert(limiter.hasRoom(kLater + 1300ms, kService, kEngine), "the window slides");
 }
 
-Test(cold_engine_limiter, who_owns_no_work_sends_nothing_to_a_cold_engine) {
+Test(cold_engine_limiter, daemon_without_work_sends_nothing_to_a_cold_engine) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, false});
   limiter.onRecord(kLater, kEngine, kColdFor);
@@ -185,7 +185,7 @@
   cr_assert_not(limiter.hasRoom(kLater, kService, kEngine));
 }
 
-Test(cold_engine_limiter, an_engine_that_was_warm_rests_for_a_window_once_it_is_heard_to_be_cold) {
+Test(cold_engine_limiter, sends_nothing_for_a_window_after_a_warm_engine_turned_cold) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, 0s);
@@ -194,20 +194,20 @@
   cr_assert_eq(limiter.allowance(kLater + 6300ms, kService, kEngine).limit, ColdLimit::kShared);
 }
 
-Test(cold_engine_limiter, engines_get_less_while_their_feed_is_silent) {
+Test(cold_engine_limiter, reduces_the_share_while_records_are_stale) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, 0s);
   cr_assert_eq(limiter.allowance(kLater + 1s, kService, kEngine).requests, kMaxPerSecond / 2);
-  const auto silent = limiter.allowance(kLater + 4s, kService, kEngine);
-  cr_assert_eq(silent.limit, ColdLimit::kStale);
-  cr_assert_eq(silent.requests, kMaxPerSecond / 3);
+  const auto stale = limiter.allowance(kLater + 4s, kService, kEngine);
+  cr_assert_eq(stale.limit, ColdLimit::kStale);
+  cr_assert_eq(stale.requests, kMaxPerSecond / 3);
   limiter.onFeedAnswered(kLater + 3900ms);
   cr_assert_eq(limiter.allowance(kLater + 4s, kService, kEngine).limit, ColdLimit::kWarm,
-               "no news of an engine is good news while the feed works");
+               "unchanged records are current while the watch answers");
 }
 
-Test(cold_engine_limiter, changes_and_refusals_are_told_once) {
+Test(cold_engine_limiter, reports_changes_and_refusals_once) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, false});
   limiter.onRecord(kLater, kEngine, kColdFor);
@@ -227,17 +227,17 @@
   cr_assert_eq(limiter.refused(), 2U);
 }
 
-Test(cold_engine_limiter, engines_that_are_gone_are_forgotten) {
+Test(cold_engine_limiter, sweep_removes_unlisted_engines) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, kColdFor);
   limiter.sweep(kLater + 61s, [](const EngineId&) { return false; });
   limiter.onRecord(kLater + 62s, kEngine, kColdFor);
   cr_assert_eq(limiter.allowance(kLater + 62s, kService, kEngine).limit, ColdLimit::kShared,
-               "as one never heard of");
+               "treated as a new engine");
 }
 
-Test(cold_engine_limiter, engines_that_are_listed_are_remembered_however_quiet_they_are) {
+Test(cold_engine_limiter, sweep_keeps_listed_engines) {
   cold_engine_limiter limiter;
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, 0s);
@@ -247,7 +247,7 @@
                "others may have sent to it");
 }
 
-Test(cold_engines, all_senders_together_keep_to_the_bound_and_use_most_of_it) {
+Test(cold_engines, all_senders_together_respect_and_nearly_use_the_limit) {
   std::vector<greedy_daemon> daemons;
   for (std::size_t i = 0; i < kSenders; ++i) daemons.push_back(greedy_daemon({kSenders, true}));
   std::vector<greedy_daemon*> all;
@@ -262,13 +262,13 @@
                 engine.maxPerSecond());
 }
 
-Test(cold_engines, two_daemons_that_hear_at_different_times_of_its_turning_cold) {
+Test(cold_engines, two_daemons_respect_the_limit_when_one_learns_late) {
   greedy_daemon early({kSenders, true});
   greedy_daemon late({kSenders, true});
   early.receiveRecord(kLater, 0s);
   late.receiveRecord(kLater, 0s);
   request_log engine;
-  // It is cold from the first moment on, and warm for those who do not know.
+  // The engine is already cold, but neither daemon knows yet.
   sendFor({&early, &late}, kLater, 500ms, engine);
   early.receiveRecord(kLater + 500ms, kColdFor);
   sendFor({&early, &late}, kLater + 500ms, 1400ms, engine);
@@ -277,7 +277,7 @@
   cr_assert_leq(engine.maxPerSecond(), kMaxPerSecond, "%zu in a second", engine.maxPerSecond());
 }
 
-Test(cold_engines, an_engine_that_turns_cold_again_is_bounded_again) {
+Test(cold_engines, limits_an_engine_that_turns_cold_again) {
   greedy_daemon one({kSenders, true});
   greedy_daemon other({kSenders, true});
   request_log engine;
@@ -295,8 +295,8 @@
   cr_assert_leq(engine.maxPerSecond(), kMaxPerSecond, "%zu in a second", engine.maxPerSecond());
 }
 
-Test(cold_engines, daemons_that_disagree_on_who_sends_keep_to_the_bound) {
-  greedy_daemon alone({1, true});  // It reached the store before the others did.
+Test(cold_engines, daemons_with_different_sender_counts_respect_the_limit) {
+  greedy_daemon alone({1, true});  // Reached the store before the others.
   greedy_daemon few({3, true});
   greedy_daemon all({kSenders, true});
   greedy_daemon isolated({kSenders, true});
@@ -312,7 +312,7 @@
   cr_assert_leq(second.maxPerSecond(), kMaxPerSecond, "%zu in a second", second.maxPerSecond());
 }
 
-Test(cold_engines, a_daemon_that_restarts_sends_nothing_for_a_window) {
+Test(cold_engines, restarted_daemon_sends_nothing_for_a_window) {
   greedy_daemon before({kSenders, true});
   greedy_daemon other({kSenders, true});
   before.receiveRecord(kLater, kColdFor);
@@ -332,7 +332,7 @@
                "it sends again");
 }
 
-Test(cold_engines, a_whole_fleet_that_is_cold_is_served_up_to_the_bound) {
+Test(cold_engines, uses_every_cold_engine_up_to_the_limit) {
   constexpr int kEngines = 12;
   greedy_daemon daemon({kSenders, true});
   daemon.receiveRecords(kLater, kEngines, kColdFor);
@@ -342,7 +342,7 @@
   cr_assert_eq(daemon.sendAll(kLater + 1300ms).size(), kEngines * (kMaxPerSecond / (kSenders + 1)));
 }
 
-Test(cold_engines, cold_engines_are_left_alone_while_others_have_room) {
+Test(cold_engines, prefers_warm_engines_with_free_slots) {
   greedy_daemon daemon({kSenders, true});
   engine_record warm = record("w", 0s);
   warm.slots = 4;
@@ -361,13 +361,13 @@
   cr_assert_eq(daemon.registry.pick(kLater, wanted)->record.id.str(), "c");
 }
 
-Test(cold_engines, an_engine_that_left_the_list_and_returns_cold_keeps_its_count) {
+Test(cold_engines, remembers_requests_to_an_engine_whose_record_was_removed) {
   greedy_daemon daemon({kSenders, true});
   daemon.receiveRecord(kLater, 0s);
   const std::size_t sent = daemon.sendAll(kLater).size();
   cr_assert_eq(sent, kMaxPerSecond / 2);
   daemon.registry.onRemoved(kLater + 100ms, kEngine);
   daemon.receiveRecord(kLater + 200ms, kColdFor);
-  cr_assert(daemon.sendAll(kLater + 200ms).empty(), "others may have sent as much");
+  cr_assert(daemon.sendAll(kLater + 200ms).empty(), "other daemons may have sent as much");
   cr_assert_eq(daemon.sendAll(kLater + 1500ms).size(), kMaxPerSecond / (kSenders + 1));
 }
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-Test(engine_admission, an_engine_of_a_closed_zone_gets_nothing_not_even_in_despair) {
+Test(engine_admission, rejects_engines_of_closed_zones_even_as_a_last_resort) {
   engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
@@ -49,7 +49,7 @@
   cr_assert(registry.availableEngines(kService).empty());
 }
 
-Test(engine_admission, a_zone_that_is_opened_again_is_used_at_once) {
+Test(engine_admission, uses_a_reopened_zone_immediately) {
   engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
@@ -57,7 +57,7 @@
   cr_assert_not_null(registry.pick(kStart, any()));
 }
 
-Test(engine_admission, a_request_with_homes_stays_there) {
+Test(engine_admission, respects_the_residency_of_the_request) {
   engine_registry registry(kHere, {}, 1);
   registry.setLayout(fleet::fleet_layout({{kHere, RegionName("r")}, {kThere, RegionName("q")}}));
   test::listEngines(registry, kStart, {record("a", kHere), record("b", kThere)});
@@ -70,7 +70,7 @@
   cr_assert_eq(registry.lastAdmissionFailures().of(AdmissionFailure::kOutsideResidency), 2U);
 }
 
-Test(engine_admission, an_engine_in_an_unknown_region_is_at_home_nowhere) {
+Test(engine_admission, rejects_engines_of_unknown_region_under_a_residency) {
   engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", ZoneName("nowhere"))});
   engine_request request = any();
@@ -78,12 +78,12 @@
   cr_assert_null(registry.pick(kStart, request));
 }
 
-Test(engine_admission, the_tally_names_the_reasons_with_their_counts) {
-  engines::admission_failure_counts tally;
-  cr_assert_eq(tally.mostFrequent(), AdmissionFailure::kNone);
-  tally.add(AdmissionFailure::kFull);
-  tally.add(AdmissionFailure::kZoneClosed);
-  tally.add(AdmissionFailure::kFull);
-  cr_assert_eq(tally.mostFrequent(), AdmissionFailure::kFull);
-  cr_assert_eq(tally.describe(), "zone_closed 1, full 2");
+Test(engine_admission, failure_counts_describe_lists_reasons_with_counts) {
+  engines::admission_failure_counts counts;
+  cr_assert_eq(counts.mostFrequent(), AdmissionFailure::kNone);
+  counts.add(AdmissionFailure::kFull);
+  counts.add(AdmissionFailure::kZoneClosed);
+  counts.add(AdmissionFailure::kFull);
+  cr_assert_eq(counts.mostFrequent(), AdmissionFailure::kFull);
+  cr_assert_eq(counts.describe(), "zone_closed 1, full 2");
 }
--- a/tests/gateway/engines/engine_health_test.cpp
+++ b/tests/gateway/engines/engine_health_test.cpp
@@ -15,13 +15,13 @@
 constexpr Instant kStart{std::chrono::seconds(100)};
 const engines::health_options kOptions;
 
-/** Ends attempts, a second after one another. @return the time of the last. */
+/** Ends one attempt per second. @return the time of the last one. */
 Instant endAttempts(engine_health& health, AttemptOutcome end, int attempts) {
   for (int i = 0; i < attempts; ++i) health.onAttemptEnded(kStart + i * 1s, end, kOptions);
   return kStart + (attempts - 1) * 1s;
 }
 
-/** Checks that the engine is ejected until just before `ejection` has passed since `from`. */
+/** Checks that the engine is ejected from `from` for exactly `ejection`. */
 void expectEjection(const engine_health& health, Instant from, Duration ejection) {
   cr_assert(health.isEjected(from + ejection - 1ms));
   cr_assert_not(health.isEjected(from + ejection));
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Test(engine_health, broken_answers_eject_from_the_second_on_for_twice_as_long_each) {
+Test(engine_health, broken_responses_eject_from_the_second_on_with_doubling_time) {
   for (const auto& [failures, ejection] : std::initializer_list<std::pair<int, Duration>>{
            {2, 1400ms}, {3, 2800ms}, {4, 5600ms}, {5, 6s}}) {
     engine_health health;
@@ -41,14 +41,14 @@
   cr_assert_not(health.isEjected(endAttempts(health, AttemptOutcome::kBroken, 1)));
 }
 
-Test(engine_health, a_silent_or_unreachable_engine_is_ejected_at_once) {
+Test(engine_health, timeout_or_unreachable_ejects_immediately) {
   for (const AttemptOutcome end : {AttemptOutcome::kTimeout, AttemptOutcome::kUnreachable}) {
     engine_health health;
     expectEjection(health, endAttempts(health, end, 1), 700ms);
   }
 }
 
-Test(engine_health, rejections_neither_eject_nor_reset) {
+Test(engine_health, rejection_neither_ejects_nor_resets) {
   engine_health health;
   const Instant last = endAttempts(health, AttemptOutcome::kTimeout, 2);
   health.onAttemptEnded(last + 1s, AttemptOutcome::kRejected, kOptions);
@@ -56,7 +56,7 @@
   expectEjection(health, last, 1400ms);
 }
 
-Test(engine_health, a_success_resets_the_failures_but_does_not_end_the_ejection) {
+Test(engine_health, success_resets_the_failures_but_does_not_end_the_ejection) {
   engine_health health;
   const Instant last = endAttempts(health, AttemptOutcome::kBroken, 3);
   health.onAttemptEnded(last + 1s, AttemptOutcome::kSuccess, kOptions);
@@ -64,7 +64,7 @@
   expectEjection(health, last, 2800ms);
 }
 
-Test(engine_health, a_further_failure_sets_the_end_of_the_ejection_anew) {
+Test(engine_health, further_failure_replaces_the_end_of_the_ejection) {
   engine_health health;
   health.onAttemptEnded(kStart, AttemptOutcome::kWrongEngine, kOptions);
   health.onAttemptEnded(kStart + 1s, AttemptOutcome::kBroken, kOptions);
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-Test(engine_registry, draining_and_gone_engines_get_nothing_new) {
+Test(engine_registry, draining_and_removed_engines_get_no_requests) {
   engine_record leaving = record("a");
   leaving.draining = true;
   engine_registry registry = registryOf({leaving, record("b")});
@@ -53,25 +53,25 @@
   cr_assert_null(registry.pick(kStart, any()));
 }
 
-Test(engine_registry, a_list_replaces_what_is_not_on_it) {
+Test(engine_registry, complete_listing_removes_missing_engines) {
   engine_registry registry = registryOf({record("a"), record("b")});
   const auto gone = test::listEngines(registry, kStart, {record("b")});
   cr_assert_eq(gone.size(), 1U);
   cr_assert_null(registry.find(EngineId("a")));
 }
 
-Test(engine_registry, the_less_loaded_engine_is_taken_counting_our_own_requests) {
+Test(engine_registry, prefers_the_less_loaded_engine_counting_own_requests) {
   engine_registry registry = registryOf({record("a"), record("b")});
   registry.onAttemptStarted(kStart, EngineId("a"));
   registry.onAttemptStarted(kStart, EngineId("a"));
   cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
   registry.onLoadReport(kStart, EngineId("b"), {4, 3, 4});
-  cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "a", "others' load counts");
+  cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "a", "load of other daemons counts");
   const Instant later = kStart + std::chrono::seconds(5);
-  cr_assert_eq(registry.pick(later, any())->record.id.str(), "b", "old reports are forgotten");
+  cr_assert_eq(registry.pick(later, any())->record.id.str(), "b", "old reports expire");
 }
 
-Test(engine_registry, a_slow_engine_is_left_alone_until_its_measurement_is_old) {
+Test(engine_registry, avoids_a_slow_engine_until_its_measurement_expires) {
   engine_registry registry = registryOf({record("a"), record("b"), record("c")});
   for (int i = 0; i < 20; ++i) {
     registry.onEventTime(kStart, EngineId("a"), std::chrono::milliseconds(120));
@@ -83,7 +83,7 @@
   cr_assert(registry.latencyRatio(kStart + std::chrono::seconds(10), EngineId("a")) <= 1);
 }
 
-Test(engine_registry, one_broken_answer_ejects_nobody_but_repeated_ones_do) {
+Test(engine_registry, ejects_on_the_second_broken_response) {
   engine_registry registry = registryOf({record("a")});
   registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kBroken);
   cr_assert_not_null(registry.pick(kStart, any()));
@@ -92,25 +92,26 @@
   cr_assert_null(registry.pick(later, any()));
   engine_request last_resort = any();
   last_resort.last_resort = true;
-  cr_assert_not_null(registry.pick(later, last_resort), "rather an ejected engine than none");
+  cr_assert_not_null(registry.pick(later, last_resort),
+                     "an ejected engine is used as a last resort");
 }
 
-Test(engine_registry, a_burst_of_resets_counts_as_one_failure) {
+Test(engine_registry, burst_of_resets_counts_as_one_failure) {
   engine_registry registry = registryOf({record("a")});
   for (int i = 0; i < 12; ++i) {
     registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kBroken);
   }
   cr_assert_not_null(registry.pick(kStart, any()),
-                     "an engine that changes weights resets everything");
+                     "an engine that changes weights resets all requests");
 }
 
-Test(engine_registry, an_engine_at_anothers_address_is_ejected_for_long) {
+Test(engine_registry, engine_at_the_address_of_another_is_ejected) {
   engine_registry registry = registryOf({record("a")});
   registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kWrongEngine);
   cr_assert_null(registry.pick(kStart + std::chrono::seconds(3), any()));
 }
 
-Test(engine_registry, versions_seen_in_answers_are_newer_than_discovery) {
+Test(engine_registry, versions_in_responses_override_the_record) {
   engine_registry registry = registryOf({record("a", 3)});
   engine_request request = any();
   request.model = kModel;
@@ -119,12 +120,13 @@
   registry.onVersionSeen(EngineId("a"), kModel, 4);
   cr_assert_not_null(registry.pick(kStart, request));
   registry.onRecord(kStart, record("a", 3));
-  cr_assert_not_null(registry.pick(kStart, request), "the same old entry again is no news");
+  cr_assert_not_null(registry.pick(kStart, request),
+                     "an unchanged record does not override the response");
   registry.onRecord(kStart, record("a", 2));
-  cr_assert_null(registry.pick(kStart, request), "a changed entry is");
+  cr_assert_null(registry.pick(kStart, request), "a changed record does");
 }
 
-Test(engine_registry, an_answer_that_names_no_version_changes_none) {
+Test(engine_registry, response_without_a_version_is_ignored) {
   engine_registry registry = registryOf({record("a", 3)});
   registry.onVersionSeen(EngineId("a"), kModel, 4);
   registry.onVersionSeen(EngineId("a"), kModel, 0);
@@ -134,18 +136,18 @@
   cr_assert_not_null(registry.pick(kStart, request));
 }
 
-Test(engine_registry, an_engine_that_refuses_while_it_has_room_is_loading) {
+Test(engine_registry, engine_that_rejects_with_free_slots_is_loading) {
   engine_registry registry = registryOf({record("a")});
   engine_request request = any();
   request.model = kModel;
   registry.onModelRejected(kStart, EngineId("a"), kModel);
   cr_assert_null(registry.pick(kStart + std::chrono::milliseconds(300), request));
   cr_assert_not_null(registry.pick(kStart + std::chrono::milliseconds(300), any()),
-                     "other models go on");
+                     "other models are unaffected");
   cr_assert_not_null(registry.pick(kStart + std::chrono::milliseconds(400), request));
 }
 
-Test(engine_registry, no_more_than_the_slots_where_that_is_asked_for) {
+Test(engine_registry, respects_max_per_slot) {
   engine_registry registry = registryOf({record("a")});
   engine_request request = any();
   request.max_per_slot = 1;
@@ -156,7 +158,7 @@
   cr_assert_null(registry.pick(kStart, request));
 }
 
-Test(engine_registry, memory_that_others_fill_is_counted_too) {
+Test(engine_registry, counts_memory_used_by_other_daemons) {
   engine_registry registry = registryOf({record("slow"), record("full")});
   registry.onEventTime(kStart, EngineId("slow"), std::chrono::milliseconds(120));
   registry.onEventTime(kStart, EngineId("full"), std::chrono::milliseconds(100));
@@ -167,7 +169,7 @@
   request.tokens = 100;
   request.memory_tokens = 420;
   for (int i = 0; i < 20; ++i) {
-    cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "full", "it is empty yet");
+    cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "full", "it is still empty");
   }
   registry.onLoadReport(kStart, EngineId("full"), {3, 0, 4});
   for (int i = 0; i < 20; ++i) {
@@ -175,7 +177,7 @@
   }
 }
 
-Test(engine_registry, a_text_of_one_version_goes_on_where_that_version_is) {
+Test(engine_registry, selects_engines_by_exact_and_newest_version) {
   engine_registry registry = registryOf({record("old", 3), record("new", 4)});
   engine_request request = any();
   request.model = kModel;
@@ -190,19 +192,19 @@
   }
 }
 
-Test(engine_registry, an_entry_that_lapsed_while_the_store_was_away_may_come_back) {
+Test(engine_registry, keeps_an_engine_whose_record_returns_after_a_store_outage) {
   engine_registry registry = registryOf({record("a"), record("b")});
   registry.onStoreReconnected(kStart, std::chrono::seconds(5));
   cr_assert_not(registry.onRemoved(kStart, EngineId("a")).has_value());
   const Instant soon = kStart + std::chrono::milliseconds(1500);
   cr_assert(registry.removeExpired(soon).empty());
-  cr_assert_not_null(registry.find(EngineId("a")), "it serves on");
+  cr_assert_not_null(registry.find(EngineId("a")), "it is still in use");
   registry.onRecord(soon, record("a"));
   cr_assert(registry.removeExpired(kStart + std::chrono::seconds(2)).empty());
-  cr_assert_not_null(registry.find(EngineId("a")), "its entry is back");
+  cr_assert_not_null(registry.find(EngineId("a")), "its record has returned");
 }
 
-Test(engine_registry, an_entry_that_lapsed_and_stays_away_is_gone_within_two_seconds) {
+Test(engine_registry, removes_an_engine_whose_record_does_not_return_within_two_seconds) {
   engine_registry registry = registryOf({record("a"), record("b")});
   registry.onStoreReconnected(kStart, std::chrono::seconds(5));
   test::listEngines(registry, kStart, {record("b")});
@@ -212,7 +214,7 @@
   cr_assert_null(registry.find(EngineId("a")));
 }
 
-Test(engine_registry, an_engine_that_was_draining_or_goes_in_a_calm_time_is_gone_at_once) {
+Test(engine_registry, removes_engines_at_once_if_draining_or_after_a_short_outage) {
   engine_record leaving = record("a");
   leaving.draining = true;
   engine_registry registry = registryOf({leaving, record("b"), record("c")});
@@ -221,10 +223,10 @@
   registry = registryOf({record("b"), record("c")});
   registry.onStoreReconnected(kStart, std::chrono::seconds(1));
   cr_assert(registry.onRemoved(kStart, EngineId("b")).has_value(),
-            "too short for an entry to lapse");
+            "too short for a record to expire");
 }
 
-Test(engine_registry, an_engine_that_is_slow_by_make_is_avoided_when_its_measurement_is_old) {
+Test(engine_registry, avoids_slow_hardware_after_the_measurement_expired) {
   engine_registry registry = registryOf({record("a"), record("b"), record("c")});
   Instant now = kStart;
   for (int i = 0; i < 100; ++i) {
@@ -238,7 +240,7 @@
   for (int i = 0; i < 20; ++i) cr_assert_neq(registry.pick(later, any())->record.id.str(), "a");
 }
 
-// --- What grows with the service ----------------------------------------------------------------
+// --- Large services ---
 
 namespace {
 
@@ -254,8 +256,8 @@
   return registryOf(records);
 }
 
-/// @return engines that were looked at for one request after the other, all of which run on.
-std::uint64_t looksFor(engine_registry& registry, const engine_request& request, int requests) {
+/// @return how many engines are checked for `requests` concurrent requests.
+std::uint64_t checksFor(engine_registry& registry, const engine_request& request, int requests) {
   const std::uint64_t before = registry.examined();
   for (int i = 0; i < requests; ++i) {
     const auto* engine = registry.pick(kStart, request);
@@ -267,23 +269,23 @@
 
 }  // namespace
 
-Test(engine_registry, a_choice_looks_at_as_many_engines_in_a_service_twice_as_large) {
+Test(engine_registry, number_of_checks_does_not_grow_with_the_service) {
   engine_request item = any();
   item.max_per_slot = 1;
   engine_registry small = serviceOf(1000);
   engine_registry large = serviceOf(2000);
-  const std::uint64_t looks = looksFor(small, item, 200);
-  cr_assert_eq(looksFor(large, item, 200), looks);
-  cr_assert_leq(looks, 200U * 2 * engines::selection_options{}.max_candidates);
+  const std::uint64_t checks = checksFor(small, item, 200);
+  cr_assert_eq(checksFor(large, item, 200), checks);
+  cr_assert_leq(checks, 200U * 2 * engines::selection_options{}.max_candidates);
 }
 
-Test(engine_registry, engines_with_other_weights_are_not_looked_at) {
+Test(engine_registry, does_not_check_engines_with_other_versions) {
   engine_registry registry = serviceOf(2000);
   for (std::size_t i = 0; i < 40; ++i) registry.onRecord(kStart, numbered(i, 5));
   engine_request item = any();
   item.model = kModel;
   item.minimum_version = 5;
-  cr_assert_leq(looksFor(registry, item, 10), 400U);
+  cr_assert_leq(checksFor(registry, item, 10), 400U);
   registry.onVersionSeen(EngineId("e77"), kModel, 6);
   item.minimum_version = 6;
   cr_assert_eq(registry.pick(kStart, item)->record.id.str(), "e77");
@@ -293,7 +295,7 @@
                1999U);
 }
 
-Test(engine_registry, one_that_takes_the_request_is_found_among_any_number_that_do_not) {
+Test(engine_registry, finds_the_only_admitted_engine) {
   engine_registry registry = serviceOf(2000);
   for (std::size_t i = 0; i < 2000; ++i) {
     if (i == 1234) continue;
@@ -305,7 +307,7 @@
   cr_assert_eq(registry.availableEngines(kService).size(), 1U);
 }
 
-Test(engine_registry, daemons_keep_to_different_engines_of_a_large_service) {
+Test(engine_registry, daemons_prefer_different_engines_of_a_large_service) {
   std::vector<engine_record> records;
   for (std::size_t i = 0; i < 2000; ++i) records.push_back(numbered(i));
   std::map<EngineId, int> chosen_by;
@@ -319,11 +321,11 @@
   }
   int most = 0;
   for (const auto& [id, daemons] : chosen_by) most = std::max(most, daemons);
-  // 50 daemons with 64 of 2,000 engines each: 1.6 an engine in the mean.
+  // 50 daemons with 64 of 2,000 engines each: 1.6 daemons per engine on average.
   cr_assert_leq(most, 9, "%d daemons at one engine", most);
 }
 
-Test(engine_registry, requests_now_and_then_go_where_a_connection_is) {
+Test(engine_registry, infrequent_requests_reuse_a_connection) {
   engine_registry registry = serviceOf(300);
   std::set<EngineId> used;
   Instant now = kStart;
@@ -337,9 +339,9 @@
   cr_assert_eq(used.size(), 1U, "%zu connections for ten requests", used.size());
 }
 
-// --- Engines that start again, and entries that name none ----------------------------------------
+// --- Restarted engines and invalid records ---
 
-Test(engine_registry, an_engine_that_started_again_under_its_id_is_another_one) {
+Test(engine_registry, restart_discards_the_state_of_an_engine) {
   engine_record first = record("a", 7);
   first.start = 1000;
   engine_registry registry = registryOf({first});
@@ -352,12 +354,12 @@
   again.start = 2000;
   cr_assert(registry.onRecord(kStart, again) == engines::RecordEffect::kRestarted);
   const engines::engine_state* engine = registry.find(id);
-  cr_assert_eq(engine->versionOf(kModel), 3U, "not what the earlier start answered");
+  cr_assert_eq(engine->versionOf(kModel), 3U, "not the version of the previous run");
   cr_assert_eq(engine->health.failures(), 0);
   cr_assert(registry.admit(kStart, *engine, any()) == engines::AdmissionFailure::kNone);
 }
 
-Test(engine_registry, what_an_earlier_start_says_later_is_not_believed) {
+Test(engine_registry, ignores_a_record_of_an_earlier_run) {
   engine_record newer = record("a", 3);
   newer.start = 2000;
   engine_registry registry = registryOf({newer});
@@ -369,20 +371,21 @@
   cr_assert_not(registry.find(EngineId("a"))->record.draining);
 }
 
-Test(engine_registry, an_entry_that_names_no_engine_takes_the_one_that_stood_there_out_of_use) {
+Test(engine_registry, invalid_record_removes_the_engine) {
   engine_registry registry = registryOf({record("a"), record("b")});
   registry.onStoreReconnected(kStart, std::chrono::seconds(60));
   cr_assert(registry.onInvalidRecord(EngineId("a")).has_value());
-  cr_assert_null(registry.find(EngineId("a")), "that is no lapse");
+  cr_assert_null(registry.find(EngineId("a")), "not treated as expired");
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
   cr_assert_not(registry.onInvalidRecord(EngineId("c")).has_value());
 }
 
-Test(engine_registry, how_long_the_store_was_away_is_judged_by_the_heartbeat) {
+Test(engine_registry, expiry_depends_on_the_heartbeat_interval) {
   engine_registry registry = registryOf({record("a")});
   registry.setHeartbeat(std::chrono::seconds(5));
   registry.onStoreReconnected(kStart, std::chrono::seconds(12));
-  cr_assert(registry.onRemoved(kStart, EngineId("a")).has_value(), "no entry lapsed in that time");
+  cr_assert(registry.onRemoved(kStart, EngineId("a")).has_value(),
+            "no record expires in that time");
   registry.onRecord(kStart, record("a"));
   registry.onStoreReconnected(kStart, std::chrono::seconds(13));
   cr_assert_not(registry.onRemoved(kStart, EngineId("a")).has_value());
--- a/tests/gateway/fleet/data_residency_test.cpp
+++ b/tests/gateway/fleet/data_residency_test.cpp
@@ -10,24 +10,24 @@
 const RegionName kSouth("south");
 }  // namespace
 
-Test(home_regions, without_homes_everything_is_allowed) {
+Test(data_residency, allows_everything_by_default) {
   cr_assert(data_residency().allows(kNorth));
   cr_assert(data_residency().allows(RegionName()));
   cr_assert_not(data_residency().isRestricted());
 }
 
-Test(home_regions, an_unknown_region_is_no_home) {
+Test(data_residency, rejects_an_unknown_region) {
   cr_assert_not(data_residency({kNorth}).allows(RegionName()));
 }
 
-Test(home_regions, both_bind_where_there_are_two) {
+Test(data_residency, intersect_applies_both_restrictions) {
   const data_residency both = data_residency({kNorth, kSouth}).intersect(data_residency({kSouth}));
   cr_assert(both.allows(kSouth));
   cr_assert_not(both.allows(kNorth));
   cr_assert(data_residency().intersect(data_residency({kNorth})) == data_residency({kNorth}));
 }
 
-Test(home_regions, two_without_a_common_region_leave_none) {
+Test(data_residency, intersect_without_a_common_region_allows_nothing) {
   const data_residency none = data_residency({kNorth}).intersect(data_residency({kSouth}));
   cr_assert(none.isRestricted());
   cr_assert_not(none.allows(kNorth));
--- a/tests/gateway/routing/route_table_test.cpp
+++ b/tests/gateway/routing/route_table_test.cpp
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-Test(route_table, the_longest_prefix_of_the_host_wins) {
+Test(route_table, longest_prefix_of_the_host_wins) {
   RouteTable table;
   table.routes = {route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"),
                   route("other", "b.example", "/x/y/z/")};
   cr_assert_eq(table.find("a.example", "/x/y/z/1")->name.str(), "long");
   cr_assert_eq(table.find("a.example", "/x/1")->name.str(), "short");
-  cr_assert_eq(table.find("a.example:8080", "/x/1")->name.str(), "short", "a port is ignored");
-  cr_assert_null(table.find("a.example", "/xy/1"), "a prefix ends at its slash");
+  cr_assert_eq(table.find("a.example:8080", "/x/1")->name.str(), "short", "the port is ignored");
+  cr_assert_null(table.find("a.example", "/xy/1"), "a prefix matches whole segments");
   cr_assert_null(table.find("c.example", "/x/1"));
 }
 
--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -1,6 +1,3 @@
-/// @file
-/// Tenants, their keys, and who sends a request.
-
 #include "gateway/routing/tenant_table.h"
 
 #include "configuration_document.h"
@@ -38,7 +35,7 @@
 
 }  // namespace
 
-Test(tenant_table, every_key_of_a_tenant_opens_the_same) {
+Test(tenant_table, every_key_of_a_tenant_is_accepted) {
   const routing::RouteTable table = parsed(kConfiguration);
   for (const char* key : {"Bearer secret-a1", "bearer  secret-a2 "}) {
     const tenants::caller from = tenants::authenticate(table, withKey(key));
@@ -51,7 +48,7 @@
   cr_assert_not(bob.priority.has_value());
 }
 
-Test(tenant_table, other_keys_and_schemes_open_nothing) {
+Test(tenant_table, other_keys_and_schemes_are_rejected) {
   const routing::RouteTable table = parsed(kConfiguration);
   for (const char* key : {"Bearer secret-a", "Bearer secret-a11", "Bearer SECRET-A1"}) {
     cr_assert_eq(tenants::authenticate(table, withKey(key)).key_status, KeyStatus::kUnknown);
@@ -62,7 +59,7 @@
   cr_assert_not(tenants::authenticate(table, withKey("Bearer x")).admitted());
 }
 
-Test(tenant_table, without_tenants_no_key_is_needed_and_fields_pass) {
+Test(tenant_table, without_tenants_no_key_is_required_and_fields_are_kept) {
   const routing::RouteTable table = parsed(R"({"version":4,"routes":[],"services":[]})");
   cr_assert(tenants::authenticate(table, withKey("")).admitted());
   http::Fields fields = withKey("Bearer mine");
@@ -70,7 +67,7 @@
   cr_assert_eq(http::fieldText(fields, "Authorization"), "Bearer mine");
 }
 
-Test(tenant_table, tenants_that_stand_twice_are_findings_with_their_place) {
+Test(tenant_table, duplicate_names_and_keys_are_findings_with_their_place) {
   const std::vector<tenant> twice = {{TenantId("ada"), {}, {digestOf("k1")}},
                                      {TenantId("ada"), {}, {digestOf("k2")}},
                                      {TenantId("bob"), {}, {digestOf("k1")}}};
@@ -81,27 +78,27 @@
   cr_assert_eq(table.error()[1].place, "tenants[2]");
 }
 
-Test(tenant_table, a_key_that_a_tenant_names_twice_is_its_key) {
+Test(tenant_table, key_may_be_repeated_within_a_tenant) {
   const auto table = tenant_table::make({{TenantId("ada"), {}, {digestOf("k"), digestOf("k")}}});
   cr_assert(table.has_value());
   cr_assert_eq(table->find(digestOf("k"))->name.str(), "ada");
 }
 
-Test(tenant_table, digests_are_read_as_written) {
+Test(tenant_table, digest_round_trips_through_hex) {
   const auto digest = digestOf("key");
   cr_assert(routing::digestFromHex(routing::toHex(digest)) == digest);
   cr_assert_not(routing::digestFromHex("12").has_value());
   cr_assert_not(routing::digestFromHex(std::string(64, 'x')).has_value());
 }
 
-Test(tenant_table, a_configuration_without_keys_says_the_same_and_gives_none_away) {
-  const std::string told = platform_adapter::withoutKeys(kConfiguration);
-  cr_assert_eq(told.find("secret"), std::string::npos);
-  cr_assert(parsed(told).tenants.all() == parsed(kConfiguration).tenants.all());
-  cr_assert_eq(platform_adapter::withoutKeys(told), told);
+Test(tenant_table, without_keys_hides_the_keys_and_parses_the_same) {
+  const std::string redacted = platform_adapter::withoutKeys(kConfiguration);
+  cr_assert_eq(redacted.find("secret"), std::string::npos);
+  cr_assert(parsed(redacted).tenants.all() == parsed(kConfiguration).tenants.all());
+  cr_assert_eq(platform_adapter::withoutKeys(redacted), redacted);
 }
 
-Test(tenant_table, a_key_of_two_tenants_refuses_the_whole_configuration) {
+Test(tenant_table, key_of_two_tenants_invalidates_the_configuration) {
   const auto table = platform_adapter::parseConfiguration(
       R"({"version":4,"routes":[],"services":[],"tenants":[
           {"name":"ada","apiKeys":["k"]},{"name":"bob","apiKeys":["k"]}]})");
--- a/tests/gateway/routing/weighted_round_robin_test.cpp
+++ b/tests/gateway/routing/weighted_round_robin_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace linenpier;
 
-Test(weighted_dealer, every_round_gives_each_service_its_weight) {
+Test(weighted_round_robin, each_round_matches_the_weights) {
   routing::Route split;
   split.name = RouteName("split");
   split.services = {{ServiceName("big"), 9}, {ServiceName("small"), 1}};
@@ -16,7 +16,7 @@
   }
 }
 
-Test(weighted_dealer, daemons_do_not_all_begin_with_the_same_service) {
+Test(weighted_round_robin, daemons_start_with_different_services) {
   routing::Route split;
   split.name = RouteName("split");
   split.services = {{ServiceName("a"), 1}, {ServiceName("b"), 1}};
