--- a/src/gateway/engines/engine_load.cpp
+++ b/src/gateway/engines/engine_load.cpp
@@ -14,12 +14,12 @@
 
 void engine_load::onReport(Instant now, const load_report& report) {
   const double total = static_cast<double>(report.running) + report.waiting;
-  this->others_ = std::max(0.0, total - this->in_flight_);
+  this->other_requests_ = std::max(0.0, total - this->in_flight_);
   this->reported_at_ = now;
 }
 
 void engine_load::onRestarted() {
-  this->others_ = 0;
+  this->other_requests_ = 0;
   this->reported_at_ = Instant{};
 }
 
--- a/src/gateway/engines/engine_load.h
+++ b/src/gateway/engines/engine_load.h
@@ -39,19 +39,19 @@
   /** @return memory that the attempts in flight are expected to need, in tokens. */
   double expectedTokens() const { return this->expected_tokens_; }
   /** @return requests of other daemons as of the last report. */
-  double others() const { return this->others_; }
+  double otherRequests() const { return this->other_requests_; }
   /** @return time of the last report; the epoch if there was none. */
   Instant reportedAt() const { return this->reported_at_; }
   /** @return requests at the engine, including those of other daemons while the report is valid. */
   double total(Instant now, const load_options& options) const {
     const bool recent = now - this->reported_at_ < options.load_lifetime;
-    return this->in_flight_ + (recent ? this->others_ : 0);
+    return this->in_flight_ + (recent ? this->other_requests_ : 0);
   }
 
  private:
   std::uint32_t in_flight_ = 0;
   double expected_tokens_ = 0;
-  double others_ = 0;
+  double other_requests_ = 0;
   Instant reported_at_{};
 };
 
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -29,7 +29,7 @@
     event.number("in_flight", engine->load.inFlight())
         .number("failures", engine->health.failures());
     if (engine->load.reportedAt() != Instant{}) {
-      event.real("others", engine->load.others())
+      event.real("others", engine->load.otherRequests())
           .milliseconds("load_age_ms", steadyNow() - engine->load.reportedAt());
     }
   }
