--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -3,48 +3,49 @@
 namespace linenpier::engines {
 
 void engine_registry::setServices(const std::map<ServiceName, routing::Service>& services) {
-  const bool before = this->cold_.boundsAny();
-  this->cold_.setServices(services);
-  if (before || !this->cold_.boundsAny()) return;
-  // From now on it matters which engines were warm.
-  for (const auto& [id, engine] : this->table_.all()) this->cold_.keep(id);
+  const bool before = this->cold_limiter_.limitsAny();
+  this->cold_limiter_.setServices(services);
+  if (before || !this->cold_limiter_.limitsAny()) return;
+  // A limit has been added: register the present engines, so that they count as previously warm.
+  for (const auto& [id, engine] : this->table_.all()) this->cold_limiter_.track(id);
 }
 
 void engine_registry::setHeartbeat(Duration heartbeat) {
-  this->options_.lapse.heartbeat = heartbeat;
+  this->options_.record_expiry.heartbeat = heartbeat;
   this->table_.setHeartbeat(heartbeat);
-  this->cold_.setHeartbeat(heartbeat);
+  this->cold_limiter_.setHeartbeat(heartbeat);
 }
 
 RecordEffect engine_registry::onRecord(Instant now, const engine_record& record) {
   const RecordEffect effect = this->table_.onRecord(record);
-  if (effect != RecordEffect::kOutdated) this->cold_.onRecord(now, record.id, record.cold_for);
+  if (effect != RecordEffect::kOutdated)
+    this->cold_limiter_.onRecord(now, record.id, record.cold_remaining);
   return effect;
 }
 
 void engine_registry::onAttemptStarted(Instant now, const EngineId& id) {
-  this->cold_.onSent(now, id);
+  this->cold_limiter_.onSent(now, id);
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptStarted();
-  this->table_.inUse().add(*engine);
+  this->table_.activeEngines().add(*engine);
 }
 
-void engine_registry::onAttemptEnded(Instant now, const EngineId& id, AttemptEnd end) {
+void engine_registry::onAttemptEnded(Instant now, const EngineId& id, AttemptOutcome outcome) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptEnded();
-  engine->health.onAttemptEnded(now, end, this->options_.health);
+  engine->health.onAttemptEnded(now, outcome, this->options_.health);
 }
 
-void engine_registry::onTokens(const EngineId& id, double tokens) {
+void engine_registry::addExpectedTokens(const EngineId& id, double tokens) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
-  engine->load.addTokens(tokens);
-  if (engine->load.tokens() > 0) this->table_.inUse().add(*engine);
+  engine->load.addExpectedTokens(tokens);
+  if (engine->load.expectedTokens() > 0) this->table_.activeEngines().add(*engine);
 }
 
-void engine_registry::onModelRefused(Instant now, const EngineId& id, const ModelName& model) {
+void engine_registry::onModelRejected(Instant now, const EngineId& id, const ModelName& model) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const double load = engine->load.total(now, this->options_.score.load);
@@ -58,7 +59,7 @@
   engine->loading.onReset(now, model, this->options_.loading);
 }
 
-void engine_registry::onLoad(Instant now, const EngineId& id, const load_report& report) {
+void engine_registry::onLoadReport(Instant now, const EngineId& id, const load_report& report) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onReport(now, report);
@@ -68,11 +69,12 @@
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const bool complete = engine->latency.onEventTime(now, duration, this->options_.score.latency);
-  this->table_.inUse().add(*engine);
-  if (complete) engine->latency.closeSpan(this->medianEventTime(now, engine->record.service));
+  this->table_.activeEngines().add(*engine);
+  if (complete)
+    engine->latency.closeHistoryWindow(this->medianEventTime(now, engine->record.service));
 }
 
-double engine_registry::room(Instant now, const EngineId& id) const {
+double engine_registry::freeSlots(Instant now, const EngineId& id) const {
   const engine_state* engine = this->find(id);
   if (engine == nullptr) return 0;
   return engine->record.slots - engine->load.total(now, this->options_.score.load);
@@ -97,8 +99,9 @@
 }
 
 void engine_registry::sweep(Instant now) {
-  this->cold_.sweep(now, [this](const EngineId& id) { return this->table_.find(id) != nullptr; });
-  this->table_.inUse().sweep(now, this->options_.score.latency);
+  this->cold_limiter_.sweep(
+      now, [this](const EngineId& id) { return this->table_.find(id) != nullptr; });
+  this->table_.activeEngines().sweep(now, this->options_.score.latency);
 }
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -21,7 +21,7 @@
 
 engine_table::engine_map::iterator engine_table::erase(engine_map::iterator at) {
   this->removeFromIndexes(at->second);
-  this->in_use_.remove(at->second);
+  this->active_.remove(at->second);
   return this->engines_.erase(at);
 }
 
@@ -51,14 +51,14 @@
   return restarted ? RecordEffect::kRestarted : RecordEffect::kUpdated;
 }
 
-std::vector<Address> engine_table::keepOnly(Instant now, const std::set<EngineId>& present) {
+std::vector<Address> engine_table::removeMissing(Instant now, const std::set<EngineId>& present) {
   std::vector<Address> removed;
   for (auto at = this->engines_.begin(); at != this->engines_.end();) {
     engine_state& engine = at->second;
     if (present.contains(at->first)) {
       ++at;
-    } else if (this->mayHaveLapsed(now, engine)) {
-      engine.lapsed = true;
+    } else if (this->mayHaveExpired(now, engine)) {
+      engine.expired = true;
       ++at;
     } else {
       removed.push_back(engine.record.address);
@@ -68,7 +68,7 @@
   return removed;
 }
 
-std::optional<Address> engine_table::onUnreadable(const EngineId& id) {
+std::optional<Address> engine_table::onInvalidRecord(const EngineId& id) {
   const auto at = this->engines_.find(id);
   if (at == this->engines_.end()) return std::nullopt;
   const Address address = at->second.record.address;
@@ -76,11 +76,11 @@
   return address;
 }
 
-std::optional<Address> engine_table::onGone(Instant now, const EngineId& id) {
+std::optional<Address> engine_table::onRemoved(Instant now, const EngineId& id) {
   const auto at = this->engines_.find(id);
   if (at == this->engines_.end()) return std::nullopt;
-  if (this->mayHaveLapsed(now, at->second)) {
-    at->second.lapsed = true;
+  if (this->mayHaveExpired(now, at->second)) {
+    at->second.expired = true;
     return std::nullopt;
   }
   const Address address = at->second.record.address;
@@ -88,17 +88,17 @@
   return address;
 }
 
-void engine_table::onStoreRegained(Instant now, Duration away) {
-  const Duration shortest_lapse =
-      fromSeconds(this->options_.min_lapse_beats * toSeconds(this->options_.heartbeat));
-  if (away >= shortest_lapse) this->lapse_ends_at_ = now + this->options_.lapse_grace;
+void engine_table::onStoreReconnected(Instant now, Duration outage) {
+  const Duration min_outage =
+      fromSeconds(this->options_.min_expiry_heartbeats * toSeconds(this->options_.heartbeat));
+  if (outage >= min_outage) this->expiry_ends_at_ = now + this->options_.expiry_grace;
 }
 
-std::vector<engine_record> engine_table::dropLapsed(Instant now) {
+std::vector<engine_record> engine_table::removeExpired(Instant now) {
   std::vector<engine_record> dropped;
-  if (now < this->lapse_ends_at_) return dropped;
+  if (now < this->expiry_ends_at_) return dropped;
   for (auto at = this->engines_.begin(); at != this->engines_.end();) {
-    if (at->second.lapsed) {
+    if (at->second.expired) {
       dropped.push_back(at->second.record);
       at = this->erase(at);
     } else {
@@ -110,8 +110,8 @@
 
 void engine_table::onVersionSeen(const EngineId& id, const ModelName& model,
                                  WeightVersion version) {
-  // A malformed answer may name no version. Taken for the oldest one, 0 would keep the engine out
-  // of use until its record tells of another load.
+  // A malformed response may lack the version. Stored as 0, the oldest version, it would exclude
+  // the engine until its record changes.
   if (version == 0) return;
   engine_state* engine = this->find(id);
   if (engine == nullptr || engine->versionOf(model) == version) return;
@@ -130,7 +130,7 @@
   return at == this->engines_.end() ? nullptr : &at->second;
 }
 
-const engine_list& engine_table::ofService(const ServiceName& service) const {
+const engine_list& engine_table::availableEngines(const ServiceName& service) const {
   static const engine_list kNone;
   const auto at = this->open_.find(service);
   return at == this->open_.end() ? kNone : at->second;
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -29,7 +29,7 @@
     event.number("in_flight", engine->load.inFlight())
         .number("failures", engine->health.failures());
     if (engine->load.reportedAt() != Instant{}) {
-      event.real("others", engine->load.others())
+      event.real("others", engine->load.otherRequests())
           .milliseconds("load_age_ms", steadyNow() - engine->load.reportedAt());
     }
   }
@@ -42,12 +42,12 @@
   int ejected = 0;
   int cold = 0;
   for (const routing::WeightedService& part : route.services) {
-    for (const engines::engine_index::entry& entry : this->registry_.known(part.service)) {
+    for (const engines::engine_index::entry& entry : this->registry_.allEngines(part.service)) {
       const engines::engine_state& engine = *entry.engine;
       ++known;
       draining += engine.record.draining ? 1 : 0;
       ejected += engine.health.isEjected(now) ? 1 : 0;
-      cold += this->registry_.cold().isCold(now, engine.record.id) ? 1 : 0;
+      cold += this->registry_.coldLimiter().isCold(now, engine.record.id) ? 1 : 0;
     }
   }
   event.number("engines", known)
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -73,7 +73,7 @@
   cr_assert_eq(engine->id.str(), "i-1");
   cr_assert(engine->draining);
   cr_assert_eq(engine->models.at(ModelName("m")), 4U);
-  cr_assert(engine->cold_for == std::chrono::milliseconds(1500));
+  cr_assert(engine->cold_remaining == std::chrono::milliseconds(1500));
   cr_assert_not(parseEngine("i-1", "{}").has_value());
   cr_assert_not(parseEngine("i-1", R"({"service":"s","address":"nowhere"})").has_value());
   cr_assert_not(parseEngine("i-1", "nonsense").has_value());
@@ -129,8 +129,8 @@
   cr_assert(again->draining);
   cr_assert(again->spot);
   cr_assert(again->models == read->models);
-  cr_assert(again->cold_for == read->cold_for);
-  cr_assert(again->leaves_in == read->leaves_in);
+  cr_assert(again->cold_remaining == read->cold_remaining);
+  cr_assert(again->reclaim_in == read->reclaim_in);
 }
 
 Test(documents, a_named_version_is_read_from_its_own_rows_only) {
@@ -223,8 +223,8 @@
   cr_assert(table.has_value());
   const auto& bounds = table->services.at(ServiceName("s")).scaling;
   cr_assert(bounds.has_value());
-  cr_assert_eq(bounds->least, 1U);
-  cr_assert_eq(bounds->most, 32U);
+  cr_assert_eq(bounds->min_engines, 1U);
+  cr_assert_eq(bounds->max_engines, 32U);
   cr_assert(bounds->boot_time == std::chrono::seconds(4));
   cr_assert_eq(bounds->spot_price, 0.22);
   cr_assert_eq(bounds->priceOf({ZoneName("b"), fleet::EngineKind::kOnDemand}), 0.8);
@@ -248,11 +248,11 @@
   cr_assert(spot.has_value());
   cr_assert(spot->spot);
   cr_assert(spot->draining);
-  cr_assert(*spot->leaves_in == std::chrono::milliseconds(2500));
+  cr_assert(*spot->reclaim_in == std::chrono::milliseconds(2500));
   const auto other = parseEngine("i-2", R"({"service":"s","address":"10.0.0.2:8080","zone":"a",
                  "slots":2,"state":"ready"})");
   cr_assert_not(other->spot);
-  cr_assert_not(other->leaves_in.has_value());
+  cr_assert_not(other->reclaim_in.has_value());
 }
 
 Test(documents, homes_of_routes_and_tenants_are_read) {
@@ -270,11 +270,11 @@
   const routing::Route* bound = table->find("h", "/b/1");
   const TenantId ada("ada");
   cr_assert(bound->residency == fleet::data_residency({RegionName("r1"), RegionName("r2")}));
-  cr_assert_not(table->find("h", "/f/1")->residency.bound());
-  cr_assert_not(table->find("h", "/e/1")->residency.bound(), "no home is named");
+  cr_assert_not(table->find("h", "/f/1")->residency.isRestricted());
+  cr_assert_not(table->find("h", "/e/1")->residency.isRestricted(), "no home is named");
   cr_assert(tenants::residencyOf(*table, bound, ada) == fleet::data_residency({RegionName("r2")}));
   cr_assert(tenants::residencyOf(*table, bound, TenantId("bob")) == bound->residency);
-  cr_assert_not(tenants::residencyOf(*table, table->find("h", "/f/1"), TenantId()).bound());
+  cr_assert_not(tenants::residencyOf(*table, table->find("h", "/f/1"), TenantId()).isRestricted());
 }
 
 Test(documents, homes_of_the_wrong_type_are_reported) {
