--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -36,7 +36,7 @@
 #include "gateway/lease/lease_keeper.h"
 #include "gateway/lease/lease_table.h"
 #include "gateway/lease/owner_pool.h"
-#include "gateway/suspects/suspect_gate.h"
+#include "gateway/suspects/suspect_tracker.h"
 #include "gateway/tenants/caller.h"
 #include "gateway/versions/load_demand.h"
 
@@ -54,7 +54,7 @@
     const lease::owner_pool& pool;
     const batch_codec& codec;
     forward::internal_requests& rewards;
-    suspects::suspect_gate& suspects;
+    suspects::suspect_tracker& suspects;
     std::function<routing::RouteTablePtr()> routes;  ///< The newest table; empty before the first.
   };
 
--- a/src/gateway/batch/item_request.h
+++ b/src/gateway/batch/item_request.h
@@ -9,7 +9,7 @@
 #include "gateway/forward/field_names.h"
 #include "gateway/http/http_types.h"
 #include "gateway/routing/route_table.h"
-#include "gateway/suspects/suspect_gate.h"
+#include "gateway/suspects/suspect_tracker.h"
 
 namespace linenpier::batch {
 
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -147,7 +147,7 @@
 
 void item_runner::settleSuspicion(const item_attempt& run, AttemptVerdict verdict,
                                   bool engine_ended) {
-  suspects::suspect_gate& gate = this->deps_.suspects;
+  suspects::suspect_tracker& gate = this->deps_.suspects;
   if (engine_ended) {
     gate.onEngineCrashed(run.sent, keyOf(*run.active, run.item), run.call->engine(),
                          run.call->startedAt(), suspects::RequestSource::kItem,
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -17,7 +17,7 @@
 #include "gateway/batch/known_jobs.h"
 #include "gateway/batch/length_estimate.h"
 #include "gateway/batch/run_reader.h"
-#include "gateway/suspects/suspect_gate.h"
+#include "gateway/suspects/suspect_tracker.h"
 
 namespace linenpier::batch {
 
@@ -35,7 +35,7 @@
     boost::asio::io_context& loop;
     const forward::engine_call_context& engines;
     forward::internal_requests& rewards;
-    suspects::suspect_gate& suspects;
+    suspects::suspect_tracker& suspects;
     known_jobs& jobs;
     const item_pick& picks;
     std::function<routing::RouteTablePtr()> routes;
--- a/src/gateway/forward/attempt_admission.h
+++ b/src/gateway/forward/attempt_admission.h
@@ -14,7 +14,7 @@
 
 class attempt_admission {
  public:
-  explicit attempt_admission(suspects::suspect_gate& suspects) : suspects_(suspects) {}
+  explicit attempt_admission(suspects::suspect_tracker& suspects) : suspects_(suspects) {}
 
   /** Asks whether an attempt may be sent. Waits only if the request is a suspect.
    * @param alone whether no other attempt of the request runs: a suspect runs on one engine at a
@@ -32,7 +32,7 @@
                const suspects::sent_attempt& attempt, bool engine_crashed);
 
  private:
-  suspects::suspect_gate& suspects_;
+  suspects::suspect_tracker& suspects_;
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -11,7 +11,7 @@
 #include "gateway/forward/field_names.h"
 #include "gateway/http/http_types.h"
 #include "gateway/routing/route_table.h"
-#include "gateway/suspects/suspect_gate.h"
+#include "gateway/suspects/suspect_tracker.h"
 #include "gateway/tenants/caller.h"
 
 namespace linenpier::forward {
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -6,7 +6,7 @@
 
 forwarder::forwarder(boost::asio::io_context& loop, engine_call_context engines,
                      routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
-                     usage::run_recorder& recorder, suspects::suspect_gate& suspects)
+                     usage::run_recorder& recorder, suspects::suspect_tracker& suspects)
     : choice_(engines.registry, engines.names, round_robin),
       admission_(suspects),
       replies_(engines.names, suspects, {}),
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -23,7 +23,7 @@
  public:
   forwarder(boost::asio::io_context& loop, engine_call_context engines,
             routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
-            usage::run_recorder& recorder, suspects::suspect_gate& suspects);
+            usage::run_recorder& recorder, suspects::suspect_tracker& suspects);
   /** The parts refer to each other. */
   forwarder(const forwarder&) = delete;
   forwarder& operator=(const forwarder&) = delete;
--- a/src/gateway/forward/local_replies.h
+++ b/src/gateway/forward/local_replies.h
@@ -24,7 +24,7 @@
 
 class local_replies {
  public:
-  local_replies(const field_names& names, suspects::suspect_gate& suspects,
+  local_replies(const field_names& names, suspects::suspect_tracker& suspects,
                 local_reply_options options)
       : names_(names), suspects_(suspects), options_(options) {}
 
@@ -41,7 +41,7 @@
 
  private:
   const field_names& names_;
-  suspects::suspect_gate& suspects_;
+  suspects::suspect_tracker& suspects_;
   local_reply_options options_;
 };
 
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -19,7 +19,7 @@
 #include "common/task.h"
 #include "gateway/lease/lease_keeper.h"
 #include "gateway/lease/lease_table.h"
-#include "gateway/suspects/suspect_gate.h"
+#include "gateway/suspects/suspect_tracker.h"
 #include "gateway/table/async_table.h"
 
 namespace linenpier::suspects {
@@ -35,7 +35,7 @@
 };
 
 /** Loop thread only. */
-class suspect_service : public suspect_gate {
+class suspect_service : public suspect_tracker {
  public:
   struct dependencies {
     boost::asio::io_context& loop;
--- a/src/gateway/suspects/suspect_gate.h
+++ b/src/gateway/suspects/suspect_tracker.h
@@ -19,9 +19,9 @@
 };
 
 /** Loop thread only. */
-class suspect_gate {
+class suspect_tracker {
  public:
-  virtual ~suspect_gate() = default;
+  virtual ~suspect_tracker() = default;
 
   /** @return whether there is any suspect. If not, no key need be computed. */
   virtual bool any() const = 0;
