--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -114,7 +114,7 @@
 std::optional<suspects::sent_attempt> item_runner::admitSuspect(active_job& active,
                                                                 ItemIndex item) {
   suspects::sent_attempt attempt;
-  if (!this->deps_.suspects.any()) return attempt;
+  if (!this->deps_.suspects.hasSuspects()) return attempt;
   const std::string id = itemOf(active, item).id.str();
   const suspects::suspect_admission admission = this->deps_.suspects.beginOwnIsolatedRun(
       keyOf(active, item), suspects::RequestSource::kItem, id);
@@ -154,7 +154,7 @@
                          itemOf(*run.active, run.item).id.str());
   } else if (verdict != AttemptVerdict::kAnswered) {
     if (run.sent.isolated) gate.onInconclusive(keyOf(*run.active, run.item));
-  } else if (gate.any()) {
+  } else if (gate.hasSuspects()) {
     gate.onAnswered(keyOf(*run.active, run.item));
   }
 }
--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -6,7 +6,7 @@
                                                                      bool alone) {
   suspects::sent_attempt attempt;
   forwarded.admission = {};
-  if (!this->suspects_.any()) co_return attempt;
+  if (!this->suspects_.hasSuspects()) co_return attempt;
   const suspects::request_key key = keyOf(forwarded, *forwarded.request);
   forwarded.admission = this->suspects_.admissionOf(key, suspects::RequestSource::kCaller);
   if (forwarded.admission.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
@@ -35,7 +35,7 @@
                                     forwarded.id);
   } else if (verdict != AttemptVerdict::kAnswered) {
     if (attempt.isolated) this->suspects_.onInconclusive(keyOf(forwarded, call.request()));
-  } else if (this->suspects_.any()) {
+  } else if (this->suspects_.hasSuspects()) {
     this->suspects_.onAnswered(keyOf(forwarded, call.request()));
   }
 }
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -50,7 +50,7 @@
 
   void start();
 
-  bool any() const override { return !this->book_.empty(); }
+  bool hasSuspects() const override { return !this->book_.empty(); }
   suspect_admission admissionOf(const request_key& key, RequestSource source) const override;
   Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource source,
                                            std::string id) override;
--- a/src/gateway/suspects/suspect_tracker.h
+++ b/src/gateway/suspects/suspect_tracker.h
@@ -24,7 +24,7 @@
   virtual ~suspect_tracker() = default;
 
   /** @return whether there is any suspect. If not, no key need be computed. */
-  virtual bool any() const = 0;
+  virtual bool hasSuspects() const = 0;
   /** @return what a request is allowed by what this daemon knows; kNotSuspect for nearly all. */
   virtual suspect_admission admissionOf(const request_key& key, RequestSource source) const = 0;
   /** Claims the right to run a suspect alone, for this daemon of all. Writes to the store, unless
