--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -11,7 +11,7 @@
 
 namespace linenpier::batch {
 
-using forward::AttemptVerdict;
+using forward::AttemptOutcome;
 using logging::LogEvent;
 
 namespace {
@@ -131,9 +131,9 @@
 
 Task<void> item_runner::runItem(item_attempt run) {
   run_course course;
-  const AttemptVerdict verdict =
+  const AttemptOutcome verdict =
       co_await this->reader_.read(*run.active, run.item, *run.call, run.model, course);
-  if (verdict == AttemptVerdict::kBroken) {
+  if (verdict == AttemptOutcome::kBroken) {
     course.engine_ended = co_await run.call->engineHasCrashed();
   }
   this->settleSuspicion(run, verdict, course.engine_ended);
@@ -145,39 +145,39 @@
   this->startRunnableItems();
 }
 
-void item_runner::settleSuspicion(const item_attempt& run, AttemptVerdict verdict,
+void item_runner::settleSuspicion(const item_attempt& run, AttemptOutcome verdict,
                                   bool engine_ended) {
   suspects::suspect_tracker& gate = this->deps_.suspects;
   if (engine_ended) {
     gate.onEngineCrashed(run.sent, keyOf(*run.active, run.item), run.call->engine(),
                          run.call->startedAt(), suspects::RequestSource::kItem,
                          itemOf(*run.active, run.item).id.str());
-  } else if (verdict != AttemptVerdict::kAnswered) {
+  } else if (verdict != AttemptOutcome::kAnswered) {
     if (run.sent.isolated) gate.onInconclusive(keyOf(*run.active, run.item));
   } else if (gate.hasSuspects()) {
     gate.onAnswered(keyOf(*run.active, run.item));
   }
 }
 
-void item_runner::settleItem(const item_attempt& run, AttemptVerdict verdict,
+void item_runner::settleItem(const item_attempt& run, AttemptOutcome verdict,
                              const run_course& course) {
   const Instant now = steadyNow();
   active_job& active = *run.active;
-  const unsigned status = verdict == AttemptVerdict::kAnswered ? run.call->status() : 0;
+  const unsigned status = verdict == AttemptOutcome::kAnswered ? run.call->status() : 0;
   const std::uint64_t events = active.run.progress(run.item).last_event;
   this->applyVerdict(now, run, verdict, status, events, course);
   const ItemState state = active.run.progress(run.item).state;
   if (state == ItemState::kFinished) active.finished.notifyAll();
   active.noteComplete(run.item);
-  const bool success = verdict == AttemptVerdict::kAnswered && status < kFirstFailure;
+  const bool success = verdict == AttemptOutcome::kAnswered && status < kFirstFailure;
   if (success && !this->sampler_.admit(now)) return;
   this->logAttempt(now, run, verdict, status, events, course);
 }
 
-void item_runner::applyVerdict(Instant now, const item_attempt& run, AttemptVerdict verdict,
+void item_runner::applyVerdict(Instant now, const item_attempt& run, AttemptOutcome verdict,
                                unsigned status, std::uint64_t events, const run_course& course) {
   batch_run& state = run.active->run;
-  const bool answered = verdict == AttemptVerdict::kAnswered;
+  const bool answered = verdict == AttemptOutcome::kAnswered;
   if (answered && status == kNeverPossible) {
     state.onRejected(run.item);
   } else if (answered && status >= kFirstFailure) {
@@ -190,26 +190,26 @@
   }
 }
 
-void item_runner::noteInterrupted(Instant now, const item_attempt& run, AttemptVerdict verdict,
+void item_runner::noteInterrupted(Instant now, const item_attempt& run, AttemptOutcome verdict,
                                   const run_course& course) {
   engines::engine_registry& registry = this->deps_.engines.registry;
   const batch_options& options = this->deps_.options;
   batch_run& state = run.active->run;
-  const bool rejected = verdict == AttemptVerdict::kNotExecuted;
-  const bool silent = verdict == AttemptVerdict::kSilent;
+  const bool rejected = verdict == AttemptOutcome::kNotExecuted;
+  const bool silent = verdict == AttemptOutcome::kSilent;
   // A silent engine is full, or stands still while it loads.
   if ((rejected || silent) && !run.model.empty()) {
     registry.onModelRefused(now, run.call->engine(), run.model);
   }
   if (silent && !course.to_first_event) state.onLateStart(run.item);
-  if (verdict == AttemptVerdict::kBroken && !run.model.empty()) {
+  if (verdict == AttemptOutcome::kBroken && !run.model.empty()) {
     registry.onModelReset(now, run.call->engine(), run.model);
   }
   const Duration pause = rejected ? options.refused_pause : options.broken_pause;
   state.onInterrupted(now, run.item, pause);
 }
 
-void item_runner::logAttempt(Instant now, const item_attempt& run, AttemptVerdict verdict,
+void item_runner::logAttempt(Instant now, const item_attempt& run, AttemptOutcome verdict,
                              unsigned status, std::uint64_t events, const run_course& course) {
   const batch_item& item = itemOf(*run.active, run.item);
   LogEvent event("batch", "attempt_ended");
@@ -223,7 +223,7 @@
       .milliseconds("first_event_ms", course.to_first_event.value_or(Duration::zero()))
       .milliseconds("longest_gap_ms", course.max_gap)
       .milliseconds("took_ms", now - run.call->startedAt());
-  if (verdict == AttemptVerdict::kBroken) {
+  if (verdict == AttemptOutcome::kBroken) {
     event.text("key", keyOf(*run.active, run.item).str())
         .text("engine_ended", course.engine_ended ? "yes" : "no");
   }
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -72,15 +72,15 @@
   std::optional<suspects::sent_attempt> admitSuspect(active_job& active, ItemIndex item);
   Task<void> runItem(item_attempt run);
   /** Reports what a run has shown of a request under which engines may crash. */
-  void settleSuspicion(const item_attempt& run, forward::AttemptVerdict verdict, bool engine_ended);
-  void settleItem(const item_attempt& run, forward::AttemptVerdict verdict,
+  void settleSuspicion(const item_attempt& run, forward::AttemptOutcome verdict, bool engine_ended);
+  void settleItem(const item_attempt& run, forward::AttemptOutcome verdict,
                   const run_course& course);
   /** @param events that the item has. @param status of the answer; 0: none. */
-  void applyVerdict(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
+  void applyVerdict(Instant now, const item_attempt& run, forward::AttemptOutcome verdict,
                     unsigned status, std::uint64_t events, const run_course& course);
-  void noteInterrupted(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
+  void noteInterrupted(Instant now, const item_attempt& run, forward::AttemptOutcome verdict,
                        const run_course& course);
-  void logAttempt(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
+  void logAttempt(Instant now, const item_attempt& run, forward::AttemptOutcome verdict,
                   unsigned status, std::uint64_t events, const run_course& course);
 
   dependencies deps_;
--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -6,7 +6,7 @@
 
 namespace linenpier::batch {
 
-using forward::AttemptVerdict;
+using forward::AttemptOutcome;
 
 /** A run whose answer is read, and how far. */
 struct run_reader::reading {
@@ -58,7 +58,7 @@
   run.last = now;
 }
 
-Task<AttemptVerdict> run_reader::read(active_job& active, ItemIndex item,
+Task<AttemptOutcome> run_reader::read(active_job& active, ItemIndex item,
                                       forward::engine_call& call, const ModelName& model,
                                       run_course& course) {
   const batch_options& options = this->deps_.options;
@@ -67,8 +67,8 @@
       options.timeouts.forFirstEvent(active.run.progress(item).late_starts);
   forward::attempt_limits limits{started + options.connect_time, started + first_limit, false,
                                  engines::AttemptEnd::kRefused};
-  AttemptVerdict verdict = co_await call.start(limits);
-  if (verdict != AttemptVerdict::kAnswered) co_return verdict;
+  AttemptOutcome verdict = co_await call.start(limits);
+  if (verdict != AttemptOutcome::kAnswered) co_return verdict;
   if (call.status() >= 300) {
     std::string ignored;
     co_return co_await call.readWhole(ignored, steadyNow() + options.timeouts.max_gap);
@@ -80,16 +80,16 @@
   while (!call.finished()) {
     const Duration gap = this->gapOf(run, first_limit);
     verdict = co_await call.readEvents(parser, events, steadyNow() + gap);
-    if (active.stopped) co_return AttemptVerdict::kAborted;
+    if (active.stopped) co_return AttemptOutcome::kAborted;
     const Instant now = steadyNow();
     if (!this->takeEvents(now, run, events)) {
       call.abort();
-      co_return AttemptVerdict::kBroken;
+      co_return AttemptOutcome::kBroken;
     }
     if (!events.empty()) this->noteTimes(now, run, events.size(), course);
-    if (verdict != AttemptVerdict::kAnswered) co_return verdict;
+    if (verdict != AttemptOutcome::kAnswered) co_return verdict;
   }
-  co_return parser.rest().empty() ? AttemptVerdict::kAnswered : AttemptVerdict::kBroken;
+  co_return parser.rest().empty() ? AttemptOutcome::kAnswered : AttemptOutcome::kBroken;
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/run_reader.h
+++ b/src/gateway/batch/run_reader.h
@@ -39,7 +39,7 @@
    * The caller keeps the job, the call and `course` alive.
    * @param model empty: the item names none.
    */
-  Task<forward::AttemptVerdict> read(active_job& active, ItemIndex item, forward::engine_call& call,
+  Task<forward::AttemptOutcome> read(active_job& active, ItemIndex item, forward::engine_call& call,
                                      const ModelName& model, run_course& course);
 
  private:
--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -27,13 +27,13 @@
 }
 
 void attempt_admission::onEnded(forwarded_request& forwarded, const engine_call& call,
-                                AttemptVerdict verdict, const suspects::sent_attempt& attempt,
+                                AttemptOutcome verdict, const suspects::sent_attempt& attempt,
                                 bool engine_crashed) {
   if (engine_crashed) {
     this->suspects_.onEngineCrashed(attempt, keyOf(forwarded, call.request()), call.engine(),
                                     call.startedAt(), suspects::RequestSource::kCaller,
                                     forwarded.id);
-  } else if (verdict != AttemptVerdict::kAnswered) {
+  } else if (verdict != AttemptOutcome::kAnswered) {
     if (attempt.isolated) this->suspects_.onInconclusive(keyOf(forwarded, call.request()));
   } else if (this->suspects_.hasSuspects()) {
     this->suspects_.onAnswered(keyOf(forwarded, call.request()));
--- a/src/gateway/forward/attempt_admission.h
+++ b/src/gateway/forward/attempt_admission.h
@@ -28,7 +28,7 @@
   void onNotSent(const forwarded_request& forwarded, const suspects::sent_attempt& attempt);
 
   /** @param engine_crashed whether the engine's process crashed under the attempt. */
-  void onEnded(forwarded_request& forwarded, const engine_call& call, AttemptVerdict verdict,
+  void onEnded(forwarded_request& forwarded, const engine_call& call, AttemptOutcome verdict,
                const suspects::sent_attempt& attempt, bool engine_crashed);
 
  private:
--- a/src/gateway/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -17,9 +17,9 @@
   this->last_start_ = now;
 }
 
-void attempt_policy::onEnded(AttemptVerdict verdict) {
+void attempt_policy::onEnded(AttemptOutcome verdict) {
   --this->running_;
-  if (verdict == AttemptVerdict::kUnreachable) {
+  if (verdict == AttemptOutcome::kUnreachable) {
     --this->started_;
     ++this->unreachable_;
   }
--- a/src/gateway/forward/attempt_policy.h
+++ b/src/gateway/forward/attempt_policy.h
@@ -39,7 +39,7 @@
         deadline_(deadline) {}
 
   void onStarted(Instant now);
-  void onEnded(AttemptVerdict verdict);
+  void onEnded(AttemptOutcome verdict);
 
   /** @return whether another attempt may start now, beside those that run. */
   bool mayStart(Instant now) const;
--- a/src/gateway/forward/attempt_race.cpp
+++ b/src/gateway/forward/attempt_race.cpp
@@ -21,7 +21,7 @@
   ended.verdict = co_await this->readAnswer(*call, ended.response);
   this->context_.runs.onAttemptEnded(*this->forwarded_, *call, ended.verdict);
   bool engine_crashed = false;
-  if (ended.verdict == AttemptVerdict::kBroken) {
+  if (ended.verdict == AttemptOutcome::kBroken) {
     engine_crashed = co_await call->engineHasCrashed();
   }
   this->context_.log.onAttemptEnded(*this->forwarded_, *call, ended.verdict, engine_crashed);
@@ -34,13 +34,13 @@
   this->changed_.notifyAll();
 }
 
-Task<AttemptVerdict> attempt_race::readAnswer(engine_call& call, http::Response& response) {
+Task<AttemptOutcome> attempt_race::readAnswer(engine_call& call, http::Response& response) {
   const Instant deadline = this->forwarded_->deadline;
   attempt_limits limits{steadyNow() + this->context_.timeouts.connect, deadline};
-  const AttemptVerdict started = co_await call.start(limits);
-  if (started != AttemptVerdict::kAnswered) co_return started;
-  const AttemptVerdict read = co_await call.readWhole(response.body(), deadline);
-  if (read != AttemptVerdict::kAnswered) co_return read;
+  const AttemptOutcome started = co_await call.start(limits);
+  if (started != AttemptOutcome::kAnswered) co_return started;
+  const AttemptOutcome read = co_await call.readWhole(response.body(), deadline);
+  if (read != AttemptOutcome::kAnswered) co_return read;
   response.result(call.status());
   response.reason(call.head().reason());
   http::copyEndToEndFields(call.head(), response);
--- a/src/gateway/forward/attempt_race.h
+++ b/src/gateway/forward/attempt_race.h
@@ -18,7 +18,7 @@
 class attempt_race : public std::enable_shared_from_this<attempt_race> {
  public:
   struct result {
-    AttemptVerdict verdict = AttemptVerdict::kBroken;
+    AttemptOutcome verdict = AttemptOutcome::kBroken;
     http::Response response;  ///< Complete if `verdict` is kAnswered.
   };
 
@@ -39,7 +39,7 @@
  private:
   Task<void> run(std::shared_ptr<engine_call> call, suspects::sent_attempt attempt);
   /** Reads a complete answer into `response`. */
-  Task<AttemptVerdict> readAnswer(engine_call& call, http::Response& response);
+  Task<AttemptOutcome> readAnswer(engine_call& call, http::Response& response);
 
   forwarding_context context_;
   std::shared_ptr<forwarded_request> forwarded_;
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -18,26 +18,26 @@
 constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(100);
 }  // namespace
 
-const char* toText(AttemptVerdict verdict) {
+const char* toText(AttemptOutcome verdict) {
   switch (verdict) {
-    case AttemptVerdict::kAnswered:
+    case AttemptOutcome::kAnswered:
       return "answered";
-    case AttemptVerdict::kNotExecuted:
+    case AttemptOutcome::kNotExecuted:
       return "not_executed";
-    case AttemptVerdict::kUnreachable:
+    case AttemptOutcome::kUnreachable:
       return "unreachable";
-    case AttemptVerdict::kBroken:
+    case AttemptOutcome::kBroken:
       return "broken";
-    case AttemptVerdict::kSilent:
+    case AttemptOutcome::kSilent:
       return "silent";
-    case AttemptVerdict::kAborted:
+    case AttemptOutcome::kAborted:
       return "aborted";
   }
   return "unknown";
 }
 
-bool mayHaveRun(AttemptVerdict verdict) {
-  return verdict != AttemptVerdict::kNotExecuted && verdict != AttemptVerdict::kUnreachable;
+bool mayHaveRun(AttemptOutcome verdict) {
+  return verdict != AttemptOutcome::kNotExecuted && verdict != AttemptOutcome::kUnreachable;
 }
 
 engine_call::engine_call(engine_call_context context, const engines::engine_state& engine,
@@ -79,37 +79,37 @@
   co_return state == http::PeerState::kRefuses;
 }
 
-Task<AttemptVerdict> engine_call::start(attempt_limits limits) {
+Task<AttemptOutcome> engine_call::start(attempt_limits limits) {
   const auto self = this->shared_from_this();
   this->when_late_ = limits.when_late;
   http::ExpectedEcho echo{this->context_.names.request_id, this->request_id_};
   const ExchangeStatus status = co_await this->exchange_->start(
       limits.connect_deadline, limits.deadline, echo, limits.fresh_connection);
   if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  const AttemptVerdict verdict = this->judgeHead();
-  if (verdict != AttemptVerdict::kNotExecuted) co_return verdict;
+  const AttemptOutcome verdict = this->judgeHead();
+  if (verdict != AttemptOutcome::kNotExecuted) co_return verdict;
   // A connection whose answer was read to its end can be used again.
   std::string ignored;
   co_await this->exchange_->readAll(ignored, kMaxAnswer, limits.deadline);
   co_return verdict;
 }
 
-AttemptVerdict engine_call::judgeHead() {
+AttemptOutcome engine_call::judgeHead() {
   this->readLoad();
   if (this->exchange_->status() == kMisdirected) {
     this->end(AttemptEnd::kMisdirected);
-    return AttemptVerdict::kNotExecuted;
+    return AttemptOutcome::kNotExecuted;
   }
   if (this->head().count(this->context_.names.not_executed) > 0) {
     this->end(AttemptEnd::kRefused);
-    return AttemptVerdict::kNotExecuted;
+    return AttemptOutcome::kNotExecuted;
   }
   if (this->head().count(this->context_.names.signature) == 0) {
     this->exchange_->abort();
     this->end(AttemptEnd::kBroke);
-    return AttemptVerdict::kBroken;
+    return AttemptOutcome::kBroken;
   }
-  return AttemptVerdict::kAnswered;
+  return AttemptOutcome::kAnswered;
 }
 
 void engine_call::readLoad() {
@@ -120,40 +120,40 @@
   }
 }
 
-AttemptVerdict engine_call::settle(ExchangeStatus status) {
+AttemptOutcome engine_call::settle(ExchangeStatus status) {
   switch (status) {
     case ExchangeStatus::kOk:
-      return AttemptVerdict::kAnswered;
+      return AttemptOutcome::kAnswered;
     case ExchangeStatus::kNotConnected:
       this->end(AttemptEnd::kUnreachable);
-      return AttemptVerdict::kUnreachable;
+      return AttemptOutcome::kUnreachable;
     case ExchangeStatus::kWithheld:
       this->end(AttemptEnd::kRefused);
-      return AttemptVerdict::kUnreachable;
+      return AttemptOutcome::kUnreachable;
     case ExchangeStatus::kBroken:
       this->end(AttemptEnd::kBroke);
       this->exchange_->abort();
-      return AttemptVerdict::kBroken;
+      return AttemptOutcome::kBroken;
     case ExchangeStatus::kTimedOut:
       this->end(this->when_late_);
       this->exchange_->abort();
-      return AttemptVerdict::kSilent;
+      return AttemptOutcome::kSilent;
     case ExchangeStatus::kAborted:
       this->end(AttemptEnd::kServed);
-      return AttemptVerdict::kAborted;
+      return AttemptOutcome::kAborted;
   }
-  return AttemptVerdict::kBroken;
+  return AttemptOutcome::kBroken;
 }
 
-Task<AttemptVerdict> engine_call::readWhole(std::string& body, Instant deadline) {
+Task<AttemptOutcome> engine_call::readWhole(std::string& body, Instant deadline) {
   const auto self = this->shared_from_this();
   const ExchangeStatus status = co_await this->exchange_->readAll(body, kMaxAnswer, deadline);
   if (status != ExchangeStatus::kOk) co_return this->settle(status);
   this->end(this->exchange_->status() >= kServerError ? AttemptEnd::kBroke : AttemptEnd::kServed);
-  co_return AttemptVerdict::kAnswered;
+  co_return AttemptOutcome::kAnswered;
 }
 
-Task<AttemptVerdict> engine_call::readEvents(event_parser& parser,
+Task<AttemptOutcome> engine_call::readEvents(event_parser& parser,
                                              std::vector<stream_event>& events, Instant deadline) {
   const auto self = this->shared_from_this();
   std::string bytes;
@@ -161,7 +161,7 @@
   events = parser.feed(bytes);
   if (status != ExchangeStatus::kOk) co_return this->settle(status);
   if (this->exchange_->complete()) this->end(AttemptEnd::kServed);
-  co_return AttemptVerdict::kAnswered;
+  co_return AttemptOutcome::kAnswered;
 }
 
 WeightVersion engine_call::headVersion() const {
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -19,7 +19,7 @@
 /** How an attempt ended. Of all ends, only kNotExecuted and kUnreachable show that it did not run
  * the request.
  */
-enum class AttemptVerdict {
+enum class AttemptOutcome {
   kAnswered,     ///< The engine answered; completely if the answer was read completely.
   kNotExecuted,  ///< The engine rejected the request: it says that it did not run it.
   kUnreachable,  ///< Nothing was sent.
@@ -29,10 +29,10 @@
 };
 
 /** @return the end as log lines and metrics name it. */
-const char* toText(AttemptVerdict verdict);
+const char* toText(AttemptOutcome verdict);
 
 /** @return whether an attempt that ended so may have run the request. */
-bool mayHaveRun(AttemptVerdict verdict);
+bool mayHaveRun(AttemptOutcome verdict);
 
 struct engine_call_context {
   http::ConnectionPool& pool;
@@ -61,14 +61,14 @@
   engine_call& operator=(const engine_call&) = delete;
 
   /** Sends the request and reads the head of the answer. */
-  Task<AttemptVerdict> start(attempt_limits limits);
+  Task<AttemptOutcome> start(attempt_limits limits);
   /** Reads the rest of the answer's body. */
-  Task<AttemptVerdict> readWhole(std::string& body, Instant deadline);
+  Task<AttemptOutcome> readWhole(std::string& body, Instant deadline);
   /** Waits for more of an event stream.
    * @return kAnswered with the events that are complete now, perhaps none; `finished` tells the
    * end.
    */
-  Task<AttemptVerdict> readEvents(event_parser& parser, std::vector<stream_event>& events,
+  Task<AttemptOutcome> readEvents(event_parser& parser, std::vector<stream_event>& events,
                                   Instant deadline);
   void abort();
   /** Asked after the attempt broke off.
@@ -88,9 +88,9 @@
   Instant startedAt() const { return this->started_at_; }
 
  private:
-  AttemptVerdict judgeHead();
+  AttemptOutcome judgeHead();
   /** Reports an end that is no answer. */
-  AttemptVerdict settle(http::ExchangeStatus status);
+  AttemptOutcome settle(http::ExchangeStatus status);
   /** Reports the attempt's end to the registry, once. */
   void end(engines::AttemptEnd end);
   void readLoad();
--- a/src/gateway/forward/plain_requests.cpp
+++ b/src/gateway/forward/plain_requests.cpp
@@ -94,7 +94,7 @@
                                   attempts_outcome& outcome) const {
   for (attempt_race::result& ended : race.takeResults()) {
     policy.onEnded(ended.verdict);
-    if (ended.verdict != AttemptVerdict::kAnswered) continue;
+    if (ended.verdict != AttemptOutcome::kAnswered) continue;
     const unsigned status = ended.response.result_int();
     if (status == kServerError) ++outcome.failures;
     if (status >= kServerError && policy.retriesFailures(steadyNow())) continue;
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -10,18 +10,18 @@
 }  // namespace
 
 void request_log::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
-                                 AttemptVerdict verdict, bool engine_crashed) {
+                                 AttemptOutcome verdict, bool engine_crashed) {
   const engines::engine_state* engine = this->registry_.find(call.engine());
   const std::string service = engine == nullptr ? "gone" : engine->record.service.str();
   this->metrics_.onAttemptEnded(service, toText(verdict));
-  if (verdict == AttemptVerdict::kAnswered) return;
+  if (verdict == AttemptOutcome::kAnswered) return;
   logging::LogEvent event("forward", "attempt_ended");
   event.text("request", forwarded.id)
       .text("engine", call.engine().str())
       .text("service", service)
       .text("verdict", toText(verdict))
       .milliseconds("took_ms", steadyNow() - call.startedAt());
-  if (verdict == AttemptVerdict::kBroken) {
+  if (verdict == AttemptOutcome::kBroken) {
     event.text("key", keyOf(forwarded, call.request()).str())
         .text("engine_ended", engine_crashed ? "yes" : "no");
   }
--- a/src/gateway/forward/request_log.h
+++ b/src/gateway/forward/request_log.h
@@ -25,7 +25,7 @@
   /** Writes a line unless the attempt went well: the request's own line tells that.
    * @param engine_crashed whether the engine's process crashed under the attempt.
    */
-  void onAttemptEnded(forwarded_request& forwarded, const engine_call& call, AttemptVerdict verdict,
+  void onAttemptEnded(forwarded_request& forwarded, const engine_call& call, AttemptOutcome verdict,
                       bool engine_crashed);
 
   /** Writes a line; of many successes, a sample.
--- a/src/gateway/forward/run_reports.cpp
+++ b/src/gateway/forward/run_reports.cpp
@@ -9,23 +9,23 @@
 }
 
 void run_reports::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
-                                 AttemptVerdict verdict) {
+                                 AttemptOutcome verdict) {
   if (this->hasRun(call, verdict)) this->onRun(forwarded, call.startedAt());
 }
 
-bool run_reports::hasRun(const engine_call& call, AttemptVerdict verdict) const {
+bool run_reports::hasRun(const engine_call& call, AttemptOutcome verdict) const {
   switch (verdict) {
-    case AttemptVerdict::kAnswered:
-    case AttemptVerdict::kBroken:
+    case AttemptOutcome::kAnswered:
+    case AttemptOutcome::kBroken:
       return true;
-    case AttemptVerdict::kSilent:
-    case AttemptVerdict::kAborted: {
+    case AttemptOutcome::kSilent:
+    case AttemptOutcome::kAborted: {
       // An engine that answered other requests meanwhile was reachable, so it ran this one, too.
       const engines::engine_state* engine = this->registry_.find(call.engine());
       return engine != nullptr && engine->load.reportedAt() > call.startedAt();
     }
-    case AttemptVerdict::kNotExecuted:
-    case AttemptVerdict::kUnreachable:
+    case AttemptOutcome::kNotExecuted:
+    case AttemptOutcome::kUnreachable:
       return false;
   }
   return false;
--- a/src/gateway/forward/run_reports.h
+++ b/src/gateway/forward/run_reports.h
@@ -24,10 +24,10 @@
 
   /** Reports a run if this end of an attempt shows one. */
   void onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
-                      AttemptVerdict verdict);
+                      AttemptOutcome verdict);
 
  private:
-  bool hasRun(const engine_call& call, AttemptVerdict verdict) const;
+  bool hasRun(const engine_call& call, AttemptOutcome verdict) const;
 
   const engines::engine_registry& registry_;
   usage::run_recorder& recorder_;
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -55,8 +55,8 @@
       continue;
     }
     this->startCall(now, *engine);
-    const AttemptVerdict verdict = co_await this->finishCall(*attempt);
-    if (verdict == AttemptVerdict::kAnswered) co_return true;
+    const AttemptOutcome verdict = co_await this->finishCall(*attempt);
+    if (verdict == AttemptOutcome::kAnswered) co_return true;
     // A stream that the client has a part of can only be continued where the route allows it.
     if (this->head_sent_ && !this->resumable_) break;
   }
@@ -81,10 +81,10 @@
   this->policy_.onStarted(now);
 }
 
-Task<AttemptVerdict> stream_session::finishCall(suspects::sent_attempt attempt) {
-  const AttemptVerdict verdict = co_await this->relay();
+Task<AttemptOutcome> stream_session::finishCall(suspects::sent_attempt attempt) {
+  const AttemptOutcome verdict = co_await this->relay();
   bool engine_crashed = false;
-  if (verdict == AttemptVerdict::kBroken) {
+  if (verdict == AttemptOutcome::kBroken) {
     engine_crashed = co_await this->running_->engineHasCrashed();
   }
   const engine_call& call = *this->running_;
@@ -94,52 +94,52 @@
   co_return verdict;
 }
 
-Task<AttemptVerdict> stream_session::relay() {
+Task<AttemptOutcome> stream_session::relay() {
   engine_call& call = *this->running_;
   attempt_limits limits{steadyNow() + this->context_.timeouts.connect, this->stepDeadline()};
-  const AttemptVerdict started = co_await call.start(limits);
-  if (started != AttemptVerdict::kAnswered) co_return started;
+  const AttemptOutcome started = co_await call.start(limits);
+  if (started != AttemptOutcome::kAnswered) co_return started;
   if (call.status() >= kFirstRedirection) {
-    const AttemptVerdict passed = co_await this->relayPlain(call);
+    const AttemptOutcome passed = co_await this->relayPlain(call);
     co_return passed;
   }
   // An engine sends the head of a stream with its first token: by then it runs the request.
   this->context_.runs.onRun(this->forwarded_, steadyNow());
-  const AttemptVerdict passed = co_await this->relayEvents(call);
+  const AttemptOutcome passed = co_await this->relayEvents(call);
   co_return passed;
 }
 
-Task<AttemptVerdict> stream_session::relayPlain(engine_call& call) {
-  if (this->head_sent_) co_return AttemptVerdict::kBroken;
+Task<AttemptOutcome> stream_session::relayPlain(engine_call& call) {
+  if (this->head_sent_) co_return AttemptOutcome::kBroken;
   http::Response response;
-  const AttemptVerdict read = co_await call.readWhole(response.body(), this->forwarded_.deadline);
-  if (read != AttemptVerdict::kAnswered) co_return read;
+  const AttemptOutcome read = co_await call.readWhole(response.body(), this->forwarded_.deadline);
+  if (read != AttemptOutcome::kAnswered) co_return read;
   response.result(call.status());
   http::copyEndToEndFields(call.head(), response);
   co_await this->writer_.send(std::move(response));
-  co_return AttemptVerdict::kAnswered;
+  co_return AttemptOutcome::kAnswered;
 }
 
-Task<AttemptVerdict> stream_session::relayEvents(engine_call& call) {
+Task<AttemptOutcome> stream_session::relayEvents(engine_call& call) {
   event_parser parser(this->context_.engines.names.weight_versions);
   std::vector<stream_event> events;
   while (!call.finished()) {
-    const AttemptVerdict verdict = co_await call.readEvents(parser, events, this->stepDeadline());
+    const AttemptOutcome verdict = co_await call.readEvents(parser, events, this->stepDeadline());
     std::string bytes;
-    if (!this->takeEvents(events, bytes)) co_return AttemptVerdict::kBroken;
+    if (!this->takeEvents(events, bytes)) co_return AttemptOutcome::kBroken;
     if (!bytes.empty()) {
       const bool begun = co_await this->beginStreamOnce(call);
-      if (!begun) co_return AttemptVerdict::kAborted;
+      if (!begun) co_return AttemptOutcome::kAborted;
       const bool written = co_await this->writer_.writeChunk(std::move(bytes));
-      if (!written) co_return AttemptVerdict::kAborted;
+      if (!written) co_return AttemptOutcome::kAborted;
     }
-    if (verdict != AttemptVerdict::kAnswered) co_return verdict;
+    if (verdict != AttemptOutcome::kAnswered) co_return verdict;
   }
-  if (!parser.rest().empty()) co_return AttemptVerdict::kBroken;
+  if (!parser.rest().empty()) co_return AttemptOutcome::kBroken;
   const bool begun = co_await this->beginStreamOnce(call);
-  if (!begun) co_return AttemptVerdict::kAborted;
+  if (!begun) co_return AttemptOutcome::kAborted;
   co_await this->writer_.endStream();
-  co_return AttemptVerdict::kAnswered;
+  co_return AttemptOutcome::kAnswered;
 }
 
 bool stream_session::takeEvents(const std::vector<stream_event>& events, std::string& bytes) {
--- a/src/gateway/forward/stream_session.h
+++ b/src/gateway/forward/stream_session.h
@@ -36,12 +36,12 @@
   const engines::engine_state* chooseEngine();
   void startCall(Instant now, const engines::engine_state& engine);
   /** Reads the call to its end and reports it. */
-  Task<AttemptVerdict> finishCall(suspects::sent_attempt attempt);
+  Task<AttemptOutcome> finishCall(suspects::sent_attempt attempt);
   /** Passes on what the running call answers. */
-  Task<AttemptVerdict> relay();
-  Task<AttemptVerdict> relayEvents(engine_call& call);
+  Task<AttemptOutcome> relay();
+  Task<AttemptOutcome> relayEvents(engine_call& call);
   /** Passes on an answer that is no stream, such as an error. */
-  Task<AttemptVerdict> relayPlain(engine_call& call);
+  Task<AttemptOutcome> relayPlain(engine_call& call);
   /** Appends events to `bytes`. @return whether they continue what the client has. */
   bool takeEvents(const std::vector<stream_event>& events, std::string& bytes);
   /** Sends the head of the engine's stream unless the client has one already.
--- a/tests/gateway/forward/attempt_policy_test.cpp
+++ b/tests/gateway/forward/attempt_policy_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace linenpier;
 using forward::attempt_policy;
-using forward::AttemptVerdict;
+using forward::AttemptOutcome;
 using forward::LocalReply;
 
 namespace {
@@ -25,7 +25,7 @@
 Test(attempt_policy, a_request_that_may_run_once_is_not_repeated_after_it_may_have_run) {
   attempt_policy policy(route(routing::RequestKind::kNonIdempotent, 3), kDeadline);
   policy.onStarted(kStart);
-  policy.onEnded(AttemptVerdict::kBroken);
+  policy.onEnded(AttemptOutcome::kBroken);
   cr_assert_not(policy.mayStart(kStart));
   cr_assert_eq(policy.localReply(kStart), LocalReply::kMayHaveRun, "never a promise");
 }
@@ -33,10 +33,10 @@
 Test(attempt_policy, it_is_repeated_after_proof_that_it_did_not_run) {
   attempt_policy policy(route(routing::RequestKind::kNonIdempotent, 3), kDeadline);
   policy.onStarted(kStart);
-  policy.onEnded(AttemptVerdict::kNotExecuted);
+  policy.onEnded(AttemptOutcome::kNotExecuted);
   cr_assert(policy.mayStart(kStart));
   policy.onStarted(kStart);
-  policy.onEnded(AttemptVerdict::kUnreachable);
+  policy.onEnded(AttemptOutcome::kUnreachable);
   cr_assert(policy.mayStart(kStart));
   cr_assert_eq(policy.localReply(kStart), LocalReply::kNotRun);
 }
@@ -46,7 +46,7 @@
   for (int i = 0; i < 2; ++i) {
     cr_assert(policy.mayStart(kStart));
     policy.onStarted(kStart);
-    policy.onEnded(AttemptVerdict::kBroken);
+    policy.onEnded(AttemptOutcome::kBroken);
   }
   cr_assert_not(policy.mayStart(kStart));
 }
@@ -56,7 +56,7 @@
   int tries = 0;
   while (policy.mayStart(kStart) && tries < 100) {
     policy.onStarted(kStart);
-    policy.onEnded(AttemptVerdict::kUnreachable);
+    policy.onEnded(AttemptOutcome::kUnreachable);
     ++tries;
   }
   cr_assert(tries > 1 && tries < 10, "%d tries", tries);
