--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -196,7 +196,7 @@
   const batch_options& options = this->deps_.options;
   batch_run& state = run.active->run;
   const bool rejected = verdict == AttemptOutcome::kNotExecuted;
-  const bool silent = verdict == AttemptOutcome::kSilent;
+  const bool silent = verdict == AttemptOutcome::kTimedOut;
   // A silent engine is full, or stands still while it loads.
   if ((rejected || silent) && !run.model.empty()) {
     registry.onModelRefused(now, run.call->engine(), run.model);
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -28,7 +28,7 @@
       return "unreachable";
     case AttemptOutcome::kBroken:
       return "broken";
-    case AttemptOutcome::kSilent:
+    case AttemptOutcome::kTimedOut:
       return "silent";
     case AttemptOutcome::kAborted:
       return "aborted";
@@ -137,7 +137,7 @@
     case ExchangeStatus::kTimedOut:
       this->end(this->when_late_);
       this->exchange_->abort();
-      return AttemptOutcome::kSilent;
+      return AttemptOutcome::kTimedOut;
     case ExchangeStatus::kAborted:
       this->end(AttemptEnd::kServed);
       return AttemptOutcome::kAborted;
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -24,7 +24,7 @@
   kNotExecuted,  ///< The engine rejected the request: it says that it did not run it.
   kUnreachable,  ///< Nothing was sent.
   kBroken,       ///< Broken off, malformed or unsigned; it may have run.
-  kSilent,       ///< Nothing in time; it may have run, or still run.
+  kTimedOut,     ///< Nothing in time; it may have run, or still run.
   kAborted,      ///< Stopped by the gateway; it may have run.
 };
 
--- a/src/gateway/forward/run_reports.cpp
+++ b/src/gateway/forward/run_reports.cpp
@@ -18,7 +18,7 @@
     case AttemptOutcome::kAnswered:
     case AttemptOutcome::kBroken:
       return true;
-    case AttemptOutcome::kSilent:
+    case AttemptOutcome::kTimedOut:
     case AttemptOutcome::kAborted: {
       // An engine that answered other requests meanwhile was reachable, so it ran this one, too.
       const engines::engine_state* engine = this->registry_.find(call.engine());
