--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -217,7 +217,7 @@
 bool Gateway::ready() const {
   // The suspects: a gateway that does not know what earlier lives learned could crash engines with
   // its first requests.
-  return operators_.routes() && engines_.known() && suspects_.known() && !stopping_;
+  return operators_.routes() && engines_.known() && suspects_.loaded() && !stopping_;
 }
 
 Task<void> Gateway::handleReadiness(http::Request& request, http::ResponseWriter& writer) {
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -106,7 +106,7 @@
 Task<void> peer_exchange::sendSnapshot(const std::string& target, http::ResponseWriter& writer) {
   http::Response response;
   const operator_feed& operators = this->deps_.operators;
-  if (operators.routes() && this->deps_.engines.known() && this->deps_.suspects.known()) {
+  if (operators.routes() && this->deps_.engines.known() && this->deps_.suspects.loaded()) {
     const KnownByAsker known = knownByAsker(target);
     PeerSnapshot snapshot;
     snapshot.config_version = operators.configurationVersion();
@@ -129,7 +129,7 @@
     co_await sleepFor(this->deps_.loop, kAskInterval);
     const bool all_known = isFresh(this->deps_.operators.watcher()) &&
                            isFresh(this->deps_.engines.watcher()) &&
-                           isFresh(this->deps_.coordination) && this->deps_.suspects.known();
+                           isFresh(this->deps_.coordination) && this->deps_.suspects.loaded();
     if (all_known || this->deps_.stopping()) continue;
     // One list of all engines at a time.
     if (!this->deps_.engines.known() && this->asks_under_way_ > 0) continue;
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -176,7 +176,7 @@
 
 void suspect_service::onTableRead(const std::set<request_key>& present, Revision as_of) {
   this->book_.onTableRead(present, as_of);
-  this->known_ = true;
+  this->loaded_ = true;
 }
 
 void suspect_service::onPeerRows(const std::vector<table::Row>& rows) {
@@ -186,7 +186,7 @@
     const request_key key(row.key.substr(table::suspectKey({}).size()));
     this->book_.onPeerRow(steadyNow(), this->clock(), key, row.revision, *record);
   }
-  this->known_ = true;
+  this->loaded_ = true;
 }
 
 std::vector<table::Row> suspect_service::rows() const {
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -70,7 +70,7 @@
   /** @return whether the suspects of earlier lives were read, from the store or a peer. The daemon
    * is not ready before: its first requests could crash engines that are known to crash.
    */
-  bool known() const { return this->known_; }
+  bool loaded() const { return this->loaded_; }
   /** @return the worst suspects, for a peer that does not reach the store. */
   std::vector<table::Row> rows() const;
 
@@ -98,7 +98,7 @@
   suspect_book book_;
   suspect_totals totals_;
   Signal changed_;  ///< There may be a row to write.
-  bool known_ = false;
+  bool loaded_ = false;
   logging::SuccessSampler refusal_lines_{kRefusalLinesPerSecond, kSampleOneIn};
 };
 
