--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_registry.cpp
@@ -1,4 +1,4 @@
-#include "gateway/suspects/suspect_book.h"
+#include "gateway/suspects/suspect_registry.h"
 
 #include <algorithm>
 
@@ -18,43 +18,43 @@
 
 }  // namespace
 
-bool suspect_book::isBarred(int crashes, RequestSource source) const {
+bool suspect_registry::isBarred(int crashes, RequestSource source) const {
   const bool item = source == RequestSource::kItem;
   return crashes >= (item ? this->rules_.item_crash_threshold : this->rules_.crash_threshold);
 }
 
-Duration suspect_book::pauseAfter(int crashes, RequestSource source) const {
+Duration suspect_registry::pauseAfter(int crashes, RequestSource source) const {
   if (this->isBarred(crashes, source)) return this->barFor(crashes);
   if (crashes <= 1) return Duration::zero();
   const bool item = source == RequestSource::kItem;
   return item ? this->rules_.item_retry_interval : this->rules_.retry_backoff;
 }
 
-Duration suspect_book::barFor(int crashes) const {
+Duration suspect_registry::barFor(int crashes) const {
   if (crashes < this->rules_.crash_threshold) return Duration::zero();
   const int doublings =
       std::min(crashes - this->rules_.crash_threshold, this->rules_.max_doublings);
   return this->rules_.first_bar * (1 << doublings);
 }
 
-Instant suspect_book::forgottenAt(const entry& each) const {
+Instant suspect_registry::forgottenAt(const entry& each) const {
   return each.last_at + this->barFor(each.crashes) + this->rules_.retention;
 }
 
-std::size_t suspect_book::barred(Instant now) const {
+std::size_t suspect_registry::barred(Instant now) const {
   return static_cast<std::size_t>(
       std::count_if(this->entries_.begin(), this->entries_.end(), [&](const auto& each) {
         return now < each.second.last_at + this->barFor(each.second.crashes);
       }));
 }
 
-int suspect_book::crashesOf(const request_key& key) const {
+int suspect_registry::crashesOf(const request_key& key) const {
   const auto at = this->entries_.find(key);
   return at == this->entries_.end() ? 0 : at->second.crashes;
 }
 
-suspect_admission suspect_book::admissionOf(Instant now, const request_key& key,
-                                            RequestSource source) const {
+suspect_admission suspect_registry::admissionOf(Instant now, const request_key& key,
+                                                RequestSource source) const {
   suspect_admission admission;
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || at->second.crashes == 0) return admission;
@@ -75,7 +75,7 @@
   return admission;
 }
 
-void suspect_book::addEngines(entry& into, const std::vector<EngineId>& engines) const {
+void suspect_registry::addEngines(entry& into, const std::vector<EngineId>& engines) const {
   for (const EngineId& each : engines) {
     if (into.engines.size() >= kMaxEnginesKept) return;
     const bool known =
@@ -84,7 +84,7 @@
   }
 }
 
-void suspect_book::dropOne() {
+void suspect_registry::dropOne() {
   const auto least = std::min_element(
       this->entries_.begin(), this->entries_.end(), [](const auto& one, const auto& other) {
         return std::pair(one.second.crashes, one.second.last_at) <
@@ -93,8 +93,8 @@
   if (least != this->entries_.end()) this->entries_.erase(least);
 }
 
-bool suspect_book::onEngineCrashed(Instant now, const request_key& key, const EngineId& engine,
-                                   int known) {
+bool suspect_registry::onEngineCrashed(Instant now, const request_key& key, const EngineId& engine,
+                                       int known) {
   const bool is_new = !this->entries_.contains(key);
   if (is_new && this->entries_.size() >= this->rules_.max_entries) this->dropOne();
   entry& each = this->entries_[key];
@@ -110,7 +110,7 @@
   return grew;
 }
 
-Revision suspect_book::onCleared(const request_key& key) {
+Revision suspect_registry::onCleared(const request_key& key) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return 0;
   const Revision revision = at->second.revision;
@@ -118,22 +118,22 @@
   return revision;
 }
 
-void suspect_book::onIsolatedRun(Instant now, const request_key& key, const std::string& self) {
+void suspect_registry::onIsolatedRun(Instant now, const request_key& key, const std::string& self) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return;
   at->second.tried_by = self;
   at->second.tried_until = now + this->rules_.isolated_run_timeout;
 }
 
-void suspect_book::onIsolatedRunEnded(const request_key& key, const std::string& self) {
+void suspect_registry::onIsolatedRunEnded(const request_key& key, const std::string& self) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || at->second.tried_by != self) return;
   at->second.tried_by.clear();
   if (at->second.shared) at->second.written = false;
 }
 
-void suspect_book::onRow(Instant now, std::int64_t clock_ms, const request_key& key,
-                         Revision revision, const suspect_record& record) {
+void suspect_registry::onRow(Instant now, std::int64_t clock_ms, const request_key& key,
+                             Revision revision, const suspect_record& record) {
   entry& each = this->entries_[key];
   if (revision <= each.revision) return;
   const bool knew_more = each.crashes > record.ends;
@@ -151,8 +151,8 @@
   each.written = !knew_more;
 }
 
-void suspect_book::onPeerRow(Instant now, std::int64_t clock_ms, const request_key& key,
-                             Revision revision, const suspect_record& record) {
+void suspect_registry::onPeerRow(Instant now, std::int64_t clock_ms, const request_key& key,
+                                 Revision revision, const suspect_record& record) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || revision > at->second.revision) {
     this->onRow(now, clock_ms, key, revision, record);
@@ -162,7 +162,7 @@
   this->addEngines(at->second, record.engines);
 }
 
-void suspect_book::onTableRead(const std::set<request_key>& present, Revision as_of) {
+void suspect_registry::onTableRead(const std::set<request_key>& present, Revision as_of) {
   std::vector<request_key> absent;
   for (const auto& [key, each] : this->entries_) {
     if (each.revision == 0 || each.revision > as_of || present.contains(key)) continue;
@@ -171,7 +171,7 @@
   for (const request_key& key : absent) this->onRowGone(key, as_of + 1);
 }
 
-void suspect_book::onRowGone(const request_key& key, Revision revision) {
+void suspect_registry::onRowGone(const request_key& key, Revision revision) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || revision <= at->second.revision) return;
   if (at->second.written) {
@@ -183,8 +183,8 @@
   at->second.revision = 0;
 }
 
-void suspect_book::onWritten(const request_key& key, Revision revision,
-                             const suspect_record& written) {
+void suspect_registry::onWritten(const request_key& key, Revision revision,
+                                 const suspect_record& written) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || revision <= at->second.revision) return;
   at->second.revision = revision;
@@ -192,13 +192,13 @@
       at->second.crashes == written.ends && at->second.tried_by == written.tried_by;
 }
 
-std::string suspect_book::isolatedBy(const request_key& key) const {
+std::string suspect_registry::isolatedBy(const request_key& key) const {
   const auto at = this->entries_.find(key);
   return at == this->entries_.end() ? std::string() : at->second.tried_by;
 }
 
-suspect_record suspect_book::record(Instant now, std::int64_t clock_ms,
-                                    const request_key& key) const {
+suspect_record suspect_registry::record(Instant now, std::int64_t clock_ms,
+                                        const request_key& key) const {
   suspect_record record;
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return record;
@@ -213,13 +213,13 @@
   return record;
 }
 
-Revision suspect_book::revisionOf(const request_key& key) const {
+Revision suspect_registry::revisionOf(const request_key& key) const {
   const auto at = this->entries_.find(key);
   return at == this->entries_.end() ? 0 : at->second.revision;
 }
 
 template <typename Fits>
-std::vector<request_key> suspect_book::worst(std::size_t most, Fits fits) const {
+std::vector<request_key> suspect_registry::worst(std::size_t most, Fits fits) const {
   std::vector<std::pair<int, request_key>> found;
   for (const auto& [key, each] : this->entries_) {
     if (fits(each)) found.emplace_back(-each.crashes, key);
@@ -232,17 +232,17 @@
   return keys;
 }
 
-std::vector<request_key> suspect_book::unwritten(std::size_t most) const {
+std::vector<request_key> suspect_registry::unwritten(std::size_t most) const {
   return this->worst(most, [](const entry& each) { return each.shared && !each.written; });
 }
 
-void suspect_book::setShared(const request_key& key) {
+void suspect_registry::setShared(const request_key& key) {
   const auto at = this->entries_.find(key);
   if (at != this->entries_.end()) at->second.shared = true;
 }
 
-std::vector<table::Row> suspect_book::rows(Instant now, std::int64_t clock_ms,
-                                           const std::string& prefix, std::size_t most) const {
+std::vector<table::Row> suspect_registry::rows(Instant now, std::int64_t clock_ms,
+                                               const std::string& prefix, std::size_t most) const {
   const auto keys = this->worst(most, [](const entry& each) { return each.revision != 0; });
   std::vector<table::Row> rows;
   rows.reserve(keys.size());
@@ -253,9 +253,9 @@
   return rows;
 }
 
-std::vector<std::pair<request_key, Revision>> suspect_book::sweep(Instant now,
-                                                                  Duration removal_delay,
-                                                                  std::size_t most) {
+std::vector<std::pair<request_key, Revision>> suspect_registry::sweep(Instant now,
+                                                                      Duration removal_delay,
+                                                                      std::size_t most) {
   std::vector<std::pair<request_key, Revision>> removable;
   for (auto at = this->entries_.begin(); at != this->entries_.end();) {
     const entry& each = at->second;
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_registry.h
@@ -22,9 +22,9 @@
 namespace linenpier::suspects {
 
 /** Loop thread only; times are passed in. */
-class suspect_book {
+class suspect_registry {
  public:
-  explicit suspect_book(suspect_rules rules = {}) : rules_(rules) {}
+  explicit suspect_registry(suspect_rules rules = {}) : rules_(rules) {}
 
   bool empty() const { return this->entries_.empty(); }
   std::size_t size() const { return this->entries_.size(); }
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -40,7 +40,7 @@
 }
 
 suspect_admission suspect_service::admissionOf(const request_key& key, RequestSource source) const {
-  return this->book_.admissionOf(steadyNow(), key, source);
+  return this->registry_.admissionOf(steadyNow(), key, source);
 }
 
 // --- Admission -----------------------------------------------------------------------------------
@@ -48,9 +48,9 @@
 suspect_admission suspect_service::beginOwnIsolatedRun(const request_key& key, RequestSource source,
                                                        const std::string& id) {
   const Instant now = steadyNow();
-  const suspect_admission admission = this->book_.admissionOf(now, key, source);
+  const suspect_admission admission = this->registry_.admissionOf(now, key, source);
   if (admission.state == AdmissionState::kMayRunAlone) {
-    this->book_.onIsolatedRun(now, key, this->self());
+    this->registry_.onIsolatedRun(now, key, this->self());
   } else if (admission.state != AdmissionState::kNotSuspect) {
     this->onRefused(admission, key, id);
   }
@@ -65,9 +65,9 @@
     // Without the store each daemon goes by what it knows.
     if (admission.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
       co_return admission;
-    this->book_.setShared(key);
+    this->registry_.setShared(key);
     const WriteOutcome outcome = co_await this->claim(key);
-    const bool own = this->book_.isolatedBy(key) == this->self();
+    const bool own = this->registry_.isolatedBy(key) == this->self();
     if (outcome != WriteOutcome::kOvertaken || own) co_return admission;
   }
   admission = this->admissionOf(key, source);
@@ -116,14 +116,14 @@
                                       const std::string& id) {
   const Instant now = steadyNow();
   const Duration ran = now - sent_at;
-  if (attempt.isolated) this->book_.onIsolatedRunEnded(key, this->self());
-  const bool counts = ran <= this->book_.rules().max_run_before_crash;
+  if (attempt.isolated) this->registry_.onIsolatedRunEnded(key, this->self());
+  const bool counts = ran <= this->registry_.rules().max_run_before_crash;
   if (counts) {
     ++this->totals_.engine_crashes;
-    this->book_.onEngineCrashed(now, key, engine, attempt.crashes);
+    this->registry_.onEngineCrashed(now, key, engine, attempt.crashes);
     // An item is run by its owner alone: other daemons need not know of its first crash.
-    if (source == RequestSource::kCaller || this->book_.crashesOf(key) > 1)
-      this->book_.setShared(key);
+    if (source == RequestSource::kCaller || this->registry_.crashesOf(key) > 1)
+      this->registry_.setShared(key);
   }
   this->changed_.notifyAll();
   LogEvent("suspects", "engine_ended")
@@ -133,14 +133,14 @@
       .milliseconds("ran_ms", ran)
       .text("counts", counts ? "yes" : "ran_too_long")
       .number("known_when_sent", attempt.crashes)
-      .number("ends", this->book_.crashesOf(key))
+      .number("ends", this->registry_.crashesOf(key))
       .text("standing", toText(this->admissionOf(key, source).state));
 }
 
 void suspect_service::onAnswered(const request_key& key) {
-  const int crashes = this->book_.crashesOf(key);
+  const int crashes = this->registry_.crashesOf(key);
   if (crashes == 0) return;
-  const Revision revision = this->book_.onCleared(key);
+  const Revision revision = this->registry_.onCleared(key);
   ++this->totals_.cleared;
   LogEvent("suspects", "cleared").text("key", key.str()).number("ends", crashes);
   if (revision == 0) return;
@@ -148,7 +148,7 @@
 }
 
 void suspect_service::onInconclusive(const request_key& key) {
-  this->book_.onIsolatedRunEnded(key, this->self());
+  this->registry_.onIsolatedRunEnded(key, this->self());
   this->changed_.notifyAll();
 }
 
@@ -160,10 +160,10 @@
     LogEvent("suspects", "bad_record").text("key", key.str());
     return;
   }
-  const int before = this->book_.crashesOf(key);
-  this->book_.onRow(steadyNow(), this->clock(), key, row.revision, *record);
-  const int crash_threshold = this->book_.rules().crash_threshold;
-  if (before >= crash_threshold || this->book_.crashesOf(key) < crash_threshold) return;
+  const int before = this->registry_.crashesOf(key);
+  this->registry_.onRow(steadyNow(), this->clock(), key, row.revision, *record);
+  const int crash_threshold = this->registry_.rules().crash_threshold;
+  if (before >= crash_threshold || this->registry_.crashesOf(key) < crash_threshold) return;
   LogEvent("suspects", "barred")
       .text("key", key.str())
       .number("ends", record->ends)
@@ -171,11 +171,11 @@
 }
 
 void suspect_service::onRowGone(const request_key& key, Revision revision) {
-  this->book_.onRowGone(key, revision);
+  this->registry_.onRowGone(key, revision);
 }
 
 void suspect_service::onTableRead(const std::set<request_key>& present, Revision as_of) {
-  this->book_.onTableRead(present, as_of);
+  this->registry_.onTableRead(present, as_of);
   this->loaded_ = true;
 }
 
@@ -184,13 +184,13 @@
     const auto record = decodeSuspect(row.value);
     if (!record) continue;
     const request_key key(row.key.substr(table::suspectKey({}).size()));
-    this->book_.onPeerRow(steadyNow(), this->clock(), key, row.revision, *record);
+    this->registry_.onPeerRow(steadyNow(), this->clock(), key, row.revision, *record);
   }
   this->loaded_ = true;
 }
 
 std::vector<table::Row> suspect_service::rows() const {
-  return this->book_.rows(steadyNow(), this->clock(), table::suspectKey({}), kMaxRowsSent);
+  return this->registry_.rows(steadyNow(), this->clock(), table::suspectKey({}), kMaxRowsSent);
 }
 
 // --- Writes --------------------------------------------------------------------------------------
@@ -203,19 +203,19 @@
     return;
   }
   // The row was removed. What this daemon knows beyond it is written as a new row.
-  this->book_.onRowGone(key, this->book_.revisionOf(key) + 1);
+  this->registry_.onRowGone(key, this->registry_.revisionOf(key) + 1);
 }
 
 table::Write suspect_service::writeOf(const request_key& key, const suspect_record& record) const {
   const std::string name = table::suspectKey(key.str());
   table::Write write;
-  write.transaction.checks.push_back({name, this->book_.revisionOf(key)});
+  write.transaction.checks.push_back({name, this->registry_.revisionOf(key)});
   write.transaction.puts.push_back({name, encodeSuspect(record)});
   return write;
 }
 
 Task<suspect_service::WriteOutcome> suspect_service::writeRow(request_key key) {
-  suspect_record record = this->book_.record(steadyNow(), this->clock(), key);
+  suspect_record record = this->registry_.record(steadyNow(), this->clock(), key);
   std::optional<table::TransactionAnswer> answer;
   if (this->deps_.leases.storeHealthy()) {
     auto direct = co_await this->deps_.table.write(this->writeOf(key, record));
@@ -224,7 +224,7 @@
   if (!answer) {
     // Goes by a peer as soon as one write got no answer, seconds before the store counts as lost:
     // until then others could send the request on. Reads the record anew, with crashes since.
-    record = this->book_.record(steadyNow(), this->clock(), key);
+    record = this->registry_.record(steadyNow(), this->clock(), key);
     answer = co_await this->deps_.write_by_peer(this->writeOf(key, record));
   }
   if (!answer) co_return WriteOutcome::kNoAnswer;
@@ -232,13 +232,13 @@
     this->onConflict(key, answer->conflicts);
     co_return WriteOutcome::kOvertaken;
   }
-  this->book_.onWritten(key, answer->revision, record);
+  this->registry_.onWritten(key, answer->revision, record);
   co_return WriteOutcome::kDone;
 }
 
 Task<void> suspect_service::writeLoop() {
   for (;;) {
-    const std::vector<request_key> keys = this->book_.unwritten(kMaxRowsAtOnce);
+    const std::vector<request_key> keys = this->registry_.unwritten(kMaxRowsAtOnce);
     if (keys.empty()) {
       co_await this->changed_.waitFor(kWriteIdle);
       continue;
@@ -278,7 +278,7 @@
   const Duration removal_delay = std::chrono::seconds(hash64(this->self()) % kRemovalSpreadSeconds);
   for (;;) {
     co_await sleepFor(this->deps_.loop, kSweepInterval);
-    const auto removable = this->book_.sweep(steadyNow(), removal_delay, kMaxRemovedPerSweep);
+    const auto removable = this->registry_.sweep(steadyNow(), removal_delay, kMaxRemovedPerSweep);
     for (const auto& [key, revision] : removable) {
       co_await this->removeRow(key, revision);
     }
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -50,7 +50,7 @@
 
   void start();
 
-  bool hasSuspects() const override { return !this->book_.empty(); }
+  bool hasSuspects() const override { return !this->registry_.empty(); }
   suspect_admission admissionOf(const request_key& key, RequestSource source) const override;
   Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource source,
                                            std::string id) override;
@@ -74,7 +74,7 @@
   /** @return the worst suspects, for a peer that does not reach the store. */
   std::vector<table::Row> rows() const;
 
-  const suspect_book& book() const { return this->book_; }
+  const suspect_registry& registry() const { return this->registry_; }
   const suspect_totals& totals() const { return this->totals_; }
 
  private:
@@ -95,7 +95,7 @@
   void onRefused(const suspect_admission& admission, const request_key& key, const std::string& id);
 
   dependencies deps_;
-  suspect_book book_;
+  suspect_registry registry_;
   suspect_totals totals_;
   Signal changed_;  ///< There may be a row to write.
   bool loaded_ = false;
--- a/src/gateway/suspects/suspect_tracker.h
+++ b/src/gateway/suspects/suspect_tracker.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "common/task.h"
-#include "gateway/suspects/suspect_book.h"
+#include "gateway/suspects/suspect_registry.h"
 
 namespace linenpier::suspects {
 
--- /dev/null
+++ b/tests/gateway/suspects/suspect_registry_test.cpp
@@ -0,0 +1,221 @@
+/// @file
+/// What requests under which engines ended are allowed, as one daemon sees it.
+
+#include "gateway/suspects/suspect_registry.h"
+
+// Criterion's macros clash with Boost's headers that come after it.
+// clang-format off
+#include <criterion/criterion.h>
+// clang-format on
+
+using namespace linenpier;
+using suspects::AdmissionState;
+using suspects::request_key;
+using suspects::RequestSource;
+using suspects::suspect_record;
+using suspects::suspect_registry;
+
+namespace {
+
+const request_key kKey("k");
+constexpr Duration kMinute = std::chrono::minutes(1);
+
+Instant at(double seconds) {
+  return Instant{} + std::chrono::hours(100) + fromSeconds(seconds);
+}
+
+EngineId engine(int number) {
+  return EngineId("e" + std::to_string(number));
+}
+
+/// Ends so many engines under the request, one after the other, a second apart from 0 s on.
+suspect_registry registryAfter(int ends) {
+  suspect_registry registry;
+  for (int i = 0; i < ends; ++i) registry.onEngineCrashed(at(i), kKey, engine(i), i);
+  return registry;
+}
+
+AdmissionState standingAt(const suspect_registry& registry, double seconds,
+                          RequestSource who = RequestSource::kCaller) {
+  return registry.admissionOf(at(seconds), kKey, who).state;
+}
+
+}  // namespace
+
+Test(suspect_registry, a_request_under_which_no_engine_ended_is_clear) {
+  const suspect_registry registry;
+  cr_assert(registry.empty());
+  cr_assert(standingAt(registry, 0) == AdmissionState::kNotSuspect);
+}
+
+Test(suspect_registry, the_first_end_makes_it_run_alone) {
+  suspect_registry registry = registryAfter(1);
+  cr_assert(standingAt(registry, 0.01) == AdmissionState::kMayRunAlone);
+  registry.onIsolatedRun(at(0.01), kKey, "a");
+  cr_assert(standingAt(registry, 0.02) == AdmissionState::kRunning);
+  cr_assert(standingAt(registry, 3.02) == AdmissionState::kMayRunAlone,
+            "a trial that takes long keeps nobody");
+  registry.onIsolatedRunEnded(kKey, "b");
+  cr_assert(standingAt(registry, 0.02) == AdmissionState::kRunning, "another daemon's trial");
+  registry.onIsolatedRunEnded(kKey, "a");
+  cr_assert(standingAt(registry, 0.02) == AdmissionState::kMayRunAlone);
+}
+
+Test(suspect_registry, after_the_second_end_it_waits_until_engines_are_back) {
+  const suspect_registry registry = registryAfter(2);
+  cr_assert(standingAt(registry, 1.1) == AdmissionState::kMustWait);
+  cr_assert(standingAt(registry, 5.9) == AdmissionState::kMustWait);
+  cr_assert(standingAt(registry, 6.0) == AdmissionState::kMayRunAlone);
+}
+
+Test(suspect_registry, the_third_bars_it_and_each_further_one_doubles_that) {
+  suspect_registry registry = registryAfter(3);
+  const auto told = registry.admissionOf(at(2.5), kKey, RequestSource::kCaller);
+  cr_assert(told.state == AdmissionState::kBarred);
+  cr_assert_eq(told.crashes, 3);
+  cr_assert(told.evidence_age == fromSeconds(0.5));
+  cr_assert(told.wait == 10 * kMinute - fromSeconds(0.5));
+  cr_assert(standingAt(registry, 2 + 599) == AdmissionState::kBarred);
+  cr_assert(standingAt(registry, 2 + 600) == AdmissionState::kMayRunAlone);
+  registry.onEngineCrashed(at(602), kKey, engine(9), 3);
+  cr_assert(standingAt(registry, 602 + 1199) == AdmissionState::kBarred);
+  cr_assert(standingAt(registry, 602 + 1200) == AdmissionState::kMayRunAlone);
+}
+
+Test(suspect_registry, suspicion_is_forgotten) {
+  cr_assert(standingAt(registryAfter(1), 599) == AdmissionState::kMayRunAlone);
+  cr_assert(standingAt(registryAfter(1), 600) == AdmissionState::kNotSuspect);
+  cr_assert(standingAt(registryAfter(3), 2 + 1199) == AdmissionState::kMayRunAlone);
+  cr_assert(standingAt(registryAfter(3), 2 + 1200) == AdmissionState::kNotSuspect);
+}
+
+Test(suspect_registry, attempts_that_ran_side_by_side_count_once) {
+  suspect_registry registry;
+  for (int i = 0; i < 8; ++i) registry.onEngineCrashed(at(0), kKey, engine(i), 0);
+  cr_assert_eq(registry.crashesOf(kKey), 1, "a zone that loses power ends all its engines at once");
+  cr_assert(standingAt(registry, 0.1) == AdmissionState::kMayRunAlone);
+}
+
+Test(suspect_registry, an_answer_clears_whoever_stood_beside_and_what_was_sent_before_counts_anew) {
+  suspect_registry registry = registryAfter(2);
+  cr_assert_eq(registry.onCleared(kKey), Revision{0}, "no row yet");
+  cr_assert(registry.empty());
+  registry.onEngineCrashed(at(3), kKey, engine(5), 2);
+  cr_assert_eq(registry.crashesOf(kKey), 1);
+}
+
+Test(suspect_registry, an_item_is_tried_twice_more_within_what_a_job_bears) {
+  suspect_registry registry = registryAfter(3);
+  cr_assert(standingAt(registry, 5.9, RequestSource::kItem) == AdmissionState::kMustWait);
+  cr_assert(standingAt(registry, 6, RequestSource::kItem) == AdmissionState::kMayRunAlone);
+  registry.onEngineCrashed(at(6), kKey, engine(3), 3);
+  cr_assert(standingAt(registry, 10, RequestSource::kItem) == AdmissionState::kMayRunAlone);
+  registry.onEngineCrashed(at(10), kKey, engine(4), 4);
+  cr_assert(standingAt(registry, 60, RequestSource::kItem) == AdmissionState::kBarred);
+}
+
+Test(suspect_registry, rows_of_others_are_joined_with_what_was_seen_here) {
+  suspect_registry registry = registryAfter(1);
+  suspect_record row;
+  row.ends = 2;
+  row.engines = {engine(7)};
+  row.last_ms = 9000;
+  registry.onRow(at(1), 10000, kKey, 5, row);
+  cr_assert_eq(registry.crashesOf(kKey), 2);
+  cr_assert_eq(registry.revisionOf(kKey), Revision{5});
+  cr_assert(registry.admissionOf(at(1), kKey, RequestSource::kCaller).evidence_age ==
+            fromSeconds(1));
+  const suspect_record joined = registry.record(at(1), 10000, kKey);
+  cr_assert_eq(joined.engines.size(), 2U);
+  cr_assert_eq(joined.last_ms, 9000);
+  row.ends = 1;
+  registry.onRow(at(2), 11000, kKey, 4, row);
+  cr_assert_eq(registry.crashesOf(kKey), 2, "older than what is known");
+}
+
+Test(suspect_registry, a_row_that_says_less_than_is_known_here_is_written_anew) {
+  suspect_registry registry = registryAfter(2);
+  registry.setShared(kKey);
+  cr_assert_eq(registry.unwritten(9).size(), 1U);
+  suspect_record row;
+  row.ends = 1;
+  registry.onRow(at(2), 10000, kKey, 5, row);
+  cr_assert_eq(registry.unwritten(9).size(), 1U);
+  registry.onWritten(kKey, 6, registry.record(at(2), 10000, kKey));
+  cr_assert(registry.unwritten(9).empty());
+}
+
+Test(suspect_registry, what_only_its_owner_runs_is_not_written) {
+  cr_assert(registryAfter(1).unwritten(9).empty());
+}
+
+Test(suspect_registry, a_row_that_is_gone_was_cleared_elsewhere) {
+  suspect_registry registry;
+  suspect_record row;
+  row.ends = 2;
+  registry.onRow(at(0), 10000, kKey, 5, row);
+  registry.onRowGone(kKey, 4);
+  cr_assert_eq(registry.crashesOf(kKey), 2, "an older removal");
+  registry.onRowGone(kKey, 6);
+  cr_assert(registry.empty());
+}
+
+Test(suspect_registry, a_table_read_whole_clears_what_is_not_in_it) {
+  suspect_registry registry;
+  suspect_record row;
+  row.ends = 2;
+  registry.onRow(at(0), 10000, kKey, 5, row);
+  registry.onRow(at(0), 10000, request_key("newer"), 9, row);
+  registry.onEngineCrashed(at(0), request_key("own"), engine(1), 0);
+  registry.onTableRead({}, 8);
+  cr_assert_eq(registry.crashesOf(kKey), 0);
+  cr_assert_eq(registry.crashesOf(request_key("newer")), 2, "written after the read");
+  cr_assert_eq(registry.crashesOf(request_key("own")), 1, "never written");
+}
+
+Test(suspect_registry, what_a_peer_tells_may_be_more_than_the_row) {
+  suspect_registry registry;
+  suspect_record row;
+  row.ends = 1;
+  registry.onRow(at(0), 10000, kKey, 5, row);
+  row.ends = 3;
+  registry.onPeerRow(at(0), 10000, kKey, 5, row);
+  cr_assert(standingAt(registry, 1) == AdmissionState::kBarred);
+}
+
+Test(suspect_registry, a_flood_of_ever_new_requests_drops_those_with_least_against_them) {
+  suspects::suspect_rules rules;
+  rules.max_entries = 10;
+  suspect_registry registry(rules);
+  for (int i = 0; i < 3; ++i) registry.onEngineCrashed(at(i), kKey, engine(i), i);
+  for (int i = 0; i < 50; ++i) {
+    registry.onEngineCrashed(at(3 + i), request_key("new" + std::to_string(i)), engine(i), 0);
+  }
+  cr_assert_eq(registry.size(), 10U);
+  cr_assert_eq(registry.crashesOf(kKey), 3);
+}
+
+Test(suspect_registry, old_rows_are_left_to_others_for_a_while_and_then_removed) {
+  suspect_registry registry;
+  suspect_record row;
+  row.ends = 1;
+  row.last_ms = 10000;
+  registry.onRow(at(0), 10000, kKey, 5, row);
+  cr_assert(registry.sweep(at(599), fromSeconds(30), 9).empty());
+  cr_assert(registry.sweep(at(629), fromSeconds(30), 9).empty());
+  const auto removable = registry.sweep(at(630), fromSeconds(30), 9);
+  cr_assert_eq(removable.size(), 1U);
+  cr_assert_eq(removable.front().second, Revision{5});
+}
+
+Test(suspect_registry, a_record_survives_its_row) {
+  suspect_record record;
+  record.ends = 3;
+  record.engines = {engine(1), engine(2)};
+  record.last_ms = 12345;
+  record.tried_by = "d#1";
+  record.tried_until_ms = 15345;
+  const auto read = suspects::decodeSuspect(suspects::encodeSuspect(record));
+  cr_assert(read && *read == record);
+  cr_assert(!suspects::decodeSuspect("no record"));
+}
