--- a/src/gateway/service/metrics_page.cpp
+++ b/src/gateway/service/metrics_page.cpp
@@ -26,7 +26,7 @@
 
 void metrics_page::addSuspects(Instant now, metrics::GatewayState& state) const {
   state.suspects_known = this->sources_.suspects.registry().size();
-  state.suspects_barred = this->sources_.suspects.registry().barred(now);
+  state.suspects_barred = this->sources_.suspects.registry().barredCount(now);
   state.suspect_engines_ended = this->sources_.suspects.totals().engine_crashes;
   state.suspect_refusals = this->sources_.suspects.totals().refused;
   state.suspects_cleared = this->sources_.suspects.totals().cleared;
--- a/src/gateway/suspects/suspect_registry.cpp
+++ b/src/gateway/suspects/suspect_registry.cpp
@@ -41,7 +41,7 @@
   return each.last_at + this->barFor(each.crashes) + this->rules_.retention;
 }
 
-std::size_t suspect_registry::barred(Instant now) const {
+std::size_t suspect_registry::barredCount(Instant now) const {
   return static_cast<std::size_t>(
       std::count_if(this->entries_.begin(), this->entries_.end(), [&](const auto& each) {
         return now < each.second.last_at + this->barFor(each.second.crashes);
--- a/src/gateway/suspects/suspect_registry.h
+++ b/src/gateway/suspects/suspect_registry.h
@@ -29,7 +29,7 @@
   bool empty() const { return this->entries_.empty(); }
   std::size_t size() const { return this->entries_.size(); }
   /** @return how many callers' requests are barred now. */
-  std::size_t barred(Instant now) const;
+  std::size_t barredCount(Instant now) const;
   const suspect_rules& rules() const { return this->rules_; }
 
   suspect_admission admissionOf(Instant now, const request_key& key, RequestSource source) const;
