--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -89,7 +89,7 @@
     if (!events.empty()) this->noteTimes(now, run, events.size(), course);
     if (verdict != AttemptOutcome::kAnswered) co_return verdict;
   }
-  co_return parser.rest().empty() ? AttemptOutcome::kAnswered : AttemptOutcome::kBroken;
+  co_return parser.incompleteEvent().empty() ? AttemptOutcome::kAnswered : AttemptOutcome::kBroken;
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/forward/event_parser.h
+++ b/src/gateway/forward/event_parser.h
@@ -30,7 +30,7 @@
   /** @return the events that are complete with `bytes`. */
   std::vector<stream_event> feed(std::string_view bytes);
   /** @return bytes of an event that is not complete. */
-  const std::string& rest() const { return this->pending_; }
+  const std::string& incompleteEvent() const { return this->pending_; }
 
  private:
   stream_event parse(std::string raw) const;
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -135,7 +135,7 @@
     }
     if (verdict != AttemptOutcome::kAnswered) co_return verdict;
   }
-  if (!parser.rest().empty()) co_return AttemptOutcome::kBroken;
+  if (!parser.incompleteEvent().empty()) co_return AttemptOutcome::kBroken;
   const bool begun = co_await this->beginStreamOnce(call);
   if (!begun) co_return AttemptOutcome::kAborted;
   co_await this->writer_.endStream();
--- a/tests/gateway/forward/event_parser_test.cpp
+++ b/tests/gateway/forward/event_parser_test.cpp
@@ -18,7 +18,7 @@
     cr_assert_eq(*events[0].version, 7U);
     cr_assert_eq(events[1].data, "three");
     cr_assert_not(events[1].version.has_value());
-    cr_assert(parser.rest().empty());
+    cr_assert(parser.incompleteEvent().empty());
     cr_assert_eq(events[0].raw + events[1].raw, stream, "bytes pass unchanged");
   }
 }
@@ -26,7 +26,7 @@
 Test(event_parser, an_unfinished_event_is_kept_back) {
   event_parser parser("v");
   cr_assert(parser.feed("id: 1\ndata: on").empty());
-  cr_assert_eq(parser.rest(), "id: 1\ndata: on");
+  cr_assert_eq(parser.incompleteEvent(), "id: 1\ndata: on");
 }
 
 Test(event_parser, a_number_that_is_none_is_no_id) {
