--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -73,7 +73,7 @@
     std::string ignored;
     co_return co_await call.readWhole(ignored, steadyNow() + options.timeouts.max_gap);
   }
-  reading run{active, item, call, model, call.headVersion(), started, steadyNow()};
+  reading run{active, item, call, model, call.weightVersion(), started, steadyNow()};
   this->noteVersion(run);
   forward::event_parser parser(this->deps_.names.weight_versions);
   std::vector<forward::stream_event> events;
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -164,7 +164,7 @@
   co_return AttemptOutcome::kAnswered;
 }
 
-WeightVersion engine_call::headVersion() const {
+WeightVersion engine_call::weightVersion() const {
   return std::strtoull(http::fieldText(this->head(), this->context_.names.weight_versions).c_str(),
                        nullptr, 10);
 }
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -84,7 +84,7 @@
   const http::ResponseHead& head() const { return this->exchange_->head(); }
   bool finished() const { return this->exchange_->complete(); }
   /** @return the version of weights in the answer's head, 0 if there is none. */
-  WeightVersion headVersion() const;
+  WeightVersion weightVersion() const;
   Instant startedAt() const { return this->started_at_; }
 
  private:
