--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -170,7 +170,7 @@
   }
   if (this->head_sent_) {
     this->context_.log.onRequestEnded(this->forwarded_, "broken_off", 0, this->policy_);
-    this->writer_.breakOff();
+    this->writer_.abortConnection();
     co_return;
   }
   const LocalReply local_reply = this->policy_.localReply(steadyNow());
--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -28,7 +28,8 @@
 class ServerSession;
 
 /// Where a handler puts its answer. Exactly one of `send`, `beginStream` … `endStream` or
-/// `breakOff` must end every request; a handler that returns without any breaks the connection off.
+/// `abortConnection` must end every request; a handler that returns without any breaks the
+/// connection off.
 class ResponseWriter {
  public:
   explicit ResponseWriter(ServerSession& session) : session_(session) {}
@@ -40,7 +41,7 @@
   Task<bool> writeChunk(std::string bytes);
   Task<bool> endStream();
   /// Closes the connection so that what was sent does not look complete.
-  void breakOff();
+  void abortConnection();
   bool begun() const { return begun_; }
   bool ended() const { return ended_; }
 
--- a/src/gateway/http/server_session.cpp
+++ b/src/gateway/http/server_session.cpp
@@ -249,7 +249,7 @@
   co_return ended_;
 }
 
-void ResponseWriter::breakOff() {
+void ResponseWriter::abortConnection() {
   session_.closed_ = true;
   boost::system::error_code ignored;
   session_.stream_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
--- a/tests/support/standin_duties.cpp
+++ b/tests/support/standin_duties.cpp
@@ -52,14 +52,14 @@
       co_await sleepFor(loop_, std::chrono::seconds(2));
       carryOut(call);
     });
-    writer.breakOff();
+    writer.abortConnection();
     co_return;
   }
   const unsigned status = carryOut(std::move(call));
   if (faults_.lose > 0) {
     --faults_.lose;
     co_await sleepFor(loop_, std::chrono::milliseconds(20));
-    writer.breakOff();
+    writer.abortConnection();
     co_return;
   }
   http::Response response;
