--- a/src/gateway/http/connection_pool.h
+++ b/src/gateway/http/connection_pool.h
@@ -61,7 +61,7 @@
   /// Keeps a connection that is at rest between two exchanges.
   void giveBack(Instant now, ClientConnectionPtr connection, Duration idle_time);
   /// Closes the idle connections to a peer that is gone.
-  void forget(const Address& peer) { idle_.erase(peer); }
+  void closeIdle(const Address& peer) { idle_.erase(peer); }
   /// Closes what has rested too long.
   void sweep(Instant now);
 
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -76,7 +76,7 @@
       .number("count", static_cast<std::int64_t>(this->listed_.size()))
       .number("revision", static_cast<std::int64_t>(revision));
   for (const Address& gone : this->deps_.registry.keepOnly(steadyNow(), this->listed_)) {
-    this->deps_.connections.forget(gone);
+    this->deps_.connections.closeIdle(gone);
   }
   this->listed_.clear();
 }
@@ -86,7 +86,7 @@
   auto record = this->deps_.platform.parseEngine(key, row.value);
   if (record) return std::move(*record);
   const auto address = this->deps_.registry.onUnreadable(EngineId(key));
-  if (address) this->deps_.connections.forget(*address);
+  if (address) this->deps_.connections.closeIdle(*address);
   LogEvent("engines", "bad_record")
       .text("engine", key)
       .text("findings", describe(record.error()))
@@ -102,7 +102,7 @@
       known == nullptr ? std::nullopt : std::optional(known->record.address);
   const engines::RecordEffect effect = this->deps_.registry.onRecord(steadyNow(), record);
   if (effect == engines::RecordEffect::kRestarted) {
-    this->deps_.connections.forget(*before);
+    this->deps_.connections.closeIdle(*before);
     LogEvent("engines", "restarted").text("engine", record.id.str()).number("start", record.start);
   }
   // New engines and changes of weights have no line of their own: when a large fleet starts, each
@@ -120,7 +120,7 @@
 
 std::optional<Address> engine_feed::remove(const EngineId& id) {
   const auto address = this->deps_.registry.onGone(steadyNow(), id);
-  if (address) this->deps_.connections.forget(*address);
+  if (address) this->deps_.connections.closeIdle(*address);
   return address;
 }
 
@@ -144,7 +144,7 @@
 Task<void> engine_feed::dropLapsed() {
   co_await sleepFor(this->deps_.loop, this->deps_.registry.options().lapse.lapse_grace);
   for (const engines::engine_record& record : this->deps_.registry.dropLapsed(steadyNow())) {
-    this->deps_.connections.forget(record.address);
+    this->deps_.connections.closeIdle(record.address);
     LogEvent("engines", "gone").text("engine", record.id.str()).text("reason", "lapsed");
   }
 }
