--- a/src/gateway/forward/engine_picker.h
+++ b/src/gateway/forward/engine_picker.h
@@ -25,7 +25,7 @@
   /** From now on the residency of the newest table binds, also for requests that came under an
    * older one.
    */
-  void followResidency(std::function<routing::RouteTablePtr()> newest) {
+  void setResidencySource(std::function<routing::RouteTablePtr()> newest) {
     this->newest_ = std::move(newest);
   }
 
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -28,9 +28,9 @@
   forwarder(const forwarder&) = delete;
   forwarder& operator=(const forwarder&) = delete;
 
-  /** See `engine_picker::followResidency`. */
-  void followResidency(std::function<routing::RouteTablePtr()> newest) {
-    this->choice_.followResidency(std::move(newest));
+  /** See `engine_picker::setResidencySource`. */
+  void setResidencySource(std::function<routing::RouteTablePtr()> newest) {
+    this->choice_.setResidencySource(std::move(newest));
   }
 
   /** Answers the request in every case, unless the client is gone.
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -148,7 +148,7 @@
   registry_.cold().setRules(settings.cold);
   registry_.setHeartbeat(settings.engine_heartbeat);
   registry_.setLayout(settings.layout);
-  forwarder_.followResidency([this] { return operators_.routes(); });
+  forwarder_.setResidencySource([this] { return operators_.routes(); });
 }
 
 Findings Gateway::start() {
