--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -18,11 +18,11 @@
 namespace linenpier::http {
 
 struct ServerLimits {
-  std::uint32_t header_bytes = 16 * 1024;
-  std::uint64_t body_bytes = 32ULL * 1024 * 1024;
-  Duration header_time = std::chrono::seconds(3);  ///< From a head's first byte to its end.
-  Duration body_time = std::chrono::seconds(10);   ///< From a head's end to the body's.
-  Duration idle_time = std::chrono::seconds(15);   ///< Between two requests.
+  std::uint32_t max_header_bytes = 16 * 1024;
+  std::uint64_t max_body_bytes = 32ULL * 1024 * 1024;
+  Duration header_timeout = std::chrono::seconds(3);  ///< From a head's first byte to its end.
+  Duration body_timeout = std::chrono::seconds(10);   ///< From a head's end to the body's.
+  Duration idle_timeout = std::chrono::seconds(15);   ///< Between two requests.
 };
 
 class ServerSession;
--- a/src/gateway/http/server_session.cpp
+++ b/src/gateway/http/server_session.cpp
@@ -58,7 +58,7 @@
 
 Task<bool> ServerSession::waitForRequest() {
   if (buffer_.size() > 0) co_return true;
-  stream_.expires_after(server_.limits_.idle_time);
+  stream_.expires_after(server_.limits_.idle_timeout);
   boost::system::error_code error;
   const std::size_t received = co_await stream_.async_read_some(
       buffer_.prepare(4096), asio::redirect_error(asio::use_awaitable, error));
@@ -100,13 +100,13 @@
 };
 
 Task<bool> ServerSession::readRequest(Parser& parser) {
-  parser.header_limit(server_.limits_.header_bytes);
-  parser.body_limit(server_.limits_.body_bytes);
+  parser.header_limit(server_.limits_.max_header_bytes);
+  parser.body_limit(server_.limits_.max_body_bytes);
   stream_.expires_never();
   boost::system::error_code error;
   bool late = false;
   {
-    const ReadLimit limit(stream_, server_.limits_.header_time);
+    const ReadLimit limit(stream_, server_.limits_.header_timeout);
     co_await beast_http::async_read_header(stream_, buffer_, parser,
                                            asio::redirect_error(asio::use_awaitable, error));
     late = limit.passed();
@@ -117,7 +117,7 @@
                                asio::redirect_error(asio::use_awaitable, error));
   }
   if (!error && !parser.is_done()) {
-    const ReadLimit limit(stream_, server_.limits_.body_time);
+    const ReadLimit limit(stream_, server_.limits_.body_timeout);
     co_await beast_http::async_read(stream_, buffer_, parser,
                                     asio::redirect_error(asio::use_awaitable, error));
     late = limit.passed();
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -47,7 +47,7 @@
   cr_assert_eq(batch->kind, routing::RequestKind::kBatch);
   cr_assert(batch->queue_limit == std::chrono::seconds(40));
   cr_assert_eq(table->services.at(ServiceName("s1")).models.size(), 1U);
-  cr_assert_eq(table->limits.body_bytes, 1000U);
+  cr_assert_eq(table->limits.max_body_bytes, 1000U);
   const routing::Service& service = table->services.at(ServiceName("s1"));
   cr_assert_float_eq(service.cold_per_second, 9.3, 1e-9);
   cr_assert(service.cold_time == std::chrono::seconds(3));
