--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -61,7 +61,7 @@
   request.route = request.table ? request.table->find(scorer.host, path) : nullptr;
   request.message = this->rewardRequest(scorer);
   request.tenant = active->record.tenant;
-  request.limit = kRewardTime;
+  request.timeout = kRewardTime;
   const bool patient = begun - active->run.progress(item).last_progress < kPatientTime;
   request.max_per_slot = patient ? kDefaultShare : kFullShare;
   request.cancellation = cancellation;
--- a/src/gateway/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -19,8 +19,8 @@
   const routing::Route* route = nullptr;  ///< Of that table.
   http::Request message;
   TenantId tenant;          ///< On whose behalf; empty: no tenant's.
-  Duration limit{};         ///< Time until it is given up; the route may set a shorter one.
-  double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0: no limit.
+  Duration timeout{};       ///< Time until it is given up; the route may set a shorter one.
+  double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0: no timeout.
   std::shared_ptr<http::Cancellation> cancellation;  ///< Ends the request.
 };
 
--- a/src/gateway/forward/plain_requests.cpp
+++ b/src/gateway/forward/plain_requests.cpp
@@ -41,7 +41,7 @@
   forwarded->id = http::fieldText(request.message, this->context_.engines.names.request_id);
   forwarded->received = steadyNow();
   forwarded->deadline =
-      forwarded->received + std::min<Duration>(request.limit, request.route->timeout);
+      forwarded->received + std::min<Duration>(request.timeout, request.route->timeout);
   forwarded->max_per_slot = request.max_per_slot;
   forwarded->internal = true;
   return forwarded;
