--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -122,7 +122,7 @@
   attempt.isolated = admission.state == suspects::AdmissionState::kMayRunAlone;
   if (attempt.isolated || admission.state == suspects::AdmissionState::kNotSuspect) return attempt;
   const bool tried = admission.state == suspects::AdmissionState::kRunning;
-  const Duration wait = std::min(admission.wait, tried ? kTriedPause : kHeldPause);
+  const Duration wait = std::min(admission.retry_after, tried ? kTriedPause : kHeldPause);
   active.run.onHeld(item, steadyNow() + wait);
   return std::nullopt;
 }
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -102,7 +102,7 @@
     ++this->deps_.counts.scored;
   } else {
     const Duration usual = outcome.attempts == 0 ? kFullPause : kFailurePause;
-    const Duration pause = std::max(usual, std::min(outcome.wait, kMaxSuspectPause));
+    const Duration pause = std::max(usual, std::min(outcome.retry_after, kMaxSuspectPause));
     active.run.onNotScored(steadyNow(), item, outcome.failures, max_failures, pause);
     ++this->deps_.counts.scorings_failed;
   }
--- a/src/gateway/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -29,7 +29,7 @@
   std::string signature;  ///< Of that answer.
   int failures = 0;       ///< Attempts that engines answered with 500.
   int attempts = 0;
-  Duration wait{};  ///< It may not run for so long: it is a suspect.
+  Duration retry_after{};  ///< It may not run for so long: it is a suspect.
 
   bool operator==(const internal_outcome&) const = default;
 };
--- a/src/gateway/forward/local_replies.cpp
+++ b/src/gateway/forward/local_replies.cpp
@@ -56,8 +56,8 @@
   // Also set on 502 and 504: an earlier retry could not run. A suspect that runs just now is
   // cleared soon if it is innocent, so its caller may retry as usual.
   const bool running = forwarded.admission.state == suspects::AdmissionState::kRunning;
-  if (!running && forwarded.admission.wait > this->options_.retry_after) {
-    response.set(this->names_.retry_after, secondsText(forwarded.admission.wait));
+  if (!running && forwarded.admission.retry_after > this->options_.retry_after) {
+    response.set(this->names_.retry_after, secondsText(forwarded.admission.retry_after));
   }
   return response;
 }
--- a/src/gateway/forward/plain_requests.cpp
+++ b/src/gateway/forward/plain_requests.cpp
@@ -54,7 +54,7 @@
   internal_outcome outcome;
   outcome.failures = attempts.failures;
   outcome.attempts = policy.started();
-  outcome.wait = forwarded->admission.wait;
+  outcome.retry_after = forwarded->admission.retry_after;
   if (attempts.answer) {
     outcome.status = attempts.answer->result_int();
     outcome.signature = http::fieldText(*attempts.answer, this->context_.engines.names.signature);
--- a/src/gateway/suspects/suspect_admission.h
+++ b/src/gateway/suspects/suspect_admission.h
@@ -59,7 +59,7 @@
 struct suspect_admission {
   AdmissionState state = AdmissionState::kNotSuspect;
   int crashes = 0;
-  Duration wait{};          ///< Until asking again may help; zero if it may run.
+  Duration retry_after{};   ///< Until asking again may help; zero if it may run.
   Duration evidence_age{};  ///< Since the last crash.
 };
 
--- a/src/gateway/suspects/suspect_registry.cpp
+++ b/src/gateway/suspects/suspect_registry.cpp
@@ -66,12 +66,12 @@
   if (now < free_at) {
     const bool barred = this->isBarred(known.crashes, source);
     admission.state = barred ? AdmissionState::kBarred : AdmissionState::kMustWait;
-    admission.wait = free_at - now;
+    admission.retry_after = free_at - now;
     return admission;
   }
   const bool running = !known.tried_by.empty() && now < known.tried_until;
   admission.state = running ? AdmissionState::kRunning : AdmissionState::kMayRunAlone;
-  if (running) admission.wait = known.tried_until - now;
+  if (running) admission.retry_after = known.tried_until - now;
   return admission;
 }
 
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -103,7 +103,7 @@
       .text("standing", toText(admission.state))
       .number("ends", admission.crashes)
       .milliseconds("evidence_age_ms", admission.evidence_age)
-      .milliseconds("wait_ms", admission.wait);
+      .milliseconds("wait_ms", admission.retry_after);
   if (const auto skipped = this->refusal_lines_.takeSkipped()) {
     event.number("refusals_not_written", static_cast<std::int64_t>(skipped));
   }
--- a/tests/gateway/suspects/suspect_registry_test.cpp
+++ b/tests/gateway/suspects/suspect_registry_test.cpp
@@ -74,7 +74,7 @@
   cr_assert(told.state == AdmissionState::kBarred);
   cr_assert_eq(told.crashes, 3);
   cr_assert(told.evidence_age == fromSeconds(0.5));
-  cr_assert(told.wait == 10 * kMinute - fromSeconds(0.5));
+  cr_assert(told.retry_after == 10 * kMinute - fromSeconds(0.5));
   cr_assert(standingAt(registry, 2 + 599) == AdmissionState::kBarred);
   cr_assert(standingAt(registry, 2 + 600) == AdmissionState::kMayRunAlone);
   registry.onEngineCrashed(at(602), kKey, engine(9), 3);
