--- a/src/gateway/suspects/suspect_record.h
+++ b/src/gateway/suspects/suspect_record.h
@@ -21,11 +21,11 @@
   /** Crashes, one after the other. Those under attempts that ran side by side count once: a zone
    * that loses power takes many engines that run one request, which says nothing of the request.
    */
-  int ends = 0;
-  std::vector<EngineId> engines;    ///< That crashed; at most `kMaxEnginesKept`.
-  std::int64_t last_ms = 0;         ///< Time of the last crash, by the store's clock.
-  std::string tried_by;             ///< Daemon's life that runs it alone; empty: none.
-  std::int64_t tried_until_ms = 0;  ///< Until then no other daemon runs it.
+  int crashes = 0;
+  std::vector<EngineId> engines;       ///< That crashed; at most `kMaxEnginesKept`.
+  std::int64_t last_crash_ms = 0;      ///< Time of the last crash, by the store's clock.
+  std::string isolated_by;             ///< Daemon's life that runs it alone; empty: none.
+  std::int64_t isolated_until_ms = 0;  ///< Until then no other daemon runs it.
 
   bool operator==(const suspect_record&) const = default;
 };
--- a/src/gateway/suspects/suspect_registry.cpp
+++ b/src/gateway/suspects/suspect_registry.cpp
@@ -69,9 +69,9 @@
     admission.retry_after = free_at - now;
     return admission;
   }
-  const bool running = !known.tried_by.empty() && now < known.tried_until;
+  const bool running = !known.isolated_by.empty() && now < known.isolated_until;
   admission.state = running ? AdmissionState::kRunning : AdmissionState::kMayRunAlone;
-  if (running) admission.retry_after = known.tried_until - now;
+  if (running) admission.retry_after = known.isolated_until - now;
   return admission;
 }
 
@@ -121,14 +121,14 @@
 void suspect_registry::onIsolatedRun(Instant now, const request_key& key, const std::string& self) {
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return;
-  at->second.tried_by = self;
-  at->second.tried_until = now + this->rules_.isolated_run_timeout;
+  at->second.isolated_by = self;
+  at->second.isolated_until = now + this->rules_.isolated_run_timeout;
 }
 
 void suspect_registry::onIsolatedRunEnded(const request_key& key, const std::string& self) {
   const auto at = this->entries_.find(key);
-  if (at == this->entries_.end() || at->second.tried_by != self) return;
-  at->second.tried_by.clear();
+  if (at == this->entries_.end() || at->second.isolated_by != self) return;
+  at->second.isolated_by.clear();
   if (at->second.shared) at->second.written = false;
 }
 
@@ -136,15 +136,16 @@
                              Revision revision, const suspect_record& record) {
   entry& each = this->entries_[key];
   if (revision <= each.revision) return;
-  const bool knew_more = each.crashes > record.ends;
-  if (record.ends >= each.crashes) each.last_at = pastInstant(now, clock_ms, record.last_ms);
-  each.crashes = std::max(each.crashes, record.ends);
+  const bool knew_more = each.crashes > record.crashes;
+  if (record.crashes >= each.crashes)
+    each.last_at = pastInstant(now, clock_ms, record.last_crash_ms);
+  each.crashes = std::max(each.crashes, record.crashes);
   this->addEngines(each, record.engines);
-  each.tried_by = record.tried_by;
-  each.tried_until = now + this->rules_.isolated_run_timeout;
+  each.isolated_by = record.isolated_by;
+  each.isolated_until = now + this->rules_.isolated_run_timeout;
   if (clock_ms != 0) {
-    const auto left = std::chrono::milliseconds(record.tried_until_ms - clock_ms);
-    each.tried_until = now + std::min<Duration>(left, this->rules_.isolated_run_timeout);
+    const auto left = std::chrono::milliseconds(record.isolated_until_ms - clock_ms);
+    each.isolated_until = now + std::min<Duration>(left, this->rules_.isolated_run_timeout);
   }
   each.revision = revision;
   each.shared = true;
@@ -158,7 +159,7 @@
     this->onRow(now, clock_ms, key, revision, record);
     return;
   }
-  at->second.crashes = std::max(at->second.crashes, record.ends);
+  at->second.crashes = std::max(at->second.crashes, record.crashes);
   this->addEngines(at->second, record.engines);
 }
 
@@ -189,12 +190,12 @@
   if (at == this->entries_.end() || revision <= at->second.revision) return;
   at->second.revision = revision;
   at->second.written =
-      at->second.crashes == written.ends && at->second.tried_by == written.tried_by;
+      at->second.crashes == written.crashes && at->second.isolated_by == written.isolated_by;
 }
 
 std::string suspect_registry::isolatedBy(const request_key& key) const {
   const auto at = this->entries_.find(key);
-  return at == this->entries_.end() ? std::string() : at->second.tried_by;
+  return at == this->entries_.end() ? std::string() : at->second.isolated_by;
 }
 
 suspect_record suspect_registry::record(Instant now, std::int64_t clock_ms,
@@ -203,12 +204,12 @@
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end()) return record;
   const entry& each = at->second;
-  record.ends = each.crashes;
+  record.crashes = each.crashes;
   record.engines = each.engines;
-  record.last_ms = clock_ms - toMilliseconds(now - each.last_at);
-  record.tried_by = each.tried_by;
-  if (!each.tried_by.empty()) {
-    record.tried_until_ms = clock_ms + toMilliseconds(each.tried_until - now);
+  record.last_crash_ms = clock_ms - toMilliseconds(now - each.last_at);
+  record.isolated_by = each.isolated_by;
+  if (!each.isolated_by.empty()) {
+    record.isolated_until_ms = clock_ms + toMilliseconds(each.isolated_until - now);
   }
   return record;
 }
--- a/src/gateway/suspects/suspect_registry.h
+++ b/src/gateway/suspects/suspect_registry.h
@@ -87,8 +87,8 @@
     int crashes = 0;
     std::vector<EngineId> engines;
     Instant last_at{};
-    std::string tried_by;  ///< Daemon's life that runs it alone; empty: none.
-    Instant tried_until{};
+    std::string isolated_by;  ///< Daemon's life that runs it alone; empty: none.
+    Instant isolated_until{};
     Revision revision = 0;  ///< Of its row; 0: none is known.
     bool shared = false;    ///< The store must have its row.
     bool written = false;   ///< The row has all of the above.
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -166,7 +166,7 @@
   if (before >= crash_threshold || this->registry_.crashesOf(key) < crash_threshold) return;
   LogEvent("suspects", "barred")
       .text("key", key.str())
-      .number("ends", record->ends)
+      .number("ends", record->crashes)
       .number("revision", static_cast<std::int64_t>(row.revision));
 }
 
--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -78,7 +78,7 @@
 Test(earlier_build, its_suspects_are_read_and_written_alike) {
   const auto suspect = suspects::decodeSuspect(kSuspect);
   cr_assert(suspect.has_value());
-  cr_assert_eq(suspect->ends, 2);
+  cr_assert_eq(suspect->crashes, 2);
   cr_assert_eq(suspects::encodeSuspect(*suspect), kSuspect);
 }
 
--- a/tests/gateway/suspects/suspect_registry_test.cpp
+++ b/tests/gateway/suspects/suspect_registry_test.cpp
@@ -29,9 +29,9 @@
 }
 
 /// Ends so many engines under the request, one after the other, a second apart from 0 s on.
-suspect_registry registryAfter(int ends) {
+suspect_registry registryAfter(int crashes) {
   suspect_registry registry;
-  for (int i = 0; i < ends; ++i) registry.onEngineCrashed(at(i), kKey, engine(i), i);
+  for (int i = 0; i < crashes; ++i) registry.onEngineCrashed(at(i), kKey, engine(i), i);
   return registry;
 }
 
@@ -117,9 +117,9 @@
 Test(suspect_registry, rows_of_others_are_joined_with_what_was_seen_here) {
   suspect_registry registry = registryAfter(1);
   suspect_record row;
-  row.ends = 2;
+  row.crashes = 2;
   row.engines = {engine(7)};
-  row.last_ms = 9000;
+  row.last_crash_ms = 9000;
   registry.onRow(at(1), 10000, kKey, 5, row);
   cr_assert_eq(registry.crashesOf(kKey), 2);
   cr_assert_eq(registry.revisionOf(kKey), Revision{5});
@@ -127,8 +127,8 @@
             fromSeconds(1));
   const suspect_record joined = registry.record(at(1), 10000, kKey);
   cr_assert_eq(joined.engines.size(), 2U);
-  cr_assert_eq(joined.last_ms, 9000);
-  row.ends = 1;
+  cr_assert_eq(joined.last_crash_ms, 9000);
+  row.crashes = 1;
   registry.onRow(at(2), 11000, kKey, 4, row);
   cr_assert_eq(registry.crashesOf(kKey), 2, "older than what is known");
 }
@@ -138,7 +138,7 @@
   registry.setShared(kKey);
   cr_assert_eq(registry.unwritten(9).size(), 1U);
   suspect_record row;
-  row.ends = 1;
+  row.crashes = 1;
   registry.onRow(at(2), 10000, kKey, 5, row);
   cr_assert_eq(registry.unwritten(9).size(), 1U);
   registry.onWritten(kKey, 6, registry.record(at(2), 10000, kKey));
@@ -152,7 +152,7 @@
 Test(suspect_registry, a_row_that_is_gone_was_cleared_elsewhere) {
   suspect_registry registry;
   suspect_record row;
-  row.ends = 2;
+  row.crashes = 2;
   registry.onRow(at(0), 10000, kKey, 5, row);
   registry.onRowGone(kKey, 4);
   cr_assert_eq(registry.crashesOf(kKey), 2, "an older removal");
@@ -163,7 +163,7 @@
 Test(suspect_registry, a_table_read_whole_clears_what_is_not_in_it) {
   suspect_registry registry;
   suspect_record row;
-  row.ends = 2;
+  row.crashes = 2;
   registry.onRow(at(0), 10000, kKey, 5, row);
   registry.onRow(at(0), 10000, request_key("newer"), 9, row);
   registry.onEngineCrashed(at(0), request_key("own"), engine(1), 0);
@@ -176,9 +176,9 @@
 Test(suspect_registry, what_a_peer_tells_may_be_more_than_the_row) {
   suspect_registry registry;
   suspect_record row;
-  row.ends = 1;
+  row.crashes = 1;
   registry.onRow(at(0), 10000, kKey, 5, row);
-  row.ends = 3;
+  row.crashes = 3;
   registry.onPeerRow(at(0), 10000, kKey, 5, row);
   cr_assert(standingAt(registry, 1) == AdmissionState::kBarred);
 }
@@ -198,8 +198,8 @@
 Test(suspect_registry, old_rows_are_left_to_others_for_a_while_and_then_removed) {
   suspect_registry registry;
   suspect_record row;
-  row.ends = 1;
-  row.last_ms = 10000;
+  row.crashes = 1;
+  row.last_crash_ms = 10000;
   registry.onRow(at(0), 10000, kKey, 5, row);
   cr_assert(registry.sweep(at(599), fromSeconds(30), 9).empty());
   cr_assert(registry.sweep(at(629), fromSeconds(30), 9).empty());
@@ -210,11 +210,11 @@
 
 Test(suspect_registry, a_record_survives_its_row) {
   suspect_record record;
-  record.ends = 3;
+  record.crashes = 3;
   record.engines = {engine(1), engine(2)};
-  record.last_ms = 12345;
-  record.tried_by = "d#1";
-  record.tried_until_ms = 15345;
+  record.last_crash_ms = 12345;
+  record.isolated_by = "d#1";
+  record.isolated_until_ms = 15345;
   const auto read = suspects::decodeSuspect(suspects::encodeSuspect(record));
   cr_assert(read && *read == record);
   cr_assert(!suspects::decodeSuspect("no record"));
