--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -116,7 +116,7 @@
   suspects::sent_attempt attempt;
   if (!this->deps_.suspects.hasSuspects()) return attempt;
   const std::string id = itemOf(active, item).id.str();
-  const suspects::suspect_admission admission = this->deps_.suspects.beginOwnIsolatedRun(
+  const suspects::suspect_admission admission = this->deps_.suspects.beginLocalIsolatedRun(
       keyOf(active, item), suspects::RequestSource::kItem, id);
   attempt.crashes = admission.crashes;
   attempt.isolated = admission.state == suspects::AdmissionState::kMayRunAlone;
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -45,8 +45,9 @@
 
 // --- Admission -----------------------------------------------------------------------------------
 
-suspect_admission suspect_service::beginOwnIsolatedRun(const request_key& key, RequestSource source,
-                                                       const std::string& id) {
+suspect_admission suspect_service::beginLocalIsolatedRun(const request_key& key,
+                                                         RequestSource source,
+                                                         const std::string& id) {
   const Instant now = steadyNow();
   const suspect_admission admission = this->registry_.admissionOf(now, key, source);
   if (admission.state == AdmissionState::kMayRunAlone) {
@@ -61,7 +62,7 @@
                                                           std::string id) {
   suspect_admission admission;
   for (int tries = 0; tries < kMaxClaimTries; ++tries) {
-    admission = this->beginOwnIsolatedRun(key, source, id);
+    admission = this->beginLocalIsolatedRun(key, source, id);
     // Without the store each daemon goes by what it knows.
     if (admission.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
       co_return admission;
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -54,8 +54,8 @@
   suspect_admission admissionOf(const request_key& key, RequestSource source) const override;
   Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource source,
                                            std::string id) override;
-  suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource source,
-                                        const std::string& id) override;
+  suspect_admission beginLocalIsolatedRun(const request_key& key, RequestSource source,
+                                          const std::string& id) override;
   void onEngineCrashed(const sent_attempt& attempt, const request_key& key, const EngineId& engine,
                        Instant sent_at, RequestSource source, const std::string& id) override;
   void onAnswered(const request_key& key) override;
--- a/src/gateway/suspects/suspect_tracker.h
+++ b/src/gateway/suspects/suspect_tracker.h
@@ -38,8 +38,8 @@
   /** The same by what this daemon knows, for what no other daemon sends meanwhile: an item is sent
    * by its job's owner alone.
    */
-  virtual suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource source,
-                                                const std::string& id) = 0;
+  virtual suspect_admission beginLocalIsolatedRun(const request_key& key, RequestSource source,
+                                                  const std::string& id) = 0;
 
   /** An engine's process crashed under an attempt.
    * @param id of the request, for the log.
