--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -73,7 +73,7 @@
   void beginDrain();
   /// Stops accepting and closes connections that are between two requests.
   void closeIdle();
-  std::size_t busy() const { return busy_; }
+  std::size_t activeRequests() const { return active_requests_; }
   std::size_t connections() const { return sessions_.size(); }
 
  private:
@@ -85,7 +85,7 @@
   Handler handler_;
   ServerLimits limits_;
   std::set<ServerSession*> sessions_;  ///< Every open connection.
-  std::size_t busy_ = 0;  ///< Requests between their first byte and their answer's end.
+  std::size_t active_requests_ = 0;  ///< Requests between their first byte and their answer's end.
   bool draining_ = false;
 };
 
--- a/src/gateway/http/server_session.cpp
+++ b/src/gateway/http/server_session.cpp
@@ -152,7 +152,7 @@
   while (keep_alive_ && !closed_) {
     if (!co_await waitForRequest()) break;
     in_request_ = true;
-    ++server_.busy_;
+    ++server_.active_requests_;
     Parser parser;
     const bool read = co_await readRequest(parser);
     if (read) {
@@ -166,7 +166,7 @@
       ++request_number_;
       if (!writer.ended()) keep_alive_ = false;
     }
-    --server_.busy_;
+    --server_.active_requests_;
     in_request_ = false;
     if (!read) break;
   }
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -291,11 +291,12 @@
     co_await sleepFor(loop_, kStopInterval);
   }
   requests_.closeIdle();
-  while ((requests_.busy() > 0 || usage_.unsaved()) &&
+  while ((requests_.activeRequests() > 0 || usage_.unsaved()) &&
          steadyNow() < begun + settings_.stop_limit - kStopSlack) {
     co_await sleepFor(loop_, kStopInterval);
   }
-  LogEvent("gateway", "stopped").number("cut_off", static_cast<std::int64_t>(requests_.busy()));
+  LogEvent("gateway", "stopped")
+      .number("cut_off", static_cast<std::int64_t>(requests_.activeRequests()));
   loop_.stop();
 }
 
--- a/src/gateway/service/metrics_page.cpp
+++ b/src/gateway/service/metrics_page.cpp
@@ -103,7 +103,7 @@
   this->addJobs(state);
   this->addLeadership(now, state);
   state.client_connections = this->sources_.requests.connections();
-  state.requests_in_progress = this->sources_.requests.busy();
+  state.requests_in_progress = this->sources_.requests.activeRequests();
   state.log_lines_dropped = logging::droppedLines();
   return state;
 }
