--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -61,7 +61,7 @@
   request.route = request.table ? request.table->find(scorer.host, path) : nullptr;
   request.message = this->rewardRequest(scorer);
   request.tenant = active->record.tenant;
-  request.limit = kRewardTime;
+  request.timeout = kRewardTime;
   const bool patient = begun - active->run.progress(item).last_progress < kPatientTime;
   request.max_per_slot = patient ? kDefaultShare : kFullShare;
   request.cancellation = cancellation;
@@ -102,7 +102,7 @@
     ++this->deps_.counts.scored;
   } else {
     const Duration usual = outcome.attempts == 0 ? kFullPause : kFailurePause;
-    const Duration pause = std::max(usual, std::min(outcome.wait, kMaxSuspectPause));
+    const Duration pause = std::max(usual, std::min(outcome.retry_after, kMaxSuspectPause));
     active.run.onNotScored(steadyNow(), item, outcome.failures, max_failures, pause);
     ++this->deps_.counts.scorings_failed;
   }
--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -6,7 +6,7 @@
                                                                      bool alone) {
   suspects::sent_attempt attempt;
   forwarded.admission = {};
-  if (!this->suspects_.any()) co_return attempt;
+  if (!this->suspects_.hasSuspects()) co_return attempt;
   const suspects::request_key key = keyOf(forwarded, *forwarded.request);
   forwarded.admission = this->suspects_.admissionOf(key, suspects::RequestSource::kCaller);
   if (forwarded.admission.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
@@ -27,15 +27,15 @@
 }
 
 void attempt_admission::onEnded(forwarded_request& forwarded, const engine_call& call,
-                                AttemptVerdict verdict, const suspects::sent_attempt& attempt,
+                                AttemptOutcome verdict, const suspects::sent_attempt& attempt,
                                 bool engine_crashed) {
   if (engine_crashed) {
     this->suspects_.onEngineCrashed(attempt, keyOf(forwarded, call.request()), call.engine(),
                                     call.startedAt(), suspects::RequestSource::kCaller,
                                     forwarded.id);
-  } else if (verdict != AttemptVerdict::kAnswered) {
+  } else if (verdict != AttemptOutcome::kAnswered) {
     if (attempt.isolated) this->suspects_.onInconclusive(keyOf(forwarded, call.request()));
-  } else if (this->suspects_.any()) {
+  } else if (this->suspects_.hasSuspects()) {
     this->suspects_.onAnswered(keyOf(forwarded, call.request()));
   }
 }
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -23,14 +23,14 @@
  public:
   forwarder(boost::asio::io_context& loop, engine_call_context engines,
             routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
-            usage::usage_recorder& recorder, suspects::suspect_gate& suspects);
+            usage::usage_recorder& recorder, suspects::suspect_tracker& suspects);
   /** The parts refer to each other. */
   forwarder(const forwarder&) = delete;
   forwarder& operator=(const forwarder&) = delete;
 
-  /** See `engine_picker::followResidency`. */
-  void followResidency(std::function<routing::RouteTablePtr()> newest) {
-    this->choice_.followResidency(std::move(newest));
+  /** See `engine_picker::setResidencySource`. */
+  void setResidencySource(std::function<routing::RouteTablePtr()> newest) {
+    this->choice_.setResidencySource(std::move(newest));
   }
 
   /** Answers the request in every case, unless the client is gone.
--- a/src/gateway/forward/plain_requests.cpp
+++ b/src/gateway/forward/plain_requests.cpp
@@ -41,7 +41,7 @@
   forwarded->id = http::fieldText(request.message, this->context_.engines.names.request_id);
   forwarded->received = steadyNow();
   forwarded->deadline =
-      forwarded->received + std::min<Duration>(request.limit, request.route->timeout);
+      forwarded->received + std::min<Duration>(request.timeout, request.route->timeout);
   forwarded->max_per_slot = request.max_per_slot;
   forwarded->internal = true;
   return forwarded;
@@ -54,7 +54,7 @@
   internal_outcome outcome;
   outcome.failures = attempts.failures;
   outcome.attempts = policy.started();
-  outcome.wait = forwarded->admission.wait;
+  outcome.retry_after = forwarded->admission.retry_after;
   if (attempts.answer) {
     outcome.status = attempts.answer->result_int();
     outcome.signature = http::fieldText(*attempts.answer, this->context_.engines.names.signature);
@@ -94,7 +94,7 @@
                                   attempts_outcome& outcome) const {
   for (attempt_race::result& ended : race.takeResults()) {
     policy.onEnded(ended.verdict);
-    if (ended.verdict != AttemptVerdict::kAnswered) continue;
+    if (ended.verdict != AttemptOutcome::kAnswered) continue;
     const unsigned status = ended.response.result_int();
     if (status == kServerError) ++outcome.failures;
     if (status >= kServerError && policy.retriesFailures(steadyNow())) continue;
--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -18,17 +18,18 @@
 namespace linenpier::http {
 
 struct ServerLimits {
-  std::uint32_t header_bytes = 16 * 1024;
-  std::uint64_t body_bytes = 32ULL * 1024 * 1024;
-  Duration header_time = std::chrono::seconds(3);  ///< From a head's first byte to its end.
-  Duration body_time = std::chrono::seconds(10);   ///< From a head's end to the body's.
-  Duration idle_time = std::chrono::seconds(15);   ///< Between two requests.
+  std::uint32_t max_header_bytes = 16 * 1024;
+  std::uint64_t max_body_bytes = 32ULL * 1024 * 1024;
+  Duration header_timeout = std::chrono::seconds(3);  ///< From a head's first byte to its end.
+  Duration body_timeout = std::chrono::seconds(10);   ///< From a head's end to the body's.
+  Duration idle_timeout = std::chrono::seconds(15);   ///< Between two requests.
 };
 
 class ServerSession;
 
 /// Where a handler puts its answer. Exactly one of `send`, `beginStream` … `endStream` or
-/// `breakOff` must end every request; a handler that returns without any breaks the connection off.
+/// `abortConnection` must end every request; a handler that returns without any breaks the
+/// connection off.
 class ResponseWriter {
  public:
   explicit ResponseWriter(ServerSession& session) : session_(session) {}
@@ -40,7 +41,7 @@
   Task<bool> writeChunk(std::string bytes);
   Task<bool> endStream();
   /// Closes the connection so that what was sent does not look complete.
-  void breakOff();
+  void abortConnection();
   bool begun() const { return begun_; }
   bool ended() const { return ended_; }
 
@@ -72,7 +73,7 @@
   void beginDrain();
   /// Stops accepting and closes connections that are between two requests.
   void closeIdle();
-  std::size_t busy() const { return busy_; }
+  std::size_t activeRequests() const { return active_requests_; }
   std::size_t connections() const { return sessions_.size(); }
 
  private:
@@ -84,7 +85,7 @@
   Handler handler_;
   ServerLimits limits_;
   std::set<ServerSession*> sessions_;  ///< Every open connection.
-  std::size_t busy_ = 0;  ///< Requests between their first byte and their answer's end.
+  std::size_t active_requests_ = 0;  ///< Requests between their first byte and their answer's end.
   bool draining_ = false;
 };
 
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -149,7 +149,7 @@
   registry_.coldLimiter().setLimitOptions(settings.cold);
   registry_.setHeartbeat(settings.engine_heartbeat);
   registry_.setLayout(settings.layout);
-  forwarder_.followResidency([this] { return operators_.routes(); });
+  forwarder_.setResidencySource([this] { return operators_.routes(); });
 }
 
 Findings Gateway::start() {
@@ -218,7 +218,7 @@
 bool Gateway::ready() const {
   // The suspects: a gateway that does not know what earlier lives learned could crash engines with
   // its first requests.
-  return operators_.routes() && engines_.known() && suspects_.known() && !stopping_;
+  return operators_.routes() && engines_.known() && suspects_.loaded() && !stopping_;
 }
 
 Task<void> Gateway::handleReadiness(http::Request& request, http::ResponseWriter& writer) {
@@ -292,11 +292,12 @@
     co_await sleepFor(loop_, kStopInterval);
   }
   requests_.closeIdle();
-  while ((requests_.busy() > 0 || usage_.unsaved()) &&
+  while ((requests_.activeRequests() > 0 || usage_.unsaved()) &&
          steadyNow() < begun + settings_.stop_limit - kStopSlack) {
     co_await sleepFor(loop_, kStopInterval);
   }
-  LogEvent("gateway", "stopped").number("cut_off", static_cast<std::int64_t>(requests_.busy()));
+  LogEvent("gateway", "stopped")
+      .number("cut_off", static_cast<std::int64_t>(requests_.activeRequests()));
   loop_.stop();
 }
 
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_registry.h
@@ -22,14 +22,14 @@
 namespace linenpier::suspects {
 
 /** Loop thread only; times are passed in. */
-class suspect_book {
+class suspect_registry {
  public:
-  explicit suspect_book(suspect_rules rules = {}) : rules_(rules) {}
+  explicit suspect_registry(suspect_rules rules = {}) : rules_(rules) {}
 
   bool empty() const { return this->entries_.empty(); }
   std::size_t size() const { return this->entries_.size(); }
   /** @return how many callers' requests are barred now. */
-  std::size_t barred(Instant now) const;
+  std::size_t barredCount(Instant now) const;
   const suspect_rules& rules() const { return this->rules_; }
 
   suspect_admission admissionOf(Instant now, const request_key& key, RequestSource source) const;
@@ -87,8 +87,8 @@
     int crashes = 0;
     std::vector<EngineId> engines;
     Instant last_at{};
-    std::string tried_by;  ///< Daemon's life that runs it alone; empty: none.
-    Instant tried_until{};
+    std::string isolated_by;  ///< Daemon's life that runs it alone; empty: none.
+    Instant isolated_until{};
     Revision revision = 0;  ///< Of its row; 0: none is known.
     bool shared = false;    ///< The store must have its row.
     bool written = false;   ///< The row has all of the above.
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -19,7 +19,7 @@
 #include "common/task.h"
 #include "gateway/lease/lease_keeper.h"
 #include "gateway/lease/lease_table.h"
-#include "gateway/suspects/suspect_gate.h"
+#include "gateway/suspects/suspect_tracker.h"
 #include "gateway/table/async_table.h"
 
 namespace linenpier::suspects {
@@ -35,7 +35,7 @@
 };
 
 /** Loop thread only. */
-class suspect_service : public suspect_gate {
+class suspect_service : public suspect_tracker {
  public:
   struct dependencies {
     boost::asio::io_context& loop;
@@ -50,12 +50,12 @@
 
   void start();
 
-  bool any() const override { return !this->book_.empty(); }
+  bool hasSuspects() const override { return !this->registry_.empty(); }
   suspect_admission admissionOf(const request_key& key, RequestSource source) const override;
   Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource source,
                                            std::string id) override;
-  suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource source,
-                                        const std::string& id) override;
+  suspect_admission beginLocalIsolatedRun(const request_key& key, RequestSource source,
+                                          const std::string& id) override;
   void onEngineCrashed(const sent_attempt& attempt, const request_key& key, const EngineId& engine,
                        Instant sent_at, RequestSource source, const std::string& id) override;
   void onAnswered(const request_key& key) override;
@@ -70,11 +70,11 @@
   /** @return whether the suspects of earlier lives were read, from the store or a peer. The daemon
    * is not ready before: its first requests could crash engines that are known to crash.
    */
-  bool known() const { return this->known_; }
+  bool loaded() const { return this->loaded_; }
   /** @return the worst suspects, for a peer that does not reach the store. */
   std::vector<table::Row> rows() const;
 
-  const suspect_book& book() const { return this->book_; }
+  const suspect_registry& registry() const { return this->registry_; }
   const suspect_totals& totals() const { return this->totals_; }
 
  private:
@@ -95,10 +95,10 @@
   void onRefused(const suspect_admission& admission, const request_key& key, const std::string& id);
 
   dependencies deps_;
-  suspect_book book_;
+  suspect_registry registry_;
   suspect_totals totals_;
   Signal changed_;  ///< There may be a row to write.
-  bool known_ = false;
+  bool loaded_ = false;
   logging::SuccessSampler refusal_lines_{kRefusalLinesPerSecond, kSampleOneIn};
 };
 
--- a/src/gateway/suspects/suspect_gate.h
+++ b/src/gateway/suspects/suspect_tracker.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "common/task.h"
-#include "gateway/suspects/suspect_book.h"
+#include "gateway/suspects/suspect_registry.h"
 
 namespace linenpier::suspects {
 
@@ -19,12 +19,12 @@
 };
 
 /** Loop thread only. */
-class suspect_gate {
+class suspect_tracker {
  public:
-  virtual ~suspect_gate() = default;
+  virtual ~suspect_tracker() = default;
 
   /** @return whether there is any suspect. If not, no key need be computed. */
-  virtual bool any() const = 0;
+  virtual bool hasSuspects() const = 0;
   /** @return what a request is allowed by what this daemon knows; kNotSuspect for nearly all. */
   virtual suspect_admission admissionOf(const request_key& key, RequestSource source) const = 0;
   /** Claims the right to run a suspect alone, for this daemon of all. Writes to the store, unless
@@ -38,8 +38,8 @@
   /** The same by what this daemon knows, for what no other daemon sends meanwhile: an item is sent
    * by its job's owner alone.
    */
-  virtual suspect_admission beginOwnIsolatedRun(const request_key& key, RequestSource source,
-                                                const std::string& id) = 0;
+  virtual suspect_admission beginLocalIsolatedRun(const request_key& key, RequestSource source,
+                                                  const std::string& id) = 0;
 
   /** An engine's process crashed under an attempt.
    * @param id of the request, for the log.
