--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -33,10 +33,10 @@
   active->checkpoint_next_row += rows;
   active->checkpoint_in_progress = true;
   const Instant begun = steadyNow();
-  const fenced_answer answer =
+  const fenced_write_result answer =
       co_await this->deps_.store.putCheckpoint(active->record.id, active->fence, std::move(write));
   active->checkpoint_in_progress = false;
-  const bool done = answer.outcome == FencedOutcome::kDone;
+  const bool done = answer.outcome == FencedWriteOutcome::kCommitted;
   if (done) {
     active->kept_texts.onWritten(part);
     if (part.whole) active->checkpoint_first_row = first_row;
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -86,7 +86,7 @@
   call.record.accepted_ms = this->deps_.keeper.storeClock(steadyNow());
   call.record.owner = this->ownerFor(steadyNow(), call.record);
   call.job = std::move(*job);
-  const fenced_answer accepted =
+  const fenced_write_result accepted =
       co_await this->acceptRecord(call.record, std::move(body), call.deadline);
   co_return this->judge(call, accepted);
 }
@@ -113,16 +113,19 @@
   }
 }
 
-Task<fenced_answer> job_acceptance::acceptRecord(job_record record, std::vector<table::Put> body,
-                                                 Instant deadline) {
+Task<fenced_write_result> job_acceptance::acceptRecord(job_record record,
+                                                       std::vector<table::Put> body,
+                                                       Instant deadline) {
   for (;;) {
     const Instant sent_at = steadyNow();
     const bool own = record.owner == this->deps_.leases.own();
     std::vector<table::Put> also = body;
     if (own) also.push_back(this->deps_.keeper.renewal());
-    const fenced_answer answer = co_await this->deps_.store.putRecord(record, 0, std::move(also));
-    if (own && answer.outcome == FencedOutcome::kDone) this->deps_.keeper.onRenewed(sent_at);
-    if (answer.outcome != FencedOutcome::kUnknown) co_return answer;
+    const fenced_write_result answer =
+        co_await this->deps_.store.putRecord(record, 0, std::move(also));
+    if (own && answer.outcome == FencedWriteOutcome::kCommitted)
+      this->deps_.keeper.onRenewed(sent_at);
+    if (answer.outcome != FencedWriteOutcome::kUnknown) co_return answer;
     // It may be done yet. Only a row that is there settles it; the same write may follow.
     if (steadyNow() + this->deps_.options.store_pause >= deadline) co_return answer;
     co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
@@ -130,15 +133,15 @@
 }
 
 job_acceptance::hand_in_outcome job_acceptance::judge(const hand_in& call,
-                                                      const fenced_answer& answer) {
+                                                      const fenced_write_result& answer) {
   switch (answer.outcome) {
-    case FencedOutcome::kNotDone:
+    case FencedWriteOutcome::kNotCommitted:
       return {"row_not_stored", kUnavailable};
-    case FencedOutcome::kUnknown:
+    case FencedWriteOutcome::kUnknown:
       return {"row_unknown", kUnknown};
-    case FencedOutcome::kDone:
+    case FencedWriteOutcome::kCommitted:
       return {"accepted", kAccepted, {}, answer.revision};
-    case FencedOutcome::kFenceLost:
+    case FencedWriteOutcome::kFenceLost:
       break;
   }
   std::optional<job_record> known;
@@ -233,13 +236,14 @@
     }
     if (record) {
       record->ended = true;
-      const fenced_answer answer = co_await this->deps_.store.putRecord(*record, row->revision, {});
-      if (answer.outcome == FencedOutcome::kDone) {
+      const fenced_write_result answer =
+          co_await this->deps_.store.putRecord(*record, row->revision, {});
+      if (answer.outcome == FencedWriteOutcome::kCommitted) {
         const table::Row ended{row->key, answer.revision, encodeRecord(*record)};
         this->deps_.jobs.onRow(id, ended);
         co_return kOk;
       }
-      if (answer.outcome == FencedOutcome::kFenceLost) {
+      if (answer.outcome == FencedWriteOutcome::kFenceLost) {
         known = answer.current;
         continue;
       }
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -82,9 +82,9 @@
   /** Keeps a job that is too large for rows. @return whether it is kept. */
   Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
   /** @param body rows to be written with the job's row. */
-  Task<fenced_answer> acceptRecord(job_record record, std::vector<table::Put> body,
-                                   Instant deadline);
-  hand_in_outcome judge(const hand_in& call, const fenced_answer& answer);
+  Task<fenced_write_result> acceptRecord(job_record record, std::vector<table::Put> body,
+                                         Instant deadline);
+  hand_in_outcome judge(const hand_in& call, const fenced_write_result& answer);
   void logOutcome(const hand_in& call, const hand_in_outcome& outcome) const;
   /** Takes the job in, and runs it if it is this daemon's. */
   void onAccepted(hand_in& call, Revision revision);
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -138,7 +138,7 @@
   const Instant sent_at = steadyNow();
   std::vector<table::Put> renewal;
   renewal.push_back(this->deps_.keeper.renewal());
-  const fenced_answer answer =
+  const fenced_write_result answer =
       co_await this->deps_.store.putRecord(record, fence, std::move(renewal));
   known_job* job = this->deps_.jobs.find(id);
   if (job == nullptr) co_return;
@@ -146,8 +146,8 @@
       .text("batch", id.str())
       .text("from", from)
       .number("fence", static_cast<std::int64_t>(fence))
-      .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
-  if (answer.outcome != FencedOutcome::kDone) {
+      .text("outcome", answer.outcome == FencedWriteOutcome::kCommitted ? "done" : "not_done");
+  if (answer.outcome != FencedWriteOutcome::kCommitted) {
     job->activating = false;
     if (answer.current) this->deps_.jobs.onRow(id, *answer.current);
     co_return;
@@ -284,11 +284,11 @@
     // Also where one was sent just now: it may come too late, after the job was given up.
     co_await this->deps_.checkpoints.write(active, checkpoint_writer::Need::kAlways);
   }
-  const fenced_answer answer = co_await this->deps_.store.putRecord(record, fence, {});
+  const fenced_write_result answer = co_await this->deps_.store.putRecord(record, fence, {});
   LogEvent("batch", "handed_over")
       .text("batch", id.str())
-      .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
-  if (answer.outcome == FencedOutcome::kDone) {
+      .text("outcome", answer.outcome == FencedWriteOutcome::kCommitted ? "done" : "not_done");
+  if (answer.outcome == FencedWriteOutcome::kCommitted) {
     this->deps_.jobs.onRow(id, {table::jobKey(id), answer.revision, encodeRecord(record)});
   }
 }
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -124,16 +124,17 @@
   co_return bytes;
 }
 
-fenced_answer job_store::judge(const CallResult<table::TransactionAnswer>& answer,
-                               const std::string& job_key, Revision fence) const {
-  fenced_answer judged;
+fenced_write_result job_store::judge(const CallResult<table::TransactionAnswer>& answer,
+                                     const std::string& job_key, Revision fence) const {
+  fenced_write_result judged;
   if (!answer) {
-    judged.outcome = certainlyNotProcessed(answer.error().failure) ? FencedOutcome::kNotDone
-                                                                   : FencedOutcome::kUnknown;
+    judged.outcome = certainlyNotProcessed(answer.error().failure)
+                         ? FencedWriteOutcome::kNotCommitted
+                         : FencedWriteOutcome::kUnknown;
     return judged;
   }
   if (answer->committed) {
-    judged.outcome = FencedOutcome::kDone;
+    judged.outcome = FencedWriteOutcome::kCommitted;
     judged.revision = answer->revision;
     return judged;
   }
@@ -143,16 +144,16 @@
   const Revision current = present ? row->revision : 0;
   if (present) judged.current = *row;
   if (current != fence) {
-    judged.outcome = FencedOutcome::kFenceLost;
+    judged.outcome = FencedWriteOutcome::kFenceLost;
     return judged;
   }
   // The row is the only condition: a conflict under its own revision was not this write's.
-  judged.outcome = FencedOutcome::kNotDone;
+  judged.outcome = FencedWriteOutcome::kNotCommitted;
   return judged;
 }
 
-Task<fenced_answer> job_store::putRecord(job_record record, Revision fence,
-                                         std::vector<table::Put> also) {
+Task<fenced_write_result> job_store::putRecord(job_record record, Revision fence,
+                                               std::vector<table::Put> also) {
   const std::string key = jobKey(record.id);
   table::Write write;
   write.transaction.checks.push_back({key, fence});
@@ -182,9 +183,9 @@
   co_return page->rows.empty() ? table::Row{jobKey(id), 0, ""} : page->rows.front();
 }
 
-Task<fenced_answer> job_store::append(JobId id, Revision fence, std::size_t position,
-                                      std::vector<stored_result> results,
-                                      std::optional<job_record> publish) {
+Task<fenced_write_result> job_store::append(JobId id, Revision fence, std::size_t position,
+                                            std::vector<stored_result> results,
+                                            std::optional<job_record> publish) {
   const std::string job_key = jobKey(id);
   table::Write write;
   write.transaction.checks.push_back({job_key, fence});
@@ -196,7 +197,7 @@
     } else {
       const std::string name = largeResultName(id, position, fence);
       const auto put = co_await this->objects_.put(name, result.encoded);
-      if (!put) co_return fenced_answer{FencedOutcome::kNotDone, 0, std::nullopt};
+      if (!put) co_return fenced_write_result{FencedWriteOutcome::kNotCommitted, 0, std::nullopt};
       value += kObject + name;
     }
     const std::string key = resultRowKey(id, position);
@@ -207,7 +208,8 @@
   co_return this->judge(answer, job_key, fence);
 }
 
-Task<fenced_answer> job_store::putCheckpoint(JobId id, Revision fence, checkpoint_write part) {
+Task<fenced_write_result> job_store::putCheckpoint(JobId id, Revision fence,
+                                                   checkpoint_write part) {
   const std::string job_key = jobKey(id);
   const std::string prefix = table::kCheckpointTable + "/";
   table::Write write;
@@ -218,8 +220,8 @@
     if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
       // A part that is cut off counts for nothing until its last row is there.
       const auto begun = co_await this->table_.write(std::move(write));
-      const fenced_answer judged = this->judge(begun, job_key, fence);
-      if (judged.outcome != FencedOutcome::kDone) co_return judged;
+      const fenced_write_result judged = this->judge(begun, job_key, fence);
+      if (judged.outcome != FencedWriteOutcome::kCommitted) co_return judged;
       write = table::Write{};
       write.transaction.checks.push_back({job_key, fence});
       bytes = 0;
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -56,15 +56,15 @@
 };
 
 /** What came of a conditional write. */
-enum class FencedOutcome {
-  kDone,
-  kFenceLost,  ///< The job's row has another revision.
-  kNotDone,    ///< Certainly not done; again later.
-  kUnknown,    ///< May be done yet; only the same write may follow.
+enum class FencedWriteOutcome {
+  kCommitted,
+  kFenceLost,     ///< The job's row has another revision.
+  kNotCommitted,  ///< Certainly not done; again later.
+  kUnknown,       ///< May be done yet; only the same write may follow.
 };
 
-struct fenced_answer {
-  FencedOutcome outcome = FencedOutcome::kUnknown;
+struct fenced_write_result {
+  FencedWriteOutcome outcome = FencedWriteOutcome::kUnknown;
   Revision revision = 0;              ///< Of what was written.
   std::optional<table::Row> current;  ///< The job's row, if the fence is lost and the row exists.
 };
@@ -92,7 +92,8 @@
 
   /** Writes the job's row if its revision is `fence` (0: absent), with `also` in one transaction.
    */
-  Task<fenced_answer> putRecord(job_record record, Revision fence, std::vector<table::Put> also);
+  Task<fenced_write_result> putRecord(job_record record, Revision fence,
+                                      std::vector<table::Put> also);
   /** @return whether the store answers a question about the job in time. */
   Task<bool> answers(JobId id, Duration timeout);
   /** @return the row; revision 0 if there is none. */
@@ -102,12 +103,13 @@
    * @param publish the job's row with what readers are shown from then on, in the same write: it
    *     gets a new revision, which is the fence then.
    */
-  Task<fenced_answer> append(JobId id, Revision fence, std::size_t position,
-                             std::vector<stored_result> results, std::optional<job_record> publish);
+  Task<fenced_write_result> append(JobId id, Revision fence, std::size_t position,
+                                   std::vector<stored_result> results,
+                                   std::optional<job_record> publish);
   /** @return how much of a part of a checkpoint a row takes, in bytes. */
   std::size_t rowBytes() const { return this->row_bytes_; }
   /** Keeps what unfinished items have so far. */
-  Task<fenced_answer> putCheckpoint(JobId id, Revision fence, checkpoint_write part);
+  Task<fenced_write_result> putCheckpoint(JobId id, Revision fence, checkpoint_write part);
   /** Removes everything of a job that has ended, its row last. May be repeated.
    * @return whether nothing is left.
    */
@@ -123,8 +125,8 @@
   /** Removes the job's rows of a table that has many of each job. @return whether none is left. */
   Task<bool> removeRows(std::string table, JobId id, Revision fence);
   Task<bool> removeObjects(std::string prefix);
-  fenced_answer judge(const CallResult<table::TransactionAnswer>& answer,
-                      const std::string& job_key, Revision fence) const;
+  fenced_write_result judge(const CallResult<table::TransactionAnswer>& answer,
+                            const std::string& job_key, Revision fence) const;
 
   table::AsyncTable& table_;
   table::AsyncObjects& objects_;
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -95,12 +95,12 @@
     publish->published = *pending.publish;
     publish->begun = true;
   }
-  const fenced_answer answer =
+  const fenced_write_result answer =
       co_await this->deps_.store.append(id, fence, pending.position, pending.results, publish);
   if (active->stopped) co_return false;
   const bool done =
-      answer.outcome == FencedOutcome::kDone || this->publishedBefore(answer, *active);
-  if (!done && answer.outcome == FencedOutcome::kFenceLost && answer.current) {
+      answer.outcome == FencedWriteOutcome::kCommitted || this->publishedBefore(answer, *active);
+  if (!done && answer.outcome == FencedWriteOutcome::kFenceLost && answer.current) {
     this->deps_.jobs.onRow(id, *answer.current);
     co_return false;
   }
@@ -108,7 +108,7 @@
     LogEvent("batch", "list_failed")
         .text("batch", id.str())
         .number("position", static_cast<std::int64_t>(pending.position))
-        .text("outcome", answer.outcome == FencedOutcome::kUnknown ? "unknown" : "not_done");
+        .text("outcome", answer.outcome == FencedWriteOutcome::kUnknown ? "unknown" : "not_done");
     co_return false;
   }
   if (answer.current) {
@@ -120,8 +120,9 @@
   co_return true;
 }
 
-bool result_writer::publishedBefore(const fenced_answer& answer, const active_job& active) const {
-  if (answer.outcome != FencedOutcome::kFenceLost || !answer.current) return false;
+bool result_writer::publishedBefore(const fenced_write_result& answer,
+                                    const active_job& active) const {
+  if (answer.outcome != FencedWriteOutcome::kFenceLost || !answer.current) return false;
   const auto record = decodeRecord(active.record.id, answer.current->value);
   if (!record || record->ended || record->owner != this->deps_.leases.own()) return false;
   return active.pending.publish && record->published == *active.pending.publish;
--- a/src/gateway/batch/result_writer.h
+++ b/src/gateway/batch/result_writer.h
@@ -50,7 +50,7 @@
   /** @return whether the pending write is done. */
   Task<bool> writePending(active_job_ptr active);
   /** @return whether an earlier try of the pending write, which was not answered, was done. */
-  bool publishedBefore(const fenced_answer& answer, const active_job& active) const;
+  bool publishedBefore(const fenced_write_result& answer, const active_job& active) const;
   void onPendingWritten(active_job& active);
 
   dependencies deps_;
--- a/tests/gateway/service/job_store_test.cpp
+++ b/tests/gateway/service/job_store_test.cpp
@@ -39,8 +39,8 @@
   const auto rows = store.bodyRows(record.id, small);
   record.body_rows = rows.size();
   cr_assert_eq(record.body_rows, 5U);
-  const batch::fenced_answer put = co_await store.putRecord(record, 0, rows);
-  cr_assert(put.outcome == batch::FencedOutcome::kDone);
+  const batch::fenced_write_result put = co_await store.putRecord(record, 0, rows);
+  cr_assert(put.outcome == batch::FencedWriteOutcome::kCommitted);
   const auto read = co_await store.getJob(record);
   cr_assert(read.has_value() && *read == small);
   const std::string large = bytesOf(kTooLargeForRows);
@@ -58,14 +58,14 @@
   platform_adapter::StoreClient client(pool, fixture.store().address(), {});
   batch::job_store store(client, client, kRowBytes);
   const batch::job_record record = recordOf("job");
-  const batch::fenced_answer put = co_await store.putRecord(record, 0, {});
+  const batch::fenced_write_result put = co_await store.putRecord(record, 0, {});
   const batch::checkpoint_write first{{"1/2:"}, 0, 0};
   const auto begun = co_await store.putCheckpoint(record.id, put.revision, first);
-  cr_assert(begun.outcome == batch::FencedOutcome::kDone);
+  cr_assert(begun.outcome == batch::FencedWriteOutcome::kCommitted);
   const auto nothing = co_await store.getCheckpoint(record.id);
   cr_assert(nothing.has_value() && nothing->texts.empty());
   cr_assert_eq(nothing->next_row, 1U);
   const batch::checkpoint_write lost{{"x"}, 1, 0};
   const auto fenced = co_await store.putCheckpoint(record.id, put.revision + 1, lost);
-  cr_assert(fenced.outcome == batch::FencedOutcome::kFenceLost);
+  cr_assert(fenced.outcome == batch::FencedWriteOutcome::kFenceLost);
 }
