--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -11,7 +11,7 @@
 #include "gateway/batch/result_schedule.h"
 #include "gateway/batch/run_move_rules.h"
 #include "gateway/batch/run_timeouts.h"
-#include "gateway/batch/runs_leaving.h"
+#include "gateway/batch/zone_drain_schedule.h"
 
 namespace linenpier::batch {
 
@@ -51,7 +51,7 @@
   /// Requests a slot that an engine may have, counting others', for items to start there.
   double requests_per_slot = 1.0;
   run_move_rules moves;
-  leaving_options leaving;               ///< Of closed zones.
+  zone_drain_options zone_drain;         ///< Of closed zones.
   std::size_t page_bytes = 900 * 1024;   ///< Of results in one answer to a reader.
   std::size_t write_bytes = 640 * 1024;  ///< Of results in one append.
   /// Results that are held back for longer are more than one page, which a trainer reads half a
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -38,7 +38,7 @@
       applyRules(*job.active, this->deps_.routes());
       if (job.active->run.onTick(now)) job.active->finished.notifyAll();
     }
-    this->closed_zone_mover_.leaveClosedZones(now);
+    this->zone_drainer_.drainClosedZones(now);
     this->slow_run_mover_.moveSlowRuns(now);
     this->runner_.startRunnableItems();
   }
@@ -55,7 +55,7 @@
     work.unscored += job.active->run.unscored();
   }
   for (const auto& [zone, revision] : this->deps_.engines.registry.closedZones().all()) {
-    work.in_closed_zones += this->closed_zone_mover_.runsIn(zone);
+    work.in_closed_zones += this->zone_drainer_.runsIn(zone);
   }
   return work;
 }
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -16,7 +16,6 @@
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/checkpoint_writer.h"
-#include "gateway/batch/closed_zone_mover.h"
 #include "gateway/batch/item_pick.h"
 #include "gateway/batch/item_runner.h"
 #include "gateway/batch/job_acceptance.h"
@@ -30,6 +29,7 @@
 #include "gateway/batch/partial_result_reuse.h"
 #include "gateway/batch/result_writer.h"
 #include "gateway/batch/slow_run_mover.h"
+#include "gateway/batch/zone_drainer.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/http/server.h"
@@ -67,7 +67,7 @@
   void start();
   void setOptions(const batch_options& options) {
     this->options_ = options;
-    this->closed_zone_mover_.setOptions(options.leaving);
+    this->zone_drainer_.setOptions(options.zone_drain);
   }
 
   /** See `job_acceptance` and `job_reader`. */
@@ -116,7 +116,7 @@
   };
   job_work work() const;
   /** @return runs of owned jobs at engines of the zone. */
-  std::size_t runsIn(const ZoneName& zone) const { return this->closed_zone_mover_.runsIn(zone); }
+  std::size_t runsIn(const ZoneName& zone) const { return this->zone_drainer_.runsIn(zone); }
 
  private:
   Task<void> pollLoop();
@@ -131,7 +131,7 @@
                        deps_.routes, counts_, options_}};
   slow_run_mover slow_run_mover_{
       {deps_.engines.registry, jobs_, runner_.lengths(), picks_, deps_.routes, options_}};
-  closed_zone_mover closed_zone_mover_{
+  zone_drainer zone_drainer_{
       {deps_.engines.registry, jobs_, runner_.lengths(), picks_, deps_.routes}};
   result_writer results_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
--- a/src/gateway/batch/runs_leaving.h
+++ b/src/gateway/batch/zone_drain_schedule.h
@@ -15,13 +15,13 @@
 
 namespace linenpier::batch {
 
-struct leaving_options {
+struct zone_drain_options {
   /// From the closing of a zone until the last run leaves it. The zone's engines may be taken away
   /// some five seconds after the closing; half of that leaves time for a second try.
-  Duration within = std::chrono::milliseconds(2500);
+  Duration drain_time = std::chrono::milliseconds(2500);
   /// A run that ends this soon stays in any case: to leave takes about as long.
-  Duration ends_soon = std::chrono::milliseconds(250);
-  std::size_t max_at_once = 6;  ///< Of one zone that leave in one go.
+  Duration min_remaining_time = std::chrono::milliseconds(250);
+  std::size_t max_moves_per_poll = 6;  ///< Of one zone that leave in one go.
 };
 
 /** A run at an engine of a closed zone. */
@@ -31,16 +31,16 @@
 };
 
 /** A zone that the last run has left. */
-struct emptied_zone {
+struct drained_zone {
   ZoneName zone;
   Duration took{};       ///< Since the closing was first acted on.
   std::size_t left = 0;  ///< Runs that went on elsewhere; the others ended there.
 };
 
-class runs_leaving {
+class zone_drain_schedule {
  public:
-  void setOptions(const leaving_options& options) { this->options_ = options; }
-  const leaving_options& options() const { return this->options_; }
+  void setOptions(const zone_drain_options& options) { this->options_ = options; }
+  const zone_drain_options& options() const { return this->options_; }
 
   /** Begins with zones that were closed lately and forgets those that were opened.
    * @param runs all that are at engines of closed zones.
@@ -49,25 +49,25 @@
   /** @return indices into `runs` of those that should leave now, the longest first. */
   std::vector<std::size_t> due(Instant now, const std::vector<placed_run>& runs) const;
   /** A run that was due has left, since there was room elsewhere. */
-  void onLeft(const ZoneName& zone);
+  void onRunMoved(const ZoneName& zone);
   /** @return zones without runs, each once a closing. */
-  std::vector<emptied_zone> takeEmptied(Instant now, const std::vector<placed_run>& runs);
+  std::vector<drained_zone> takeDrained(Instant now, const std::vector<placed_run>& runs);
   /** @return whether no closed zone is known. */
   bool idle() const { return this->zones_.empty(); }
 
  private:
   struct zone_progress {
-    Instant begun{};
-    std::size_t leavers = 0;  ///< Runs at the closing that would not have ended in time.
+    Instant started_at{};
+    std::size_t movable = 0;  ///< Runs at the closing that would not have ended in time.
     std::size_t left = 0;
-    bool emptied = false;
+    bool drained = false;
   };
 
-  bool stays(Instant now, const zone_progress& progress, const placed_run& run) const;
+  bool mayFinishInPlace(Instant now, const zone_progress& progress, const placed_run& run) const;
   /** @return how many runs of the zone may leave now. */
-  std::size_t quota(Instant now, const zone_progress& progress) const;
+  std::size_t moveQuota(Instant now, const zone_progress& progress) const;
 
-  leaving_options options_;
+  zone_drain_options options_;
   std::map<ZoneName, zone_progress> zones_;
 };
 
--- a/src/gateway/batch/closed_zone_mover.cpp
+++ b/src/gateway/batch/zone_drainer.cpp
@@ -1,4 +1,4 @@
-#include "gateway/batch/closed_zone_mover.h"
+#include "gateway/batch/zone_drainer.h"
 
 #include <limits>
 
@@ -10,15 +10,16 @@
 
 using logging::LogEvent;
 
-/** A run at an engine of a closed zone, as `runs_leaving` has it and as this daemon has it. */
-struct closed_zone_mover::run_there {
+/** A run at an engine of a closed zone, as `zone_drain_schedule` has it and as this daemon has it.
+ */
+struct zone_drainer::located_run {
   active_job_ptr active;
   ItemIndex item = 0;
   double events_left = 0;
 };
 
-std::vector<placed_run> closed_zone_mover::runsInClosedZones(Instant now,
-                                                             std::vector<run_there>& there) const {
+std::vector<placed_run> zone_drainer::runsInClosedZones(Instant now,
+                                                        std::vector<located_run>& located) const {
   const engines::engine_registry& registry = this->deps_.registry;
   std::vector<placed_run> placed;
   for (const auto& [id, job] : this->deps_.jobs.all()) {
@@ -32,13 +33,13 @@
       const double seconds =
           event_time > 0 ? events * event_time : std::numeric_limits<double>::infinity();
       placed.push_back({engine->record.zone, seconds});
-      there.push_back({job.active, item, events});
+      located.push_back({job.active, item, events});
     }
   }
   return placed;
 }
 
-std::size_t closed_zone_mover::runsIn(const ZoneName& zone) const {
+std::size_t zone_drainer::runsIn(const ZoneName& zone) const {
   std::size_t runs = 0;
   for (const auto& [id, job] : this->deps_.jobs.all()) {
     if (!job.active || job.active->stopped) continue;
@@ -50,7 +51,7 @@
   return runs;
 }
 
-bool closed_zone_mover::leaveEngine(Instant now, const run_there& run, moves_planned& moves) {
+bool zone_drainer::moveRun(Instant now, const located_run& run, moves_planned& moves) {
   const routing::RouteTablePtr table = this->deps_.routes();
   const routing::Route* route = routeOf(run.active->record, table);
   if (route == nullptr) return false;
@@ -64,23 +65,23 @@
   return true;
 }
 
-void closed_zone_mover::leaveClosedZones(Instant now) {
+void zone_drainer::drainClosedZones(Instant now) {
   const fleet::closed_zones& closed = this->deps_.registry.closedZones();
-  if (closed.empty() && this->leaving_.idle()) return;
-  std::vector<run_there> there;
-  const std::vector<placed_run> placed = this->runsInClosedZones(now, there);
-  this->leaving_.onZones(now, closed, placed);
+  if (closed.empty() && this->schedule_.idle()) return;
+  std::vector<located_run> located;
+  const std::vector<placed_run> placed = this->runsInClosedZones(now, located);
+  this->schedule_.onZones(now, closed, placed);
   moves_planned moves(placed.size());
   std::map<ZoneName, std::size_t> left;
   std::map<ZoneName, std::size_t> longest;
-  for (const std::size_t i : this->leaving_.due(now, placed)) {
-    if (!this->leaveEngine(now, there[i], moves)) continue;
-    this->leaving_.onLeft(placed[i].zone);
+  for (const std::size_t i : this->schedule_.due(now, placed)) {
+    if (!this->moveRun(now, located[i], moves)) continue;
+    this->schedule_.onRunMoved(placed[i].zone);
     ++left[placed[i].zone];
     longest.try_emplace(placed[i].zone, i);
   }
   for (const auto& [zone, runs] : left) {
-    const run_there& first = there[longest[zone]];
+    const located_run& first = located[longest[zone]];
     LogEvent("batch", "runs_leave_zone")
         .text("zone", zone.str())
         .number("revision", static_cast<std::int64_t>(closed.all().at(zone)))
@@ -89,7 +90,7 @@
         .text("longest", first.active->run.job().items[first.item].id.str())
         .real("events_left", first.events_left);
   }
-  for (const emptied_zone& each : this->leaving_.takeEmptied(now, placed)) {
+  for (const drained_zone& each : this->schedule_.takeDrained(now, placed)) {
     LogEvent("batch", "zone_empty")
         .text("zone", each.zone.str())
         .milliseconds("after_ms", each.took)
--- a/src/gateway/batch/closed_zone_mover.h
+++ b/src/gateway/batch/zone_drainer.h
@@ -2,7 +2,7 @@
 
 /** @file
  * Moves runs of owned jobs away from the engines of closed zones, with the text made so far, as far
- * as there is room elsewhere. When each leaves is decided by `runs_leaving`.
+ * as there is room elsewhere. When each leaves is decided by `zone_drain_schedule`.
  */
 
 #include <functional>
@@ -12,12 +12,12 @@
 #include "gateway/batch/known_jobs.h"
 #include "gateway/batch/length_estimate.h"
 #include "gateway/batch/moves_planned.h"
-#include "gateway/batch/runs_leaving.h"
+#include "gateway/batch/zone_drain_schedule.h"
 
 namespace linenpier::batch {
 
 /** Owns how far each closed zone is emptied. Loop thread only. */
-class closed_zone_mover {
+class zone_drainer {
  public:
   struct dependencies {
     engines::engine_registry& registry;
@@ -27,23 +27,23 @@
     std::function<routing::RouteTablePtr()> routes;
   };
 
-  explicit closed_zone_mover(dependencies deps) : deps_(std::move(deps)) {}
+  explicit zone_drainer(dependencies deps) : deps_(std::move(deps)) {}
 
-  void setOptions(const leaving_options& options) { this->leaving_.setOptions(options); }
-  void leaveClosedZones(Instant now);
+  void setOptions(const zone_drain_options& options) { this->schedule_.setOptions(options); }
+  void drainClosedZones(Instant now);
   /** @return runs of owned jobs at engines of the zone. */
   std::size_t runsIn(const ZoneName& zone) const;
 
  private:
-  struct run_there;
+  struct located_run;
 
   /** @param there the same runs, in the same order. */
-  std::vector<placed_run> runsInClosedZones(Instant now, std::vector<run_there>& there) const;
+  std::vector<placed_run> runsInClosedZones(Instant now, std::vector<located_run>& located) const;
   /** Stops the run, which goes on elsewhere. @return whether there was room. */
-  bool leaveEngine(Instant now, const run_there& run, moves_planned& moves);
+  bool moveRun(Instant now, const located_run& run, moves_planned& moves);
 
   dependencies deps_;
-  runs_leaving leaving_;
+  zone_drain_schedule schedule_;
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -124,7 +124,7 @@
   reader.readNumber("engines.heartbeat_ms", heartbeat_ms, 1, 600000);
   double keep_seconds = toSeconds(settings.batch.keep_jobs);
   reader.readNumber("batch.keep_seconds", keep_seconds, 1, 1e6);
-  double leave_zone_ms = toSeconds(settings.batch.leaving.within) * 1000;
+  double leave_zone_ms = toSeconds(settings.batch.zone_drain.drain_time) * 1000;
   reader.readNumber("batch.leave_zone_ms", leave_zone_ms, 0, 600000);
   const Findings findings = reader.finish();
   if (!findings.empty()) return tl::make_unexpected(findings);
@@ -142,7 +142,7 @@
   settings.rollout.mode = loadModeFromName(mode);
   settings.engine_heartbeat = fromSeconds(heartbeat_ms / 1000);
   settings.batch.keep_jobs = fromSeconds(keep_seconds) + kRemovalSlack;
-  settings.batch.leaving.within = fromSeconds(leave_zone_ms / 1000);
+  settings.batch.zone_drain.drain_time = fromSeconds(leave_zone_ms / 1000);
   settings.log_text = format == "text";
   settings.log_enabled = output == "on";
   return settings;
--- a/tests/gateway/batch/runs_leaving_test.cpp
+++ b/tests/gateway/batch/zone_drain_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/batch/runs_leaving.h"
+#include "gateway/batch/zone_drain_schedule.h"
 
 #include <criterion/criterion.h>
 
@@ -7,7 +7,7 @@
 
 using namespace linenpier;
 using batch::placed_run;
-using batch::runs_leaving;
+using batch::zone_drain_schedule;
 
 namespace {
 
@@ -19,18 +19,18 @@
 
 /// Runs that all leave when they are due, and otherwise go on.
 struct Zone {
-  runs_leaving leaving;
+  zone_drain_schedule schedule;
   std::vector<placed_run> runs;
 
   std::vector<double> tick(Instant now, const fleet::closed_zones& closed = kNorthClosed) {
-    leaving.onZones(now, closed, runs);
+    schedule.onZones(now, closed, runs);
     std::vector<double> left;
-    const std::vector<std::size_t> due = leaving.due(now, runs);
+    const std::vector<std::size_t> due = schedule.due(now, runs);
     for (const std::size_t i : due) left.push_back(runs[i].seconds_left);
     std::vector<placed_run> stay;
     for (std::size_t i = 0; i < runs.size(); ++i) {
       const bool leaves = std::find(due.begin(), due.end(), i) != due.end();
-      if (leaves) leaving.onLeft(runs[i].zone);
+      if (leaves) schedule.onRunMoved(runs[i].zone);
       if (!leaves) stay.push_back(runs[i]);
     }
     runs = stay;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-Test(runs_leaving, the_longest_leave_first_and_those_that_end_in_time_stay) {
+Test(zone_drain_schedule, the_longest_leave_first_and_those_that_end_in_time_stay) {
   Zone zone;
   zone.runs = {{kNorth, 4}, {kNorth, 1}, {kNorth, 9}, {kNorth, 6}};
   std::vector<double> order;
@@ -52,7 +52,7 @@
   cr_assert_eq(zone.runs.size(), 1U, "the run of one second has ended by itself meanwhile");
 }
 
-Test(runs_leaving, they_are_spread_over_the_time_and_all_have_left_by_its_end) {
+Test(zone_drain_schedule, they_are_spread_over_the_time_and_all_have_left_by_its_end) {
   Zone zone;
   for (int i = 0; i < 100; ++i) zone.runs.push_back({kNorth, 20.0 + i});
   cr_assert(zone.tick(kStart).empty());
@@ -65,45 +65,45 @@
   cr_assert(zone.runs.empty());
 }
 
-Test(runs_leaving, without_room_elsewhere_they_stay_and_are_due_again) {
-  runs_leaving leaving;
+Test(zone_drain_schedule, without_room_elsewhere_they_stay_and_are_due_again) {
+  zone_drain_schedule schedule;
   const std::vector<placed_run> runs(10, {kNorth, 30});
-  leaving.onZones(kStart, kNorthClosed, runs);
+  schedule.onZones(kStart, kNorthClosed, runs);
   for (int seconds = 3; seconds < 6; ++seconds) {
     const Instant now = kStart + std::chrono::seconds(seconds);
-    cr_assert_eq(leaving.due(now, runs).size(), leaving.options().max_at_once);
+    cr_assert_eq(schedule.due(now, runs).size(), schedule.options().max_moves_per_poll);
   }
 }
 
-Test(runs_leaving, a_run_of_which_nothing_is_known_leaves) {
+Test(zone_drain_schedule, a_run_of_which_nothing_is_known_leaves) {
   Zone zone;
   zone.runs = {{kNorth, std::numeric_limits<double>::infinity()}};
   zone.tick(kStart);
   cr_assert_eq(zone.tick(kStart + kTick).size(), 1U);
 }
 
-Test(runs_leaving, zones_are_emptied_each_by_itself_and_told_once_a_closing) {
-  runs_leaving leaving;
+Test(zone_drain_schedule, zones_are_emptied_each_by_itself_and_told_once_a_closing) {
+  zone_drain_schedule schedule;
   const fleet::closed_zones both({{kNorth, 5}, {kSouth, 6}});
   const std::vector<placed_run> south = {{kSouth, 9}};
-  leaving.onZones(kStart, both, south);
-  const auto emptied = leaving.takeEmptied(kStart, south);
-  cr_assert_eq(emptied.size(), 1U);
-  cr_assert_eq(emptied[0].zone.str(), "north");
-  cr_assert(leaving.takeEmptied(kStart, south).empty());
-  leaving.onZones(kStart + kTick, both, {});
-  cr_assert_eq(leaving.takeEmptied(kStart + kTick, {}).size(), 1U);
+  schedule.onZones(kStart, both, south);
+  const auto drained = schedule.takeDrained(kStart, south);
+  cr_assert_eq(drained.size(), 1U);
+  cr_assert_eq(drained[0].zone.str(), "north");
+  cr_assert(schedule.takeDrained(kStart, south).empty());
+  schedule.onZones(kStart + kTick, both, {});
+  cr_assert_eq(schedule.takeDrained(kStart + kTick, {}).size(), 1U);
 }
 
-Test(runs_leaving, a_closing_that_is_taken_back_and_sent_again_begins_anew) {
-  runs_leaving leaving;
+Test(zone_drain_schedule, a_closing_that_is_taken_back_and_sent_again_begins_anew) {
+  zone_drain_schedule schedule;
   const std::vector<placed_run> runs(4, {kNorth, 30});
-  leaving.onZones(kStart, kNorthClosed, runs);
+  schedule.onZones(kStart, kNorthClosed, runs);
   const Instant later = kStart + std::chrono::seconds(9);
-  leaving.onZones(later, {}, {});
-  cr_assert(leaving.idle());
-  cr_assert(leaving.due(later, runs).empty());
-  leaving.onZones(later, kNorthClosed, runs);
-  cr_assert(leaving.due(later, runs).empty(), "spread from the new closing on");
-  cr_assert_eq(leaving.due(later + kTick, runs).size(), 1U);
+  schedule.onZones(later, {}, {});
+  cr_assert(schedule.idle());
+  cr_assert(schedule.due(later, runs).empty());
+  schedule.onZones(later, kNorthClosed, runs);
+  cr_assert(schedule.due(later, runs).empty(), "spread from the new closing on");
+  cr_assert_eq(schedule.due(later + kTick, runs).size(), 1U);
 }
