--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -50,7 +50,7 @@
   std::size_t max_open_items = 1000;
   /// Requests a slot that an engine may have, counting others', for items to start there.
   double requests_per_slot = 1.0;
-  run_move_rules moves;
+  run_move_rules move_rules;
   zone_drain_options zone_drain;         ///< Of closed zones.
   std::size_t page_bytes = 900 * 1024;   ///< Of results in one answer to a reader.
   std::size_t write_bytes = 640 * 1024;  ///< Of results in one append.
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -10,9 +10,10 @@
   const double median = registry.medianEventTime(now, service);
   std::vector<item_run> movable;
   for (const item_run& each : runs) {
-    if (now - each.started_at < rules.min_run) continue;
+    if (now - each.started_at < rules.min_run_time) continue;
     const engines::engine_state* engine = registry.find(each.engine);
-    if (engine == nullptr || registry.latencyRatio(now, *engine, median) < rules.gain) continue;
+    if (engine == nullptr || registry.latencyRatio(now, *engine, median) < rules.min_speedup)
+      continue;
     movable.push_back(each);
   }
   std::sort(movable.begin(), movable.end(), [&job](const item_run& one, const item_run& other) {
@@ -31,12 +32,12 @@
   move.target = better->record.id;
   move.latency_ratio = registry.latencyRatio(now, from.engine);
   move.latency_ratio_there = registry.latencyRatio(now, move.target);
-  if (move.latency_ratio < rules.gain * move.latency_ratio_there) return std::nullopt;
+  if (move.latency_ratio < rules.min_speedup * move.latency_ratio_there) return std::nullopt;
   move.events_left = lengths.remainingEvents(run.job().items[from.item].length_hint,
                                              run.progress(from.item).last_event);
   const double seconds_an_event =
       registry.expectedEventTime(now, from.engine) - registry.expectedEventTime(now, move.target);
-  if (move.events_left * seconds_an_event < toSeconds(rules.saving)) return std::nullopt;
+  if (move.events_left * seconds_an_event < toSeconds(rules.min_saving)) return std::nullopt;
   return move;
 }
 
--- a/src/gateway/batch/slow_run_mover.cpp
+++ b/src/gateway/batch/slow_run_mover.cpp
@@ -9,7 +9,7 @@
 using logging::LogEvent;
 
 void slow_run_mover::moveSlowRuns(Instant now) {
-  moves_planned moves(this->deps_.options.moves.max_per_tick);
+  moves_planned moves(this->deps_.options.move_rules.max_moves_per_poll);
   for (auto& [id, job] : this->deps_.jobs.all()) {
     if (!job.active || job.active->stopped) continue;
     this->moveRunsOf(now, *job.active, moves);
@@ -27,7 +27,7 @@
     runs.push_back({item, call->engine(), call->startedAt()});
   }
   const auto movable = movableRuns(now, this->deps_.registry, route->services.front().service,
-                                   active.run.job(), runs, this->deps_.options.moves);
+                                   active.run.job(), runs, this->deps_.options.move_rules);
   for (const item_run& run : movable) {
     if (moves.exhausted()) return;
     this->moveRun(now, active, run, *route, moves);
@@ -41,7 +41,7 @@
   wanted.excluded = moves.full();
   wanted.excluded.insert(run.engine);
   const auto move = planMove(now, registry, this->deps_.lengths, active.run, run, wanted,
-                             this->deps_.options.moves);
+                             this->deps_.options.move_rules);
   if (!move) return;
   LogEvent("batch", "run_moved")
       .text("item", active.run.job().items[run.item].id.str())
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -116,7 +116,7 @@
   reader.readChoice("versions.mode", mode, {"auto", "wait", "cancel", "retain"});
   reader.readNumber("versions.patience_ms", patience_ms, 0, 600000);
   reader.readNumber("versions.quiet_share", settings.rollout.quiet_share, 0, 1);
-  reader.readNumber("batch.move_gain", settings.batch.moves.gain, 1, 1000);
+  reader.readNumber("batch.move_gain", settings.batch.move_rules.min_speedup, 1, 1000);
   reader.readNumber("batch.requests_per_slot", settings.batch.requests_per_slot, 0.1, 10);
   reader.readNumber("engines.cold_overshoot", settings.cold.bound_factor, 0, 1000);
   reader.readNumber("engines.cold_slack", settings.cold.extra_per_second, 0, 1e6);
