--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -37,7 +37,7 @@
   /// later, may hold groups of it.
   Duration keep_ended = std::chrono::seconds(10);
   /// From a job's acceptance until it may be removed, if it has ended.
-  Duration keep_jobs = std::chrono::seconds(120);
+  Duration job_retention = std::chrono::seconds(120);
   /// Until daemons that did not own an ended job remove it.
   Duration removal_delay = std::chrono::seconds(30);
   Duration removal_period = std::chrono::seconds(2);  ///< Between two polls for such jobs.
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -97,7 +97,7 @@
   if (!job.active->calls.empty() || !job.active->scorings.empty()) return;
   // What may be removed from the store need not be kept in memory.
   const batch_options& options = this->deps_.options;
-  const Duration keep = std::min(options.keep_ended, options.keep_jobs);
+  const Duration keep = std::min(options.keep_ended, options.job_retention);
   if (now - job.active->stopped_at > keep) job.active.reset();
 }
 
--- a/src/gateway/batch/job_removal.cpp
+++ b/src/gateway/batch/job_removal.cpp
@@ -25,7 +25,7 @@
     const Duration age = std::chrono::milliseconds(clock_ms - job.record.accepted_ms);
     const bool own = job.record.owner == this->deps_.leases.own();
     const Duration delay = own ? Duration::zero() : options.removal_delay;
-    if (age > options.keep_jobs + delay) return id;
+    if (age > options.job_retention + delay) return id;
   }
   return std::nullopt;
 }
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -122,7 +122,7 @@
   reader.readNumber("engines.cold_slack", settings.cold.extra_per_second, 0, 1e6);
   double heartbeat_ms = toSeconds(settings.engine_heartbeat) * 1000;
   reader.readNumber("engines.heartbeat_ms", heartbeat_ms, 1, 600000);
-  double keep_seconds = toSeconds(settings.batch.keep_jobs);
+  double keep_seconds = toSeconds(settings.batch.job_retention);
   reader.readNumber("batch.keep_seconds", keep_seconds, 1, 1e6);
   double leave_zone_ms = toSeconds(settings.batch.zone_drain.drain_time) * 1000;
   reader.readNumber("batch.leave_zone_ms", leave_zone_ms, 0, 600000);
@@ -141,7 +141,7 @@
   settings.rollout.busy_timeout = fromSeconds(patience_ms / 1000);
   settings.rollout.mode = loadModeFromName(mode);
   settings.engine_heartbeat = fromSeconds(heartbeat_ms / 1000);
-  settings.batch.keep_jobs = fromSeconds(keep_seconds) + kRemovalSlack;
+  settings.batch.job_retention = fromSeconds(keep_seconds) + kRemovalSlack;
   settings.batch.zone_drain.drain_time = fromSeconds(leave_zone_ms / 1000);
   settings.log_text = format == "text";
   settings.log_enabled = output == "on";
--- a/tests/support/gateway_fixture.cpp
+++ b/tests/support/gateway_fixture.cpp
@@ -87,7 +87,7 @@
     settings.duties = duties_->address();
     settings.scaling = *options_.scaling;
   }
-  if (options_.keep_jobs) settings.batch.keep_jobs = *options_.keep_jobs;
+  if (options_.keep_jobs) settings.batch.job_retention = *options_.keep_jobs;
   gateways_.push_back(std::make_unique<GatewayUnderTest>(loop_, settings));
 }
 
