--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -44,33 +44,33 @@
   }
 }
 
-batch_service::job_work batch_service::work() const {
-  job_work work;
-  work.awaiting_residency = this->ownership_.awaitingResidency();
+batch_service::job_workload batch_service::workload() const {
+  job_workload workload;
+  workload.awaiting_residency = this->ownership_.awaitingResidency();
   for (const auto& [id, job] : this->jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
-    ++work.jobs;
-    work.waiting += job.active->run.waiting();
-    work.running += job.active->run.running();
-    work.unscored += job.active->run.unscored();
+    ++workload.jobs;
+    workload.waiting += job.active->run.waiting();
+    workload.running += job.active->run.running();
+    workload.unscored += job.active->run.unscored();
   }
   for (const auto& [zone, revision] : this->deps_.engines.registry.closedZones().all()) {
-    work.in_closed_zones += this->zone_drainer_.runsIn(zone);
+    workload.in_closed_zones += this->zone_drainer_.runsIn(zone);
   }
-  return work;
+  return workload;
 }
 
 versions::open_work_by_model batch_service::openWork() const {
-  versions::open_work_by_model work;
+  versions::open_work_by_model workload;
   for (const auto& [id, job] : this->jobs_.all()) {
     if (job.record.ended || job.record.model.empty()) continue;
-    versions::open_work& open = work[job.record.model];
+    versions::open_work& open = workload[job.record.model];
     open.items += job.record.total;
     const routing::RouteTablePtr table = this->deps_.routes();
     const routing::Route* route = routeOf(job.record, table);
     if (route != nullptr && route->single_version) open.single_version = true;
   }
-  return work;
+  return workload;
 }
 
 Task<void> batch_service::handOver() {
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -106,7 +106,7 @@
   const batch_counts& counts() const { return this->counts_; }
   std::size_t jobCount() const { return this->jobs_.size(); }
   /** Owned jobs under way and their items, for the metrics. */
-  struct job_work {
+  struct job_workload {
     std::size_t jobs = 0;
     std::size_t waiting = 0;
     std::size_t running = 0;
@@ -114,7 +114,7 @@
     std::size_t in_closed_zones = 0;     ///< Of those that run.
     std::size_t awaiting_residency = 0;  ///< Jobs of anybody that no daemon within residency takes.
   };
-  job_work work() const;
+  job_workload workload() const;
   /** @return runs of owned jobs at engines of the zone. */
   std::size_t runsIn(const ZoneName& zone) const { return this->zone_drainer_.runsIn(zone); }
 
--- a/src/gateway/service/metrics_page.cpp
+++ b/src/gateway/service/metrics_page.cpp
@@ -62,14 +62,14 @@
 }
 
 void metrics_page::addJobs(metrics::GatewayState& state) const {
-  const batch::batch_service::job_work work = this->sources_.batches.work();
+  const batch::batch_service::job_workload workload = this->sources_.batches.workload();
   state.jobs_known = this->sources_.batches.jobCount();
-  state.jobs_owned = work.jobs;
-  state.items_waiting = work.waiting;
-  state.items_running = work.running;
-  state.items_unscored = work.unscored;
-  state.runs_in_closed_zones = work.in_closed_zones;
-  state.jobs_waiting_for_home = work.awaiting_residency;
+  state.jobs_owned = workload.jobs;
+  state.items_waiting = workload.waiting;
+  state.items_running = workload.running;
+  state.items_unscored = workload.unscored;
+  state.runs_in_closed_zones = workload.in_closed_zones;
+  state.jobs_waiting_for_home = workload.awaiting_residency;
   const batch::batch_counts& counts = this->sources_.batches.counts();
   state.items_completed = counts.completed;
   state.items_terminated = counts.terminated;
