--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -99,7 +99,7 @@
   /** @return the work of jobs under way at any daemon. */
   versions::open_work_by_model openWork() const;
   /** @return the engines with runs that the steps of owned jobs wait for. */
-  std::set<EngineId> awaitedEngines() const { return this->runner_.awaitedEngines(); }
+  std::set<EngineId> criticalEngines() const { return this->runner_.criticalEngines(); }
   /** Gives up every owned job so that others take it at once. */
   Task<void> handOver();
 
--- a/src/gateway/batch/awaited_runs.cpp
+++ b/src/gateway/batch/critical_runs.cpp
@@ -1,10 +1,10 @@
-#include "gateway/batch/awaited_runs.h"
+#include "gateway/batch/critical_runs.h"
 
 #include <algorithm>
 
 namespace linenpier::batch {
 
-std::vector<ItemIndex> awaitedRuns(const batch_run& run, const length_estimate& lengths) {
+std::vector<ItemIndex> criticalRuns(const batch_run& run, const length_estimate& lengths) {
   if (run.stepComplete()) return {};
   std::vector<std::pair<double, ItemIndex>> by_rest;
   for (ItemIndex item = 0; item < run.job().items.size(); ++item) {
@@ -14,13 +14,13 @@
     by_rest.emplace_back(lengths.remainingEvents(hint, progress.last_event), item);
   }
   std::sort(by_rest.rbegin(), by_rest.rend());
-  std::vector<ItemIndex> awaited;
+  std::vector<ItemIndex> critical;
   for (const auto& [rest, item] : by_rest) {
     const bool lasts = rest > 0 && 2 * rest >= by_rest.front().first;
-    if (awaited.size() == kAwaitedRuns || !lasts) break;
-    awaited.push_back(item);
+    if (critical.size() == kMaxCriticalRuns || !lasts) break;
+    critical.push_back(item);
   }
-  return awaited;
+  return critical;
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -4,7 +4,7 @@
 
 #include "common/event_log.h"
 #include "gateway/batch/active_job.h"
-#include "gateway/batch/awaited_runs.h"
+#include "gateway/batch/critical_runs.h"
 #include "gateway/batch/item_placement.h"
 #include "gateway/batch/item_request.h"
 #include "gateway/batch/job_rules.h"
@@ -229,11 +229,11 @@
   }
 }
 
-std::set<EngineId> item_runner::awaitedEngines() const {
+std::set<EngineId> item_runner::criticalEngines() const {
   std::set<EngineId> engines;
   for (const auto& [id, job] : this->deps_.jobs.all()) {
     if (!job.active || job.active->stopped) continue;
-    for (const ItemIndex item : awaitedRuns(job.active->run, this->lengths_)) {
+    for (const ItemIndex item : criticalRuns(job.active->run, this->lengths_)) {
       engines.insert(job.active->run.progress(item).last_engine);
     }
   }
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -50,7 +50,7 @@
 
   const length_estimate& lengths() const { return this->lengths_; }
   /** @return the engines with runs that the steps of owned jobs wait for. */
-  std::set<EngineId> awaitedEngines() const;
+  std::set<EngineId> criticalEngines() const;
 
  private:
   struct startable_item;
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -162,7 +162,7 @@
   coordination_.start();
   peers_.start();
   lease_watch_.start([this](bool answered) { onLeasesRead(answered); });
-  keeper_.setAwaited([this] { return batches_.awaitedEngines(); });
+  keeper_.setAwaited([this] { return batches_.criticalEngines(); });
   keeper_.start([this] { return ownsWork(); });
   batches_.start();
   orders_.start();
--- a/tests/gateway/batch/awaited_runs_test.cpp
+++ b/tests/gateway/batch/critical_runs_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/batch/awaited_runs.h"
+#include "gateway/batch/critical_runs.h"
 
 #include <criterion/criterion.h>
 
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-Test(awaited_runs, the_few_longest_are_awaited) {
-  const auto awaited = batch::awaitedRuns(running({900, 1000, 800, 950, 990}), oneEventInTen());
-  cr_assert(awaited == std::vector<batch::ItemIndex>({1, 4, 3}));
+Test(critical_runs, the_few_longest_are_awaited) {
+  const auto critical = batch::criticalRuns(running({900, 1000, 800, 950, 990}), oneEventInTen());
+  cr_assert(critical == std::vector<batch::ItemIndex>({1, 4, 3}));
 }
 
-Test(awaited_runs, a_run_that_ends_long_before_the_longest_is_not) {
-  const auto awaited = batch::awaitedRuns(running({400, 1000, 10}), oneEventInTen());
-  cr_assert(awaited == std::vector<batch::ItemIndex>({1}));
+Test(critical_runs, a_run_that_ends_long_before_the_longest_is_not) {
+  const auto critical = batch::criticalRuns(running({400, 1000, 10}), oneEventInTen());
+  cr_assert(critical == std::vector<batch::ItemIndex>({1}));
 }
 
-Test(awaited_runs, nothing_is_awaited_before_anything_is_known_of_lengths) {
-  cr_assert(batch::awaitedRuns(running({0, 0}), {}).empty());
+Test(critical_runs, nothing_is_awaited_before_anything_is_known_of_lengths) {
+  cr_assert(batch::criticalRuns(running({0, 0}), {}).empty());
 }
