--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -79,7 +79,7 @@
   std::size_t body_rows = 0;  ///< That hold the job as handed in; 0: an object does.
   std::size_t published = 0;  ///< Results that readers are shown; those behind are kept back.
   bool ended = false;
-  bool begun = false;            ///< An owner may have appended or kept something already.
+  bool started = false;          ///< An owner may have appended or kept something already.
   std::int64_t accepted_ms = 0;  ///< By the store's clock.
 };
 
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -134,7 +134,7 @@
   const Revision fence = at->revision;
   const std::string from = record.owner.str();
   record.owner = this->deps_.leases.own();
-  record.begun = true;
+  record.started = true;
   const Instant sent_at = steadyNow();
   std::vector<table::Put> renewal;
   renewal.push_back(this->deps_.keeper.renewal());
@@ -196,7 +196,7 @@
 
 Task<CallResult<stored_progress>> job_ownership::inherit(job_record record) {
   stored_progress progress;
-  if (!record.begun) {
+  if (!record.started) {
     progress.clock_ms = this->deps_.keeper.storeClock(steadyNow());
     co_return progress;
   }
@@ -276,7 +276,7 @@
   if (at == nullptr || !this->isOwn(*at)) co_return;
   job_record record = at->record;
   record.owner = LeaseId();
-  record.begun = true;
+  record.started = true;
   const Revision fence = at->revision;
   const active_job_ptr active = at->active;
   if (active && !active->stopped) {
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -51,7 +51,7 @@
                    {"body_rows", record.body_rows},
                    {"released", record.published},
                    {"ended", record.ended},
-                   {"begun", record.begun},
+                   {"begun", record.started},
                    {"accepted_ms", record.accepted_ms}};
   for (const RouteName& each : record.other_routes) {
     document["other_routes"].push_back(each.str());
@@ -77,7 +77,7 @@
     record.body_rows = document.value("body_rows", std::size_t{0});
     record.published = document.value("released", std::size_t{0});
     record.ended = document.at("ended").get<bool>();
-    record.begun = document.value("begun", true);
+    record.started = document.value("begun", true);
     record.accepted_ms = document.at("accepted_ms").get<std::int64_t>();
     return record;
   } catch (const json::exception&) {
@@ -219,8 +219,8 @@
   for (std::string& row : part.rows) {
     if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
       // A part that is cut off counts for nothing until its last row is there.
-      const auto begun = co_await this->table_.write(std::move(write));
-      const fenced_write_result judged = this->judge(begun, job_key, fence);
+      const auto partial = co_await this->table_.write(std::move(write));
+      const fenced_write_result judged = this->judge(partial, job_key, fence);
       if (judged.outcome != FencedWriteOutcome::kCommitted) co_return judged;
       write = table::Write{};
       write.transaction.checks.push_back({job_key, fence});
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -93,7 +93,7 @@
     const known_job* job = this->deps_.jobs.find(id);
     publish = job == nullptr ? active->record : job->record;
     publish->published = *pending.publish;
-    publish->begun = true;
+    publish->started = true;
   }
   const fenced_write_result answer =
       co_await this->deps_.store.append(id, fence, pending.position, pending.results, publish);
--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -71,7 +71,7 @@
   cr_assert(job.has_value());
   cr_assert_eq(job->total, 208U);
   cr_assert_eq(job->published, 7U);
-  cr_assert(job->begun);
+  cr_assert(job->started);
   cr_assert_eq(batch::encodeRecord(*job), kJob);
 }
 
