--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -28,7 +28,7 @@
 Task<void> batch_service::pollLoop() {
   const Instant begun = steadyNow();
   for (;;) {
-    const bool idle = !this->deps_.pool.offers() && !this->ownership_.ownsAny() &&
+    const bool idle = !this->deps_.pool.offers() && !this->ownership_.ownsOpenJobs() &&
                       steadyNow() - begun > kStartTime;
     co_await sleepFor(this->deps_.loop, idle ? kIdlePollInterval : kPollInterval);
     const Instant now = steadyNow();
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -95,7 +95,7 @@
   /** @return whether readers wait here for results to be published. */
   bool hasWaitingReaders() const { return this->reader_.hasWaitingReaders(); }
   /** @return whether this daemon owns jobs that have not ended. */
-  bool ownsAny() const { return this->ownership_.ownsAny(); }
+  bool ownsOpenJobs() const { return this->ownership_.ownsOpenJobs(); }
   /** @return the work of jobs under way at any daemon. */
   versions::open_work_by_model openWork() const;
   /** @return the engines with runs that the steps of owned jobs wait for. */
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -21,7 +21,7 @@
   return job.record.owner == this->deps_.leases.own();
 }
 
-bool job_ownership::ownsAny() const {
+bool job_ownership::ownsOpenJobs() const {
   return std::any_of(
       this->deps_.jobs.all().begin(), this->deps_.jobs.all().end(),
       [this](const auto& each) { return !each.second.record.ended && this->isOwn(each.second); });
--- a/src/gateway/batch/job_ownership.h
+++ b/src/gateway/batch/job_ownership.h
@@ -47,7 +47,7 @@
   /** Takes over jobs whose owner is lost, and settles those that this daemon should go on with. */
   void checkOwners(Instant now);
   /** @return whether this daemon owns jobs that have not ended. */
-  bool ownsAny() const;
+  bool ownsOpenJobs() const;
   /** Gives up every owned job so that others take it at once; from now on none is taken. */
   Task<void> handOver();
   /** @return jobs that nobody within their residency takes up, at the last check. */
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -250,8 +250,8 @@
 }
 
 bool Gateway::ownsWork() const {
-  return owner_pool_.offers() || batches_.ownsAny() || orders_.holdsAny() || usage_.holdsLock() ||
-         scaling_.holdsLock();
+  return owner_pool_.offers() || batches_.ownsOpenJobs() || orders_.holdsAny() ||
+         usage_.holdsLock() || scaling_.holdsLock();
 }
 
 Task<std::optional<std::uint32_t>> Gateway::loadOf(EngineId engine, Address address) {
