--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -11,7 +11,7 @@
 #include "gateway/batch/result_schedule.h"
 #include "gateway/batch/run_move_rules.h"
 #include "gateway/batch/run_timeouts.h"
-#include "gateway/batch/runs_leaving.h"
+#include "gateway/batch/zone_drain_schedule.h"
 
 namespace linenpier::batch {
 
@@ -37,7 +37,7 @@
   /// later, may hold groups of it.
   Duration keep_ended = std::chrono::seconds(10);
   /// From a job's acceptance until it may be removed, if it has ended.
-  Duration keep_jobs = std::chrono::seconds(120);
+  Duration job_retention = std::chrono::seconds(120);
   /// Until daemons that did not own an ended job remove it.
   Duration removal_delay = std::chrono::seconds(30);
   Duration removal_period = std::chrono::seconds(2);  ///< Between two polls for such jobs.
@@ -50,8 +50,8 @@
   std::size_t max_open_items = 1000;
   /// Requests a slot that an engine may have, counting others', for items to start there.
   double requests_per_slot = 1.0;
-  run_move_rules moves;
-  leaving_options leaving;               ///< Of closed zones.
+  run_move_rules move_rules;
+  zone_drain_options zone_drain;         ///< Of closed zones.
   std::size_t page_bytes = 900 * 1024;   ///< Of results in one answer to a reader.
   std::size_t write_bytes = 640 * 1024;  ///< Of results in one append.
   /// Results that are held back for longer are more than one page, which a trainer reads half a
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -28,7 +28,7 @@
 Task<void> batch_service::pollLoop() {
   const Instant begun = steadyNow();
   for (;;) {
-    const bool idle = !this->deps_.pool.isCandidate() && !this->ownership_.ownsAny() &&
+    const bool idle = !this->deps_.pool.isCandidate() && !this->ownership_.ownsOpenJobs() &&
                       steadyNow() - begun > kStartTime;
     co_await sleepFor(this->deps_.loop, idle ? kIdlePollInterval : kPollInterval);
     const Instant now = steadyNow();
@@ -38,39 +38,39 @@
       applyRules(*job.active, this->deps_.routes());
       if (job.active->run.onTick(now)) job.active->finished.notifyAll();
     }
-    this->closed_zone_mover_.leaveClosedZones(now);
+    this->zone_drainer_.drainClosedZones(now);
     this->slow_run_mover_.moveSlowRuns(now);
     this->runner_.startRunnableItems();
   }
 }
 
-batch_service::job_work batch_service::work() const {
-  job_work work;
-  work.awaiting_residency = this->ownership_.awaitingResidency();
+batch_service::job_workload batch_service::workload() const {
+  job_workload workload;
+  workload.awaiting_residency = this->ownership_.awaitingResidency();
   for (const auto& [id, job] : this->jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
-    ++work.jobs;
-    work.waiting += job.active->run.waiting();
-    work.running += job.active->run.running();
-    work.unscored += job.active->run.unscored();
+    ++workload.jobs;
+    workload.waiting += job.active->run.waiting();
+    workload.running += job.active->run.running();
+    workload.unscored += job.active->run.unscored();
   }
   for (const auto& [zone, revision] : this->deps_.engines.registry.closedZones().all()) {
-    work.in_closed_zones += this->closed_zone_mover_.runsIn(zone);
+    workload.in_closed_zones += this->zone_drainer_.runsIn(zone);
   }
-  return work;
+  return workload;
 }
 
 versions::open_work_by_model batch_service::openWork() const {
-  versions::open_work_by_model work;
+  versions::open_work_by_model workload;
   for (const auto& [id, job] : this->jobs_.all()) {
     if (job.record.ended || job.record.model.empty()) continue;
-    versions::open_work& open = work[job.record.model];
+    versions::open_work& open = workload[job.record.model];
     open.items += job.record.total;
     const routing::RouteTablePtr table = this->deps_.routes();
     const routing::Route* route = routeOf(job.record, table);
     if (route != nullptr && route->single_version) open.single_version = true;
   }
-  return work;
+  return workload;
 }
 
 Task<void> batch_service::handOver() {
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -16,7 +16,6 @@
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/checkpoint_writer.h"
-#include "gateway/batch/closed_zone_mover.h"
 #include "gateway/batch/item_pick.h"
 #include "gateway/batch/item_runner.h"
 #include "gateway/batch/job_acceptance.h"
@@ -30,6 +29,7 @@
 #include "gateway/batch/partial_result_reuse.h"
 #include "gateway/batch/result_writer.h"
 #include "gateway/batch/slow_run_mover.h"
+#include "gateway/batch/zone_drainer.h"
 #include "gateway/forward/engine_call.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/http/server.h"
@@ -67,7 +67,7 @@
   void start();
   void setOptions(const batch_options& options) {
     this->options_ = options;
-    this->closed_zone_mover_.setOptions(options.leaving);
+    this->zone_drainer_.setOptions(options.zone_drain);
   }
 
   /** See `job_acceptance` and `job_reader`. */
@@ -95,18 +95,18 @@
   /** @return whether readers wait here for results to be published. */
   bool hasWaitingReaders() const { return this->reader_.hasWaitingReaders(); }
   /** @return whether this daemon owns jobs that have not ended. */
-  bool ownsAny() const { return this->ownership_.ownsAny(); }
+  bool ownsOpenJobs() const { return this->ownership_.ownsOpenJobs(); }
   /** @return the work of jobs under way at any daemon. */
   versions::open_work_by_model openWork() const;
   /** @return the engines with runs that the steps of owned jobs wait for. */
-  std::set<EngineId> awaitedEngines() const { return this->runner_.awaitedEngines(); }
+  std::set<EngineId> criticalEngines() const { return this->runner_.criticalEngines(); }
   /** Gives up every owned job so that others take it at once. */
   Task<void> handOver();
 
   const batch_counts& counts() const { return this->counts_; }
   std::size_t jobCount() const { return this->jobs_.size(); }
   /** Owned jobs under way and their items, for the metrics. */
-  struct job_work {
+  struct job_workload {
     std::size_t jobs = 0;
     std::size_t waiting = 0;
     std::size_t running = 0;
@@ -114,9 +114,9 @@
     std::size_t in_closed_zones = 0;     ///< Of those that run.
     std::size_t awaiting_residency = 0;  ///< Jobs of anybody that no daemon within residency takes.
   };
-  job_work work() const;
+  job_workload workload() const;
   /** @return runs of owned jobs at engines of the zone. */
-  std::size_t runsIn(const ZoneName& zone) const { return this->closed_zone_mover_.runsIn(zone); }
+  std::size_t runsIn(const ZoneName& zone) const { return this->zone_drainer_.runsIn(zone); }
 
  private:
   Task<void> pollLoop();
@@ -131,7 +131,7 @@
                        deps_.routes, counts_, options_}};
   slow_run_mover slow_run_mover_{
       {deps_.engines.registry, jobs_, runner_.lengths(), picks_, deps_.routes, options_}};
-  closed_zone_mover closed_zone_mover_{
+  zone_drainer zone_drainer_{
       {deps_.engines.registry, jobs_, runner_.lengths(), picks_, deps_.routes}};
   result_writer results_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -21,7 +21,7 @@
   return job.record.owner == this->deps_.leases.own();
 }
 
-bool job_ownership::ownsAny() const {
+bool job_ownership::ownsOpenJobs() const {
   return std::any_of(
       this->deps_.jobs.all().begin(), this->deps_.jobs.all().end(),
       [this](const auto& each) { return !each.second.record.ended && this->isOwn(each.second); });
@@ -97,7 +97,7 @@
   if (!job.active->calls.empty() || !job.active->scorings.empty()) return;
   // What may be removed from the store need not be kept in memory.
   const batch_options& options = this->deps_.options;
-  const Duration keep = std::min(options.keep_ended, options.keep_jobs);
+  const Duration keep = std::min(options.keep_ended, options.job_retention);
   if (now - job.active->stopped_at > keep) job.active.reset();
 }
 
@@ -134,11 +134,11 @@
   const Revision fence = at->revision;
   const std::string from = record.owner.str();
   record.owner = this->deps_.leases.own();
-  record.begun = true;
+  record.started = true;
   const Instant sent_at = steadyNow();
   std::vector<table::Put> renewal;
   renewal.push_back(this->deps_.keeper.renewal());
-  const fenced_answer answer =
+  const fenced_write_result answer =
       co_await this->deps_.store.putRecord(record, fence, std::move(renewal));
   known_job* job = this->deps_.jobs.find(id);
   if (job == nullptr) co_return;
@@ -146,8 +146,8 @@
       .text("batch", id.str())
       .text("from", from)
       .number("fence", static_cast<std::int64_t>(fence))
-      .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
-  if (answer.outcome != FencedOutcome::kDone) {
+      .text("outcome", answer.outcome == FencedWriteOutcome::kCommitted ? "done" : "not_done");
+  if (answer.outcome != FencedWriteOutcome::kCommitted) {
     job->activating = false;
     if (answer.current) this->deps_.jobs.onRow(id, *answer.current);
     co_return;
@@ -196,7 +196,7 @@
 
 Task<CallResult<stored_progress>> job_ownership::inherit(job_record record) {
   stored_progress progress;
-  if (!record.begun) {
+  if (!record.started) {
     progress.clock_ms = this->deps_.keeper.storeClock(steadyNow());
     co_return progress;
   }
@@ -276,7 +276,7 @@
   if (at == nullptr || !this->isOwn(*at)) co_return;
   job_record record = at->record;
   record.owner = LeaseId();
-  record.begun = true;
+  record.started = true;
   const Revision fence = at->revision;
   const active_job_ptr active = at->active;
   if (active && !active->stopped) {
@@ -284,11 +284,11 @@
     // Also where one was sent just now: it may come too late, after the job was given up.
     co_await this->deps_.checkpoints.write(active, checkpoint_writer::Need::kAlways);
   }
-  const fenced_answer answer = co_await this->deps_.store.putRecord(record, fence, {});
+  const fenced_write_result answer = co_await this->deps_.store.putRecord(record, fence, {});
   LogEvent("batch", "handed_over")
       .text("batch", id.str())
-      .text("outcome", answer.outcome == FencedOutcome::kDone ? "done" : "not_done");
-  if (answer.outcome == FencedOutcome::kDone) {
+      .text("outcome", answer.outcome == FencedWriteOutcome::kCommitted ? "done" : "not_done");
+  if (answer.outcome == FencedWriteOutcome::kCommitted) {
     this->deps_.jobs.onRow(id, {table::jobKey(id), answer.revision, encodeRecord(record)});
   }
 }
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -163,7 +163,7 @@
   coordination_.start();
   peers_.start();
   lease_watch_.start([this](bool answered) { onLeasesRead(answered); });
-  keeper_.setAwaited([this] { return batches_.awaitedEngines(); });
+  keeper_.setAwaited([this] { return batches_.criticalEngines(); });
   keeper_.start([this] { return ownsWork(); });
   batches_.start();
   orders_.start();
@@ -251,7 +251,7 @@
 }
 
 bool Gateway::ownsWork() const {
-  return owner_pool_.isCandidate() || batches_.ownsAny() || orders_.holdsAny() ||
+  return owner_pool_.isCandidate() || batches_.ownsOpenJobs() || orders_.holdsAny() ||
          usage_.holdsLock() || scaling_.holdsLock();
 }
 
