--- a/src/gateway/service/engine_changes.h
+++ b/src/gateway/service/engine_change_log.h
@@ -14,21 +14,21 @@
 
 namespace linenpier::gateway {
 
-class engine_changes {
+class engine_change_log {
  public:
-  /** @param most changes that are kept: some ten seconds of a release that replaces a hundred
+  /** @param capacity changes that are kept: some ten seconds of a release that replaces a hundred
    *     engines a second.
    */
-  explicit engine_changes(std::size_t most = 2000) : most_(most) {}
+  explicit engine_change_log(std::size_t capacity = 2000) : capacity_(capacity) {}
 
   /** All entries are known as of this revision; changes from there on are told here. */
-  void begin(Revision revision);
+  void reset(Revision revision);
   /** An entry was written, removed or spoilt.
    * @param revision 0: the feed did not say. It is told to whoever asks.
    */
-  void onChange(const EngineId& engine, Revision revision);
+  void record(const EngineId& engine, Revision revision);
   /** @return the engines whose entries changed after `since`; nothing if that is too long ago. */
-  std::optional<std::set<EngineId>> since(Revision since) const;
+  std::optional<std::set<EngineId>> changedSince(Revision since) const;
 
  private:
   struct change {
@@ -36,8 +36,8 @@
     Revision revision = 0;
   };
 
-  std::size_t most_;
-  Revision from_ = 0;  ///< All changes after this one are kept.
+  std::size_t capacity_;
+  Revision complete_since_ = 0;  ///< All changes after this one are kept.
   std::deque<change> changes_;
 };
 
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -71,7 +71,7 @@
 
 void engine_feed::onListed(Revision revision) {
   this->known_ = true;
-  this->changes_.begin(revision);
+  this->changes_.reset(revision);
   LogEvent("engines", "listed")
       .number("count", static_cast<std::int64_t>(this->listed_.size()))
       .number("revision", static_cast<std::int64_t>(revision));
@@ -126,7 +126,7 @@
 
 void engine_feed::onRow(const table::RowChange& change) {
   const EngineId id(table::keyWithoutTable(change.row));
-  this->changes_.onChange(id, change.row.revision);
+  this->changes_.record(id, change.row.revision);
   if (!change.gone) {
     if (const auto record = this->parse(change.row)) this->update(*record, change.row.revision);
     return;
@@ -162,7 +162,7 @@
     return table::Row{this->deps_.platform.engineTable() + "/" + record.id.str(),
                       snapshot.engines_revision, this->deps_.platform.encodeEngine(record)};
   };
-  const auto changed = this->changes_.since(known);
+  const auto changed = this->changes_.changedSince(known);
   if (!changed) {
     for (const auto& [id, engine] : this->deps_.registry.all()) {
       if (!engine.lapsed) snapshot.engines.push_back(toRow(engine.record));
@@ -186,13 +186,13 @@
   if (!snapshot.engines_since) this->listed_.clear();
   for (const table::Row& row : snapshot.engines) {
     this->onListedRow(row);
-    this->changes_.onChange(EngineId(table::keyWithoutTable(row)), snapshot.engines_revision);
+    this->changes_.record(EngineId(table::keyWithoutTable(row)), snapshot.engines_revision);
   }
   if (!snapshot.engines_since) {
     this->onListed(snapshot.engines_revision);
   } else {
     for (const std::string& id : snapshot.engines_gone) {
-      this->changes_.onChange(EngineId(id), snapshot.engines_revision);
+      this->changes_.record(EngineId(id), snapshot.engines_revision);
       this->remove(EngineId(id));
     }
     this->listed_.clear();
--- a/src/gateway/service/engine_feed.h
+++ b/src/gateway/service/engine_feed.h
@@ -14,7 +14,7 @@
 #include "common/success_sampler.h"
 #include "gateway/engines/engine_registry.h"
 #include "gateway/http/connection_pool.h"
-#include "gateway/service/engine_changes.h"
+#include "gateway/service/engine_change_log.h"
 #include "gateway/service/peer_snapshot.h"
 #include "gateway/service/platform_port.h"
 #include "gateway/table/table_watcher.h"
@@ -71,7 +71,7 @@
   std::optional<Address> remove(const EngineId& id);
 
   dependencies deps_;
-  engine_changes changes_;
+  engine_change_log changes_;
   std::set<EngineId> listed_;  ///< Of the read of the whole table that is under way.
   std::uint64_t unlogged_changes_ = 0;
   logging::SuccessSampler line_sampler_;
