--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -173,7 +173,7 @@
   for (const EngineId& id : *changed) {
     const engines::engine_state* engine = this->deps_.registry.find(id);
     if (engine == nullptr || engine->lapsed) {
-      snapshot.engines_gone.push_back(id.str());
+      snapshot.removed_engines.push_back(id.str());
     } else {
       snapshot.engines.push_back(toRow(engine->record));
     }
@@ -191,7 +191,7 @@
   if (!snapshot.engines_since) {
     this->onListed(snapshot.engines_revision);
   } else {
-    for (const std::string& id : snapshot.engines_gone) {
+    for (const std::string& id : snapshot.removed_engines) {
       this->changes_.record(EngineId(id), snapshot.engines_revision);
       this->remove(EngineId(id));
     }
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -107,7 +107,7 @@
   http::Response response;
   const operator_feed& operators = this->deps_.operators;
   if (operators.routes() && this->deps_.engines.known() && this->deps_.suspects.known()) {
-    const KnownByAsker known = knownByAsker(target);
+    const KnownRevisions known = parseSnapshotTarget(target);
     PeerSnapshot snapshot;
     snapshot.config_version = operators.configurationVersion();
     const bool newer = snapshot.config_version > known.config_version;
@@ -152,8 +152,8 @@
 Task<void> peer_exchange::ask(Address peer) {
   ++this->asks_under_way_;
   const bool engines_known = this->deps_.engines.known();
-  const KnownByAsker known{this->deps_.operators.configurationVersion(),
-                           engines_known ? this->deps_.engines.revision() : 0};
+  const KnownRevisions known{this->deps_.operators.configurationVersion(),
+                             engines_known ? this->deps_.engines.revision() : 0};
   http::Request request(boost::beast::http::verb::get, snapshotTarget(known), 11);
   request.set(boost::beast::http::field::host, "peer");
   const Instant deadline = steadyNow() + (engines_known ? kAskTimeout : kListTimeout);
--- a/src/gateway/service/peer_snapshot.cpp
+++ b/src/gateway/service/peer_snapshot.cpp
@@ -22,13 +22,13 @@
 
 }  // namespace
 
-std::string snapshotTarget(const KnownByAsker& known) {
+std::string snapshotTarget(const KnownRevisions& known) {
   return std::string(kSnapshotPath) + "?" + kConfigParameter +
          std::to_string(known.config_version) + "&" + kEnginesParameter +
          std::to_string(known.engines_revision);
 }
 
-KnownByAsker knownByAsker(const std::string& target) {
+KnownRevisions parseSnapshotTarget(const std::string& target) {
   return {parameter(target, kConfigParameter), parameter(target, kEnginesParameter)};
 }
 
@@ -42,7 +42,7 @@
       {"suspects", encodeRows(snapshot.suspects)}};
   if (snapshot.engines_since) {
     document["engines_since"] = *snapshot.engines_since;
-    document["engines_gone"] = snapshot.engines_gone;
+    document["engines_gone"] = snapshot.removed_engines;
   }
   return document.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -64,7 +64,7 @@
     snapshot.engines = decodeRows(document.at("engines"));
     if (document.contains("engines_since")) {
       snapshot.engines_since = document["engines_since"].get<Revision>();
-      snapshot.engines_gone = document.at("engines_gone").get<std::vector<std::string>>();
+      snapshot.removed_engines = document.at("engines_gone").get<std::vector<std::string>>();
     }
     // A daemon of before knows of none.
     snapshot.suspects = decodeRows(document.value("suspects", json::array()));
--- a/src/gateway/service/peer_snapshot.h
+++ b/src/gateway/service/peer_snapshot.h
@@ -27,21 +27,21 @@
   std::vector<table::Row> engines;
   /// Not told: `engines` is the whole list.
   std::optional<Revision> engines_since;
-  std::vector<std::string> engines_gone;  ///< Ids of engines whose entries went after that.
-  std::vector<table::Row> suspects;       ///< Requests under which engines ended.
+  std::vector<std::string> removed_engines;  ///< Ids of engines whose entries went after that.
+  std::vector<table::Row> suspects;          ///< Requests under which engines ended.
 };
 
 /// What an asker knows; 0: nothing.
-struct KnownByAsker {
+struct KnownRevisions {
   std::uint64_t config_version = 0;
   Revision engines_revision = 0;
 };
 
 /// @return the target of a call that asks for what is newer. Daemons that do not look for it answer
 ///     with all they know.
-std::string snapshotTarget(const KnownByAsker& known);
+std::string snapshotTarget(const KnownRevisions& known);
 /// @return nothing known, if the target does not tell.
-KnownByAsker knownByAsker(const std::string& target);
+KnownRevisions parseSnapshotTarget(const std::string& target);
 
 std::string encodeSnapshot(const PeerSnapshot& snapshot);
 /// @return nothing if the text is no snapshot.
--- a/tests/gateway/service/engine_change_log_test.cpp
+++ b/tests/gateway/service/engine_change_log_test.cpp
@@ -50,10 +50,10 @@
 }
 
 Test(peer_snapshot, what_the_asker_knows_is_told_with_its_call) {
-  const auto known = gateway::knownByAsker(gateway::snapshotTarget({7, 1234}));
+  const auto known = gateway::parseSnapshotTarget(gateway::snapshotTarget({7, 1234}));
   cr_assert_eq(known.config_version, 7U);
   cr_assert_eq(known.engines_revision, 1234U);
-  const auto older = gateway::knownByAsker("/snapshot");
+  const auto older = gateway::parseSnapshotTarget("/snapshot");
   cr_assert_eq(older.config_version, 0U);
   cr_assert_eq(older.engines_revision, 0U);
 }
@@ -61,10 +61,10 @@
 Test(peer_snapshot, changes_since_a_revision_are_read_as_such) {
   gateway::PeerSnapshot told;
   told.engines_since = 5;
-  told.engines_gone = {"e1"};
+  told.removed_engines = {"e1"};
   const auto read = gateway::decodeSnapshot(gateway::encodeSnapshot(told));
   cr_assert_eq(*read->engines_since, 5U);
-  cr_assert_eq(read->engines_gone.at(0), "e1");
+  cr_assert_eq(read->removed_engines.at(0), "e1");
   const auto whole = gateway::decodeSnapshot(gateway::encodeSnapshot(gateway::PeerSnapshot{}));
   cr_assert_not(whole->engines_since.has_value());
 }
--- a/tests/gateway/service/entries_test.cpp
+++ b/tests/gateway/service/entries_test.cpp
@@ -84,6 +84,6 @@
   co_await sleepFor(fixture.loop(), kHeard);
   const auto changed = co_await ask(known);
   cr_assert(changed.engines.empty());
-  cr_assert_eq(changed.engines_gone.at(0), fixture.lookup(0).id());
+  cr_assert_eq(changed.removed_engines.at(0), fixture.lookup(0).id());
   std::quick_exit(0);
 }
