--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -11,7 +11,7 @@
 #include "common/event_log.h"
 #include "common/random.h"
 #include "gateway/service/gateway.h"
-#include "gateway/service/settings_watch.h"
+#include "gateway/service/settings_watcher.h"
 #include "platform.h"
 
 namespace {
@@ -63,17 +63,17 @@
   stop_signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) daemon.stop();
   });
-  gateway::settings_watch settings_watch(loop, file, kSettingsPeriod,
-                                         [&](const gateway::GatewaySettings& changed) {
-                                           platform.setAddresses(changed.store, changed.duties);
-                                           daemon.applySettings(changed);
-                                         });
-  settings_watch.start();
+  gateway::settings_watcher settings_watcher(loop, file, kSettingsPeriod,
+                                             [&](const gateway::GatewaySettings& changed) {
+                                               platform.setAddresses(changed.store, changed.duties);
+                                               daemon.applySettings(changed);
+                                             });
+  settings_watcher.start();
   boost::asio::signal_set reload_signal(loop, SIGHUP);
   std::function<void()> awaitReload = [&] {
     reload_signal.async_wait([&](const boost::system::error_code& error, int) {
       if (error) return;
-      settings_watch.reload();
+      settings_watcher.reload();
       awaitReload();
     });
   };
--- a/src/gateway/service/settings_watch.cpp
+++ b/src/gateway/service/settings_watcher.cpp
@@ -1,4 +1,4 @@
-#include "gateway/service/settings_watch.h"
+#include "gateway/service/settings_watcher.h"
 
 #include "common/event_log.h"
 #include "common/read_file.h"
@@ -11,37 +11,37 @@
   return parseGatewaySettings(file, *text);
 }
 
-settings_watch::settings_watch(boost::asio::io_context& loop, std::string file, Duration period,
-                               on_settings callback)
+settings_watcher::settings_watcher(boost::asio::io_context& loop, std::string file, Duration period,
+                                   settings_callback callback)
     : loop_(loop), file_(std::move(file)), period_(period), callback_(std::move(callback)) {
-  this->seen_ = this->currentStamp();
+  this->last_stamp_ = this->currentStamp();
 }
 
-void settings_watch::start() {
-  spawn(this->loop_, [this] { return this->run(); });
+void settings_watcher::start() {
+  spawn(this->loop_, [this] { return this->pollLoop(); });
 }
 
-settings_watch::stamp settings_watch::currentStamp() const {
+settings_watcher::file_stamp settings_watcher::currentStamp() const {
   std::error_code error;
-  stamp now;
+  file_stamp now;
   now.written_at = std::filesystem::last_write_time(this->file_, error);
-  if (error) return this->seen_;
+  if (error) return this->last_stamp_;
   now.size = std::filesystem::file_size(this->file_, error);
-  return error ? this->seen_ : now;
+  return error ? this->last_stamp_ : now;
 }
 
-Task<void> settings_watch::run() {
+Task<void> settings_watcher::pollLoop() {
   for (;;) {
     co_await sleepFor(this->loop_, this->period_);
-    if (this->currentStamp() != this->seen_) this->reload();
+    if (this->currentStamp() != this->last_stamp_) this->reload();
   }
 }
 
-void settings_watch::reload() {
-  this->seen_ = this->currentStamp();
+void settings_watcher::reload() {
+  this->last_stamp_ = this->currentStamp();
   const auto settings = readGatewaySettings(this->file_);
   if (!settings) {
-    ++this->refused_;
+    ++this->rejected_reloads_;
     logging::LogEvent("settings", "reload_refused").text("findings", describe(settings.error()));
     return;
   }
--- a/src/gateway/service/settings_watch.h
+++ b/src/gateway/service/settings_watcher.h
@@ -17,38 +17,38 @@
 tl::expected<GatewaySettings, Findings> readGatewaySettings(const std::string& file);
 
 /// Loop thread only.
-class settings_watch {
+class settings_watcher {
  public:
   /// Called with each version of the file that is right as a whole.
-  using on_settings = std::function<void(const GatewaySettings&)>;
+  using settings_callback = std::function<void(const GatewaySettings&)>;
 
-  settings_watch(boost::asio::io_context& loop, std::string file, Duration period,
-                 on_settings callback);
+  settings_watcher(boost::asio::io_context& loop, std::string file, Duration period,
+                   settings_callback callback);
 
   void start();
   /** Reads the file now, as after a signal. A file with findings changes nothing: they are logged.
    */
   void reload();
-  std::uint64_t refused() const { return refused_; }
+  std::uint64_t rejectedReloads() const { return rejected_reloads_; }
 
  private:
   /// What tells one version of the file from another without reading it.
-  struct stamp {
+  struct file_stamp {
     std::filesystem::file_time_type written_at{};
     std::uintmax_t size = 0;
 
-    bool operator==(const stamp&) const = default;
+    bool operator==(const file_stamp&) const = default;
   };
 
-  stamp currentStamp() const;
-  Task<void> run();
+  file_stamp currentStamp() const;
+  Task<void> pollLoop();
 
   boost::asio::io_context& loop_;
   std::string file_;
   Duration period_;
-  on_settings callback_;
-  stamp seen_;
-  std::uint64_t refused_ = 0;
+  settings_callback callback_;
+  file_stamp last_stamp_;
+  std::uint64_t rejected_reloads_ = 0;
 };
 
 }  // namespace linenpier::gateway
--- a/tests/gateway/service/settings_watch_test.cpp
+++ b/tests/gateway/service/settings_watcher_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/service/settings_watch.h"
+#include "gateway/service/settings_watcher.h"
 
 #include <unistd.h>
 
@@ -34,7 +34,7 @@
 struct Fixture {
   boost::asio::io_context loop{1};
   std::vector<GatewaySettings> told;
-  gateway::settings_watch watch;
+  gateway::settings_watcher watch;
 
   Fixture()
       : watch((write(settingsWith("127.0.0.1:3")), loop), kFile, kPeriod,
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-Test(settings_watch, a_file_that_changes_without_a_signal_is_read_again) {
+Test(settings_watcher, a_file_that_changes_without_a_signal_is_read_again) {
   Fixture fixture;
   fixture.watch.start();
   fixture.loop.run_for(kTimeout);
@@ -54,7 +54,7 @@
   cr_assert_eq(fixture.told[0].store.port, 4444);
 }
 
-Test(settings_watch, the_bound_of_cold_engines_is_read) {
+Test(settings_watcher, the_bound_of_cold_engines_is_read) {
   const std::string file = settingsWith("127.0.0.1:3");
   const auto without = gateway::parseGatewaySettings("f", file);
   cr_assert(without->cold == engines::cold_rules{}, "nothing is bounded");
@@ -63,19 +63,19 @@
   cr_assert(with->cold == (engines::cold_rules{1.5, 5}));
 }
 
-Test(settings_watch, a_wrong_file_changes_nothing_and_is_read_once) {
+Test(settings_watcher, a_wrong_file_changes_nothing_and_is_read_once) {
   Fixture fixture;
   fixture.watch.start();
   write("[daemon]\nid = 7\n");
   fixture.loop.run_for(kTimeout);
   cr_assert(fixture.told.empty());
-  cr_assert_eq(fixture.watch.refused(), 1U);
+  cr_assert_eq(fixture.watch.rejectedReloads(), 1U);
   write(settingsWith("127.0.0.1:55555"));
   fixture.loop.run_for(kTimeout);
   cr_assert_eq(fixture.told.size(), 1U);
 }
 
-Test(settings_watch, a_signal_reads_the_file_at_once) {
+Test(settings_watcher, a_signal_reads_the_file_at_once) {
   Fixture fixture;
   write(settingsWith("127.0.0.1:4"));
   fixture.watch.reload();
