--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -205,7 +205,7 @@
   registry_.setHeartbeat(changed.engine_heartbeat);
   settings_.layout = changed.layout;
   registry_.setLayout(changed.layout);
-  if (operators_.routes()) demand_ = demandOf(*operators_.routes(), settings_.layout);
+  if (operators_.routes()) demand_ = computeOwnerDemand(*operators_.routes(), settings_.layout);
   batches_.setOptions(changed.batch);
   orders_.setOptions(orderOptions(changed));
   LogEvent("settings", "applied")
@@ -228,7 +228,7 @@
 }
 
 void Gateway::onConfiguration(const routing::RouteTable& routes) {
-  demand_ = demandOf(routes, settings_.layout);
+  demand_ = computeOwnerDemand(routes, settings_.layout);
   requests_.setLimits(routes.limits);
   registry_.setServices(routes.services);
 }
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -74,7 +74,7 @@
   http::ConnectionPool& engine_pool_;
   engines::engine_registry registry_;
   routing::weighted_round_robin round_robin_;
-  lease::pool_demand demand_ = demandWithoutModels();  ///< Gateways that are to offer to own work.
+  lease::pool_demand demand_ = defaultOwnerDemand();  ///< Gateways that are to offer to own work.
   lease::lease_table leases_;
   lease::owner_pool owner_pool_;
   lease::lease_keeper keeper_;
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -43,12 +43,13 @@
 
 }  // namespace
 
-lease::pool_demand demandWithoutModels() {
+lease::pool_demand defaultOwnerDemand() {
   return {kSpareOwners, {}};
 }
 
-lease::pool_demand demandOf(const routing::RouteTable& table, const fleet::fleet_layout& layout) {
-  lease::pool_demand demand = demandWithoutModels();
+lease::pool_demand computeOwnerDemand(const routing::RouteTable& table,
+                                      const fleet::fleet_layout& layout) {
+  lease::pool_demand demand = defaultOwnerDemand();
   for (const auto& [name, service] : table.services) demand.owners += service.models.size();
   for (const routing::Route& route : table.routes) {
     if (route.kind != routing::RequestKind::kBatch) continue;
--- a/src/gateway/service/owner_demand.h
+++ b/src/gateway/service/owner_demand.h
@@ -13,9 +13,10 @@
 /** @return one daemon a model and some to spare; and for each set of homes that batch jobs are
  * bound to, one a model that is trained there and one that can take over.
  */
-lease::pool_demand demandOf(const routing::RouteTable& table, const fleet::fleet_layout& layout);
+lease::pool_demand computeOwnerDemand(const routing::RouteTable& table,
+                                      const fleet::fleet_layout& layout);
 
 /** The same before there is a configuration. */
-lease::pool_demand demandWithoutModels();
+lease::pool_demand defaultOwnerDemand();
 
 }  // namespace linenpier::gateway
--- a/tests/gateway/service/owner_demand_test.cpp
+++ b/tests/gateway/service/owner_demand_test.cpp
@@ -31,28 +31,28 @@
 }  // namespace
 
 Test(owner_demand, without_homes_owners_are_wanted_anywhere) {
-  cr_assert(gateway::demandOf(twoModels(), kLayout) == wanted(4, {}));
+  cr_assert(gateway::computeOwnerDemand(twoModels(), kLayout) == wanted(4, {}));
 }
 
 Test(owner_demand, each_set_of_homes_wants_owners_of_its_own) {
   routing::RouteTable table = twoModels();
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
   const lease::pool_demand::place near{{ZoneName("a"), ZoneName("b")}, 3};
-  cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}));
+  cr_assert(gateway::computeOwnerDemand(table, kLayout) == wanted(4, {near}));
   routing::tenant far;
   far.name = TenantId("t");
   far.residency = fleet::data_residency({RegionName("far")});
   table.tenants = *routing::tenant_table::make({far});
-  cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {near}),
+  cr_assert(gateway::computeOwnerDemand(table, kLayout) == wanted(4, {near}),
             "the two have no region in common");
   table.routes.front().residency = {};
   const lease::pool_demand::place there{{ZoneName("c")}, 3};
-  cr_assert(gateway::demandOf(table, kLayout) == wanted(4, {there}));
+  cr_assert(gateway::computeOwnerDemand(table, kLayout) == wanted(4, {there}));
 }
 
 Test(owner_demand, other_routes_want_no_owners) {
   routing::RouteTable table = twoModels();
   table.routes.front().kind = routing::RequestKind::kIdempotent;
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
-  cr_assert(gateway::demandOf(table, kLayout).places.empty());
+  cr_assert(gateway::computeOwnerDemand(table, kLayout).places.empty());
 }
