--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -3,13 +3,13 @@
 /// machines are replaced one after the other both run side by side. The bytes were recorded from
 /// that build's own encoders.
 
+#include "batch_json_codec.h"
 #include "gateway/batch/checkpoint.h"
 #include "gateway/batch/job_store.h"
 #include "gateway/lease/leader_lock.h"
 #include "gateway/lease/lease_row.h"
 #include "gateway/service/peer_snapshot.h"
 #include "gateway/suspects/suspect_record.h"
-#include "job_documents.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
@@ -92,7 +92,7 @@
 }
 
 Test(earlier_build, its_results_are_read_and_written_alike) {
-  const platform_adapter::job_documents documents;
+  const platform_adapter::batch_json_codec documents;
   const auto result = documents.decodeResult(kResult);
   cr_assert(result.has_value());
   cr_assert_eq(documents.encodeResult(*result), kResult);
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -1,8 +1,8 @@
 #include "base64.h"
+#include "batch_json_codec.h"
 #include "configuration_document.h"
 #include "engine_document.h"
 #include "gateway/tenants/residency.h"
-#include "job_documents.h"
 
 // Criterion's macros clash with Boost's headers that come after it.
 // clang-format off
@@ -141,7 +141,7 @@
 }
 
 Test(documents, a_batch_job_is_read_with_its_items) {
-  const job_documents documents;
+  const batch_json_codec documents;
   const auto job =
       documents.parseJob(JobId("j"),
                          R"({"step":7,"model":"m","minVersion":6,"desired":12,"requests":[
@@ -158,7 +158,7 @@
 }
 
 Test(documents, every_fault_of_a_batch_job_is_reported_with_its_place) {
-  const job_documents documents;
+  const batch_json_codec documents;
   const auto job = documents.parseJob(
       JobId("j"),
       R"({"minVersion":"x","requests":[{"id":"i1","path":"/y/3","body":"!!"},{"path":7}]})");
@@ -172,7 +172,7 @@
 }
 
 Test(documents, the_request_that_scores_an_item_is_read_with_it) {
-  const job_documents documents;
+  const batch_json_codec documents;
   const auto job = documents.parseJob(JobId("j"), R"({"requests":[
       {"id":"a","path":"/x/1","scorer":{"id":"s","host":"h","path":"/y/2","body":"aGk="}},
       {"id":"b","path":"/x/2"}]})");
@@ -183,7 +183,7 @@
 }
 
 Test(documents, every_fault_of_a_scorer_is_reported_with_its_place) {
-  const job_documents documents;
+  const batch_json_codec documents;
   const auto job = documents.parseJob(JobId("j"), R"({"requests":[
       {"id":"a","path":"/x/1","scorer":"s"},
       {"id":"b","path":"/x/2","scorer":{"id":7,"host":"h","body":"?"}}]})");
@@ -195,7 +195,7 @@
 }
 
 Test(documents, results_are_written_as_readers_expect_them) {
-  const job_documents documents;
+  const batch_json_codec documents;
   batch::batch_result result;
   result.item = ItemId("i");
   result.text = "a\nb";
