--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -101,7 +101,7 @@
       operators_(
           loop, platform, closed_zones_,
           {[this](const routing::RouteTable& routes) { onConfiguration(routes); },
-           [this](const NamedVersion& named) { orders_.onNamed(named.model, named.version); },
+           [this](const PublishedVersion& named) { orders_.onNamed(named.model, named.version); },
            [this] { store_.onStoreAnswered(); }},
           hash64(settings.id.str(), 1)),
       engines_({loop, platform, registry_, engine_pool, [this] { return ownsWork(); },
--- a/src/gateway/service/operator_feed.cpp
+++ b/src/gateway/service/operator_feed.cpp
@@ -65,8 +65,8 @@
   const std::string key = table::keyWithoutTable(row);
   if (this->platform_.isConfiguration(key)) {
     this->onConfiguration(row.value);
-  } else if (const auto named = this->platform_.parseNamedVersion(key, row.value)) {
-    this->listener_.on_named_version(*named);
+  } else if (const auto named = this->platform_.parsePublishedVersion(key, row.value)) {
+    this->listener_.on_published_version(*named);
   }
 }
 
@@ -82,7 +82,7 @@
       .number("before", static_cast<std::int64_t>(this->configurationVersion()))
       .number("routes", static_cast<std::int64_t>(parsed->routes.size()))
       .number("tenants", static_cast<std::int64_t>(parsed->tenants.all().size()));
-  this->configuration_ = this->platform_.withoutKeys(value);
+  this->configuration_ = this->platform_.hashApiKeys(value);
   this->routes_ = std::make_shared<const routing::RouteTable>(std::move(*parsed));
   this->listener_.on_configuration(*this->routes_);
 }
--- a/src/gateway/service/operator_feed.h
+++ b/src/gateway/service/operator_feed.h
@@ -24,7 +24,7 @@
  public:
   struct listener {
     std::function<void(const routing::RouteTable&)> on_configuration;
-    std::function<void(const NamedVersion&)> on_named_version;
+    std::function<void(const PublishedVersion&)> on_published_version;
     std::function<void()> on_store_answered;
   };
 
@@ -37,7 +37,7 @@
   /** @return 0 before the first configuration. */
   std::uint64_t configurationVersion() const { return this->routes_ ? this->routes_->version : 0; }
   /** @return the configuration as the operator's row has it, with digests in place of keys. */
-  const std::string& configurationWithoutKeys() const { return this->configuration_; }
+  const std::string& configurationWithHashedKeys() const { return this->configuration_; }
   /** @return whether this gateway follows the operator's changes, so that it may say that a route
    * or a key does not exist.
    */
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -111,7 +111,7 @@
     PeerSnapshot snapshot;
     snapshot.config_version = operators.configurationVersion();
     const bool newer = snapshot.config_version > known.config_version;
-    if (newer) snapshot.configuration = operators.configurationWithoutKeys();
+    if (newer) snapshot.configuration = operators.configurationWithHashedKeys();
     snapshot.zones_revision = operators.zonesRevision();
     snapshot.closed_zones = this->deps_.zones.closed().all();
     this->deps_.engines.addTo(snapshot, known.engines_revision);
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -31,7 +31,7 @@
 };
 
 /// The newest weights of a model, as its trainer names them.
-struct NamedVersion {
+struct PublishedVersion {
   ModelName model;
   WeightVersion version = 0;
 };
@@ -57,10 +57,10 @@
   virtual tl::expected<routing::RouteTable, Findings> parseConfiguration(
       const std::string& value) const = 0;
   /// @return a configuration that is parsed the same, and gives no tenant's key away.
-  virtual std::string withoutKeys(const std::string& configuration) const = 0;
+  virtual std::string hashApiKeys(const std::string& configuration) const = 0;
   /// @return nothing if the operator's row is about something else.
-  virtual std::optional<NamedVersion> parseNamedVersion(const std::string& key,
-                                                        const std::string& value) const = 0;
+  virtual std::optional<PublishedVersion> parsePublishedVersion(const std::string& key,
+                                                                const std::string& value) const = 0;
   /// @return the zone whose engines are sent nothing while the operator's row is there; nothing if
   ///     the row is about something else.
   virtual std::optional<ZoneName> parseZoneClosing(const std::string& key) const = 0;
--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -95,10 +95,10 @@
 }
 
 Test(tenant_table, a_configuration_without_keys_says_the_same_and_gives_none_away) {
-  const std::string told = platform_adapter::withoutKeys(kConfiguration);
+  const std::string told = platform_adapter::hashApiKeys(kConfiguration);
   cr_assert_eq(told.find("secret"), std::string::npos);
   cr_assert(parsed(told).tenants.all() == parsed(kConfiguration).tenants.all());
-  cr_assert_eq(platform_adapter::withoutKeys(told), told);
+  cr_assert_eq(platform_adapter::hashApiKeys(told), told);
 }
 
 Test(tenant_table, a_key_of_two_tenants_refuses_the_whole_configuration) {
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -134,10 +134,10 @@
 }
 
 Test(documents, a_named_version_is_read_from_its_own_rows_only) {
-  const auto named = parseNamedVersion("version/m", R"({"model":"m","version":8})");
+  const auto named = parsePublishedVersion("version/m", R"({"model":"m","version":8})");
   cr_assert_eq(named->version, 8U);
-  cr_assert_not(parseNamedVersion("other/m", R"({"model":"m","version":8})").has_value());
-  cr_assert_not(parseNamedVersion("version/m", R"({"model":"m"})").has_value());
+  cr_assert_not(parsePublishedVersion("other/m", R"({"model":"m","version":8})").has_value());
+  cr_assert_not(parsePublishedVersion("version/m", R"({"model":"m"})").has_value());
 }
 
 Test(documents, a_batch_job_is_read_with_its_items) {
