--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -49,7 +49,7 @@
   bool ready() const;
   bool stopping() const { return this->stopping_; }
   /** @return whether the store's leases and the coordination feed are answered. */
-  bool followsStore() const { return this->leases_.storeHealthy(); }
+  bool storeReachable() const { return this->leases_.storeHealthy(); }
   Address requestAddress() const { return this->requests_.address(); }
   Address peerAddress() const { return this->peer_server_.address(); }
   Address metricsAddress() const { return this->metrics_server_.address(); }
--- a/tests/gateway/service/release_test.cpp
+++ b/tests/gateway/service/release_test.cpp
@@ -113,7 +113,7 @@
 GATEWAY_TEST(release, a_job_is_taken_as_soon_as_the_store_answers_again, twoGateways(kEvents)) {
   fixture.store().faults().hang_feeds = true;
   const bool lost = co_await fixture.waitFor(
-      [&fixture] { return !fixture.gateway(1).followsStore(); }, std::chrono::seconds(6));
+      [&fixture] { return !fixture.gateway(1).storeReachable(); }, std::chrono::seconds(6));
   cr_assert(lost);
   const auto accepted = co_await fixture.call(1, stepRequest(fixture, "job"));
   cr_assert_eq(accepted.response.result_int(), 202U, "its feeds hang, but the store takes writes");
