--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -44,11 +44,12 @@
 }
 
 int run(const std::string& file, const gateway::GatewaySettings& settings) {
-  logging::startEventLog({settings.id.str(), settings.log_enabled, settings.log_text});
+  logging::startEventLog({settings.id.str(), settings.log_enabled, settings.log_as_text});
   boost::asio::io_context loop(1);
   http::ConnectionPool store_pool(loop, {});
   http::ConnectionPool engine_pool(loop, {});
-  platform_adapter::Platform platform(store_pool, engine_pool, settings.store, settings.duties);
+  platform_adapter::Platform platform(store_pool, engine_pool, settings.store_address,
+                                      settings.duties_address);
   metrics::GatewayMetrics metrics;
   platform.store().setObserver([&metrics](const char* call, const char* result, Duration took) {
     metrics.onStoreCall(call, result, took);
@@ -63,11 +64,11 @@
   stop_signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) daemon.stop();
   });
-  gateway::settings_watcher settings_watcher(loop, file, kSettingsPeriod,
-                                             [&](const gateway::GatewaySettings& changed) {
-                                               platform.setAddresses(changed.store, changed.duties);
-                                               daemon.applySettings(changed);
-                                             });
+  gateway::settings_watcher settings_watcher(
+      loop, file, kSettingsPeriod, [&](const gateway::GatewaySettings& changed) {
+        platform.setAddresses(changed.store_address, changed.duties_address);
+        daemon.applySettings(changed);
+      });
   settings_watcher.start();
   boost::asio::signal_set reload_signal(loop, SIGHUP);
   std::function<void()> awaitReload = [&] {
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -40,8 +40,8 @@
 
 /** @return the seeds of the settings without this gateway. */
 std::vector<Address> otherSeeds(const GatewaySettings& settings) {
-  std::vector<Address> others = settings.seeds;
-  if (settings.peers) std::erase(others, *settings.peers);
+  std::vector<Address> others = settings.seed_peers;
+  if (settings.peer_address) std::erase(others, *settings.peer_address);
   return others;
 }
 
@@ -60,7 +60,7 @@
       owner_pool_(leases_, settings.machine, settings.zone),
       keeper_(loop, platform.table(), leases_, owner_pool_),
       lease_watch_(loop, platform.table(), leases_, keeper_, owner_pool_, {}, seed + 1),
-      job_store_(platform.table(), platform.objects(), settings.row_bytes - kRowOverhead),
+      job_store_(platform.table(), platform.objects(), settings.max_row_bytes - kRowOverhead),
       usage_({{loop, platform.table(), leases_, keeper_, owner_pool_},
               platform.duties(),
               settings.id.str(),
@@ -153,8 +153,10 @@
 
 Findings Gateway::start() {
   Findings findings;
-  if (const auto finding = requests_.listen(settings_.requests)) findings.push_back(*finding);
-  if (const auto finding = readiness_.listen(settings_.readiness)) findings.push_back(*finding);
+  if (const auto finding = requests_.listen(settings_.request_address))
+    findings.push_back(*finding);
+  if (const auto finding = readiness_.listen(settings_.readiness_address))
+    findings.push_back(*finding);
   if (!findings.empty()) return findings;
   listenForMetricsAndPeers();
   operators_.start();
@@ -174,19 +176,19 @@
   LogEvent("gateway", "started")
       .text("zone", settings_.zone.str())
       .text("lease", leases_.own().str())
-      .text("requests", toString(settings_.requests))
-      .text("store", toString(settings_.store));
+      .text("requests", toString(settings_.request_address))
+      .text("store", toString(settings_.store_address));
   return {};
 }
 
 void Gateway::listenForMetricsAndPeers() {
-  if (settings_.metrics) {
-    if (const auto finding = metrics_server_.listen(*settings_.metrics)) {
+  if (settings_.metrics_address) {
+    if (const auto finding = metrics_server_.listen(*settings_.metrics_address)) {
       LogEvent("gateway", "metrics_unavailable").text("findings", describe({*finding}));
     }
   }
-  if (!settings_.peers) return;
-  if (const auto finding = peer_server_.listen(*settings_.peers)) {
+  if (!settings_.peer_address) return;
+  if (const auto finding = peer_server_.listen(*settings_.peer_address)) {
     LogEvent("gateway", "peers_unavailable").text("findings", describe({*finding}));
     return;
   }
@@ -195,12 +197,12 @@
 
 void Gateway::applySettings(const GatewaySettings& changed) {
   const bool restart_needed = changed.id != settings_.id || changed.zone != settings_.zone ||
-                              changed.requests != settings_.requests ||
-                              changed.readiness != settings_.readiness ||
+                              changed.request_address != settings_.request_address ||
+                              changed.readiness_address != settings_.readiness_address ||
                               changed.scaling.mode != settings_.scaling.mode;
-  settings_.seeds = changed.seeds;
-  settings_.stop_limit = changed.stop_limit;
-  settings_.store = changed.store;
+  settings_.seed_peers = changed.seed_peers;
+  settings_.shutdown_timeout = changed.shutdown_timeout;
+  settings_.store_address = changed.store_address;
   registry_.cold().setRules(changed.cold);
   registry_.setHeartbeat(changed.engine_heartbeat);
   settings_.layout = changed.layout;
@@ -209,8 +211,8 @@
   batches_.setOptions(changed.batch);
   orders_.setOptions(orderOptions(changed));
   LogEvent("settings", "applied")
-      .text("store", toString(changed.store))
-      .number("seeds", static_cast<std::int64_t>(changed.seeds.size()))
+      .text("store", toString(changed.store_address))
+      .number("seeds", static_cast<std::int64_t>(changed.seed_peers.size()))
       .text("restart_needed", restart_needed ? "yes" : "no");
 }
 
@@ -292,7 +294,7 @@
   }
   requests_.closeIdle();
   while ((requests_.busy() > 0 || usage_.unsaved()) &&
-         steadyNow() < begun + settings_.stop_limit - kStopSlack) {
+         steadyNow() < begun + settings_.shutdown_timeout - kStopSlack) {
     co_await sleepFor(loop_, kStopInterval);
   }
   LogEvent("gateway", "stopped").number("cut_off", static_cast<std::int64_t>(requests_.busy()));
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Settings of the gateway: TOML under the product's own names.
+/// Settings of the gateway, read from a TOML file.
 
 #include <optional>
 #include <string>
@@ -24,30 +24,33 @@
 struct GatewaySettings {
   DaemonId id;
   ZoneName zone;
-  fleet::fleet_layout layout;      ///< Which region each zone lies in.
-  Address requests;                ///< Where clients connect.
-  Address readiness;               ///< Where the platform asks whether this daemon is ready.
-  std::optional<Address> metrics;  ///< Where metrics are told; absent: nowhere.
-  std::optional<Address> peers;    ///< Where other daemons ask; absent: nowhere.
-  std::vector<Address> seeds;      ///< Some daemons' addresses for that; may be stale.
-  Address store;
-  std::optional<Address> duties;  ///< Where duties at the platform are carried out; absent: none.
+  fleet::fleet_layout layout;  ///< Region of each zone.
+  Address request_address;     ///< Listens for client requests.
+  Address readiness_address;   ///< Listens for readiness probes.
+  /// Listens for metrics scrapes; disabled if empty.
+  std::optional<Address> metrics_address;
+  /// Listens for calls of other gateways; disabled if empty.
+  std::optional<Address> peer_address;
+  std::vector<Address> seed_peers;  ///< Initial peer addresses; may be out of date.
+  Address store_address;
+  /// Platform service that takes usage reports and scaling orders; none if empty.
+  std::optional<Address> duties_address;
   usage::usage_options usage;
   scaling::scaling_options scaling;
   lease::machine_limits machine;
-  std::size_t row_bytes = 65536;                  ///< Largest value of a row.
-  Duration stop_limit = std::chrono::seconds(8);  ///< From the signal to the end.
-  lease::handover_rules handover;                 ///< Of rights to order engines and of duties.
+  std::size_t max_row_bytes = 65536;                    ///< Largest value of a store row.
+  Duration shutdown_timeout = std::chrono::seconds(8);  ///< From the stop signal to process exit.
+  lease::handover_rules handover;                       ///< Of leader locks between gateways.
   versions::rollout_options rollout;
   batch::batch_options batch;
-  engines::cold_rules cold;  ///< Of engines that started lately.
-  /// Between two heartbeats of an engine, as the platform sets it.
+  engines::cold_rules cold;  ///< Load limits for recently started engines.
+  /// Interval between engine heartbeats, as configured on the platform.
   Duration engine_heartbeat = engines::lapse_options{}.heartbeat;
   bool log_enabled = true;
-  bool log_text = false;
+  bool log_as_text = false;
 };
 
-/// @return the settings, or every finding with file and key.
+/// @return the settings, or all findings, each with file and key.
 tl::expected<GatewaySettings, Findings> parseGatewaySettings(const std::string& file,
                                                              const std::string& text);
 
--- a/src/gateway/service/settings_watcher.cpp
+++ b/src/gateway/service/settings_watcher.cpp
@@ -45,7 +45,7 @@
     logging::LogEvent("settings", "reload_refused").text("findings", describe(settings.error()));
     return;
   }
-  logging::LogEvent("settings", "reloaded").text("store", toString(settings->store));
+  logging::LogEvent("settings", "reloaded").text("store", toString(settings->store_address));
   this->callback_(*settings);
 }
 
--- a/tests/gateway/service/settings_watcher_test.cpp
+++ b/tests/gateway/service/settings_watcher_test.cpp
@@ -51,7 +51,7 @@
   write(settingsWith("127.0.0.1:4444"));
   fixture.loop.run_for(kTimeout);
   cr_assert_eq(fixture.told.size(), 1U);
-  cr_assert_eq(fixture.told[0].store.port, 4444);
+  cr_assert_eq(fixture.told[0].store_address.port, 4444);
 }
 
 Test(settings_watcher, the_bound_of_cold_engines_is_read) {
--- a/tests/support/gateway_fixture.cpp
+++ b/tests/support/gateway_fixture.cpp
@@ -19,12 +19,12 @@
   gateway::GatewaySettings settings;
   settings.id = DaemonId(name);
   settings.zone = ZoneName("z");
-  settings.requests = {0x7f000001, 0};
-  settings.readiness = {0x7f000001, 0};
-  settings.metrics = Address{0x7f000001, 0};
-  settings.peers = Address{0x7f000001, 0};
-  settings.seeds = std::move(seeds);
-  settings.store = store;
+  settings.request_address = {0x7f000001, 0};
+  settings.readiness_address = {0x7f000001, 0};
+  settings.metrics_address = Address{0x7f000001, 0};
+  settings.peer_address = Address{0x7f000001, 0};
+  settings.seed_peers = std::move(seeds);
+  settings.store_address = store;
   return settings;
 }
 
@@ -45,7 +45,7 @@
                                    const gateway::GatewaySettings& settings)
     : store_pool(loop, {}),
       engine_pool(loop, {}),
-      platform(store_pool, engine_pool, settings.store, settings.duties),
+      platform(store_pool, engine_pool, settings.store_address, settings.duties_address),
       gateway(loop, settings, platform, engine_pool, metrics, Random::seedFromSystem()) {
   cr_assert(gateway.start().empty());
 }
@@ -78,13 +78,13 @@
   settings.layout = options_.layout;
   settings.handover.tokens_checked = options_.tokens_checked;
   if (options_.usage) {
-    settings.duties = duties_->address();
+    settings.duties_address = duties_->address();
     settings.usage = *options_.usage;
     settings.usage.handover = settings.handover;
   }
   settings.cold = options_.cold;
   if (options_.scaling) {
-    settings.duties = duties_->address();
+    settings.duties_address = duties_->address();
     settings.scaling = *options_.scaling;
   }
   if (options_.keep_jobs) settings.batch.keep_jobs = *options_.keep_jobs;
