--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -44,13 +44,13 @@
 
 }  // namespace
 
-lease::pool_requirements demandWithoutModels() {
+lease::pool_requirements defaultOwnerDemand() {
   return {kSpareOwners, {}};
 }
 
-lease::pool_requirements demandOf(const routing::RouteTable& table,
-                                  const fleet::fleet_layout& layout) {
-  lease::pool_requirements demand = demandWithoutModels();
+lease::pool_requirements computeOwnerDemand(const routing::RouteTable& table,
+                                            const fleet::fleet_layout& layout) {
+  lease::pool_requirements demand = defaultOwnerDemand();
   for (const auto& [name, service] : table.services) demand.owners += service.models.size();
   for (const routing::Route& route : table.routes) {
     if (route.kind != routing::RequestKind::kBatch) continue;
--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -92,10 +92,10 @@
 }
 
 Test(tenant_table, without_keys_hides_the_keys_and_parses_the_same) {
-  const std::string redacted = platform_adapter::withoutKeys(kConfiguration);
+  const std::string redacted = platform_adapter::hashApiKeys(kConfiguration);
   cr_assert_eq(redacted.find("secret"), std::string::npos);
   cr_assert(parsed(redacted).tenants.all() == parsed(kConfiguration).tenants.all());
-  cr_assert_eq(platform_adapter::withoutKeys(redacted), redacted);
+  cr_assert_eq(platform_adapter::hashApiKeys(redacted), redacted);
 }
 
 Test(tenant_table, key_of_two_tenants_invalidates_the_configuration) {
