--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -66,7 +66,7 @@
   const Duration first_limit =
       options.timeouts.forFirstEvent(active.run.progress(item).late_starts);
   forward::attempt_limits limits{started + options.connect_time, started + first_limit, false,
-                                 engines::AttemptOutcome::kRejected};
+                                 engines::HealthOutcome::kRejected};
   AttemptVerdict verdict = co_await call.start(limits);
   if (verdict != AttemptVerdict::kAnswered) co_return verdict;
   if (call.status() >= 300) {
--- a/src/gateway/engines/engine_health.cpp
+++ b/src/gateway/engines/engine_health.cpp
@@ -9,10 +9,10 @@
 constexpr int kMaxBackoffSteps = 4;
 }  // namespace
 
-void engine_health::onAttemptEnded(Instant now, AttemptOutcome outcome,
+void engine_health::onAttemptEnded(Instant now, HealthOutcome outcome,
                                    const health_options& options) {
-  if (outcome == AttemptOutcome::kRejected) return;
-  if (outcome == AttemptOutcome::kSuccess) {
+  if (outcome == HealthOutcome::kRejected) return;
+  if (outcome == HealthOutcome::kSuccess) {
     this->failures_ = 0;
     return;
   }
@@ -24,10 +24,10 @@
   if (ejection > Duration::zero()) this->ejected_until_ = now + ejection;
 }
 
-Duration engine_health::ejectionAfter(AttemptOutcome outcome, const health_options& options) const {
+Duration engine_health::ejectionAfter(HealthOutcome outcome, const health_options& options) const {
   // A single broken response is common and no sign of an unhealthy engine.
-  if (outcome == AttemptOutcome::kBroken && this->failures_ < 2) return Duration::zero();
-  if (outcome == AttemptOutcome::kWrongEngine) return options.max_ejection;
+  if (outcome == HealthOutcome::kBroken && this->failures_ < 2) return Duration::zero();
+  if (outcome == HealthOutcome::kWrongEngine) return options.max_ejection;
   const int steps = std::min(this->failures_ - 1, kMaxBackoffSteps);
   return std::min(options.first_ejection * (1 << steps), options.max_ejection);
 }
--- a/src/gateway/engines/engine_health.h
+++ b/src/gateway/engines/engine_health.h
@@ -10,7 +10,7 @@
 namespace linenpier::engines {
 
 /** How an attempt at an engine ended, from the point of view of outlier detection. */
-enum class AttemptOutcome {
+enum class HealthOutcome {
   /** Success, or cancelled by the gateway (the caller disconnected, the item moved). Resets the
    * failure count.
    */
@@ -44,7 +44,7 @@
    * ejection; a further failure sets a new end. A restart of the engine, or the removal of its
    * record, discards this state.
    */
-  void onAttemptEnded(Instant now, AttemptOutcome outcome, const health_options& options);
+  void onAttemptEnded(Instant now, HealthOutcome outcome, const health_options& options);
 
   bool isEjected(Instant now) const { return now < this->ejected_until_; }
   /** @return consecutive failures; a burst counts once. */
@@ -52,7 +52,7 @@
 
  private:
   /** @return how long the engine is ejected after the failure `outcome`; may be zero. */
-  Duration ejectionAfter(AttemptOutcome outcome, const health_options& options) const;
+  Duration ejectionAfter(HealthOutcome outcome, const health_options& options) const;
 
   int failures_ = 0;
   Instant failed_at_{};  ///< Time of the last counted failure.
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -31,7 +31,7 @@
   this->table_.activeEngines().add(*engine);
 }
 
-void engine_registry::onAttemptEnded(Instant now, const EngineId& id, AttemptOutcome outcome) {
+void engine_registry::onAttemptEnded(Instant now, const EngineId& id, HealthOutcome outcome) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->load.onAttemptEnded();
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -87,7 +87,7 @@
   // --- Results of attempts ---
 
   void onAttemptStarted(Instant now, const EngineId& id);
-  void onAttemptEnded(Instant now, const EngineId& id, AttemptOutcome outcome);
+  void onAttemptEnded(Instant now, const EngineId& id, HealthOutcome outcome);
   /** @param tokens memory that an attempt is expected to need; negative when it ends. */
   void addExpectedTokens(const EngineId& id, double tokens);
   /** The engine rejected a request for the model, as while it loads weights. */
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -5,7 +5,7 @@
 
 namespace linenpier::forward {
 
-using engines::AttemptOutcome;
+using engines::HealthOutcome;
 using http::ExchangeStatus;
 
 namespace {
@@ -59,10 +59,10 @@
 
 engine_call::~engine_call() {
   this->exchange_->abort();
-  this->end(AttemptOutcome::kSuccess);
+  this->end(HealthOutcome::kSuccess);
 }
 
-void engine_call::end(AttemptOutcome end) {
+void engine_call::end(HealthOutcome end) {
   if (this->ended_) return;
   this->ended_ = true;
   this->context_.registry.onAttemptEnded(steadyNow(), this->engine_, end);
@@ -97,16 +97,16 @@
 AttemptVerdict engine_call::judgeHead() {
   this->readLoad();
   if (this->exchange_->status() == kMisdirected) {
-    this->end(AttemptOutcome::kWrongEngine);
+    this->end(HealthOutcome::kWrongEngine);
     return AttemptVerdict::kNotExecuted;
   }
   if (this->head().count(this->context_.names.not_executed) > 0) {
-    this->end(AttemptOutcome::kRejected);
+    this->end(HealthOutcome::kRejected);
     return AttemptVerdict::kNotExecuted;
   }
   if (this->head().count(this->context_.names.signature) == 0) {
     this->exchange_->abort();
-    this->end(AttemptOutcome::kBroken);
+    this->end(HealthOutcome::kBroken);
     return AttemptVerdict::kBroken;
   }
   return AttemptVerdict::kAnswered;
@@ -125,13 +125,13 @@
     case ExchangeStatus::kOk:
       return AttemptVerdict::kAnswered;
     case ExchangeStatus::kNotConnected:
-      this->end(AttemptOutcome::kUnreachable);
+      this->end(HealthOutcome::kUnreachable);
       return AttemptVerdict::kUnreachable;
     case ExchangeStatus::kWithheld:
-      this->end(AttemptOutcome::kRejected);
+      this->end(HealthOutcome::kRejected);
       return AttemptVerdict::kUnreachable;
     case ExchangeStatus::kBroken:
-      this->end(AttemptOutcome::kBroken);
+      this->end(HealthOutcome::kBroken);
       this->exchange_->abort();
       return AttemptVerdict::kBroken;
     case ExchangeStatus::kTimedOut:
@@ -139,7 +139,7 @@
       this->exchange_->abort();
       return AttemptVerdict::kSilent;
     case ExchangeStatus::kAborted:
-      this->end(AttemptOutcome::kSuccess);
+      this->end(HealthOutcome::kSuccess);
       return AttemptVerdict::kAborted;
   }
   return AttemptVerdict::kBroken;
@@ -149,8 +149,8 @@
   const auto self = this->shared_from_this();
   const ExchangeStatus status = co_await this->exchange_->readAll(body, kMaxAnswer, deadline);
   if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  this->end(this->exchange_->status() >= kServerError ? AttemptOutcome::kBroken
-                                                      : AttemptOutcome::kSuccess);
+  this->end(this->exchange_->status() >= kServerError ? HealthOutcome::kBroken
+                                                      : HealthOutcome::kSuccess);
   co_return AttemptVerdict::kAnswered;
 }
 
@@ -161,7 +161,7 @@
   const ExchangeStatus status = co_await this->exchange_->readSome(bytes, deadline);
   events = parser.feed(bytes);
   if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  if (this->exchange_->complete()) this->end(AttemptOutcome::kSuccess);
+  if (this->exchange_->complete()) this->end(HealthOutcome::kSuccess);
   co_return AttemptVerdict::kAnswered;
 }
 
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -47,7 +47,7 @@
   /** What it says of the engine if nothing comes in time. A sender that waits for less than any
    * healthy engine may take must not count that as a failure.
    */
-  engines::AttemptOutcome when_late = engines::AttemptOutcome::kTimeout;
+  engines::HealthOutcome when_late = engines::HealthOutcome::kTimeout;
 };
 
 /** Loop thread only; held by a shared pointer. Counts as in flight at its engine until its end. */
@@ -92,7 +92,7 @@
   /** Reports an end that is no answer. */
   AttemptVerdict settle(http::ExchangeStatus status);
   /** Reports the attempt's end to the registry, once. */
-  void end(engines::AttemptOutcome end);
+  void end(engines::HealthOutcome end);
   void readLoad();
 
   engine_call_context context_;
@@ -101,7 +101,7 @@
   std::string request_id_;
   std::shared_ptr<http::ClientExchange> exchange_;
   Instant started_at_{};
-  engines::AttemptOutcome when_late_ = engines::AttemptOutcome::kTimeout;
+  engines::HealthOutcome when_late_ = engines::HealthOutcome::kTimeout;
   bool ended_ = false;
 };
 
--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -80,7 +80,7 @@
       if (engine == nullptr) break;
       sent.push_back(engine->record.id);
       registry.onAttemptStarted(now, engine->record.id);
-      registry.onAttemptEnded(now, engine->record.id, engines::AttemptOutcome::kSuccess);
+      registry.onAttemptEnded(now, engine->record.id, engines::HealthOutcome::kSuccess);
     }
     return sent;
   }
--- a/tests/gateway/engines/engine_health_test.cpp
+++ b/tests/gateway/engines/engine_health_test.cpp
@@ -7,8 +7,8 @@
 
 using namespace linenpier;
 using namespace std::chrono_literals;
-using engines::AttemptOutcome;
 using engines::engine_health;
+using engines::HealthOutcome;
 
 namespace {
 
@@ -16,7 +16,7 @@
 const engines::health_options kOptions;
 
 /** Ends one attempt per second. @return the time of the last one. */
-Instant endAttempts(engine_health& health, AttemptOutcome end, int attempts) {
+Instant endAttempts(engine_health& health, HealthOutcome end, int attempts) {
   for (int i = 0; i < attempts; ++i) health.onAttemptEnded(kStart + i * 1s, end, kOptions);
   return kStart + (attempts - 1) * 1s;
 }
@@ -33,16 +33,16 @@
   for (const auto& [failures, ejection] : std::initializer_list<std::pair<int, Duration>>{
            {2, 1400ms}, {3, 2800ms}, {4, 5600ms}, {5, 6s}}) {
     engine_health health;
-    const Instant last = endAttempts(health, AttemptOutcome::kBroken, failures);
+    const Instant last = endAttempts(health, HealthOutcome::kBroken, failures);
     cr_assert_eq(health.failures(), failures);
     expectEjection(health, last, ejection);
   }
   engine_health health;
-  cr_assert_not(health.isEjected(endAttempts(health, AttemptOutcome::kBroken, 1)));
+  cr_assert_not(health.isEjected(endAttempts(health, HealthOutcome::kBroken, 1)));
 }
 
 Test(engine_health, timeout_or_unreachable_ejects_immediately) {
-  for (const AttemptOutcome end : {AttemptOutcome::kTimeout, AttemptOutcome::kUnreachable}) {
+  for (const HealthOutcome end : {HealthOutcome::kTimeout, HealthOutcome::kUnreachable}) {
     engine_health health;
     expectEjection(health, endAttempts(health, end, 1), 700ms);
   }
@@ -50,23 +50,23 @@
 
 Test(engine_health, rejection_neither_ejects_nor_resets) {
   engine_health health;
-  const Instant last = endAttempts(health, AttemptOutcome::kTimeout, 2);
-  health.onAttemptEnded(last + 1s, AttemptOutcome::kRejected, kOptions);
+  const Instant last = endAttempts(health, HealthOutcome::kTimeout, 2);
+  health.onAttemptEnded(last + 1s, HealthOutcome::kRejected, kOptions);
   cr_assert_eq(health.failures(), 2);
   expectEjection(health, last, 1400ms);
 }
 
 Test(engine_health, success_resets_the_failures_but_does_not_end_the_ejection) {
   engine_health health;
-  const Instant last = endAttempts(health, AttemptOutcome::kBroken, 3);
-  health.onAttemptEnded(last + 1s, AttemptOutcome::kSuccess, kOptions);
+  const Instant last = endAttempts(health, HealthOutcome::kBroken, 3);
+  health.onAttemptEnded(last + 1s, HealthOutcome::kSuccess, kOptions);
   cr_assert_eq(health.failures(), 0);
   expectEjection(health, last, 2800ms);
 }
 
 Test(engine_health, further_failure_replaces_the_end_of_the_ejection) {
   engine_health health;
-  health.onAttemptEnded(kStart, AttemptOutcome::kWrongEngine, kOptions);
-  health.onAttemptEnded(kStart + 1s, AttemptOutcome::kBroken, kOptions);
+  health.onAttemptEnded(kStart, HealthOutcome::kWrongEngine, kOptions);
+  health.onAttemptEnded(kStart + 1s, HealthOutcome::kBroken, kOptions);
   expectEjection(health, kStart + 1s, 1400ms);
 }
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -7,10 +7,10 @@
 #include "support/engine_lists.h"
 
 using namespace linenpier;
-using engines::AttemptOutcome;
 using engines::engine_record;
 using engines::engine_registry;
 using engines::engine_request;
+using engines::HealthOutcome;
 
 namespace {
 
@@ -85,10 +85,10 @@
 
 Test(engine_registry, ejects_on_the_second_broken_response) {
   engine_registry registry = registryOf({record("a")});
-  registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kBroken);
+  registry.onAttemptEnded(kStart, EngineId("a"), HealthOutcome::kBroken);
   cr_assert_not_null(registry.pick(kStart, any()));
   const Instant later = kStart + std::chrono::seconds(1);
-  registry.onAttemptEnded(later, EngineId("a"), AttemptOutcome::kBroken);
+  registry.onAttemptEnded(later, EngineId("a"), HealthOutcome::kBroken);
   cr_assert_null(registry.pick(later, any()));
   engine_request last_resort = any();
   last_resort.last_resort = true;
@@ -99,7 +99,7 @@
 Test(engine_registry, burst_of_resets_counts_as_one_failure) {
   engine_registry registry = registryOf({record("a")});
   for (int i = 0; i < 12; ++i) {
-    registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kBroken);
+    registry.onAttemptEnded(kStart, EngineId("a"), HealthOutcome::kBroken);
   }
   cr_assert_not_null(registry.pick(kStart, any()),
                      "an engine that changes weights resets all requests");
@@ -107,7 +107,7 @@
 
 Test(engine_registry, engine_at_the_address_of_another_is_ejected) {
   engine_registry registry = registryOf({record("a")});
-  registry.onAttemptEnded(kStart, EngineId("a"), AttemptOutcome::kWrongEngine);
+  registry.onAttemptEnded(kStart, EngineId("a"), HealthOutcome::kWrongEngine);
   cr_assert_null(registry.pick(kStart + std::chrono::seconds(3), any()));
 }
 
@@ -333,7 +333,7 @@
     const EngineId id = registry.pick(now, any())->record.id;
     registry.onAttemptStarted(now, id);
     registry.onEventTime(now, id, std::chrono::milliseconds(25));
-    registry.onAttemptEnded(now, id, AttemptOutcome::kSuccess);
+    registry.onAttemptEnded(now, id, HealthOutcome::kSuccess);
     used.insert(id);
   }
   cr_assert_eq(used.size(), 1U, "%zu connections for ten requests", used.size());
@@ -348,7 +348,7 @@
   const EngineId id("a");
   registry.onAttemptStarted(kStart, id);
   registry.onVersionSeen(id, kModel, 9);
-  registry.onAttemptEnded(kStart, id, AttemptOutcome::kTimeout);
+  registry.onAttemptEnded(kStart, id, HealthOutcome::kTimeout);
   cr_assert_eq(registry.find(id)->health.failures(), 1);
   engine_record again = record("a", 3);
   again.start = 2000;
