--- a/src/gateway/lease/capacity_estimator.h
+++ b/src/gateway/lease/capacity_estimator.h
@@ -24,7 +24,7 @@
   explicit capacity_estimator(machine_limits limits) : limits_(limits) {}
 
   /** A timer ran this long after it was due. */
-  void onTimer(Duration lateness) {
+  void onTimerLateness(Duration lateness) {
     const double seconds = toSeconds(std::max(lateness - kToleratedLateness, Duration::zero()));
     this->lateness_ += kNewestWeight * (seconds - this->lateness_);
   }
--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -41,7 +41,7 @@
       name_(std::move(name)),
       key_(std::move(key)),
       rules_(rules),
-      begun_at_(steadyNow()),
+      started_at_(steadyNow()),
       on_change_(std::move(callback)) {}
 
 bool leader_lock::held() const {
@@ -119,13 +119,13 @@
   this->confirming_ = false;
 }
 
-Duration leader_lock::pauseAfterOwnActions(Instant now) const {
-  const Instant last = std::max(this->begun_at_, this->last_action_at_);
+Duration leader_lock::handoverDelayAfterOwnActions(Instant now) const {
+  const Instant last = std::max(this->started_at_, this->last_action_at_);
   return std::max<Duration>(last + this->rules_.pause - now, Duration::zero());
 }
 
-Duration leader_lock::pauseAfter(const LeaseId& from, std::int64_t last_action_ms) const {
-  if (this->rules_.tokens_checked) return this->pauseAfterOwnActions(steadyNow());
+Duration leader_lock::handoverDelayAfter(const LeaseId& from, std::int64_t last_action_ms) const {
+  if (this->rules_.tokens_checked) return this->handoverDelayAfterOwnActions(steadyNow());
   if (!from.empty()) {
     // It could act until the validity ran out, earlier than its lease expired for others.
     const lease_times& times = this->deps_.leases.times();
@@ -171,7 +171,7 @@
   this->deps_.keeper.onRenewed(sent_at);
   this->confirmed_at_ = sent_at;
   this->may_act_at_ =
-      steadyNow() + (first ? Duration::zero() : this->pauseAfter(from, last_action_ms));
+      steadyNow() + (first ? Duration::zero() : this->handoverDelayAfter(from, last_action_ms));
   if (answer->revision > this->revision_) {
     this->revision_ = answer->revision;
     this->owner_ = this->deps_.leases.own();
--- a/src/gateway/lease/leader_lock.h
+++ b/src/gateway/lease/leader_lock.h
@@ -88,7 +88,7 @@
   /** @return the condition that the lock is still held, for writes that must not come later. */
   table::Check condition() const { return {this->key_, this->revision_}; }
   /** The leader is about to make a call under the lock. */
-  void onActed(Instant now) { this->last_action_at_ = now; }
+  void recordAction(Instant now) { this->last_action_at_ = now; }
   /** Gives the lock up, so that another daemon need not wait for this one's lease to expire. */
   Task<void> handOver();
 
@@ -97,17 +97,17 @@
   Task<void> confirm();
   Task<void> acquire();
   /** @return how long a new leader waits before its first action after the leader `from`. */
-  Duration pauseAfter(const LeaseId& from, std::int64_t last_action_ms) const;
+  Duration handoverDelayAfter(const LeaseId& from, std::int64_t last_action_ms) const;
   /** @return the same where tokens are checked: this daemon, or its earlier life, may have acted
    *     before the other leader did.
    */
-  Duration pauseAfterOwnActions(Instant now) const;
+  Duration handoverDelayAfterOwnActions(Instant now) const;
 
   dependencies deps_;
   std::string name_;
   std::string key_;
   handover_options rules_;
-  Instant begun_at_;  ///< Of this life of the daemon; an earlier one may have acted until then.
+  Instant started_at_;  ///< Of this life of the daemon; an earlier one may have acted until then.
   on_change on_change_;
   Revision revision_ = 0;  ///< Of the row; the fencing token while `owner_` is this daemon.
   LeaseId owner_;          ///< As the row of `revision_` says.
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -72,7 +72,7 @@
     co_await sleepFor(this->loop_, pause);
     // A far store puts off each step of an item's run as a late timer does, so both count alike.
     const Duration store_delay = storeDelay(this->leases_.allowance(), this->leases_.times());
-    this->pool_.onTimer(steadyNow() - wake_at + store_delay);
+    this->pool_.onTimerLateness(steadyNow() - wake_at + store_delay);
   }
 }
 
--- a/src/gateway/lease/lease_poller.cpp
+++ b/src/gateway/lease/lease_poller.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::uint64_t kSpreadSteps = 1000;
+constexpr std::uint64_t kJitterSteps = 1000;
 /// Every daemon sees the same stale rows; each tries to remove them after one read in so many.
-constexpr std::uint64_t kRemoveOneIn = 10;
+constexpr std::uint64_t kReadsPerRemoval = 10;
 constexpr std::size_t kMaxRowsRemoved = 50;  ///< In one write.
 
 }  // namespace
@@ -20,17 +20,17 @@
 }
 
 Duration lease_poller::nextInterval(bool answered) {
-  const bool hurry =
+  const bool urgent =
       !answered || this->pool_.isCandidate() || this->leases_.anySuspect(steadyNow());
-  const Duration mean = hurry ? this->options_.suspect_interval : this->options_.interval;
-  const auto step = static_cast<std::int64_t>(this->random_.below(kSpreadSteps));
-  return mean * 2 / 3 + mean * 2 / 3 * step / static_cast<std::int64_t>(kSpreadSteps);
+  const Duration mean = urgent ? this->options_.suspect_interval : this->options_.interval;
+  const auto step = static_cast<std::int64_t>(this->random_.below(kJitterSteps));
+  return mean * 2 / 3 + mean * 2 / 3 * step / static_cast<std::int64_t>(kJitterSteps);
 }
 
 Task<void> lease_poller::run() {
   for (;;) {
     const bool answered = co_await this->readAll();
-    if (answered && this->random_.below(kRemoveOneIn) == 0) {
+    if (answered && this->random_.below(kReadsPerRemoval) == 0) {
       co_await this->removeStaleRows();
     }
     const Duration interval = this->nextInterval(answered);
--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -11,7 +11,7 @@
 
 /// Daemons outside the pool wait this much longer before they take over, well beyond the pool's own
 /// delays: they come only when nobody of the pool does.
-constexpr Duration kOutsiderDelay = std::chrono::milliseconds(600);
+constexpr Duration kNonCandidateDelay = std::chrono::milliseconds(600);
 /// Capacities are compared in steps of half a doubling: a timer's jitter must not change ranks.
 constexpr double kStepsPerDoubling = 2;
 constexpr double kMinCapacity = 1e-6;  ///< Of the logarithm.
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-bool betterOwner(const owner_candidate& one, const owner_candidate& other) {
+bool ranksHigher(const owner_candidate& one, const owner_candidate& other) {
   const long step = capacityStep(one.capacity);
   const long other_step = capacityStep(other.capacity);
   if (step != other_step) return step > other_step;
@@ -45,7 +45,7 @@
 std::vector<owner_candidate> owner_pool::ranked(Instant now) const {
   std::vector<owner_candidate> candidates = this->leases_.candidates(now);
   if (this->candidate_) candidates.push_back({this->leases_.own(), this->capacity(), this->zone_});
-  std::sort(candidates.begin(), candidates.end(), betterOwner);
+  std::sort(candidates.begin(), candidates.end(), ranksHigher);
   return candidates;
 }
 
@@ -54,7 +54,7 @@
   const owner_candidate self{this->leases_.own(), this->capacity(), this->zone_};
   std::vector<ZoneName> better;  // Zones of the better daemons.
   for (const owner_candidate& each : others) {
-    if (betterOwner(each, self)) better.push_back(each.zone);
+    if (ranksHigher(each, self)) better.push_back(each.zone);
   }
   if (better.size() < wanted.owners) return true;
   return std::any_of(
@@ -70,13 +70,13 @@
 bool owner_pool::onLeasesRead(Instant now, const pool_requirements& wanted) {
   const std::vector<owner_candidate> others = this->leases_.candidates(now);
   if (!this->lacksMembers(wanted, others)) {
-    this->lacking_since_.reset();
-  } else if (!this->lacking_since_) {
-    this->lacking_since_ = now;
+    this->members_missing_since_.reset();
+  } else if (!this->members_missing_since_) {
+    this->members_missing_since_ = now;
   }
   const bool before = this->candidate_;
-  this->candidate_ =
-      this->lacking_since_ && (before || now - *this->lacking_since_ >= this->joinDelay(others));
+  this->candidate_ = this->members_missing_since_ &&
+                     (before || now - *this->members_missing_since_ >= this->joinDelay(others));
   return this->candidate_ != before;
 }
 
@@ -89,9 +89,9 @@
 }
 
 Duration owner_pool::takeoverDelay(Instant now, const std::string& subject) const {
-  const bool in_turn = this->candidate_ || this->leases_.candidates(now).empty();
-  const Duration outsider = in_turn ? Duration::zero() : kOutsiderDelay;
-  return this->leases_.takeoverDelay(now, subject) + outsider;
+  const bool preferred = this->candidate_ || this->leases_.candidates(now).empty();
+  const Duration extra = preferred ? Duration::zero() : kNonCandidateDelay;
+  return this->leases_.takeoverDelay(now, subject) + extra;
 }
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -45,7 +45,7 @@
       : leases_(leases), zone_(std::move(zone)), capacity_(limits) {}
 
   /** A timer of this daemon ran this long after it was due. */
-  void onTimer(Duration lateness) { this->capacity_.onTimer(lateness); }
+  void onTimerLateness(Duration lateness) { this->capacity_.onTimerLateness(lateness); }
   /** The leases were read: decides whether this daemon offers. @return whether that changed. */
   bool onLeasesRead(Instant now, const pool_requirements& wanted);
 
@@ -70,12 +70,13 @@
   ZoneName zone_;
   capacity_estimator capacity_;
   bool candidate_ = false;
-  std::optional<Instant> lacking_since_;  ///< Since when each read showed that members are missing.
+  std::optional<Instant>
+      members_missing_since_;  ///< Since when each read showed that members are missing.
 };
 
 /** @return whether `one` is the better owner. Capacities that differ by little count as equal; then
  *     a hash of the daemons' names decides, which spreads owners over zones.
  */
-bool betterOwner(const owner_candidate& one, const owner_candidate& other);
+bool ranksHigher(const owner_candidate& one, const owner_candidate& other);
 
 }  // namespace linenpier::lease
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -257,7 +257,7 @@
   if (!this->lock_.mayAct(sent_at) || this->lock_.token() != token) co_return;
   const usage::fenced_call_context proof{this->deps_.holder, token, this->lock_.mayActUntil()};
   const scaling_order order{name, decision.group, decision.wanted};
-  this->lock_.onActed(sent_at);
+  this->lock_.recordAction(sent_at);
   ++this->totals_.sent;
   const FencedCallResult answer = co_await this->deps_.port.setEngineCount(order, proof);
   if (answer == FencedCallResult::kUnknown) ++this->totals_.unanswered;
--- a/src/gateway/suspects/suspect_book.cpp
+++ b/src/gateway/suspects/suspect_book.cpp
@@ -23,7 +23,7 @@
   return crashes >= (item ? this->rules_.item_crash_threshold : this->rules_.crash_threshold);
 }
 
-Duration suspect_book::pauseAfter(int crashes, RequestSource source) const {
+Duration suspect_book::handoverDelayAfter(int crashes, RequestSource source) const {
   if (this->isBarred(crashes, source)) return this->barFor(crashes);
   if (crashes <= 1) return Duration::zero();
   const bool item = source == RequestSource::kItem;
@@ -62,7 +62,7 @@
   if (now >= this->forgottenAt(known)) return admission;
   admission.crashes = known.crashes;
   admission.evidence_age = now - known.last_at;
-  const Instant free_at = known.last_at + this->pauseAfter(known.crashes, source);
+  const Instant free_at = known.last_at + this->handoverDelayAfter(known.crashes, source);
   if (now < free_at) {
     const bool barred = this->isBarred(known.crashes, source);
     admission.state = barred ? AdmissionState::kBarred : AdmissionState::kMustWait;
--- a/src/gateway/suspects/suspect_book.h
+++ b/src/gateway/suspects/suspect_book.h
@@ -96,7 +96,7 @@
 
   bool isBarred(int crashes, RequestSource source) const;
   /** @return how long after its last crash a request may not run. */
-  Duration pauseAfter(int crashes, RequestSource source) const;
+  Duration handoverDelayAfter(int crashes, RequestSource source) const;
   Duration barFor(int crashes) const;
   Instant forgottenAt(const entry& each) const;
   void addEngines(entry& into, const std::vector<EngineId>& engines) const;
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -187,7 +187,7 @@
   const fenced_call_context proof{this->deps_.holder, this->lock_.token(),
                                   this->lock_.mayActUntil()};
   const Instant sent_at = steadyNow();
-  this->lock_.onActed(sent_at);
+  this->lock_.recordAction(sent_at);
   const FencedCallResult answer = co_await this->deps_.port.reportUsage(report, proof);
   const Duration took = steadyNow() - sent_at;
   LogEvent("usage", "report_answered")
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -120,7 +120,7 @@
   }
   const FencingToken token = leadership.lock.token();
   ++this->counts_.sent;
-  leadership.lock.onActed(steadyNow());
+  leadership.lock.recordAction(steadyNow());
   const OrderResult answer =
       co_await this->deps_.orders.send(order, this->deps_.holder, token, send_by);
   leadership.rollout.onAnswer(steadyNow(), order, answer);
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -80,11 +80,11 @@
 Test(owner_pool, a_machine_whose_timers_run_late_counts_less) {
   lease::capacity_estimator capacity(kLarge);
   const double calm = capacity.value();
-  capacity.onTimer(std::chrono::milliseconds(2));
+  capacity.onTimerLateness(std::chrono::milliseconds(2));
   cr_assert_float_eq(capacity.value(), calm, 1e-9, "timers are always a little late");
-  for (int i = 0; i < 20; ++i) capacity.onTimer(std::chrono::milliseconds(100));
+  for (int i = 0; i < 20; ++i) capacity.onTimerLateness(std::chrono::milliseconds(100));
   cr_assert_lt(capacity.value(), 0.3 * calm);
-  for (int i = 0; i < 30; ++i) capacity.onTimer(Duration::zero());
+  for (int i = 0; i < 30; ++i) capacity.onTimerLateness(Duration::zero());
   cr_assert_gt(capacity.value(), 0.9 * calm);
 }
 
--- a/tests/gateway/lease/store_delay_test.cpp
+++ b/tests/gateway/lease/store_delay_test.cpp
@@ -23,7 +23,7 @@
 double capacityAt(Duration answer) {
   const lease_table table(lease::makeLeaseId("own", "a"), {}, kStart);
   owner_pool pool(table, kMachine);
-  for (int i = 0; i < 50; ++i) pool.onTimer(delayAfterReadsOf(answer));
+  for (int i = 0; i < 50; ++i) pool.onTimerLateness(delayAfterReadsOf(answer));
   return pool.capacity();
 }
 
@@ -39,7 +39,7 @@
   cr_assert(far > 0.2 && far < 0.3, "%f", far);
   const lease::owner_candidate near_one{lease::makeLeaseId("n", "1"), 0.4};
   const lease::owner_candidate far_one{lease::makeLeaseId("f", "1"), far};
-  cr_assert(lease::betterOwner(near_one, far_one));
+  cr_assert(lease::ranksHigher(near_one, far_one));
 }
 
 Test(store_delay, a_store_that_is_slow_for_all_does_not_put_the_ranks_about) {
