--- a/src/gateway/scaling/work_peak.h
+++ b/src/gateway/scaling/peak_demand.h
@@ -11,7 +11,7 @@
 
 namespace linenpier::scaling {
 
-class work_peak {
+class peak_demand {
  public:
   /** @param items of jobs under way now.
    * @param slots of one engine.
@@ -22,7 +22,7 @@
                                          std::size_t items, std::uint32_t slots);
 
  private:
-  Instant begun_at_{};  ///< The first observation; zero: there was none.
+  Instant started_at_{};  ///< The first observation; zero: there was none.
   /// Observations that no later one reaches, so that they fall towards the present.
   std::map<Instant, std::size_t> items_;
 };
--- a/src/gateway/scaling/scaling_options.h
+++ b/src/gateway/scaling/scaling_options.h
@@ -35,7 +35,7 @@
   /// Engines that the platform takes back are not to be had again for some time.
   Duration reclaim_backoff = std::chrono::seconds(10);
   /// Jobs come in bursts: the most items that were open within this time count as open.
-  Duration work_memory = std::chrono::seconds(10);
+  Duration peak_window = std::chrono::seconds(10);
   double items_per_slot = 4;  ///< Open items that a slot works off in the time they have.
   /// Engines of a zone may be taken away while no more than this share of its slots is in use: the
   /// platform chooses which one goes, so none may have long runs.
--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -14,7 +14,7 @@
 constexpr Duration kMaxCarryOutDelay = std::chrono::seconds(15);
 
 /// Keeps `since` as the time from which on something holds; zero while it does not.
-void noteSince(Instant now, bool holds, Instant& since) {
+void updateSince(Instant now, bool holds, Instant& since) {
   if (!holds) since = Instant{};
   if (holds && since == Instant{}) since = now;
 }
@@ -31,12 +31,12 @@
   for (const auto& [group, count] : this->record_.ordered) {
     group_state& state = this->states_[group];
     state.unconfirmed = true;
-    state.unknown_at = now;
+    state.unanswered_at = now;
     state.needed_at = now;
   }
 }
 
-std::optional<scaling_record> scaling_policy::learn(Instant now, const scaling_view& view) {
+std::optional<scaling_record> scaling_policy::learnBaseline(Instant now, const scaling_view& view) {
   const bool unknown = this->record_.baseline.empty();
   if (unknown && (this->unchanged_since_ == Instant{} || view.groups != this->first_groups_)) {
     this->first_groups_ = view.groups;
@@ -66,10 +66,10 @@
     const observed_engines seen = view.of(group);
     const std::size_t current = this->record_.current(group);
     group_state& state = this->states_[group];
-    noteSince(now, seen.serving < current, state.missing_since);
-    noteSince(now, seen.serving > current, state.surplus_since);
+    updateSince(now, seen.serving < current, state.missing_since);
+    updateSince(now, seen.serving > current, state.surplus_since);
     if (seen.serving >= current) state.repeats = 0;
-    if (seen.reclaimed > 0) state.scarce_until = now + this->options_.reclaim_backoff;
+    if (seen.reclaimed > 0) state.no_capacity_until = now + this->options_.reclaim_backoff;
   }
 }
 
@@ -96,7 +96,7 @@
     if (!this->zoneAvailable(now, view, zone)) inputs.unavailable.insert(zone);
   }
   for (const auto& [group, state] : this->states_) {
-    if (now < state.scarce_until) inputs.scarce.insert(group);
+    if (now < state.no_capacity_until) inputs.without_capacity.insert(group);
   }
   return inputs;
 }
@@ -108,7 +108,7 @@
   std::vector<scaling_decision> fewer;
   if (this->options_.mode == ScalingMode::kFixed || this->record_.baseline.empty()) return more;
   this->observe(now, view);
-  const count_targets targets = computeTargets(this->targetInputs(now, bounds, view));
+  const scaling_targets targets = computeTargets(this->targetInputs(now, bounds, view));
   const OrderReason reason = targets.missing > 0 ? OrderReason::kReplace : OrderReason::kWork;
   for (const auto& [group, wanted] : targets.wanted) {
     const std::size_t have = view.of(group).serving;
@@ -125,7 +125,7 @@
                                                          scaling_decision change) {
   group_state& state = this->states_[change.group];
   if (change.wanted >= change.before) state.needed_at = now;
-  if (now < state.paused_until || now < state.scarce_until) return std::nullopt;
+  if (now < state.paused_until || now < state.no_capacity_until) return std::nullopt;
   if (change.wanted > change.before) return change;
   if (change.wanted < change.before) return this->scaleDownDue(now, state.needed_at, change);
   return this->repeatDue(now, bounds, change);
@@ -135,7 +135,7 @@
                                                              scaling_decision change) const {
   const group_state& state = this->states_.at(change.group);
   if (now - since < this->options_.stabilization_window) return std::nullopt;
-  if (now - state.shrunk_at < this->options_.scale_down_interval) return std::nullopt;
+  if (now - state.scaled_down_at < this->options_.scale_down_interval) return std::nullopt;
   // One engine at a time. Engines that were ordered and are not there yet need not come at all.
   const std::size_t step = change.have >= change.before ? 1 : 0;
   const std::size_t fewer = change.have - std::min(step, change.have);
@@ -150,7 +150,7 @@
   const group_state& state = this->states_.at(change.group);
   change.reason = OrderReason::kRepeat;
   // An order without an answer may have been carried out after newer ones.
-  if (change.have > change.before && state.unknown_at != Instant{}) {
+  if (change.have > change.before && state.unanswered_at != Instant{}) {
     return this->scaleDownDue(now, state.surplus_since, change);
   }
   if (change.have >= change.before) return std::nullopt;
@@ -179,30 +179,30 @@
                               FencedCallResult answer) {
   group_state& state = this->states_[decision.group];
   state.unconfirmed = answer != FencedCallResult::kTaken;
-  if (decision.scalesDown()) state.shrunk_at = now;
+  if (decision.scalesDown()) state.scaled_down_at = now;
   switch (answer) {
     case FencedCallResult::kTaken:
       state.refusals = 0;
       state.ordered_at = now;
       if (decision.reason == OrderReason::kRepeat) ++state.repeats;
-      if (now - state.unknown_at >= kMaxCarryOutDelay) state.unknown_at = Instant{};
+      if (now - state.unanswered_at >= kMaxCarryOutDelay) state.unanswered_at = Instant{};
       break;
     case FencedCallResult::kFenced:
       // The platform says the same where it has no such engines now.
-      state.scarce_until = now + this->backoff(++state.refusals);
+      state.no_capacity_until = now + this->backoff(++state.refusals);
       break;
     case FencedCallResult::kRefused:
       state.paused_until = now + kRefusedBackoff;
       break;
     case FencedCallResult::kUnknown:
-      state.unknown_at = now;
+      state.unanswered_at = now;
       state.paused_until = now + kRefusedBackoff;
       break;
   }
 }
 
-void scaling_policy::onBusy(Instant now, const scaling_decision& decision) {
-  this->states_[decision.group].shrunk_at = now;
+void scaling_policy::onZoneBusy(Instant now, const scaling_decision& decision) {
+  this->states_[decision.group].scaled_down_at = now;
 }
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -4,9 +4,9 @@
  * Decides which orders for a number of engines are due for one service. Pure; loop thread only, at
  * the leader.
  *
- * The numbers that are wanted come from count_targets.h. This module decides when: more engines are
- * ordered at once, fewer slowly (service goes before price), and an order that did not help again
- * after a while.
+ * The numbers that are wanted come from scaling_targets.h. This module decides when: more engines
+ * are ordered at once, fewer slowly (service goes before price), and an order that did not help
+ * again after a while.
  */
 
 #include <map>
@@ -14,8 +14,8 @@
 #include <set>
 #include <vector>
 
-#include "gateway/scaling/count_targets.h"
 #include "gateway/scaling/scaling_record.h"
+#include "gateway/scaling/scaling_targets.h"
 #include "gateway/usage/usage_port.h"
 
 namespace linenpier::scaling {
@@ -30,7 +30,7 @@
    * and stayed.
    * @return the record with the new baseline, if it differs; the caller writes it down.
    */
-  std::optional<scaling_record> learn(Instant now, const scaling_view& view);
+  std::optional<scaling_record> learnBaseline(Instant now, const scaling_view& view);
   /** @return the orders that are due, those for more engines first; none without a baseline. */
   std::vector<scaling_decision> decide(Instant now, const fleet::scaling_bounds& bounds,
                                        const scaling_view& view);
@@ -40,22 +40,22 @@
   scaling_record withOrder(const scaling_decision& decision) const;
   void onAnswer(Instant now, const scaling_decision& decision, usage::FencedCallResult answer);
   /** An order for fewer was not sent, since the zone's engines have work. */
-  void onBusy(Instant now, const scaling_decision& decision);
+  void onZoneBusy(Instant now, const scaling_decision& decision);
 
  private:
   /** What this leader knows of a group. All times are zero if the thing never happened. */
   struct group_state {
-    Instant needed_at{};       ///< The group last needed all that was ordered for it, or more.
-    Instant shrunk_at{};       ///< Engines were last taken from it, or nearly.
-    Instant ordered_at{};      ///< The platform last took an order.
-    Instant unknown_at{};      ///< An order had no answer and may be carried out late.
-    Instant paused_until{};    ///< Nothing is ordered before.
-    Instant scarce_until{};    ///< The platform has none before; other groups make up for it.
-    Instant missing_since{};   ///< Fewer are listed than were ordered; zero: all are.
-    Instant surplus_since{};   ///< More are listed than were ordered; zero: none are.
-    int refusals = 0;          ///< In a row.
-    int repeats = 0;           ///< Of the same order, in a row.
-    bool unconfirmed = false;  ///< The platform has not said that it took the last order.
+    Instant needed_at{};          ///< The group last needed all that was ordered for it, or more.
+    Instant scaled_down_at{};     ///< Engines were last taken from it, or nearly.
+    Instant ordered_at{};         ///< The platform last took an order.
+    Instant unanswered_at{};      ///< An order had no answer and may be carried out late.
+    Instant paused_until{};       ///< Nothing is ordered before.
+    Instant no_capacity_until{};  ///< The platform has none before; other groups make up for it.
+    Instant missing_since{};      ///< Fewer are listed than were ordered; zero: all are.
+    Instant surplus_since{};      ///< More are listed than were ordered; zero: none are.
+    int refusals = 0;             ///< In a row.
+    int repeats = 0;              ///< Of the same order, in a row.
+    bool unconfirmed = false;     ///< The platform has not said that it took the last order.
   };
 
   /** Notes what is missing, too many, or taken back. */
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -126,7 +126,7 @@
   co_return true;
 }
 
-scaling_view scaling_service::viewOf(const routing::Service& service, work_peak& work) const {
+scaling_view scaling_service::viewOf(const routing::Service& service, peak_demand& work) const {
   scaling_view view;
   std::uint32_t slots = 1;
   for (const auto& [id, engine] : this->deps_.registry.all()) {
@@ -163,7 +163,7 @@
   }
   const scaling_view view = this->viewOf(service, at->second.work);
   const std::vector<scaling_decision> due = at->second.policy.decide(now, *service.scaling, view);
-  const std::optional<scaling_record> learned = at->second.policy.learn(now, view);
+  const std::optional<scaling_record> learned = at->second.policy.learnBaseline(now, view);
   if (learned) {
     co_await this->writeBaseline(name, *learned);
     co_return;
@@ -235,7 +235,7 @@
     const bool quiet = co_await this->zoneIsQuiet(name, decision.group.zone);
     if (!this->records_read_ || this->lock_.token() != token) co_return;
     if (!quiet) {
-      this->services_.at(name).policy.onBusy(steadyNow(), decision);
+      this->services_.at(name).policy.onZoneBusy(steadyNow(), decision);
       LogEvent("scaling", "not_quiet")
           .text("service", name.str())
           .text("zone", decision.group.zone.str())
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -14,9 +14,9 @@
 
 #include "gateway/engines/engine_registry.h"
 #include "gateway/lease/leader_lock.h"
+#include "gateway/scaling/peak_demand.h"
 #include "gateway/scaling/scaling_policy.h"
 #include "gateway/scaling/scaling_port.h"
-#include "gateway/scaling/work_peak.h"
 #include "gateway/versions/load_demand.h"
 
 namespace linenpier::scaling {
@@ -31,7 +31,7 @@
 class scaling_service {
  public:
   /** @return requests that an engine reports to have; nothing if it did not answer. */
-  using ask_load = std::function<Task<std::optional<std::uint32_t>>(EngineId, Address)>;
+  using load_query = std::function<Task<std::optional<std::uint32_t>>(EngineId, Address)>;
 
   struct dependencies {
     lease::leader_lock::dependencies lock;
@@ -41,7 +41,7 @@
     std::function<routing::RouteTablePtr()> routes;
     std::function<versions::open_work_by_model()> open_work;  ///< Of jobs under way.
     std::function<bool()> engines_followed;  ///< Whether the list of engines is up to date.
-    ask_load load;
+    load_query load;
   };
   scaling_service(dependencies deps, const scaling_options& options,
                   const lease::handover_options& handover);
@@ -62,7 +62,7 @@
   struct service_state {
     Revision revision = 0;  ///< Of the service's row; 0: there is none.
     scaling_policy policy;
-    work_peak work;
+    peak_demand work;
   };
 
   Task<void> lockLoop();
@@ -74,7 +74,7 @@
   Task<bool> readRecords();
   /** @return whether the list of engines has been up to date for long enough. */
   bool engineListSettled(Instant now);
-  scaling_view viewOf(const routing::Service& service, work_peak& work) const;
+  scaling_view viewOf(const routing::Service& service, peak_demand& work) const;
   Task<void> writeBaseline(ServiceName name, scaling_record learned);
   /** Writes the service's row under the lock. @return whether the store took it. */
   Task<bool> writeRecord(ServiceName name, scaling_record record);
--- a/src/gateway/scaling/count_targets.cpp
+++ b/src/gateway/scaling/scaling_targets.cpp
@@ -1,4 +1,4 @@
-#include "gateway/scaling/count_targets.h"
+#include "gateway/scaling/scaling_targets.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,8 +16,8 @@
 
 /** @return the baseline of the groups that can have it, and how many engines that leaves missing.
  */
-count_targets reachableBaseline(const target_inputs& inputs) {
-  count_targets targets;
+scaling_targets reachableBaseline(const target_inputs& inputs) {
+  scaling_targets targets;
   for (const ZoneName& zone : zonesOf(inputs.baseline)) {
     if (inputs.unavailable.contains(zone)) {
       targets.missing += countInZone(inputs.baseline, zone);
@@ -27,9 +27,9 @@
       const fleet::engine_group group{zone, kind};
       const std::size_t baseline = countOf(inputs.baseline, group);
       const std::size_t there = std::min(baseline, inputs.view.of(group).serving);
-      const bool scarce = inputs.scarce.contains(group);
-      targets.wanted[group] = scarce ? there : baseline;
-      if (scarce) targets.missing += baseline - there;
+      const bool without_capacity = inputs.without_capacity.contains(group);
+      targets.wanted[group] = without_capacity ? there : baseline;
+      if (without_capacity) targets.missing += baseline - there;
     }
   }
   return targets;
@@ -46,7 +46,7 @@
     std::tuple<std::size_t, double> best_rank;
     for (auto at = wanted.begin(); at != wanted.end(); ++at) {
       const fleet::engine_group& group = at->first;
-      if (group.kind != kind || inputs.scarce.contains(group)) continue;
+      if (group.kind != kind || inputs.without_capacity.contains(group)) continue;
       if (countInZone(wanted, group.zone) >= inputs.bounds.most) continue;
       const std::size_t baseline = countOf(inputs.baseline, group);
       const std::size_t extra = at->second > baseline ? at->second - baseline : 0;
@@ -109,8 +109,8 @@
   return found;
 }
 
-count_targets computeTargets(const target_inputs& inputs) {
-  count_targets targets = reachableBaseline(inputs);
+scaling_targets computeTargets(const target_inputs& inputs) {
+  scaling_targets targets = reachableBaseline(inputs);
   const std::size_t baseline = sumOf(inputs.baseline);
   std::size_t needed = baseline;
   if (inputs.options.mode == ScalingMode::kDemand) {
--- a/src/gateway/scaling/count_targets.h
+++ b/src/gateway/scaling/scaling_targets.h
@@ -20,16 +20,17 @@
   const fleet::scaling_bounds& bounds;
   const scaling_view& view;
   const fleet::group_counts& baseline;
-  std::set<ZoneName> unavailable;        ///< Zones that are closed or lost.
-  std::set<fleet::engine_group> scarce;  ///< Groups that the platform has no more engines for.
+  std::set<ZoneName> unavailable;  ///< Zones that are closed or lost.
+  std::set<fleet::engine_group>
+      without_capacity;  ///< Groups that the platform has no more engines for.
 };
 
-struct count_targets {
+struct scaling_targets {
   fleet::group_counts wanted;  ///< Groups of zones that are not available are not in it.
   std::size_t missing = 0;     ///< Engines that other groups make up for.
 };
 
-count_targets computeTargets(const target_inputs& inputs);
+scaling_targets computeTargets(const target_inputs& inputs);
 
 /** @return the group's number; 0 if it is not listed. */
 std::size_t countOf(const fleet::group_counts& counts, const fleet::engine_group& group);
--- a/tests/gateway/scaling/work_peak_test.cpp
+++ b/tests/gateway/scaling/peak_demand_test.cpp
@@ -2,7 +2,7 @@
  * How many engines the open work needs.
  */
 
-#include "gateway/scaling/work_peak.h"
+#include "gateway/scaling/peak_demand.h"
 
 #include <criterion/criterion.h>
 
@@ -18,7 +18,7 @@
 }  // namespace
 
 Test(scaling_policy, work_that_was_open_lately_counts) {
-  scaling::work_peak peak;
+  scaling::peak_demand peak;
   const scaling_options all;
   cr_assert_not(peak.onOpenItems(after(0), all, 320, 8).has_value(), "it may be a pause");
   cr_assert_not(peak.onOpenItems(after(4), all, 320, 8).has_value());
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -105,22 +105,24 @@
 
 Test(scaling_policy, the_first_look_tells_the_usual_number) {
   scaling_policy policy(options(), kStart, {});
-  cr_assert_not(policy.learn(after(0), seen(4, 1, 0)).has_value(), "they are listed one by one");
-  cr_assert_not(policy.learn(after(2), seen(4, 3, 4)).has_value());
-  cr_assert_not(policy.learn(after(4), seen(4, 3, 4)).has_value());
-  const auto learned = policy.learn(after(5), seen(4, 3, 4));
+  cr_assert_not(policy.learnBaseline(after(0), seen(4, 1, 0)).has_value(),
+                "they are listed one by one");
+  cr_assert_not(policy.learnBaseline(after(2), seen(4, 3, 4)).has_value());
+  cr_assert_not(policy.learnBaseline(after(4), seen(4, 3, 4)).has_value());
+  const auto learned = policy.learnBaseline(after(5), seen(4, 3, 4));
   cr_assert(learned.has_value());
   cr_assert_eq(learned->baseline.at(kB), 3U);
   policy.onRecord(*learned);
-  cr_assert_not(policy.learn(after(6), seen(4, 3, 4)).has_value());
+  cr_assert_not(policy.learnBaseline(after(6), seen(4, 3, 4)).has_value());
 }
 
 Test(scaling_policy, engines_that_stay_without_an_order_raise_the_usual_number) {
   scaling_policy policy(options(), kStart, fourEach());
   policy.decide(after(0), bounds(), seen(4, 6, 4));
-  cr_assert_not(policy.learn(after(0), seen(4, 6, 4)).has_value(), "they may be replacements");
+  cr_assert_not(policy.learnBaseline(after(0), seen(4, 6, 4)).has_value(),
+                "they may be replacements");
   policy.decide(after(11), bounds(), seen(4, 6, 4));
-  const auto learned = policy.learn(after(11), seen(4, 6, 4));
+  const auto learned = policy.learnBaseline(after(11), seen(4, 6, 4));
   cr_assert(learned.has_value());
   cr_assert_eq(learned->baseline.at(kB), 6U);
 }
@@ -288,7 +290,7 @@
   policy.decide(after(1), bounds(), seen(6, 6, 4));
   const auto due = policy.decide(after(12), bounds(), seen(6, 6, 4));
   cr_assert_eq(due.size(), 2U);
-  for (const scaling_decision& each : due) policy.onBusy(after(12), each);
+  for (const scaling_decision& each : due) policy.onZoneBusy(after(12), each);
   cr_assert(policy.decide(after(13), bounds(), seen(6, 6, 4)).empty());
   cr_assert_eq(policy.decide(after(15), bounds(), seen(6, 6, 4)).size(), 2U);
 }
