--- a/src/gateway/versions/engine_assignment.cpp
+++ b/src/gateway/versions/engine_assignment.cpp
@@ -10,7 +10,7 @@
 
 /// A model gives engines back when it has more than so many times what it can use: demand that
 /// swings moves none.
-constexpr std::size_t kSpareFactor = 2;
+constexpr std::size_t kSurplusFactor = 2;
 
 }  // namespace
 
@@ -54,10 +54,10 @@
   for (const EngineId& id : lost) this->release(id);
 }
 
-void engine_assignment::releaseSpare(const engines::engine_list& engines,
-                                     const engines_wanted& wanted) {
+void engine_assignment::releaseSurplus(const engines::engine_list& engines,
+                                       const engines_wanted& wanted) {
   for (const auto& [model, most] : wanted) {
-    if (this->sizeOf(model) <= kSpareFactor * most) continue;
+    if (this->sizeOf(model) <= kSurplusFactor * most) continue;
     std::vector<std::pair<WeightVersion, EngineId>> held;
     for (const EngineId& id : this->enginesFor(model)) {
       held.emplace_back(engines.at(id)->versionOf(model), id);
@@ -68,7 +68,7 @@
   }
 }
 
-ModelName engine_assignment::neediest(const engines_wanted& wanted) const {
+ModelName engine_assignment::modelWithFewestEngines(const engines_wanted& wanted) const {
   ModelName found;
   for (const auto& [model, most] : wanted) {
     if (this->sizeOf(model) >= most) continue;
@@ -77,7 +77,7 @@
   return found;
 }
 
-ModelName engine_assignment::largest(const engines_wanted& wanted) const {
+ModelName engine_assignment::modelWithMostEngines(const engines_wanted& wanted) const {
   return std::max_element(wanted.begin(), wanted.end(),
                           [this](const auto& one, const auto& other) {
                             return this->sizeOf(one.first) < this->sizeOf(other.first);
@@ -94,7 +94,7 @@
 }
 
 void engine_assignment::adopt(const engines::engine_list& engines, const engines_wanted& wanted,
-                              const std::map<ModelName, WeightVersion>& named) {
+                              const std::map<ModelName, WeightVersion>& newest_versions) {
   if (this->adopted_) return;
   this->adopted_ = true;
   for (const auto& [id, engine] : engines) {
@@ -102,9 +102,9 @@
     ModelName held;
     std::size_t held_count = 0;
     for (const auto& [model, most] : wanted) {
-      const auto newest = named.find(model);
-      const bool serves =
-          newest != named.end() && servesNewestStep(engine->versionOf(model), newest->second);
+      const auto newest = newest_versions.find(model);
+      const bool serves = newest != newest_versions.end() &&
+                          servesNewestStep(engine->versionOf(model), newest->second);
       if (!serves) continue;
       held = model;
       ++held_count;
@@ -116,7 +116,7 @@
 
 void engine_assignment::assignFree(const engines::engine_list& engines,
                                    const engines_wanted& wanted) {
-  ModelName model = this->neediest(wanted);
+  ModelName model = this->modelWithFewestEngines(wanted);
   auto at = engines.lower_bound(this->next_);
   // The first time round each model's engines are spread over the zones, the second time any do.
   for (std::size_t seen = 0; seen < 2 * engines.size() && !model.empty(); ++seen) {
@@ -129,14 +129,14 @@
     const bool spread = seen < engines.size();
     if (spread && this->hasEnoughIn(engine.record.zone, model, wanted.at(model))) continue;
     this->assign(engine, model);
-    model = this->neediest(wanted);
+    model = this->modelWithFewestEngines(wanted);
   }
 }
 
 void engine_assignment::balance(const engines::engine_list& engines, const engines_wanted& wanted) {
   for (;;) {
-    const ModelName to = this->neediest(wanted);
-    const ModelName from = this->largest(wanted);
+    const ModelName to = this->modelWithFewestEngines(wanted);
+    const ModelName from = this->modelWithMostEngines(wanted);
     if (to.empty() || this->sizeOf(from) <= this->sizeOf(to) + 1) return;
     const engines::engine_state& moved = *engines.at(*this->enginesFor(from).begin());
     this->release(moved.record.id);
@@ -145,11 +145,11 @@
 }
 
 void engine_assignment::update(const engines::engine_list& engines, const engines_wanted& wanted,
-                               const std::map<ModelName, WeightVersion>& named) {
+                               const std::map<ModelName, WeightVersion>& newest_versions) {
   this->releaseLost(engines, wanted);
   if (wanted.empty()) return;
-  this->releaseSpare(engines, wanted);
-  this->adopt(engines, wanted, named);
+  this->releaseSurplus(engines, wanted);
+  this->adopt(engines, wanted, newest_versions);
   this->assignFree(engines, wanted);
   this->balance(engines, wanted);
 }
--- a/src/gateway/versions/engine_assignment.h
+++ b/src/gateway/versions/engine_assignment.h
@@ -31,10 +31,10 @@
   /** @param engines those of the service that are not draining.
    * @param wanted of the models that need engines now. They get no more, and equal numbers where
    *     there are too few.
-   * @param named the newest version of each model.
+   * @param newest_versions the newest version of each model.
    */
   void update(const engines::engine_list& engines, const engines_wanted& wanted,
-              const std::map<ModelName, WeightVersion>& named);
+              const std::map<ModelName, WeightVersion>& newest_versions);
   /** Forgets all; the next update goes on with what the engines hold. */
   void reset();
 
@@ -51,20 +51,20 @@
   /** Releases engines that are no longer listed, and those of models that need none. */
   void releaseLost(const engines::engine_list& engines, const engines_wanted& wanted);
   /** Releases what a model has far beyond its use. */
-  void releaseSpare(const engines::engine_list& engines, const engines_wanted& wanted);
+  void releaseSurplus(const engines::engine_list& engines, const engines_wanted& wanted);
   /** Assigns engines to the model whose weights they hold: a new leader goes on where the one
    * before stood.
    */
   void adopt(const engines::engine_list& engines, const engines_wanted& wanted,
-             const std::map<ModelName, WeightVersion>& named);
+             const std::map<ModelName, WeightVersion>& newest_versions);
   /** Assigns free engines, spread over the zones where that is possible. */
   void assignFree(const engines::engine_list& engines, const engines_wanted& wanted);
   /** Moves engines from the model with the most to those that have too few. */
   void balance(const engines::engine_list& engines, const engines_wanted& wanted);
   /** @return the model with the fewest engines of those that can use one more; empty: none can. */
-  ModelName neediest(const engines_wanted& wanted) const;
+  ModelName modelWithFewestEngines(const engines_wanted& wanted) const;
   /** @return the model with the most engines; `wanted` must not be empty. */
-  ModelName largest(const engines_wanted& wanted) const;
+  ModelName modelWithMostEngines(const engines_wanted& wanted) const;
   /** @return whether the model has its part of engines in the zone already. */
   bool hasEnoughIn(const ZoneName& zone, const ModelName& model, std::size_t wanted) const;
 
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -37,7 +37,7 @@
                                                 this->deps_.leases, this->deps_.keeper,
                                                 this->deps_.pool};
     leadership = std::make_unique<service_leadership>(deps, service, this->options_);
-    for (const auto& [model, version] : this->named_) {
+    for (const auto& [model, version] : this->newest_versions_) {
       leadership->rollout.onVersionAnnounced(steadyNow(), model, version);
     }
   }
@@ -51,7 +51,7 @@
 }
 
 void rollout_service::onVersionAnnounced(const ModelName& model, WeightVersion version) {
-  WeightVersion& known = this->named_[model];
+  WeightVersion& known = this->newest_versions_[model];
   if (version <= known) return;
   known = version;
   LogEvent("versions", "named")
@@ -90,22 +90,22 @@
   if (!leadership.lock.mayAct(now)) return;
   const engines::engine_list& engines = this->deps_.registry.ofService(service);
   open_work_by_model work = this->deps_.open_work();
-  for (const auto& [model, version] : this->named_) work.try_emplace(model);
+  for (const auto& [model, version] : this->newest_versions_) work.try_emplace(model);
   std::set<EngineId> awaited;
   if (this->deps_.awaited) awaited = this->deps_.awaited(now);
   for (version_order& order : leadership.rollout.onTick(now, engines, work, awaited)) {
     spawn(this->deps_.loop, [this, service, order] { return this->sendOrder(service, order); });
   }
-  for (const engines::engine_state* engine : leadership.rollout.reportsWanted()) {
+  for (const engines::engine_state* engine : leadership.rollout.reportsNeeded()) {
     const EngineId id = engine->record.id;
     const Address address = engine->record.address;
-    leadership.rollout.onReportAsked(now, id);
+    leadership.rollout.onReportRequested(now, id);
     spawn(this->deps_.loop,
-          [this, service, id, address] { return this->askReport(service, id, address); });
+          [this, service, id, address] { return this->requestReport(service, id, address); });
   }
 }
 
-Task<void> rollout_service::askReport(ServiceName service, EngineId engine, Address address) {
+Task<void> rollout_service::requestReport(ServiceName service, EngineId engine, Address address) {
   const auto report = co_await this->deps_.orders.report(engine, address);
   // An engine without an answer is asked again after the report interval.
   if (report) this->leadershipOf(service).rollout.onReport(steadyNow(), engine, *report);
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -74,14 +74,14 @@
   service_leadership& leadershipOf(const ServiceName& service);
   Task<void> tickLoop();
   void tickService(Instant now, const ServiceName& service);
-  Task<void> askReport(ServiceName service, EngineId engine, Address address);
+  Task<void> requestReport(ServiceName service, EngineId engine, Address address);
   Task<void> sendOrder(ServiceName service, version_order order);
 
   dependencies deps_;
   rollout_service_options options_;
   /// Entries stay for good: tasks under way refer to them.
   std::map<ServiceName, std::unique_ptr<service_leadership>> services_;
-  std::map<ModelName, WeightVersion> named_;
+  std::map<ModelName, WeightVersion> newest_versions_;
   rollout_counts counts_;
   bool table_read_ = false;  ///< Whether a lock that is not known has no row.
   bool stopping_ = false;
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -9,10 +9,10 @@
 
 /// One in so many of a model's engines, at least one, is changed at once while it can still serve
 /// the newest step: the step needs the others.
-constexpr std::size_t kLoadingOneIn = 3;
+constexpr std::size_t kLoadingDivisor = 3;
 /// One in so many of a model's engines at most is left alone for runs that a step waits for: the
 /// newest step needs engines with its version.
-constexpr std::size_t kAwaitedOneIn = 3;
+constexpr std::size_t kAwaitedDivisor = 3;
 
 }  // namespace
 
@@ -20,25 +20,27 @@
 
 void version_rollout::onVersionAnnounced(Instant now, const ModelName& model,
                                          WeightVersion version) {
-  WeightVersion& known = this->named_[model];
+  WeightVersion& known = this->newest_versions_[model];
   if (version <= known) return;
   known = version;
-  this->named_at_[model] = now;
+  this->announced_at_[model] = now;
 }
 
-WeightVersion version_rollout::named(const ModelName& model) const {
-  const auto at = this->named_.find(model);
-  return at == this->named_.end() ? 0 : at->second;
+WeightVersion version_rollout::newestVersion(const ModelName& model) const {
+  const auto at = this->newest_versions_.find(model);
+  return at == this->newest_versions_.end() ? 0 : at->second;
 }
 
 bool version_rollout::isNew(Instant now, const ModelName& model) const {
-  const auto named_at = this->named_at_.find(model);
-  return named_at != this->named_at_.end() && now - named_at->second < this->options_.busy_timeout;
+  const auto announced_at = this->announced_at_.find(model);
+  return announced_at != this->announced_at_.end() &&
+         now - announced_at->second < this->options_.busy_timeout;
 }
 
 bool version_rollout::isSettled(Instant now, const ModelName& model) const {
-  const auto named_at = this->named_at_.find(model);
-  return named_at != this->named_at_.end() && now - named_at->second >= this->options_.settled;
+  const auto announced_at = this->announced_at_.find(model);
+  return announced_at != this->announced_at_.end() &&
+         now - announced_at->second >= this->options_.settled;
 }
 
 void version_rollout::reset() {
@@ -46,8 +48,8 @@
   this->assignment_.reset();
 }
 
-void version_rollout::onReportAsked(Instant now, const EngineId& engine) {
-  this->progress_[engine].asked_at = now;
+void version_rollout::onReportRequested(Instant now, const EngineId& engine) {
+  this->progress_[engine].report_requested_at = now;
 }
 
 void version_rollout::onReport(Instant now, const EngineId& engine, const order_report& report) {
@@ -101,17 +103,18 @@
 std::vector<version_order> version_rollout::onTick(Instant now, const engines::engine_list& engines,
                                                    const open_work_by_model& work,
                                                    const std::set<EngineId>& awaited) {
-  this->noteWork(now, work);
-  this->assignment_.update(engines, this->enginesWanted(now, engines, work), this->named_);
+  this->updateOpenWork(now, work);
+  this->assignment_.update(engines, this->enginesWanted(now, engines, work),
+                           this->newest_versions_);
   this->dropIdleProgress(now);
   const std::size_t loading = this->loadingCount(now);
   std::vector<load_candidate> candidates = this->findCandidates(now, engines, awaited);
   this->chooseCandidates(now, engines, candidates);
-  this->findReportsWanted(now, candidates);
+  this->findReportsNeeded(now, candidates);
   return this->orderCandidates(now, engines, candidates, loading);
 }
 
-void version_rollout::noteWork(Instant now, const open_work_by_model& work) {
+void version_rollout::updateOpenWork(Instant now, const open_work_by_model& work) {
   for (const auto& [model, open] : work) {
     if (open.single_version) this->single_version_.insert(model);
     if (!open.single_version && open.items > 0) this->single_version_.erase(model);
@@ -147,7 +150,7 @@
 
 bool version_rollout::isBehind(Instant now, const engines::engine_state& engine,
                                const ModelName& model) const {
-  const WeightVersion wanted = this->named(model);
+  const WeightVersion wanted = this->newestVersion(model);
   const auto at = this->progress_.find(engine.record.id);
   if (at != this->progress_.end()) {
     const auto confirmed = at->second.confirmed.find(model);
@@ -163,7 +166,8 @@
 version_rollout::Urgency version_rollout::urgencyOf(Instant now,
                                                     const engines::engine_state& engine,
                                                     const ModelName& model) const {
-  if (!servesNewestStep(engine.versionOf(model), this->named(model))) return Urgency::kObsolete;
+  if (!servesNewestStep(engine.versionOf(model), this->newestVersion(model)))
+    return Urgency::kObsolete;
   const engine_progress& progress = this->progress_.at(engine.record.id);
   const double load = std::max(progress.load, engine.load.inFlight());
   if (load <= this->options_.quiet_share * engine.record.slots) return Urgency::kDue;
@@ -174,15 +178,15 @@
 std::vector<version_rollout::load_candidate> version_rollout::findCandidates(
     Instant now, const engines::engine_list& engines, const std::set<EngineId>& awaited) {
   std::vector<load_candidate> candidates;
-  std::map<ModelName, std::size_t> left_alone;
+  std::map<ModelName, std::size_t> skipped;
   for (const auto& [id, model] : this->assignment_.all()) {
     const engines::engine_state& engine = *engines.at(id);
     const engine_progress& progress = this->progressOf(engine);
     if (progress.changing(now) || now < progress.not_before) continue;
     if (!this->isBehind(now, engine, model)) continue;
     if (awaited.contains(id) && this->isNew(now, model) &&
-        kAwaitedOneIn * (left_alone[model] + 1) <= this->assignment_.sizeOf(model)) {
-      ++left_alone[model];
+        kAwaitedDivisor * (skipped[model] + 1) <= this->assignment_.sizeOf(model)) {
+      ++skipped[model];
       continue;
     }
     candidates.push_back({&engine, model, this->urgencyOf(now, engine, model),
@@ -211,7 +215,7 @@
 std::map<ModelName, std::size_t> version_rollout::enginesMissing(
     Instant now, const engines::engine_list& engines) const {
   std::map<ModelName, std::size_t> missing;
-  for (const auto& [model, named_at] : this->named_at_) {
+  for (const auto& [model, announced_at] : this->announced_at_) {
     std::size_t up_to_date = 0;
     std::uint32_t slots = 0;
     for (const EngineId& id : this->assignment_.enginesFor(model)) {
@@ -228,15 +232,15 @@
   return missing;
 }
 
-void version_rollout::findReportsWanted(Instant now,
+void version_rollout::findReportsNeeded(Instant now,
                                         const std::vector<load_candidate>& candidates) {
-  this->reports_wanted_.clear();
+  this->reports_needed_.clear();
   for (const load_candidate& candidate : candidates) {
-    if (this->reports_wanted_.size() >= this->options_.reports_at_once) return;
+    if (this->reports_needed_.size() >= this->options_.reports_at_once) return;
     const engine_progress& progress = this->progress_.at(candidate.engine->record.id);
     const bool fresh = now - progress.reported_at < this->options_.report_interval;
-    const bool asked = now - progress.asked_at < this->options_.report_interval;
-    if (!fresh && !asked) this->reports_wanted_.push_back(candidate.engine);
+    const bool requested = now - progress.report_requested_at < this->options_.report_interval;
+    if (!fresh && !requested) this->reports_needed_.push_back(candidate.engine);
   }
 }
 
@@ -267,8 +271,8 @@
   if (this->options_.mode) return *this->options_.mode;
   // A text that one version must make would be lost with its engine's version.
   if (this->single_version_.contains(model)) return LoadMode::kWait;
-  double room = 0;
-  double displaced = 0;
+  double free_slots = 0;
+  double displaced_load = 0;
   for (const EngineId& id : this->assignment_.enginesFor(model)) {
     const engines::engine_state* each = engines.at(id);
     const auto at = this->progress_.find(id);
@@ -276,12 +280,12 @@
     const std::uint32_t reported = known ? at->second.load : 0;
     const double load = std::max(reported, each->load.inFlight());
     if (each == &engine) {
-      displaced = load;
+      displaced_load = load;
     } else if (!known || !at->second.changing(now)) {
-      room += std::max(0.0, each->record.slots - load);
+      free_slots += std::max(0.0, each->record.slots - load);
     }
   }
-  return displaced <= room ? LoadMode::kCancel : LoadMode::kRetain;
+  return displaced_load <= free_slots ? LoadMode::kCancel : LoadMode::kRetain;
 }
 
 version_order version_rollout::orderFor(Instant now, const load_candidate& candidate,
@@ -292,7 +296,7 @@
   order.start = progress.start;
   order.address = candidate.engine->record.address;
   order.model = candidate.model;
-  order.version = this->named(candidate.model);
+  order.version = this->newestVersion(candidate.model);
   order.mode = this->modeFor(now, *candidate.engine, candidate.model, engines);
   order.expected_sequence = progress.sequence;
   return order;
@@ -308,7 +312,7 @@
     if (candidate.urgency == Urgency::kBusy) break;
     const ModelName& model = candidate.model;
     const std::size_t most =
-        std::max<std::size_t>(1, this->assignment_.sizeOf(model) / kLoadingOneIn);
+        std::max<std::size_t>(1, this->assignment_.sizeOf(model) / kLoadingDivisor);
     if (candidate.urgency != Urgency::kObsolete && changing[model] >= most) continue;
     engine_progress& progress = this->progress_[candidate.engine->record.id];
     if (!progress.sequence) continue;
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -71,10 +71,10 @@
                                     const std::set<EngineId>& awaited = {});
   void onAnswer(Instant now, const version_order& order, OrderResult answer);
   /** @return the engines to ask for a report, as of the last tick. */
-  const std::vector<const engines::engine_state*>& reportsWanted() const {
-    return this->reports_wanted_;
+  const std::vector<const engines::engine_state*>& reportsNeeded() const {
+    return this->reports_needed_;
   }
-  void onReportAsked(Instant now, const EngineId& engine);
+  void onReportRequested(Instant now, const EngineId& engine);
   void onReport(Instant now, const EngineId& engine, const order_report& report);
   /** The lock was acquired or lost: what engines have taken must be asked again. */
   void reset();
@@ -89,7 +89,7 @@
     Instant not_before{};     ///< No order is sent before.
     /// Orders taken, as reported and counted on by us; empty: it must report first.
     std::optional<std::uint64_t> sequence;
-    Instant asked_at{};
+    Instant report_requested_at{};
     Instant reported_at{};
     std::uint32_t load = 0;                        ///< As reported.
     std::map<ModelName, WeightVersion> confirmed;  ///< By the engine's own answers.
@@ -111,14 +111,14 @@
     std::uint32_t load = 0;
   };
 
-  WeightVersion named(const ModelName& model) const;
+  WeightVersion newestVersion(const ModelName& model) const;
   /** @return whether the model's newest version was named less than the busy timeout ago. */
   bool isNew(Instant now, const ModelName& model) const;
   /** @return whether it was named long enough ago to go to engines beyond the demand. */
   bool isSettled(Instant now, const ModelName& model) const;
   bool isBehind(Instant now, const engines::engine_state& engine, const ModelName& model) const;
 
-  void noteWork(Instant now, const open_work_by_model& work);
+  void updateOpenWork(Instant now, const open_work_by_model& work);
   engines_wanted enginesWanted(Instant now, const engines::engine_list& engines,
                                const open_work_by_model& work) const;
   /** @return what is known of the engine's present start. */
@@ -136,7 +136,7 @@
   std::map<ModelName, std::size_t> enginesMissing(Instant now,
                                                   const engines::engine_list& engines) const;
   /** Chooses whom to ask for reports: those that would be changed first. */
-  void findReportsWanted(Instant now, const std::vector<load_candidate>& candidates);
+  void findReportsNeeded(Instant now, const std::vector<load_candidate>& candidates);
 
   std::size_t loadingCount(Instant now) const;
   std::map<ModelName, std::size_t> loadingByModel(Instant now) const;
@@ -156,10 +156,10 @@
   engine_assignment assignment_;
   load_demand demand_;
   std::set<ModelName> single_version_;  ///< Models whose texts must each come from one version.
-  std::map<ModelName, WeightVersion> named_;
-  std::map<ModelName, Instant> named_at_;
+  std::map<ModelName, WeightVersion> newest_versions_;
+  std::map<ModelName, Instant> announced_at_;
   std::map<EngineId, engine_progress> progress_;
-  std::vector<const engines::engine_state*> reports_wanted_;  ///< As of the last tick.
+  std::vector<const engines::engine_state*> reports_needed_;  ///< As of the last tick.
 };
 
 }  // namespace linenpier::versions
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -55,7 +55,7 @@
   Fixture fixture(3);
   fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   cr_assert(fixture.tick(kStart).empty());
-  cr_assert_eq(fixture.rollout.reportsWanted().size(), 3U);
+  cr_assert_eq(fixture.rollout.reportsNeeded().size(), 3U);
   fixture.reportAll(kStart);
   const auto orders = fixture.tick(kStart);
   cr_assert_eq(orders.size(), 1U, "a third of the engines at once");
@@ -122,7 +122,7 @@
   fixture.reportAll(kStart);
   fixture.rollout.onAnswer(kStart, fixture.tick(kStart).at(0), OrderResult::kFenced);
   cr_assert(fixture.tick(kStart + std::chrono::seconds(3)).empty());
-  cr_assert_eq(fixture.rollout.reportsWanted().size(), 1U);
+  cr_assert_eq(fixture.rollout.reportsNeeded().size(), 1U);
 }
 
 Test(version_rollout, a_large_service_loads_a_share_of_its_engines_at_once) {
@@ -136,13 +136,13 @@
   Fixture fixture(100);
   fixture.rollout.onVersionAnnounced(kStart, kModel, 2);
   fixture.tick(kStart);
-  const std::size_t asked = fixture.rollout.reportsWanted().size();
+  const std::size_t asked = fixture.rollout.reportsNeeded().size();
   cr_assert_eq(asked, 24U);
-  for (const engine_state* engine : fixture.rollout.reportsWanted()) {
-    fixture.rollout.onReportAsked(kStart, engine->record.id);
+  for (const engine_state* engine : fixture.rollout.reportsNeeded()) {
+    fixture.rollout.onReportRequested(kStart, engine->record.id);
   }
   fixture.tick(kStart);
-  cr_assert_eq(fixture.rollout.reportsWanted().size(), 24U, "the next ones");
+  cr_assert_eq(fixture.rollout.reportsNeeded().size(), 24U, "the next ones");
 }
 
 Test(version_rollout, a_large_service_brings_a_new_version_to_as_many_engines_as_work_needs) {
@@ -233,9 +233,9 @@
         ++ordered;
         fixture.rollout.onAnswer(now, order, OrderResult::kStarted);
       }
-      for (const engine_state* engine : fixture.rollout.reportsWanted()) {
+      for (const engine_state* engine : fixture.rollout.reportsNeeded()) {
         ++questions;
-        fixture.rollout.onReportAsked(now, engine->record.id);
+        fixture.rollout.onReportRequested(now, engine->record.id);
         fixture.rollout.onReport(now, engine->record.id, {0, 0, false, 0});
       }
     }
