--- a/src/gateway/usage/true_clock.cpp
+++ b/src/gateway/usage/cluster_clock.cpp
@@ -1,4 +1,4 @@
-#include "gateway/usage/true_clock.h"
+#include "gateway/usage/cluster_clock.h"
 
 #include "common/event_log.h"
 #include "gateway/table/store_keys.h"
@@ -13,29 +13,29 @@
 
 }  // namespace
 
-void true_clock::onRow(const table::Row& row) {
+void cluster_clock::onRow(const table::Row& row) {
   if (row.revision <= this->revision_) return;
   this->revision_ = row.revision;
   this->offset_ms_ = std::strtoll(row.value.c_str(), nullptr, 10);
 }
 
-std::optional<windows> true_clock::trueWindows() const {
+std::optional<usage_windows> cluster_clock::usageWindows() const {
   if (!this->offset_ms_) return std::nullopt;
-  return windows(this->options_.window, *this->offset_ms_);
+  return usage_windows(this->options_.window, *this->offset_ms_);
 }
 
-std::optional<window_number> true_clock::windowAt(Instant at) const {
-  const auto all = this->trueWindows();
+std::optional<window_number> cluster_clock::windowAt(Instant at) const {
+  const auto all = this->usageWindows();
   const std::int64_t store_ms = this->keeper_.storeClock(at);
   if (!all || store_ms == 0) return std::nullopt;
   return all->at(store_ms);
 }
 
-bool true_clock::settleDue(Instant now) const {
+bool cluster_clock::synchronizationDue(Instant now) const {
   return !this->known() || now - this->checked_at_ >= kClockCheckInterval;
 }
 
-Task<std::optional<std::vector<clock_sample>>> true_clock::readSamples() {
+Task<std::optional<std::vector<clock_sample>>> cluster_clock::readSamples() {
   table::RowRange range{table::kClockTable, "", "", 0};
   std::vector<clock_sample> samples;
   for (;;) {
@@ -49,7 +49,7 @@
   co_return samples;
 }
 
-Task<void> true_clock::settle(const lease::leader_lock& lock, Instant acquired_at) {
+Task<void> cluster_clock::synchronize(const lease::leader_lock& lock, Instant acquired_at) {
   const Instant now = steadyNow();
   if (!this->known() && now - acquired_at < this->options_.first_samples_wait) co_return;
   const std::int64_t store_ms = this->keeper_.storeClock(now);
--- a/src/gateway/usage/true_time.cpp
+++ b/src/gateway/usage/cluster_time.cpp
@@ -1,4 +1,4 @@
-#include "gateway/usage/true_time.h"
+#include "gateway/usage/cluster_time.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -28,15 +28,15 @@
   return *middle;
 }
 
-windows::windows(Duration length, std::int64_t offset_ms)
+usage_windows::usage_windows(Duration length, std::int64_t offset_ms)
     : length_ms_(std::chrono::duration_cast<std::chrono::milliseconds>(length).count()),
       offset_ms_(offset_ms) {}
 
-window_number windows::at(std::int64_t store_ms) const {
+window_number usage_windows::at(std::int64_t store_ms) const {
   return (store_ms + this->offset_ms_) / this->length_ms_;
 }
 
-std::int64_t windows::endOf(window_number window) const {
+std::int64_t usage_windows::endOf(window_number window) const {
   return (window + 1) * this->length_ms_ - this->offset_ms_;
 }
 
--- a/src/gateway/usage/true_time.h
+++ b/src/gateway/usage/cluster_time.h
@@ -38,10 +38,10 @@
 using window_number = std::int64_t;  ///< Windows are numbered from 1970 on.
 
 /** Translates between the store's clock, in ms, and windows of true time. */
-class windows {
+class usage_windows {
  public:
   /** @param offset_ms true time less the store's clock. */
-  windows(Duration length, std::int64_t offset_ms);
+  usage_windows(Duration length, std::int64_t offset_ms);
 
   window_number at(std::int64_t store_ms) const;
   /** @return the store's clock at the window's end, in ms. */
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -11,7 +11,7 @@
 
 /// Requests whose window is not known, since this life has not reached the store yet: some minutes
 /// of a daemon's share at the peak.
-constexpr std::size_t kMaxWaiting = 20000;
+constexpr std::size_t kMaxUnassigned = 20000;
 
 }  // namespace
 
@@ -37,13 +37,13 @@
 }
 
 bool usage_counter::onRequestStarted(Instant at, const TenantId& tenant) {
-  if (this->waiting_.size() >= kMaxWaiting) return false;
-  this->waiting_.push_back({at, tenant});
+  if (this->unassigned_.size() >= kMaxUnassigned) return false;
+  this->unassigned_.push_back({at, tenant});
   return true;
 }
 
 void usage_counter::assign(const window_finder& find) {
-  std::erase_if(this->waiting_, [&](const begun& each) {
+  std::erase_if(this->unassigned_, [&](const started_request& each) {
     const auto window = find(each.at);
     if (!window) return false;
     window_counts& counts = this->windows_[*window];
@@ -61,14 +61,14 @@
   return found;
 }
 
-void usage_counter::forgetBefore(window_number window) {
+void usage_counter::discardBefore(window_number window) {
   std::erase_if(this->windows_, [window](const auto& each) {
     return each.first < window && !each.second.unsaved();
   });
 }
 
 bool usage_counter::idle() const {
-  return this->waiting_.empty() && this->unsaved().empty();
+  return this->unassigned_.empty() && this->unsaved().empty();
 }
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_counter.h
+++ b/src/gateway/usage/usage_counter.h
@@ -12,7 +12,7 @@
 
 #include "common/ids.h"
 #include "common/time.h"
-#include "gateway/usage/true_time.h"
+#include "gateway/usage/cluster_time.h"
 
 namespace linenpier::usage {
 
@@ -53,16 +53,16 @@
   std::vector<window_number> unsaved() const;
   window_counts& of(window_number window) { return this->windows_[window]; }
   /** Forgets windows before this one whose counts are all in the store. */
-  void forgetBefore(window_number window);
+  void discardBefore(window_number window);
   /** @return whether nothing waits to be assigned or written. */
   bool idle() const;
 
  private:
-  struct begun {
+  struct started_request {
     Instant at;
     TenantId tenant;
   };
-  std::vector<begun> waiting_;  ///< For their window to be known.
+  std::vector<started_request> unassigned_;  ///< For their window to be known.
   std::map<window_number, window_counts> windows_;
 };
 
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -40,7 +40,7 @@
     co_await sleepFor(this->deps_.lock.loop,
                       this->lock_.held() ? kTickInterval : kIdleTickInterval);
     const Instant now = steadyNow();
-    if (!this->deps_.lock.leases.storeHealthy()) this->store_back_at_ = now;
+    if (!this->deps_.lock.leases.storeHealthy()) this->store_recovered_at_ = now;
     this->lock_.onTick(now, this->table_read_);
   }
 }
@@ -53,8 +53,8 @@
     const bool able = this->lock_.mayAct(now);
     // A leader that could not confirm its lock did not reach the store, and others may not have
     // reached it either.
-    if (able && !this->was_able_) this->store_back_at_ = now;
-    this->was_able_ = able;
+    if (able && !this->could_act_) this->store_recovered_at_ = now;
+    this->could_act_ = able;
     if (able) {
       co_await this->reportNext();
     }
@@ -67,30 +67,30 @@
     if (!read) co_return;
   }
   const Instant now = steadyNow();
-  if (this->deps_.clock.settleDue(now)) {
-    co_await this->deps_.clock.settle(this->lock_, this->acquired_at_);
+  if (this->deps_.clock.synchronizationDue(now)) {
+    co_await this->deps_.clock.synchronize(this->lock_, this->acquired_at_);
   }
   if (!this->progress_ || !this->deps_.clock.known()) co_return;
-  const bool any = this->progress_->revision > 0;
-  if (any && !this->progress_->taken) {
+  const bool any_committed = this->progress_->revision > 0;
+  if (any_committed && !this->progress_->taken) {
     co_await this->send();
     co_return;
   }
   const auto current = this->deps_.clock.windowAt(now);
   if (!current) co_return;
-  const window_number next = any ? this->progress_->report.window + 1 : *current - 1;
+  const window_number next = any_committed ? this->progress_->report.window + 1 : *current - 1;
   // The first one only says where reports begin: it holds nothing that could come late.
-  if (!any || this->due(now, next)) {
-    co_await this->decide(next);
+  if (!any_committed || this->due(now, next)) {
+    co_await this->commitReport(next);
   }
 }
 
 bool usage_reporter::due(Instant now, window_number window) const {
-  const std::int64_t end_ms = this->deps_.clock.trueWindows()->endOf(window);
+  const std::int64_t end_ms = this->deps_.clock.usageWindows()->endOf(window);
   const std::int64_t now_ms = this->deps_.lock.keeper.storeClock(now);
   const Duration since = std::chrono::milliseconds(now_ms - end_ms);
   if (since < this->options_.settle) return false;
-  const bool settled = now - this->store_back_at_ >= this->options_.settle_after_outage;
+  const bool settled = now - this->store_recovered_at_ >= this->options_.settle_after_outage;
   return settled || since >= this->options_.max_settle;
 }
 
@@ -110,7 +110,7 @@
   co_return true;
 }
 
-Task<std::optional<usage_reporter::window_sum>> usage_reporter::addUp(window_number window) {
+Task<std::optional<usage_reporter::window_sum>> usage_reporter::sumWindow(window_number window) {
   window_sum sum;
   sum.report.window = window;
   const std::string prefix = table::usageKeyPrefix(window);
@@ -134,8 +134,8 @@
   co_return sum;
 }
 
-Task<void> usage_reporter::decide(window_number window) {
-  const auto sum = co_await this->addUp(window);
+Task<void> usage_reporter::commitReport(window_number window) {
+  const auto sum = co_await this->sumWindow(window);
   if (!sum || !this->progress_ || !this->lock_.mayAct(steadyNow())) co_return;
   const std::string key = table::kUsageTable + "/" + table::kUsageProgress;
   table::Write write;
--- a/src/gateway/usage/usage_reporter.h
+++ b/src/gateway/usage/usage_reporter.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "gateway/lease/leader_lock.h"
-#include "gateway/usage/true_clock.h"
+#include "gateway/usage/cluster_clock.h"
 #include "gateway/usage/usage_progress.h"
 
 namespace linenpier::usage {
@@ -25,7 +25,7 @@
     lease::leader_lock::dependencies lock;
     usage_port& port;
     std::string holder;  ///< Name of this daemon in reports.
-    true_clock& clock;
+    cluster_clock& clock;
   };
   usage_reporter(dependencies deps, const usage_options& options);
 
@@ -56,9 +56,9 @@
   /** @return whether the window may be added up: its rows have had time to arrive. */
   bool due(Instant now, window_number window) const;
   /** Adds a window up, writes down what is to be reported, and sends it. */
-  Task<void> decide(window_number window);
+  Task<void> commitReport(window_number window);
   /** @return nothing if the store did not answer. */
-  Task<std::optional<window_sum>> addUp(window_number window);
+  Task<std::optional<window_sum>> sumWindow(window_number window);
   /** Removes rows that nobody needs any more. */
   Task<void> removeRows(std::vector<std::string> keys);
   Task<void> send();
@@ -70,8 +70,8 @@
   Instant acquired_at_{};                   ///< When this daemon became the leader.
   /// Counts that were held up have this long been on their way: since then the store is known to
   /// answer, and this leader could act.
-  Instant store_back_at_{};
-  bool was_able_ = false;  ///< Whether this leader could act when last asked.
+  Instant store_recovered_at_{};
+  bool could_act_ = false;  ///< Whether this leader could act when last asked.
   bool table_read_ = false;
   std::uint64_t total_reported_ = 0;
 };
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -54,7 +54,7 @@
   bool enabled() const { return this->window_ > Duration::zero(); }
 
   Duration window_;  ///< Zero: usage is not reported.
-  true_clock clock_;
+  cluster_clock clock_;
   usage_writer writer_;
   usage_reporter reporter_;
 };
--- a/src/gateway/usage/usage_writer.cpp
+++ b/src/gateway/usage/usage_writer.cpp
@@ -80,21 +80,21 @@
   const bool sampled = this->addSample(now, write);
   if (write.transaction.puts.empty()) co_return;
   const auto answer = co_await this->deps_.table.write(write);
-  std::optional<table::TransactionAnswer> settled;
-  if (answer) settled = *answer;
-  if (!settled && !sent.empty()) {
-    settled = co_await this->deps_.by_peer(std::move(write));
+  std::optional<table::TransactionAnswer> settled_answer;
+  if (answer) settled_answer = *answer;
+  if (!settled_answer && !sent.empty()) {
+    settled_answer = co_await this->deps_.by_peer(std::move(write));
   }
-  if (!settled) {
+  if (!settled_answer) {
     LogEvent("usage", "not_written")
         .number("windows", static_cast<std::int64_t>(sent.size()))
         .number("first", sent.empty() ? 0 : sent.front().window);
     co_return;
   }
-  if (settled->committed && sampled) this->sampled_at_ = now;
-  this->onWritten(sent, *settled);
+  if (settled_answer->committed && sampled) this->sampled_at_ = now;
+  this->onWritten(sent, *settled_answer);
   if (const auto current = this->deps_.clock.windowAt(now)) {
-    this->counter_.forgetBefore(*current - kKeptWindows);
+    this->counter_.discardBefore(*current - kKeptWindows);
   }
 }
 
--- a/src/gateway/usage/usage_writer.h
+++ b/src/gateway/usage/usage_writer.h
@@ -16,7 +16,7 @@
 
 #include "common/task.h"
 #include "gateway/table/async_table.h"
-#include "gateway/usage/true_clock.h"
+#include "gateway/usage/cluster_clock.h"
 #include "gateway/usage/usage_counter.h"
 
 namespace linenpier::usage {
@@ -32,7 +32,7 @@
     table::AsyncTable& table;
     const lease::lease_table& leases;
     const lease::lease_keeper& keeper;
-    const true_clock& clock;
+    const cluster_clock& clock;
     std::string holder;  ///< Name of this daemon.
     std::function<std::int64_t()> time_of_day_ms;
     write_by_peer by_peer;
--- a/tests/gateway/usage/usage_counter_test.cpp
+++ b/tests/gateway/usage/usage_counter_test.cpp
@@ -8,7 +8,7 @@
 using namespace linenpier;
 using usage::clock_sample;
 using usage::usage_counter;
-using usage::windows;
+using usage::usage_windows;
 
 namespace {
 constexpr Instant kStart{std::chrono::seconds(100)};
@@ -35,7 +35,7 @@
 }
 
 Test(true_time, a_window_ends_where_the_next_begins) {
-  const windows all(std::chrono::seconds(5), 1796231995545);
+  const usage_windows all(std::chrono::seconds(5), 1796231995545);
   const auto window = all.at(4123);
   const std::int64_t end = all.endOf(window);
   cr_assert_eq(all.at(end - 1), window);
@@ -63,10 +63,10 @@
   counter.assign([](Instant) { return 7; });
   counter.of(7).stored = sent;
   cr_assert_not(counter.idle(), "one came while the other was written");
-  counter.forgetBefore(9);
+  counter.discardBefore(9);
   cr_assert_eq(counter.unsaved().size(), 1U);
   counter.of(7).stored = counter.of(7).changes;
-  counter.forgetBefore(9);
+  counter.discardBefore(9);
   cr_assert(counter.idle());
   cr_assert(counter.of(7).counts.empty());
 }
