--- a/src/gateway/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -81,7 +81,7 @@
 }
 
 Task<bool> TableWatcher::waitForChanges() {
-  const Duration wait = healthy_ ? options_.wait : options_.wait_while_lost;
+  const Duration wait = healthy_ ? options_.wait : options_.wait_while_unhealthy;
   auto batch = co_await table_.watch(name_, revision_, wait);
   if (!batch) {
     if (batch.error().failure != CallFailure::kRateLimited) setHealthy(false);
--- a/src/gateway/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -17,7 +17,7 @@
 struct WatcherOptions {
   Duration wait = std::chrono::seconds(2);  ///< Of one call.
   /// Of a call while the feed counts as lost: its answer shows that the store is back.
-  Duration wait_while_lost = std::chrono::milliseconds(20);
+  Duration wait_while_unhealthy = std::chrono::milliseconds(20);
   /// Pause after changes, so that more come at once; empty: none. Asked after each answer, since
   /// what the daemon does decides how fresh it must be.
   std::function<Duration()> coalesce = {};
