--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -59,7 +59,7 @@
       leases_(lease::makeLeaseId(settings.id.str(), Random(seed).hex16()), {}, steadyNow()),
       owner_pool_(leases_, settings.machine, settings.zone),
       keeper_(loop, platform.table(), leases_, owner_pool_),
-      lease_watch_(loop, platform.table(), leases_, keeper_, owner_pool_, {}, seed + 1),
+      lease_poller_(loop, platform.table(), leases_, keeper_, owner_pool_, {}, seed + 1),
       job_store_(platform.table(), platform.objects(), settings.row_bytes - kRowOverhead),
       usage_({{loop, platform.table(), leases_, keeper_, owner_pool_},
               platform.duties(),
@@ -117,7 +117,7 @@
       store_({loop,
               platform.table(),
               leases_,
-              lease_watch_,
+              lease_poller_,
               coordination_.watcher(),
               {&operators_.watcher(), &engines_.watcher(), &coordination_.watcher()},
               [this] { return ownsWork() && !stopping_; }}),
@@ -162,7 +162,7 @@
   engines_.start();
   coordination_.start();
   peers_.start();
-  lease_watch_.start([this](bool answered) { onLeasesRead(answered); });
+  lease_poller_.start([this](bool answered) { onLeasesRead(answered); });
   keeper_.setAwaited([this] { return batches_.awaitedEngines(); });
   keeper_.start([this] { return ownsWork(); });
   batches_.start();
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -79,7 +79,7 @@
   lease::lease_table leases_;
   lease::owner_pool owner_pool_;
   lease::lease_keeper keeper_;
-  lease::lease_poller lease_watch_;
+  lease::lease_poller lease_poller_;
   batch::job_store job_store_;
   usage::usage_service usage_;
   suspects::suspect_service suspects_;
