--- a/src/gateway/lease/capacity_estimator.h
+++ b/src/gateway/lease/capacity_estimator.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * How much work this daemon can take on, as it observes itself. Pure.
+ * Estimates how much work this daemon can take on. Does no I/O.
  */
 
 #include <algorithm>
@@ -10,26 +10,26 @@
 
 namespace linenpier::lease {
 
-/** What the machine was given. */
+/** Resources of the machine. */
 struct machine_limits {
-  double processors = 1;    ///< Share of a core, times how many cores it counts as.
-  double link_mbps = 1000;  ///< Of its own network link.
+  double processors = 1;    ///< Cores available, which may be a fraction.
+  double link_mbps = 1000;  ///< Bandwidth of the network link.
 };
 
-/** Capacity in processors: what the machine was given, lowered by how late its timers run. A slow
- * machine, a spent quota and an overloaded daemon all show in that.
+/** Capacity in processors: the machine's resources, reduced by the observed timer lateness, which
+ * reflects a slow machine, an exhausted CPU quota or an overloaded daemon.
  */
 class capacity_estimator {
  public:
   explicit capacity_estimator(machine_limits limits) : limits_(limits) {}
 
-  /** A timer ran this long after it was due. */
+  /** Records that a timer ran this long after it was due. */
   void onTimerLateness(Duration lateness) {
     const double seconds = toSeconds(std::max(lateness - kToleratedLateness, Duration::zero()));
     this->lateness_ += kNewestWeight * (seconds - this->lateness_);
   }
 
-  /** @return processors that this daemon counts as, bounded by its link. */
+  /** @return the capacity in processors, limited by the link. */
   double value() const {
     const double by_link = this->limits_.link_mbps / kMbpsPerProcessor;
     const double given = std::min(this->limits_.processors, by_link);
@@ -37,19 +37,19 @@
   }
 
  private:
-  /// Timers of an idle machine run up to this late.
+  /// Lateness of timers on an idle machine.
   static constexpr Duration kToleratedLateness = std::chrono::milliseconds(5);
-  /// A daemon whose timers run this late counts half: each step of an item's run is put off by it,
-  /// about as much as on a machine of half the speed.
+  /// Excess lateness that halves the capacity: it delays each step of an item's run about as much
+  /// as a machine of half the speed would.
   static constexpr Duration kHalvingLateness = std::chrono::milliseconds(20);
-  /// Of the newest timer in the smoothed lateness, which covers some two seconds of renewals.
+  /// Weight of the newest sample in the moving average, which covers about two seconds of renewals.
   static constexpr double kNewestWeight = 0.2;
-  /// Link that one processor can make use of: a large step's results of 1 MB take 10 ms at this
-  /// rate, as long as a whole processor takes to encode them.
+  /// Bandwidth that one processor can use: sending 1 MB of results takes 10 ms at this rate, about
+  /// as long as encoding them.
   static constexpr double kMbpsPerProcessor = 1000;
 
   machine_limits limits_;
-  double lateness_ = 0;  ///< Smoothed, in seconds.
+  double lateness_ = 0;  ///< Moving average, in seconds.
 };
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// The lock is confirmed this much before a renewal of the lease is due: one write does for both.
+/// The lock is confirmed this long before a lease renewal is due, so that one write serves as both.
 constexpr Duration kConfirmLead = std::chrono::milliseconds(60);
-constexpr Duration kConfirmBackoff = std::chrono::milliseconds(120);  ///< After no answer.
-/// The estimate of the store's clock may lag by a slow answer: added to the time of the last
-/// action.
+constexpr Duration kConfirmBackoff =
+    std::chrono::milliseconds(120);  ///< After a write without a response.
+/// Added to the time of the last action, because a slow response makes the estimate of the store's
+/// clock lag.
 constexpr std::int64_t kClockLagMs = 500;
-/// Between the leader's lease and the time of the last action in the lock's row.
+/// Separates the leader's lease from the time of the last action in the lock's row.
 constexpr char kActionSeparator = '|';
 
 }  // namespace
@@ -127,7 +128,8 @@
 Duration leader_lock::handoverDelayAfter(const LeaseId& from, std::int64_t last_action_ms) const {
   if (this->rules_.tokens_checked) return this->handoverDelayAfterOwnActions(steadyNow());
   if (!from.empty()) {
-    // It could act until the validity ran out, earlier than its lease expired for others.
+    // The old leader could act until its validity ended, which is before its lease expired for
+    // others.
     const lease_times& times = this->deps_.leases.times();
     return this->rules_.pause - (times.expiry - times.validity);
   }
@@ -190,7 +192,7 @@
           : this->deps_.keeper.storeClock(this->last_action_at_) + kClockLagMs;
   write.transaction.puts.push_back({this->key_, encodeLockRow({{}, last_action_ms})});
   this->owner_ = LeaseId();
-  // Without the store's answer the lock is taken over as from a leader that was lost.
+  // If the store does not respond, the lock is taken over as from a crashed leader.
   co_await this->deps_.table.write(std::move(write));
 }
 
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// After a renewal that the store did not take: half of the renewal interval, so that another one
-/// fits into the validity.
+/// Before a failed renewal is retried: half of the renewal interval, so that the retry falls within
+/// the validity.
 constexpr Duration kRenewalBackoff = std::chrono::milliseconds(200);
 
 }  // namespace
@@ -61,7 +61,7 @@
     const Instant now = steadyNow();
     const bool needed = this->needed_();
     if (!needed && this->renewed_at_ != Instant{}) {
-      // Every daemon would go on reading a row that nobody needs.
+      // An unneeded row would cost every daemon's reads.
       if (co_await this->removeRow()) this->renewed_at_ = Instant{};
     } else if (needed && now >= due) {
       if (!co_await this->renew()) pause = kRenewalBackoff;
@@ -70,7 +70,8 @@
     }
     const Instant wake_at = steadyNow() + pause;
     co_await sleepFor(this->loop_, pause);
-    // A far store puts off each step of an item's run as a late timer does, so both count alike.
+    // A distant store delays each step of an item's run as a late timer does, so both lower the
+    // capacity.
     const Duration store_delay = storeDelay(this->leases_.allowance(), this->leases_.times());
     this->pool_.onTimerLateness(steadyNow() - wake_at + store_delay);
   }
@@ -79,7 +80,7 @@
 Task<void> lease_keeper::stop() {
   this->stopping_ = true;
   if (this->renewed_at_ != Instant{}) {
-    // A row that stays is removed by others (`lease_table::removable`).
+    // If this fails, other daemons remove the row (`lease_table::removable`).
     co_await this->removeRow();
   }
 }
--- a/src/gateway/lease/lease_keeper.h
+++ b/src/gateway/lease/lease_keeper.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Renews this daemon's lease while it owns anything or offers to, and removes its row otherwise.
- * Also the place where the store's clock is known (`store_clock`).
+ * Renews this daemon's lease while it owns anything or is a candidate owner, and removes the row
+ * otherwise. Also keeps the estimate of the store's clock (`store_clock`).
  */
 
 #include <functional>
@@ -15,7 +15,7 @@
 
 namespace linenpier::lease {
 
-/** Loop thread only. Lives as long as the loop runs. */
+/** Runs on the loop thread only; must live as long as the loop runs. */
 class lease_keeper {
  public:
   lease_keeper(boost::asio::io_context& loop, table::AsyncTable& table, lease_table& leases,
@@ -24,39 +24,40 @@
 
   /** @param needed returns whether this daemon needs a lease now. */
   void start(std::function<bool()> needed);
-  /** Each renewal states where other daemons may ask this one. */
+  /** Sets the address for peers, published with each renewal. */
   void setPeerAddress(const Address& peer) { this->peer_ = peer; }
-  /** @param awaited returns the engines that run what a step waits for; each renewal states them.
+  /** @param awaited returns the engines running items that a step waits for; published with each
+   * renewal.
    */
   void setAwaited(std::function<std::set<EngineId>()> awaited) {
     this->awaited_ = std::move(awaited);
   }
-  /** Ends the renewals and tries once to remove the row. */
+  /** Stops renewing and tries once to remove the row. */
   Task<void> stop();
 
-  /** @return the put that renews the lease, to be part of another write. */
+  /** @return the put that renews the lease, for use in another write. */
   table::Put renewal() const;
-  /** The store took a write with the renewal, sent at `sent_at`. */
+  /** Records that a write containing the renewal, sent at `sent_at`, was committed. */
   void onRenewed(Instant sent_at);
-  /** @return whether the lease was renewed within its validity. For the metrics only: a renewal has
-   *     no condition, so it shows that the store can be reached and not that anything is owned.
+  /** @return whether the lease was renewed within its validity. For metrics only: a renewal is
+   * unconditional, so it proves that the store is reachable, not that anything is owned.
    */
   bool valid(Instant now) const { return now - this->renewed_at_ < this->leases_.times().validity; }
-  /** @return the estimate of the store's clock at that time, in ms; 0 before the first answer. */
+  /** @return the estimate of the store's clock at that time, in ms; 0 before the first response. */
   std::int64_t storeClock(Instant at) const { return this->clock_.at(at); }
-  /** An answer of the store that came at `now` showed its clock. */
+  /** Handles the store's clock from a response received at `now`. */
   void onStoreClock(Instant now, std::int64_t clock_ms) { this->clock_.onAnswer(now, clock_ms); }
-  /** Reads one lease from the store before a takeover: to a daemon whose reads hang, all owners
-   * seem silent.
-   * @return whether the store answered and the lease was not renewed since it was last seen.
+  /** Reads one lease from the store before a takeover, because a daemon whose reads are delayed
+   * sees all leases as expired.
+   * @return whether the store responded and the lease was not renewed since it was last seen.
    */
   Task<bool> confirmNotRenewed(LeaseId lease);
-  /** Renews at once. @return whether the store took it. */
+  /** Renews at once. @return whether the renewal was committed. */
   Task<bool> renew();
 
  private:
   Task<void> run();
-  /** @return whether the store took the removal of the row. */
+  /** @return whether the removal was committed. */
   Task<bool> removeRow();
 
   boost::asio::io_context& loop_;
@@ -66,7 +67,7 @@
   std::function<bool()> needed_;
   std::optional<Address> peer_;
   std::function<std::set<EngineId>()> awaited_;
-  Instant renewed_at_{};  ///< When the last successful renewal was sent; zero: there is no row.
+  Instant renewed_at_{};  ///< When the last committed renewal was sent; zero: there is no row.
   store_clock clock_;
   bool stopping_ = false;
 };
--- a/src/gateway/lease/lease_poller.cpp
+++ b/src/gateway/lease/lease_poller.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr std::uint64_t kJitterSteps = 1000;
-/// Every daemon sees the same stale rows; each tries to remove them after one read in so many.
+/// All daemons see the same stale rows, so each tries to remove them only after one of this many
+/// reads on average.
 constexpr std::uint64_t kReadsPerRemoval = 10;
-constexpr std::size_t kMaxRowsRemoved = 50;  ///< In one write.
+constexpr std::size_t kMaxRowsRemoved = 50;  ///< Per write.
 
 }  // namespace
 
@@ -45,7 +46,8 @@
   for (;;) {
     auto page = co_await this->table_.read(range);
     if (!page) {
-      // A refusal for too many calls shows that the store can be reached, and asks for fewer.
+      // A rate-limited read shows that the store is reachable, and the caller should read less
+      // often.
       const bool rate_limited = page.error().failure == CallFailure::kRateLimited;
       if (!rate_limited) this->on_health_(false);
       co_return rate_limited;
--- a/src/gateway/lease/lease_poller.h
+++ b/src/gateway/lease/lease_poller.h
@@ -1,11 +1,10 @@
 #pragma once
 
 /** @file
- * Reads the leases of all daemons now and then.
- *
- * Renewals are many and concern few, so they are not followed by a feed that would wake every
- * daemon: each daemon reads all rows when it suits it, one small read a second however many owners
- * there are. A daemon that may have to take over reads more often.
+ * Reads the leases of all daemons periodically.
+ * Polling replaces a change feed, which would wake every daemon for each renewal: a daemon does
+ * about one small read per second, independent of the number of owners. A daemon that may have to
+ * take over reads more often.
  */
 
 #include <functional>
@@ -18,15 +17,15 @@
 
 namespace linenpier::lease {
 
-/** Intervals are means; each is spread by a third to both sides, so that reads do not coincide. */
+/** Intervals are means, with a jitter of one third to either side to desynchronize the daemons. */
 struct lease_poller_options {
   Duration interval = std::chrono::seconds(1);
-  /// While an owner misses renewals or the store did not answer, and always at a daemon that offers
-  /// to own what a lost owner leaves.
+  /// Used while an owner misses renewals or the store does not respond, and always at a candidate
+  /// owner.
   Duration suspect_interval = std::chrono::milliseconds(350);
 };
 
-/** Loop thread only. Lives as long as the loop runs. */
+/** Runs on the loop thread only; must live as long as the loop runs. */
 class lease_poller {
  public:
   lease_poller(boost::asio::io_context& loop, table::AsyncTable& table, lease_table& leases,
@@ -41,16 +40,17 @@
         random_(seed),
         retry_now_(loop) {}
 
-  /** @param on_health called after each read with whether the store answered. */
+  /** @param on_health called after each read with whether the store responded; not called for a
+   * rate-limited read. */
   void start(std::function<void(bool healthy)> on_health);
-  /** Reads at once: the store is known to answer others. */
+  /** Reads at once, because the store is known to respond to other calls. */
   void retryNow() { this->retry_now_.notifyAll(); }
 
  private:
   Task<void> run();
-  /** @return whether the store can be reached. */
+  /** @return whether the store is reachable. */
   Task<bool> readAll();
-  /** Removes rows of leases that ended long ago. */
+  /** Removes rows of leases that expired long ago. */
   Task<void> removeStaleRows();
   /** @return the time until the next read. */
   Duration nextInterval(bool answered);
--- a/src/gateway/lease/lease_row.cpp
+++ b/src/gateway/lease/lease_row.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Between a daemon's name and the incarnation of its life.
+/// Separates the daemon's name from its incarnation.
 constexpr char kIncarnationSeparator = '#';
-/// A row's value is "capacity@zone;engine,engine|peer". Releases that know neither zone nor engines
-/// read capacity and peer from it.
+/// A row's value is "capacity@zone;engine,engine|peer". Releases that support neither zone nor
+/// engines can still read capacity and peer.
 constexpr char kPeerSeparator = '|';
 constexpr char kZoneSeparator = '@';
 constexpr char kAwaitedSeparator = ';';
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Takeover delay: rises with a daemon's age up to this age …
+/// The takeover delay increases with the daemon's uptime up to this uptime …
 constexpr Duration kMaxCountedAge = std::chrono::seconds(60);
-/// … to this delay …
+/// … and up to this delay.
 constexpr Duration kMaxAgeDelay = std::chrono::milliseconds(300);
-/// … and a hash of daemon and subject adds up to this, so that daemons of one age differ.
+/// A hash of daemon and subject adds up to this, so that daemons of the same uptime differ.
 constexpr Duration kMaxJitter = std::chrono::milliseconds(80);
 constexpr std::int64_t kJitterSteps = 100;
 
@@ -44,7 +44,7 @@
     seen.row = row;
     seen.row.revision = newest;
   }
-  // Leases that never had a row stay: their silence counts from the first question.
+  // Leases that never had a row are kept: their expiry counts from the first query.
   std::erase_if(this->rows_, [&](const auto& each) {
     return each.second.row.revision > 0 && !rows.contains(each.first);
   });
@@ -52,7 +52,7 @@
   const Duration excess = std::max(now - sent_at - this->times_.tolerated_delay, Duration::zero());
   const Duration wanted =
       std::min(excess * this->times_.allowance_factor, this->times_.max_allowance);
-  // One quick answer among slow ones does not make the store quick.
+  // A single fast response among slow ones must not reset the allowance.
   this->allowance_ = std::max(wanted, this->allowance_ / 2);
 }
 
@@ -77,7 +77,7 @@
   if (lease == this->own_) return true;
   const auto at = this->rows_.find(lease);
   if (at == this->rows_.end() || at->second.row.revision == 0) return false;
-  // Without the store nobody can renew: who was alive at the last read still counts as alive.
+  // During a store outage nobody can renew, so daemons alive at the last read still count as alive.
   const Instant as_of = this->store_healthy_since_ ? now : this->read_at_;
   return as_of - at->second.changed_at < this->times_.expiry;
 }
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -1,13 +1,11 @@
 #pragma once
 
 /** @file
- * Which daemons are alive, judged by their lease rows in the store. Pure; loop thread only.
- *
- * Every daemon that owns something, or offers to, renews its row. The others read all rows now and
- * then (`lease_poller`) and measure by their own steady clock how long a row has not changed.
- *
- * A lease only decides when others try to take over. That no two owners act at once is decided by
- * conditional writes on the row of what is owned (see leader_lock.h).
+ * Determines which daemons are alive from their lease rows in the store. Does no I/O; loop thread
+ * only. Every daemon that owns something, or is a candidate owner, renews its row. The others read
+ * all rows periodically (`lease_poller`) and measure by their own steady clock how long a row has
+ * been unchanged. An expired lease only allows others to attempt a takeover. Mutual exclusion
+ * between owners relies on conditional writes to the row of the owned resource (see leader_lock.h).
  */
 
 #include <map>
@@ -22,87 +20,89 @@
 
 namespace linenpier::lease {
 
-/** A live daemon that offers to own jobs and leader locks. */
+/** A live daemon that is a candidate for owning jobs and leader locks. */
 struct owner_candidate {
   LeaseId lease;
   double capacity = 0;  ///< See `capacity_estimator::value`.
-  ZoneName zone = {};   ///< Empty: not known.
+  ZoneName zone = {};   ///< Empty: unknown.
 
   bool operator==(const owner_candidate&) const = default;
 };
 
 class lease_table {
  public:
-  /** @param started_at when this life of the daemon began. */
+  /** @param started_at when this incarnation of the daemon started. */
   lease_table(LeaseId own, lease_times times, Instant started_at)
       : own_(std::move(own)), times_(times), started_at_(started_at) {}
 
-  /** A lease's row was seen under this revision. */
+  /** Handles a lease's row read at this revision. */
   void onRow(Instant now, const LeaseId& lease, Revision revision);
-  /** All rows were read, as of a moment between `sent_at` and `now`. The read's delay sets the
-   * allowance.
+  /** Handles a read of all rows, as of some time between `sent_at` and `now`, and adapts the
+   * allowance to its delay.
    */
   void onRead(Instant sent_at, Instant now, const std::map<LeaseId, lease_row>& rows);
-  /** The store answers from now on. Silence until now says nothing about owners. */
+  /** The store responds again. Missing renewals until now do not count against owners. */
   void onStoreRegained(Instant now) { this->store_healthy_since_ = now; }
   void onStoreLost() { this->store_healthy_since_.reset(); }
   bool storeHealthy() const { return this->store_healthy_since_.has_value(); }
 
-  /** @return whether others may take over from the owner: it has been silent for the expiry and the
-   *     allowance, or it is an earlier life of this daemon. Never for this life, and never while
-   *     the store does not answer. Silence counts up to the last read only.
+  /** @return whether others may take over from the owner: its lease was not renewed for the expiry
+   * plus the allowance, or belongs to a previous incarnation of this daemon. Always false for this
+   * daemon's own lease and, for other daemons, while the store does not respond. Time after the
+   * last read does not count.
    */
   bool expired(const LeaseId& lease);
-  /** @return whether some owner has missed a renewal, but not yet so long ago that others must have
-   *     taken over.
+  /** @return whether some owner has missed a renewal recently enough that a takeover may be
+   * pending.
    */
   bool anySuspect(Instant now) const;
-  /** @return whether the lease's row was renewed lately, or it is this life's. */
+  /** @return whether the lease is this daemon's own or was renewed within the expiry. */
   bool alive(Instant now, const LeaseId& lease) const;
-  /** @return whether the lease belongs to another life of this daemon, which has ended for sure. */
+  /** @return whether the lease belongs to another incarnation of this daemon, which has ended. */
   bool isPreviousIncarnation(const LeaseId& lease) const;
-  /** @return the other live daemons that stated a capacity. */
+  /** @return the other live daemons that published a capacity. */
   std::vector<owner_candidate> candidates(Instant now) const;
-  /** @return the zone of the lease's daemon; empty if it is not known. */
+  /** @return the zone of the lease's daemon; empty if unknown. */
   ZoneName zoneOf(const LeaseId& lease) const;
-  /** @return where other daemons with leases may be asked. They reached the store when it was last
-   *     read, so they are likely to know what a daemon without it misses.
+  /** @return the peer addresses of other daemons with leases. They reached the store recently, so
+   * they can relay for a daemon that cannot reach it.
    */
   std::vector<Address> peers() const;
-  /** @return engines with runs that a step waits for, as their live owners state them. As old as a
-   *     renewal and a read together.
+  /** @return engines with runs that a step waits for, as published by live owners. May lag by one
+   * renewal interval plus one read interval.
    */
   std::set<EngineId> awaited(Instant now) const;
-  /** @return leases whose rows may be removed from the store: ended lives of this daemon, and any
-   *     that were silent for the removal age.
+  /** @return leases whose rows may be removed from the store: those of previous incarnations of
+   * this daemon, and any not renewed for the removal age.
    */
   std::vector<LeaseId> removable(Instant now) const;
   /** @return the revision of the lease's row as last seen; 0 if it was never seen. */
   Revision seenRevision(const LeaseId& lease) const;
 
-  /** @return how long this daemon lets others go first in taking over `subject`. Grows with the age
-   *     of this life: in a rolling restart the daemons that started last are the ones that stay.
+  /** @return how long this daemon waits before it takes over `subject`. Increases with its uptime:
+   * in a rolling restart, recently started daemons are not about to be restarted.
    */
   Duration takeoverDelay(Instant now, const std::string& subject) const;
-  /** @return how much longer than the expiry an owner may be silent, as slow as the store is. */
+  /** @return the extension of the expiry that accounts for a slow store. */
   Duration allowance() const { return this->allowance_; }
   const LeaseId& own() const { return this->own_; }
   const lease_times& times() const { return this->times_; }
 
  private:
   struct observation {
-    lease_row row;         ///< Its revision only rises.
-    Instant changed_at{};  ///< When the revision last rose, by this daemon's clock.
+    lease_row row;         ///< Its revision never decreases.
+    Instant changed_at{};  ///< When the revision last increased, by this daemon's clock.
   };
 
   LeaseId own_;
   lease_times times_;
   Instant started_at_{};
-  /// As last seen. Of a lease without a row: with revision 0, silent since it was first asked for.
+  /// As last read. A lease without a row has revision 0 and counts as unchanged since it was first
+  /// queried.
   std::map<LeaseId, observation> rows_;
   Duration allowance_{};
-  Instant read_at_{};                           ///< When the last read that was answered was sent.
-  std::optional<Instant> store_healthy_since_;  ///< Empty while the store does not answer.
+  Instant read_at_{};                           ///< When the last successful read was sent.
+  std::optional<Instant> store_healthy_since_;  ///< Empty while the store does not respond.
 };
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// Daemons outside the pool wait this much longer before they take over, well beyond the pool's own
-/// delays: they come only when nobody of the pool does.
+/// Extra takeover delay of daemons outside the pool. Longer than any delay within the pool, so that
+/// they take over only if no member does.
 constexpr Duration kNonCandidateDelay = std::chrono::milliseconds(600);
-/// Capacities are compared in steps of half a doubling: a timer's jitter must not change ranks.
+/// Capacities are compared in logarithmic steps, so that timer jitter does not change the ranking.
 constexpr double kStepsPerDoubling = 2;
-constexpr double kMinCapacity = 1e-6;  ///< Of the logarithm.
+constexpr double kMinCapacity = 1e-6;  ///< Lower bound for the logarithm.
 
-/// Within this time the daemons of a fleet join a pool that lacks members, one after the other, so
-/// that most see it full before their turn: of 300 daemons some 20 a second come, and each sees the
-/// others after a second.
+/// Joins to a pool that lacks members are spread over this time, so that most daemons see it full
+/// before their turn: of 300 daemons about 25 join per second, and each sees the others after a
+/// second.
 constexpr Duration kJoinSpread = std::chrono::seconds(12);
-/// Daemons of less capacity than the best member come later, in proportion, but by no more than
-/// this factor: a fleet without better ones must not be left without owners.
+/// Daemons with less capacity than the best member join proportionally later, but at most by this
+/// factor, so that a fleet of slow machines still gets owners.
 constexpr double kMaxJoinFactor = 4;
 constexpr std::uint64_t kJoinSteps = 1000;
 
@@ -52,7 +52,7 @@
 bool owner_pool::lacksMembers(const pool_requirements& wanted,
                               const std::vector<owner_candidate>& others) const {
   const owner_candidate self{this->leases_.own(), this->capacity(), this->zone_};
-  std::vector<ZoneName> better;  // Zones of the better daemons.
+  std::vector<ZoneName> better;  // Zones of the better candidates.
   for (const owner_candidate& each : others) {
     if (ranksHigher(each, self)) better.push_back(each.zone);
   }
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -1,11 +1,10 @@
 #pragma once
 
 /** @file
- * Which daemons offer to own jobs and leader locks. Pure; loop thread only.
- *
- * Machines of a fleet differ, and without a choice whoever happens to receive a job would own it,
- * however slow it is. So a few daemons offer: each renews a lease also while it owns nothing, and
- * its row states what it can carry. All daemons see them in the leases that they read anyway.
+ * Decides whether this daemon is a candidate for owning jobs and leader locks. Does no I/O; loop
+ * thread only. Machines in a fleet differ in speed, so the daemon that happens to receive a job
+ * should not own it by default. A few daemons are candidates: each renews a lease even while it
+ * owns nothing and publishes its capacity in the row, which all daemons read.
  */
 
 #include <optional>
@@ -17,10 +16,9 @@
 
 namespace linenpier::lease {
 
-/** How many daemons should offer. */
+/** How many candidates are required. */
 struct pool_requirements {
-  /** Zones in which so many must offer, whoever offers elsewhere: what must stay within them is
-   * owned there.
+  /** Candidates required within a set of zones, for jobs that must stay in these zones.
    */
   struct zone_requirement {
     std::set<ZoneName> zones;
@@ -29,39 +27,40 @@
     bool operator==(const zone_requirement&) const = default;
   };
 
-  std::size_t owners = 0;  ///< Anywhere.
+  std::size_t owners = 0;  ///< In any zone.
   std::vector<zone_requirement> zone_requirements = {};
 
   bool operator==(const pool_requirements&) const = default;
 };
 
-/** Invariant: daemons that read the same leases rank the same daemons alike, so that the pool
- * settles on the best ones without anybody who decides.
+/** Invariant: daemons that read the same leases compute the same ranking, so that the pool
+ * converges on the best candidates without a coordinator.
  */
 class owner_pool {
  public:
-  /** @param zone of this daemon; empty: not known. */
+  /** @param zone of this daemon; empty: unknown. */
   owner_pool(const lease_table& leases, machine_limits limits, ZoneName zone = {})
       : leases_(leases), zone_(std::move(zone)), capacity_(limits) {}
 
-  /** A timer of this daemon ran this long after it was due. */
+  /** Records that a timer of this daemon ran this long after it was due. */
   void onTimerLateness(Duration lateness) { this->capacity_.onTimerLateness(lateness); }
-  /** The leases were read: decides whether this daemon offers. @return whether that changed. */
+  /** Updates whether this daemon is a candidate after a read of the leases. @return whether it
+   * changed. */
   bool onLeasesRead(Instant now, const pool_requirements& wanted);
 
   bool isCandidate() const { return this->candidate_; }
   double capacity() const { return this->capacity_.value(); }
   const ZoneName& zone() const { return this->zone_; }
-  /** @return the live daemons that offer, best first; this one among them if it does. */
+  /** @return the live candidates, best first, including this daemon if it is one. */
   std::vector<owner_candidate> ranked(Instant now) const;
-  /** @return how long this daemon lets others go first in taking over `subject`. */
+  /** @return how long this daemon waits before it takes over `subject`. */
   Duration takeoverDelay(Instant now, const std::string& subject) const;
 
  private:
   /** @return how long this daemon waits before it joins a pool that lacks members. */
   Duration joinDelay(const std::vector<owner_candidate>& members) const;
-  /** @return whether fewer better daemons offer than are wanted, anywhere or in a place that this
-   *     daemon is in.
+  /** @return whether fewer better candidates exist than required, in total or in a set of zones
+   * that includes this daemon's.
    */
   bool lacksMembers(const pool_requirements& wanted,
                     const std::vector<owner_candidate>& others) const;
@@ -71,11 +70,11 @@
   capacity_estimator capacity_;
   bool candidate_ = false;
   std::optional<Instant>
-      members_missing_since_;  ///< Since when each read showed that members are missing.
+      members_missing_since_;  ///< Since when every read has shown missing members.
 };
 
-/** @return whether `one` is the better owner. Capacities that differ by little count as equal; then
- *     a hash of the daemons' names decides, which spreads owners over zones.
+/** @return whether `one` ranks before `other`. Capacities that differ little count as equal; then a
+ * hash of the daemons' names decides, which spreads owners over zones.
  */
 bool ranksHigher(const owner_candidate& one, const owner_candidate& other);
 
--- a/src/gateway/lease/store_clock.cpp
+++ b/src/gateway/lease/store_clock.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// Steady clocks of two machines drift apart by at most a millisecond in so many seconds.
+/// Steady clocks of two machines drift apart by at most one millisecond in this many seconds.
 constexpr std::int64_t kSecondsPerDriftMs = 10;
-/// No answer is under way for longer than this: a clock that shows less began anew.
+/// Longest network delay of a response. A clock that lags by more has restarted.
 constexpr std::int64_t kMaxLagMs = 5000;
 
 }  // namespace
--- a/src/gateway/lease/store_clock.h
+++ b/src/gateway/lease/store_clock.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Estimate of the store's steady clock. Pure.
+ * Estimates the store's steady clock. Does no I/O.
  */
 
 #include <cstdint>
@@ -10,22 +10,22 @@
 
 namespace linenpier::lease {
 
-/** Follows the clock that the store states with its answers.
+/** Tracks the clock that the store reports in its responses.
  *
- * An answer shows the store's clock late by the time that it was under way, so that the answer
- * which shows the clock furthest ahead is nearest to it. Invariant: the estimate goes back only by
- * as much as the two clocks may have drifted apart, or when the store's clock began anew.
+ * A reported time lags by the response's network delay, so the response with the most advanced
+ * clock is the most accurate. Invariant: the estimate decreases only by the possible drift between
+ * the two clocks, or when the store's clock restarted.
  */
 class store_clock {
  public:
-  /** An answer that came at `now` showed the clock, in ms. */
+  /** Handles a clock value, in ms, from a response received at `now`. */
   void onAnswer(Instant now, std::int64_t clock_ms);
-  /** @return the store's clock at `at` in ms; 0 before the first answer. */
+  /** @return the store's clock at `at` in ms; 0 before the first response. */
   std::int64_t at(Instant at) const;
 
  private:
-  std::int64_t clock_ms_ = 0;  ///< As the best answer showed it.
-  Instant read_at_{};          ///< When that answer came.
+  std::int64_t clock_ms_ = 0;  ///< From the most accurate response.
+  Instant read_at_{};          ///< When that response arrived.
 };
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/store_delay.h
+++ b/src/gateway/lease/store_delay.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * How far a daemon is from the store, as a delay that lowers its capacity. Pure.
+ * The daemon's network delay to the store, which lowers its capacity. Does no I/O.
  */
 
 #include <algorithm>
@@ -11,11 +11,12 @@
 
 namespace linenpier::lease {
 
-/** A longer delay is the store's own, alike for all daemons, and must not change how they rank. */
+/** Longer delays are caused by the store itself and affect all daemons, so they must not change the
+ * ranking. */
 inline constexpr Duration kMaxStoreDelay = std::chrono::milliseconds(40);
 
 /** @param allowance of the lease table: a multiple of the excess delay of its reads.
- * @return how much longer than tolerated a read of the store takes at this daemon.
+ * @return by how much this daemon's reads of the store exceed the tolerated delay.
  */
 inline Duration storeDelay(Duration allowance, const lease_times& times) {
   return std::min(allowance / times.allowance_factor, kMaxStoreDelay);
