--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -16,9 +16,8 @@
 constexpr double kStepsPerDoubling = 2;
 constexpr double kMinCapacity = 1e-6;  ///< Lower bound for the logarithm.
 
-/// Joins to a pool that lacks members are spread over this time, so that most daemons see it full
-/// before their turn: of 300 daemons about 25 join per second, and each sees the others after a
-/// second.
+/// Joins to a pool that lacks members are spread over this time, so that most daemons of a large
+/// fleet see it full before their turn.
 constexpr Duration kJoinSpread = std::chrono::seconds(12);
 /// Daemons with less capacity than the best member join proportionally later, but at most by this
 /// factor, so that a fleet of slow machines still gets owners.
--- a/src/gateway/scaling/peak_demand.h
+++ b/src/gateway/scaling/peak_demand.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * The most engines that open work needed of late. Pure.
+ * Computes the peak number of engines that the open work needed recently. Does no I/O.
  */
 
 #include <map>
@@ -13,17 +13,18 @@
 
 class peak_demand {
  public:
-  /** @param items of jobs under way now.
+  /** @param items open items of active jobs now.
    * @param slots of one engine.
-   * @return engines that the peak of the work memory needs; nothing before the work was observed
-   *     for so long: a new leader must not take a pause between two jobs for the end of all work.
+   * @return engines needed for the peak within the window; nothing until a whole window was
+   * observed, so that a new leader does not mistake a pause between two jobs for the end of all
+   * work.
    */
   std::optional<std::size_t> onOpenItems(Instant now, const scaling_options& options,
                                          std::size_t items, std::uint32_t slots);
 
  private:
-  Instant started_at_{};  ///< The first observation; zero: there was none.
-  /// Observations that no later one reaches, so that they fall towards the present.
+  Instant started_at_{};  ///< Of the first observation; zero: none yet.
+  /// Observations larger than all later ones, hence in decreasing order.
   std::map<Instant, std::size_t> items_;
 };
 
--- a/src/gateway/scaling/scaling_options.h
+++ b/src/gateway/scaling/scaling_options.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * How the number of engines is decided: the mode, times and shares. Values.
+ * Options of scaling.
  */
 
 #include "common/time.h"
@@ -9,38 +9,37 @@
 namespace linenpier::scaling {
 
 enum class ScalingMode {
-  kFixed,    ///< Nothing is ordered.
-  kReplace,  ///< Engines that are missing are replaced.
-  kDemand,   ///< They are replaced, and the number follows the open work.
+  kFixed,    ///< No scaling.
+  kReplace,  ///< Missing engines are replaced.
+  kDemand,   ///< Missing engines are replaced, and the count follows the open work.
 };
 
 struct scaling_options {
   ScalingMode mode = ScalingMode::kFixed;
-  /// The list of engines must have been up to date for so long before anything is decided by it:
-  /// entries that lapsed while the store was away come back meanwhile.
+  /// How long the list of engines must have been up to date before decisions are based on it, so
+  /// that entries that lapsed during a store outage can reappear.
   Duration settle = std::chrono::seconds(3);
-  /// Engines that are no longer listed, without having drained, count as lost after this long: most
-  /// that only missed heartbeats are listed again by then.
+  /// Engines that disappear from the list without draining count as lost after this time. Most of
+  /// those that only missed heartbeats reappear sooner.
   Duration loss_timeout = std::chrono::seconds(3);
-  /// An engine that was ordered may be missing this much longer than it takes to boot before the
-  /// same number is ordered again.
+  /// Added to the boot time before a missing engine is ordered again.
   Duration boot_slack = std::chrono::seconds(3);
-  /// Scale-down stabilization window: longer than a burst of work and the warm-up of new engines
-  /// together.
+  /// Scale-down stabilization window; longer than a burst of work plus the warm-up of new engines.
   Duration stabilization_window = std::chrono::seconds(10);
-  /// Between two engines fewer in a group.
+  /// Between two scale-downs by one engine in a group.
   Duration scale_down_interval = std::chrono::seconds(3);
-  Duration first_backoff = std::chrono::seconds(2);  ///< After a refusal; doubles with each more.
+  Duration first_backoff =
+      std::chrono::seconds(2);  ///< After a rejected order; doubles with each further one.
   Duration max_backoff = std::chrono::seconds(30);
-  /// Engines that the platform takes back are not to be had again for some time.
+  /// How long a group counts as without capacity after the platform reclaimed engines of it.
   Duration reclaim_backoff = std::chrono::seconds(10);
-  /// Jobs come in bursts: the most items that were open within this time count as open.
+  /// Jobs arrive in bursts, so the maximum of open items over this window counts as the open work.
   Duration peak_window = std::chrono::seconds(10);
-  double items_per_slot = 4;  ///< Open items that a slot works off in the time they have.
-  /// Engines of a zone may be taken away while no more than this share of its slots is in use: the
-  /// platform chooses which one goes, so none may have long runs.
+  double items_per_slot = 4;  ///< Open items that one slot can process in time.
+  /// A zone may be scaled down while at most this share of its slots is in use: the platform
+  /// chooses the engine to stop, so all of them should be nearly idle.
   double quiet_share = 0.25;
-  double min_share = 0.5;  ///< Of a zone's baseline: never fewer, however little work.
+  double min_share = 0.5;  ///< Minimum share of a zone's baseline, however little work there is.
 };
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// After a call that the platform refused unread, as for the rate of calls, or did not answer.
+/// After a call that the platform rejected without processing it, such as for rate limiting, or
+/// that got no response.
 constexpr Duration kRefusedBackoff = std::chrono::seconds(1);
-/// A call without an answer may be carried out until this long after.
+/// A call without a response may be executed up to this long after it was sent.
 constexpr Duration kMaxCarryOutDelay = std::chrono::seconds(15);
 
-/// Keeps `since` as the time from which on something holds; zero while it does not.
+/// Sets `since` to the time from which on a condition holds; zero while it does not hold.
 void updateSince(Instant now, bool holds, Instant& since) {
   if (!holds) since = Instant{};
   if (holds && since == Instant{}) since = now;
@@ -27,7 +28,7 @@
 
 scaling_policy::scaling_policy(const scaling_options& options, Instant now, scaling_record record)
     : options_(options), record_(std::move(record)) {
-  // The last leader may have ended before it sent what it wrote down, or right after.
+  // The previous leader may have stored an order without sending it.
   for (const auto& [group, count] : this->record_.ordered) {
     group_state& state = this->states_[group];
     state.unconfirmed = true;
@@ -42,7 +43,7 @@
     this->first_groups_ = view.groups;
     this->unchanged_since_ = now;
   }
-  // The engines of a fleet that starts are listed one after the other.
+  // The engines of a starting fleet appear in the list one by one.
   if (unknown && now - this->unchanged_since_ < this->options_.settle) return std::nullopt;
   scaling_record learned = this->record_;
   for (const auto& [group, seen] : view.groups) {
@@ -136,7 +137,7 @@
   const group_state& state = this->states_.at(change.group);
   if (now - since < this->options_.stabilization_window) return std::nullopt;
   if (now - state.scaled_down_at < this->options_.scale_down_interval) return std::nullopt;
-  // One engine at a time. Engines that were ordered and are not there yet need not come at all.
+  // One engine at a time; engines that were ordered but have not started are cancelled at once.
   const std::size_t step = change.have >= change.before ? 1 : 0;
   const std::size_t fewer = change.have - std::min(step, change.have);
   change.wanted = std::max(change.wanted, fewer);
@@ -149,7 +150,7 @@
                                                           scaling_decision change) const {
   const group_state& state = this->states_.at(change.group);
   change.reason = OrderReason::kRepeat;
-  // An order without an answer may have been carried out after newer ones.
+  // An order without a response may have been executed after newer ones.
   if (change.have > change.before && state.unanswered_at != Instant{}) {
     return this->scaleDownDue(now, state.surplus_since, change);
   }
@@ -188,7 +189,7 @@
       if (now - state.unanswered_at >= kMaxCarryOutDelay) state.unanswered_at = Instant{};
       break;
     case FencedCallResult::kFenced:
-      // The platform says the same where it has no such engines now.
+      // The platform returns the same status when it lacks capacity.
       state.no_capacity_until = now + this->backoff(++state.refusals);
       break;
     case FencedCallResult::kRefused:
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -1,12 +1,10 @@
 #pragma once
 
 /** @file
- * Decides which orders for a number of engines are due for one service. Pure; loop thread only, at
- * the leader.
- *
- * The numbers that are wanted come from scaling_targets.h. This module decides when: more engines
- * are ordered at once, fewer slowly (service goes before price), and an order that did not help
- * again after a while.
+ * Decides which scaling orders are due for one service. Does no I/O; runs on the loop thread of the
+ * leader. scaling_targets.h computes the wanted counts; this class decides when to order them. It
+ * scales up at once, scales down slowly (availability has priority over cost), and repeats an order
+ * that had no effect.
  */
 
 #include <map>
@@ -22,43 +20,43 @@
 
 class scaling_policy {
  public:
-  /** @param record as the last leader left it. */
+  /** @param record as stored by the previous leader. */
   scaling_policy(const scaling_options& options, Instant now, scaling_record record);
 
   const scaling_record& record() const { return this->record_; }
-  /** Learns the baseline: what the list showed once it stood still, and what came without an order
-   * and stayed.
-   * @return the record with the new baseline, if it differs; the caller writes it down.
+  /** Learns the baseline: the engines listed once the list is stable, and engines that appeared
+   * without an order and stayed.
+   * @return the record with the new baseline if it differs; the caller stores it.
    */
   std::optional<scaling_record> learnBaseline(Instant now, const scaling_view& view);
-  /** @return the orders that are due, those for more engines first; none without a baseline. */
+  /** @return the orders that are due, scale-ups first; none without a baseline. */
   std::vector<scaling_decision> decide(Instant now, const fleet::scaling_bounds& bounds,
                                        const scaling_view& view);
-  /** The record was written down. */
+  /** Records that `record` was stored. */
   void onRecord(scaling_record record) { this->record_ = std::move(record); }
-  /** @return the record with the order in it. */
+  /** @return the record with the order added. */
   scaling_record withOrder(const scaling_decision& decision) const;
   void onAnswer(Instant now, const scaling_decision& decision, usage::FencedCallResult answer);
-  /** An order for fewer was not sent, since the zone's engines have work. */
+  /** Records that a scale-down was not sent because the zone's engines are busy. */
   void onZoneBusy(Instant now, const scaling_decision& decision);
 
  private:
-  /** What this leader knows of a group. All times are zero if the thing never happened. */
+  /** This leader's state of a group. A time is zero if its event never happened. */
   struct group_state {
-    Instant needed_at{};          ///< The group last needed all that was ordered for it, or more.
-    Instant scaled_down_at{};     ///< Engines were last taken from it, or nearly.
-    Instant ordered_at{};         ///< The platform last took an order.
-    Instant unanswered_at{};      ///< An order had no answer and may be carried out late.
-    Instant paused_until{};       ///< Nothing is ordered before.
-    Instant no_capacity_until{};  ///< The platform has none before; other groups make up for it.
-    Instant missing_since{};      ///< Fewer are listed than were ordered; zero: all are.
-    Instant surplus_since{};      ///< More are listed than were ordered; zero: none are.
-    int refusals = 0;             ///< In a row.
-    int repeats = 0;              ///< Of the same order, in a row.
-    bool unconfirmed = false;     ///< The platform has not said that it took the last order.
+    Instant needed_at{};          ///< The group last needed at least as many engines as ordered.
+    Instant scaled_down_at{};     ///< The last scale-down, sent or skipped for a busy zone.
+    Instant ordered_at{};         ///< The platform last accepted an order.
+    Instant unanswered_at{};      ///< An order got no response and may be executed late.
+    Instant paused_until{};       ///< No order is sent before.
+    Instant no_capacity_until{};  ///< The group counts as without capacity until then.
+    Instant missing_since{};      ///< Fewer engines are listed than ordered; zero: not so.
+    Instant surplus_since{};      ///< More engines are listed than ordered; zero: not so.
+    int refusals = 0;             ///< Consecutive.
+    int repeats = 0;              ///< Of the same order, consecutive.
+    bool unconfirmed = false;     ///< The last order was not acknowledged.
   };
 
-  /** Notes what is missing, too many, or taken back. */
+  /** Updates since when engines are missing, surplus or reclaimed in each group. */
   void observe(Instant now, const scaling_view& view);
   /** @return whether the zone is neither closed nor lost. */
   bool zoneAvailable(Instant now, const scaling_view& view, const ZoneName& zone) const;
@@ -67,21 +65,21 @@
   /** @return the order that is due for a group, if any. */
   std::optional<scaling_decision> orderDue(Instant now, const fleet::scaling_bounds& bounds,
                                            scaling_decision change);
-  /** @param since there are more than needed.
-   * @return an order for one engine less, if that is due.
+  /** @param since when there are more engines than needed.
+   * @return an order for one engine less, if due.
    */
   std::optional<scaling_decision> scaleDownDue(Instant now, Instant since,
                                                scaling_decision change) const;
-  /** @return the last order again, if that is due. */
+  /** @return a repetition of the last order, if due. */
   std::optional<scaling_decision> repeatDue(Instant now, const fleet::scaling_bounds& bounds,
                                             scaling_decision change) const;
-  /** @return the pause after so many failures in a row. */
+  /** @return the backoff after this many consecutive failures. */
   Duration backoff(int failures) const;
 
   scaling_options options_;
   scaling_record record_;
   std::map<fleet::engine_group, group_state> states_;
-  /// While the baseline is not known: what the list showed, and since when it does so unchanged.
+  /// While the baseline is unknown: the last list of engines, and since when it is unchanged.
   std::map<fleet::engine_group, observed_engines> first_groups_;
   Instant unchanged_since_{};
 };
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Port through which the platform is ordered to run a number of engines.
+ * Port for setting the number of engines at the platform.
  */
 
 #include "common/ids.h"
@@ -11,7 +11,7 @@
 
 namespace linenpier::scaling {
 
-/** That a group of a service's engines shall have so many. */
+/** An order that a group of a service's engines have this count. */
 struct scaling_order {
   ServiceName service;
   fleet::engine_group group;
@@ -24,8 +24,8 @@
  public:
   virtual ~scaling_port() = default;
 
-  /** @return kFenced also where the platform has no such engines now: it does not tell one from the
-   *     other.
+  /** @return kFenced also if the platform lacks capacity, because its response does not distinguish
+   * the two.
    */
   virtual Task<usage::FencedCallResult> setEngineCount(scaling_order order,
                                                        usage::fenced_call_context proof) = 0;
--- a/src/gateway/scaling/scaling_record.h
+++ b/src/gateway/scaling/scaling_record.h
@@ -1,8 +1,7 @@
 #pragma once
 
 /** @file
- * What must outlive the leader that decides on a service's number of engines: a row of the store. A
- * value.
+ * The persistent scaling state of a service, which a new leader continues from: a row of the store.
  */
 
 #include <optional>
@@ -13,19 +12,19 @@
 namespace linenpier::scaling {
 
 struct scaling_record {
-  /** Engines that the service runs with while nothing is missing: those that came without an order.
+  /** Engines that the service has while none is missing: those that appeared without an order.
    */
   fleet::group_counts baseline;
-  /** The last order for each group, written down before it was sent. */
+  /** The last order for each group, stored before it is sent. */
   fleet::group_counts ordered;
 
-  /** @return how many engines the group should have: by the last order, else the baseline. */
+  /** @return the count of the group's last order, or its baseline if there is none. */
   std::size_t current(const fleet::engine_group& group) const;
   bool operator==(const scaling_record&) const = default;
 };
 
 std::string encodeRecord(const scaling_record& record);
-/** @return nothing if the text is no record. */
+/** @return nothing if the text is malformed. */
 std::optional<scaling_record> decodeRecord(const std::string& text);
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< Of the lock's leader.
-/// At the other daemons: each looks whether the lock is free.
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< At the leader.
+/// At the other daemons, which check whether the lock is free.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
-/// Between two decisions. Short against the platform's notice of a reclaim.
+/// Between two decisions; much shorter than the platform's reclaim notice.
 constexpr Duration kDecisionInterval = std::chrono::milliseconds(200);
-constexpr Duration kReadBackoff = std::chrono::milliseconds(300);  ///< After rows were not read.
+constexpr Duration kReadBackoff =
+    std::chrono::milliseconds(300);  ///< After a failed read of the rows.
 constexpr char kLockName[] = "scaling";
 
 std::int64_t number(std::size_t count) {
@@ -200,7 +201,7 @@
         .text("service", name.str())
         .number("token", static_cast<std::int64_t>(token))
         .text("outcome", answer ? "conflict" : "no_answer");
-    // Whether it was written is read before anything else is decided.
+    // The outcome may be unknown, so the rows are read before the next decision.
     this->records_read_ = false;
     co_return false;
   }
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -1,12 +1,11 @@
 #pragma once
 
 /** @file
- * Orders from the platform as many engines as each service should have. One daemon, the leader of
- * one lock, does so for all services.
- *
- * An order is written to the service's row first, under the condition that the lock is still held,
- * and then sent. So the next leader starts from the last order. It decides nothing before it has
- * read the rows and before its list of engines has been up to date for a while.
+ * Scales the engines of all services through the platform. Runs at one daemon, the holder of a
+ * leader lock. An order is first written to the service's row, conditional on the lock still being
+ * held, and then sent, so that the next leader starts from the last order. A leader makes no
+ * decision before it has read the rows and its list of engines has been up to date for the settle
+ * time.
  */
 
 #include <functional>
@@ -23,14 +22,15 @@
 
 struct scaling_totals {
   std::uint64_t sent = 0;
-  std::uint64_t refused = 0;  ///< The platform has none, or there were too many calls.
+  std::uint64_t refused = 0;  ///< For lack of capacity, a newer token or rate limiting.
   std::uint64_t unanswered = 0;
 };
 
-/** Loop thread only. Lives as long as the loop runs. */
+/** Runs on the loop thread only; must live as long as the loop runs. */
 class scaling_service {
  public:
-  /** @return requests that an engine reports to have; nothing if it did not answer. */
+  /** @return the requests that an engine reports as running or waiting; nothing without a response.
+   */
   using load_query = std::function<Task<std::optional<std::uint32_t>>(EngineId, Address)>;
 
   struct dependencies {
@@ -39,7 +39,7 @@
     std::string holder;  ///< Name of this daemon in orders.
     const engines::engine_registry& registry;
     std::function<routing::RouteTablePtr()> routes;
-    std::function<versions::open_work_by_model()> open_work;  ///< Of jobs under way.
+    std::function<versions::open_work_by_model()> open_work;  ///< Of active jobs.
     std::function<bool()> engines_followed;  ///< Whether the list of engines is up to date.
     load_query load;
   };
@@ -47,10 +47,10 @@
                   const lease::handover_options& handover);
 
   void start();
-  /** The row of the lock, as the feed shows it. */
+  /** Handles the lock's row from the feed. */
   void onLockRow(const table::Row& row) { this->lock_.onRow(row); }
   void onLockRemoved() { this->lock_.onRowRemoved(); }
-  /** The table of locks was read: if the lock's row was not in it, there is none. */
+  /** Records that the table of locks was read: without a row until now, the lock is free. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsLock() const { return this->lock_.held(); }
   Task<void> handOver();
@@ -67,32 +67,33 @@
 
   Task<void> lockLoop();
   Task<void> orderLoop();
-  /** Does the next thing that is due for each service. */
+  /** Takes the next action that is due for each service. */
   Task<void> decideAll();
   Task<void> decideFor(routing::Service service);
-  /** @return whether the rows of all services were read and this daemon is still the leader. */
+  /** @return whether all services' rows were read and this daemon is still the leader. */
   Task<bool> readRecords();
   /** @return whether the list of engines has been up to date for long enough. */
   bool engineListSettled(Instant now);
   scaling_view viewOf(const routing::Service& service, peak_demand& work) const;
   Task<void> writeBaseline(ServiceName name, scaling_record learned);
-  /** Writes the service's row under the lock. @return whether the store took it. */
+  /** Writes the service's row, conditional on the lock being held. @return whether it was
+   * committed. */
   Task<bool> writeRecord(ServiceName name, scaling_record record);
-  /** Writes an order down and sends it; one for fewer engines only if the zone is quiet. */
+  /** Stores an order and sends it; a scale-down only if the zone is quiet. */
   Task<void> carryOut(ServiceName name, scaling_decision decision);
   Task<void> send(ServiceName name, scaling_decision decision, FencingToken token);
-  /** @return whether the engines of a zone all answered and have little to do. */
+  /** @return whether all engines of the zone responded and their load is low. */
   Task<bool> zoneIsQuiet(ServiceName name, ZoneName zone);
 
   dependencies deps_;
   scaling_options options_;
   lease::leader_lock lock_;
   scaling_totals totals_;
-  /// Whether `services_` holds what the rows say. Not at a new leader, nor after a write whose
-  /// outcome is not known: then nothing is decided before the rows were read.
+  /// Whether `services_` matches the rows. False at a new leader and after a write with an unknown
+  /// outcome; no decision is made until the rows are read.
   bool records_read_ = false;
   std::map<ServiceName, service_state> services_;
-  Instant followed_since_{};  ///< The list of engines is up to date since then; zero: it is not.
+  Instant followed_since_{};  ///< Since when the list of engines is up to date; zero: it is not.
   bool table_read_ = false;
 };
 
--- a/src/gateway/scaling/scaling_targets.cpp
+++ b/src/gateway/scaling/scaling_targets.cpp
@@ -14,7 +14,8 @@
   return sum;
 }
 
-/** @return the baseline of the groups that can have it, and how many engines that leaves missing.
+/** @return the baseline limited to what each group can have, and how many engines are missing from
+ * it.
  */
 scaling_targets reachableBaseline(const target_inputs& inputs) {
   scaling_targets targets;
@@ -35,9 +36,9 @@
   return targets;
 }
 
-/** Gives up to `count` more engines of the kind to the groups in `wanted`: to those with the fewest
- * beyond their baseline first, of these to the cheapest.
- * @return how many found no place.
+/** Adds up to `count` engines of the kind to the groups in `wanted`: first to those with the fewest
+ * beyond their baseline, then to the cheapest.
+ * @return how many could not be added.
  */
 std::size_t addEngines(const target_inputs& inputs, std::size_t count, fleet::EngineKind kind,
                        fleet::group_counts& wanted) {
@@ -61,8 +62,8 @@
   return 0;
 }
 
-/** Takes up to `count` engines from the groups in `wanted`, the dearest first; every zone keeps its
- * share of the baseline and its lower bound.
+/** Removes up to `count` engines from the groups in `wanted`, the most expensive first; every zone
+ * keeps its minimum share of the baseline and its lower bound.
  */
 void removeEngines(const target_inputs& inputs, std::size_t count, fleet::group_counts& wanted) {
   for (; count > 0; --count) {
@@ -81,7 +82,7 @@
   }
 }
 
-/** Moves every zone into its bounds by its engines on demand. */
+/** Clamps every zone to its bounds by changing its on-demand engines. */
 void clampToBounds(const fleet::scaling_bounds& bounds, fleet::group_counts& wanted) {
   for (auto& [group, count] : wanted) {
     if (group.kind != fleet::EngineKind::kOnDemand) continue;
@@ -116,7 +117,7 @@
   if (inputs.options.mode == ScalingMode::kDemand) {
     needed = inputs.view.engines_for_work.value_or(baseline);
   }
-  // Where less is needed than the baseline, engines that are missing need not be replaced.
+  // If less than the baseline is needed, missing engines are not replaced up to the difference.
   std::size_t fewer = baseline - std::min(baseline, needed);
   const std::size_t not_replaced = std::min(fewer, targets.missing);
   targets.missing -= not_replaced;
