--- a/src/gateway/versions/engine_assignment.cpp
+++ b/src/gateway/versions/engine_assignment.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A model gives engines back when it has more than so many times what it can use: demand that
-/// swings moves none.
+/// A model releases engines only when it has more than this multiple of what it can use, so that
+/// fluctuating demand moves none.
 constexpr std::size_t kSurplusFactor = 2;
 
 }  // namespace
@@ -62,7 +62,7 @@
     for (const EngineId& id : this->enginesFor(model)) {
       held.emplace_back(engines.at(id)->versionOf(model), id);
     }
-    // Those with the oldest weights go first.
+    // Engines with the oldest weights are released first.
     std::sort(held.begin(), held.end());
     for (std::size_t i = 0; i + most < held.size(); ++i) this->release(held[i].second);
   }
@@ -118,7 +118,7 @@
                                    const engines_wanted& wanted) {
   ModelName model = this->modelWithFewestEngines(wanted);
   auto at = engines.lower_bound(this->next_);
-  // The first time round each model's engines are spread over the zones, the second time any do.
+  // The first pass spreads each model's engines over the zones; the second assigns any free engine.
   for (std::size_t seen = 0; seen < 2 * engines.size() && !model.empty(); ++seen) {
     if (this->model_of_.size() == engines.size()) return;
     if (at == engines.end()) at = engines.begin();
--- a/src/gateway/versions/engine_order_port.h
+++ b/src/gateway/versions/engine_order_port.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Port through which engines are ordered to load versions, in the platform's form.
+ * Port for ordering engines to load versions.
  */
 
 #include <string>
@@ -15,12 +15,12 @@
  public:
   virtual ~engine_order_port() = default;
 
-  /** @param holder name of the leader, as the platform's orders carry it.
-   * @param send_by the order is sent until then or not at all.
+  /** @param holder name of the leader, sent with the order.
+   * @param send_by the order is not sent after this time.
    */
   virtual Task<OrderResult> send(version_order order, std::string holder, FencingToken token,
                                  Instant send_by) = 0;
-  /** @return nothing if the engine gave no answer. */
+  /** @return nothing if the engine did not respond. */
   virtual Task<std::optional<order_report>> report(EngineId engine, Address address) = 0;
 };
 
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(60);
-/// At a daemon that holds no lock and does not offer to: it takes one only if nobody else does.
+/// At a daemon that holds no lock and is no candidate: it acquires one only if no candidate does.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(250);
-/// When a fleet starts nobody holds a lock, and nobody offers to yet: no daemon counts as idle.
+/// While a fleet starts there are no leaders or candidates yet, so no daemon counts as idle.
 constexpr Duration kStartupTime = std::chrono::seconds(5);
 
 }  // namespace
@@ -107,7 +107,7 @@
 
 Task<void> rollout_service::requestReport(ServiceName service, EngineId engine, Address address) {
   const auto report = co_await this->deps_.orders.report(engine, address);
-  // An engine without an answer is asked again after the report interval.
+  // An engine that does not respond is asked again after the report interval.
   if (report) this->leadershipOf(service).rollout.onReport(steadyNow(), engine, *report);
 }
 
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Sends orders to the engines of services whose locks this daemon holds: each service has one
- * leader at a time, which alone decides on its engines (`version_rollout.h`).
+ * Runs the version rollouts of the services whose leader locks this daemon holds. Only the leader
+ * of a service sends orders to its engines (`version_rollout.h`).
  */
 
 #include <functional>
@@ -26,7 +26,7 @@
   std::uint64_t unanswered = 0;
 };
 
-/** Loop thread only. Lives as long as the loop runs. */
+/** Runs on the loop thread only; must live as long as the loop runs. */
 class rollout_service {
  public:
   struct dependencies {
@@ -38,32 +38,32 @@
     const lease::owner_pool& pool;
     engine_order_port& orders;
     std::function<routing::RouteTablePtr()> routes;
-    std::function<open_work_by_model()> open_work;  ///< Of jobs under way.
+    std::function<open_work_by_model()> open_work;  ///< Of active jobs.
     std::string holder;                             ///< Name of this daemon in orders.
-    /// Engines with a run that a step waits for. Not set: none is known.
+    /// Engines with a run that a step waits for. May be unset.
     std::function<std::set<EngineId>(Instant now)> awaited;
   };
   rollout_service(dependencies deps, rollout_service_options options)
       : deps_(std::move(deps)), options_(options) {}
 
   void start();
-  /** Services that were seen before go on under the options of before. */
+  /** Sets the options for services that are first seen later; known services keep theirs. */
   void setOptions(const rollout_service_options& options) { this->options_ = options; }
-  /** A version was named as the newest of its model. */
+  /** Handles the announcement of a model's newest version. */
   void onVersionAnnounced(const ModelName& model, WeightVersion version);
-  /** The row of a service's lock, as the feed shows it. */
+  /** Handles the row of a service's lock from the feed. */
   void onLockRow(const ServiceName& service, const table::Row& row);
   void onLockRemoved(const ServiceName& service);
-  /** The table of locks was read and its rows follow: a lock without one has no row. */
+  /** Records that the table of locks was read and its rows follow: a lock without a row is free. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsAny() const { return this->locksHeld() > 0; }
   std::size_t locksHeld() const;
-  /** Gives up every lock. */
+  /** Releases all locks. */
   Task<void> handOver();
   const rollout_counts& counts() const { return this->counts_; }
 
  private:
-  /** A service's lock, and what its leader knows. */
+  /** A service's lock and the leader's rollout state. */
   struct service_leadership {
     service_leadership(const lease::leader_lock::dependencies& deps, const ServiceName& service,
                        const rollout_service_options& options);
@@ -79,11 +79,11 @@
 
   dependencies deps_;
   rollout_service_options options_;
-  /// Entries stay for good: tasks under way refer to them.
+  /// Entries are never removed, because pending tasks refer to them.
   std::map<ServiceName, std::unique_ptr<service_leadership>> services_;
   std::map<ModelName, WeightVersion> newest_versions_;
   rollout_counts counts_;
-  bool table_read_ = false;  ///< Whether a lock that is not known has no row.
+  bool table_read_ = false;  ///< Whether a lock without a known row is free.
   bool stopping_ = false;
 };
 
--- a/src/gateway/versions/version_order.cpp
+++ b/src/gateway/versions/version_order.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Versions that a step's samples may be behind the newest one.
+/// How many versions a step's samples may lag behind the newest one.
 constexpr WeightVersion kMaxVersionLag = 1;
 
 }  // namespace
--- a/src/gateway/versions/version_order.h
+++ b/src/gateway/versions/version_order.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Orders to engines to load a version of a model's weights, and what engines answer. Values.
+ * Orders to engines to load a version of a model's weights, and their results.
  */
 
 #include <cstdint>
@@ -13,49 +13,49 @@
 
 namespace linenpier::versions {
 
-/** What becomes of the model's runs at an engine that changes its weights. */
+/** What happens to the model's runs on an engine that changes its weights. */
 enum class LoadMode {
-  kWait,    ///< They end first.
-  kCancel,  ///< They are reset; their owners go on with them elsewhere.
-  kRetain,  ///< They stand still for the load, then go on under the new version.
+  kWait,    ///< The engine finishes them first.
+  kCancel,  ///< They are cancelled; their owners resume them on other engines.
+  kRetain,  ///< They pause during the load and continue under the new version.
 };
 
-/** That an engine shall load a version. */
+/** An order that an engine load a version. */
 struct version_order {
   EngineId engine;
-  engines::engine_start start = 0;  ///< The order is meant for this start of the engine.
+  engines::engine_start start = 0;  ///< Start of the engine that the order is for.
   Address address;
   ModelName model;
   WeightVersion version = 0;
   LoadMode mode = LoadMode::kCancel;
-  /// Orders that the engine must have taken before: of an order and its repetition at most one is
-  /// carried out.
+  /// Number of orders that the engine must have accepted before, so that at most one of an order
+  /// and its repetition is executed.
   std::optional<std::uint64_t> expected_sequence;
 };
 
-/** How an engine answered an order. */
+/** Result of an order. */
 enum class OrderResult {
-  kStarted,        ///< It loads now.
-  kAlreadyLoaded,  ///< It held the version already.
-  kBusy,           ///< Another order is under way, or the sequence differs.
-  kFenced,         ///< It has seen a higher token.
-  kRejected,       ///< The order is wrong, or another engine has the address.
-  kUnknown,        ///< No answer: it may be carried out yet.
+  kStarted,        ///< The engine has started loading.
+  kAlreadyLoaded,  ///< The engine already had the version.
+  kBusy,           ///< Another order is in progress, or the sequence differs.
+  kFenced,         ///< The engine has seen a higher token.
+  kRejected,       ///< The order is invalid, or another engine has the address.
+  kUnknown,        ///< No response: the order may still be executed.
 };
 
-/** What an engine reports of itself; a little old when it arrives. */
+/** An engine's report of its state; slightly outdated on arrival. */
 struct order_report {
   engines::engine_start start = 0;
-  std::uint64_t taken = 0;  ///< Orders it has taken since its start.
-  bool busy = false;        ///< One of them is under way.
-  std::uint32_t load = 0;   ///< Requests that run or wait.
+  std::uint64_t taken = 0;  ///< Orders accepted since the engine's start.
+  bool busy = false;        ///< An order is in progress.
+  std::uint32_t load = 0;   ///< Running and waiting requests.
 };
 
 const char* toText(LoadMode mode);
 const char* toText(OrderResult answer);
 
-/** @return whether an engine with the version `held` can work for the newest step, which takes
- *     weights one version old.
+/** @return whether an engine with the version `held` can serve the newest step, which accepts
+ * weights one version old.
  */
 bool servesNewestStep(WeightVersion held, WeightVersion newest);
 
