--- a/src/gateway/usage/cluster_clock.h
+++ b/src/gateway/usage/cluster_clock.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * True time as the daemons have agreed on it (see cluster_time.h): the row that says so, and its
- * settling by the leader.
+ * The cluster time that the daemons agreed on (see cluster_time.h): its row in the store, and its
+ * synchronization by the leader.
  */
 
 #include <optional>
@@ -15,37 +15,38 @@
 
 namespace linenpier::usage {
 
-/** Loop thread only. */
+/** Runs on the loop thread only. */
 class cluster_clock {
  public:
   cluster_clock(table::AsyncTable& table, const lease::lease_keeper& keeper,
                 const usage_options& options)
       : table_(table), keeper_(keeper), options_(options) {}
 
-  /** The row that says what true time is, as the feed shows it. */
+  /** Handles the row with the offset of cluster time from the feed. */
   void onRow(const table::Row& row);
   bool known() const { return this->offset_ms_.has_value(); }
-  /** @return the windows of true time, once that is known. */
+  /** @return the usage windows; nothing until cluster time is known. */
   std::optional<usage_windows> usageWindows() const;
-  /** @return the window of a moment; nothing before true time and the store's clock are known. */
+  /** @return the window of an instant; nothing until cluster time and the store's clock are known.
+   */
   std::optional<window_number> windowAt(Instant at) const;
-  /** @return whether the leader should compare true time with the daemons' samples. */
+  /** @return whether the leader should compare cluster time with the daemons' samples. */
   bool synchronizationDue(Instant now) const;
-  /** Agrees on true time, or corrects it, by the samples. For the leader.
+  /** Sets or corrects cluster time from the samples. Called by the leader.
    * @param acquired_at when this daemon became the leader.
    */
   Task<void> synchronize(const lease::leader_lock& lock, Instant acquired_at);
 
  private:
-  /** @return all daemons' samples; nothing if the store did not answer. */
+  /** @return all daemons' samples; nothing if the store did not respond. */
   Task<std::optional<std::vector<clock_sample>>> readSamples();
 
   table::AsyncTable& table_;
   const lease::lease_keeper& keeper_;
   usage_options options_;
-  std::optional<std::int64_t> offset_ms_;  ///< True time less the store's clock, as agreed.
-  Revision revision_ = 0;                  ///< Of the row; 0: there is none.
-  Instant checked_at_{};                   ///< When samples were last read.
+  std::optional<std::int64_t> offset_ms_;  ///< Agreed offset: cluster time minus the store's clock.
+  Revision revision_ = 0;                  ///< Of the row; 0: none.
+  Instant checked_at_{};                   ///< When the samples were last read.
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Requests whose window is not known, since this life has not reached the store yet: some minutes
-/// of a daemon's share at the peak.
+/// Limit of requests whose window is unknown because this daemon has not reached the store since
+/// its start: a few minutes of its share of the peak load.
 constexpr std::size_t kMaxUnassigned = 20000;
 
 }  // namespace
--- a/src/gateway/usage/usage_options.h
+++ b/src/gateway/usage/usage_options.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * The times of usage reports. Values.
+ * Options of usage reports.
  */
 
 #include "common/time.h"
@@ -9,28 +9,28 @@
 
 namespace linenpier::usage {
 
-/** From a window's end its counts reach the store after at most a request's duration, the write
- * interval and a retry; `settle` is longer than these together.
+/** A window's counts are stored at most one request duration, write interval and retry after its
+ * end; `settle` must exceed their sum.
  */
 struct usage_options {
-  Duration window{};  ///< Length of a window; zero: usage is not reported.
-  /// Between two writes of a daemon's counts: bounds the store's load by the size of the fleet.
+  Duration window{};  ///< Length of a window; zero disables usage reports.
+  /// Between two writes of a daemon's counts; limits the load on the store.
   Duration write_interval = std::chrono::seconds(1);
-  Duration retry_backoff = std::chrono::milliseconds(200);  ///< After counts were not written.
-  /// From a window's end until its rows are added up.
+  Duration retry_backoff = std::chrono::milliseconds(200);  ///< After a failed write of counts.
+  /// From a window's end until its rows are summed.
   Duration settle = std::chrono::seconds(4);
-  /// A store that is back after an outage is given this time to get the rows that were held up: a
-  /// write that was sent just before its return is given up and sent again …
+  /// After a store outage a window is summed only this much later, so that daemons can time out and
+  /// retry writes sent during the outage …
   Duration settle_after_outage = std::chrono::milliseconds(2500);
-  /// … but a window is added up at the latest so long after its end: reports are due.
+  /// … but at the latest this long after the window's end.
   Duration max_settle = std::chrono::milliseconds(8500);
   Duration sample_interval =
       std::chrono::seconds(20);  ///< Between two samples of a daemon's clock.
-  Duration sample_lifetime = std::chrono::seconds(60);  ///< Older samples do not count.
-  /// How long a new leader waits for the daemons' first samples, where true time was never agreed.
+  Duration sample_lifetime = std::chrono::seconds(60);  ///< Older samples are ignored.
+  /// How long a new leader waits for the daemons' first samples if cluster time was never set.
   Duration first_samples_wait = std::chrono::seconds(4);
-  /// True time is corrected if the samples differ from it by so much; clocks that are well differ
-  /// by less.
+  /// Cluster time is corrected if the median of the samples differs from it by this much;
+  /// synchronized clocks differ by less.
   std::int64_t min_correction_ms = 20;
   lease::handover_options handover;
 };
--- a/src/gateway/usage/usage_port.h
+++ b/src/gateway/usage/usage_port.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Port for calls to the platform that are one daemon's duty at a time, and what they have in
- * common.
+ * Port for usage reports to the platform, and the types shared by all platform calls that only one
+ * leader may make.
  */
 
 #include <string>
@@ -13,24 +13,24 @@
 
 namespace linenpier::usage {
 
-/** How the platform answered a duty's call. */
+/** Result of a platform call that carries a fencing token. */
 enum class FencedCallResult {
   kTaken,
-  kFenced,   ///< It has seen a higher token for the same subject.
-  kRefused,  ///< Not done; may be sent again later.
-  kUnknown,  ///< No answer: it may be carried out yet.
+  kFenced,   ///< The platform has seen a higher token for the same subject.
+  kRefused,  ///< Not executed; may be retried later.
+  kUnknown,  ///< No response: the call may still be executed.
 };
 
 const char* toText(FencedCallResult answer);
 
-/** As whom a leader makes a call, and how long it may. */
+/** The leader's identity and deadline for such a call. */
 struct fenced_call_context {
-  std::string holder;  ///< The leader's name; the platform's calls say holder.
+  std::string holder;  ///< The leader's name, called holder in the platform's API.
   FencingToken token = 0;
-  Instant send_by{};  ///< The call is sent until then or not at all.
+  Instant send_by{};  ///< The call is not sent after this time.
 };
 
-/** What the tenants used in a window. The same report is always the same bytes. */
+/** Usage of all tenants in a window. Equal reports are encoded to equal bytes. */
 struct usage_report {
   window_number window = 0;
   tenant_counts counts;
--- a/src/gateway/usage/usage_progress.h
+++ b/src/gateway/usage/usage_progress.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * What the leader decided to report last: a row of the store. Values.
+ * The last report that a leader committed to: a row of the store.
  */
 
 #include <string>
@@ -11,14 +11,14 @@
 namespace linenpier::usage {
 
 struct usage_progress {
-  Revision revision = 0;  ///< Of the row; 0: nothing was ever decided.
+  Revision revision = 0;  ///< Of the row; 0: no report yet.
   usage_report report;
-  bool taken = false;  ///< The platform took the report from this leader; not part of the row.
+  bool taken = false;  ///< The platform accepted the report from this leader; not stored.
 };
 
 /** @return the row's value. */
 std::string encodeProgress(const usage_report& report);
-/** @return the progress; without counts if the value holds none that can be read. */
+/** @return the progress; without counts if they are malformed. */
 usage_progress decodeProgress(Revision revision, const std::string& value);
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_recorder.h
+++ b/src/gateway/usage/usage_recorder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Port through which requests that engines began to run are counted.
+ * Port for counting requests that engines started to run.
  */
 
 #include "common/ids.h"
@@ -13,8 +13,8 @@
  public:
   virtual ~usage_recorder() = default;
 
-  /** An engine began to run a request of the tenant at that time. Called once a request, however
-   * many engines run it.
+  /** Records that an engine started a request of the tenant. Must be called once per request, even
+   * if several engines run it.
    */
   virtual void onRequestStarted(const TenantId& tenant, Instant at) = 0;
 };
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr char kLockName[] = "usage";
-constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< Of the lock's leader.
-/// At the other daemons: each looks whether the lock is free.
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< At the leader.
+/// At the other daemons, which check whether the lock is free.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
-/// After a report that the platform did not take.
+/// After a report that the platform did not accept.
 constexpr Duration kRefusedBackoff = std::chrono::milliseconds(300);
-/// The store takes 100 entries a write.
+/// The store accepts 100 entries per write.
 constexpr std::size_t kMaxRemovedAtOnce = 90;
 
 }  // namespace
@@ -51,8 +51,8 @@
                       this->lock_.held() ? kTickInterval : kIdleTickInterval);
     const Instant now = steadyNow();
     const bool able = this->lock_.mayAct(now);
-    // A leader that could not confirm its lock did not reach the store, and others may not have
-    // reached it either.
+    // A leader that could not confirm its lock did not reach the store; other daemons may have been
+    // affected, too.
     if (able && !this->could_act_) this->store_recovered_at_ = now;
     this->could_act_ = able;
     if (able) {
@@ -79,7 +79,7 @@
   const auto current = this->deps_.clock.windowAt(now);
   if (!current) co_return;
   const window_number next = any_committed ? this->progress_->report.window + 1 : *current - 1;
-  // The first one only says where reports begin: it holds nothing that could come late.
+  // The first report only marks the start, so it need not wait for delayed counts.
   if (!any_committed || this->due(now, next)) {
     co_await this->commitReport(next);
   }
@@ -155,7 +155,7 @@
                        : answer ? "conflict"
                                 : "no_answer");
   if (!done) {
-    // Whether it was written is read before anything else is decided.
+    // The outcome may be unknown, so the row is read before the next report.
     this->progress_.reset();
     co_return;
   }
@@ -175,7 +175,7 @@
     keys.resize(first);
     const auto answer = co_await this->deps_.lock.table.write(std::move(write));
     if (!answer) {
-      // The next window's decision finds them again.
+      // The next window's report removes them.
       LogEvent("usage", "rows_not_removed").number("rows", static_cast<std::int64_t>(first));
       co_return;
     }
--- a/src/gateway/usage/usage_reporter.h
+++ b/src/gateway/usage/usage_reporter.h
@@ -1,11 +1,10 @@
 #pragma once
 
 /** @file
- * Reports each window's usage to the platform once. One daemon, the leader of a lock, does so.
- *
- * Some time after a window's end the leader adds its rows up. What it will report is written down
- * first, under the condition that the lock is still held; then it is sent again and again until the
- * platform takes it. So the next leader sends the same bytes. The leader also settles true time.
+ * Reports each window's usage to the platform once. Runs at one daemon, the holder of a leader
+ * lock. Some time after a window's end the leader sums its rows. It stores the report, conditional
+ * on the lock still being held, and then sends it repeatedly until the platform accepts it, so that
+ * the next leader sends the same bytes. The leader also synchronizes cluster time.
  */
 
 #include <optional>
@@ -18,7 +17,7 @@
 
 namespace linenpier::usage {
 
-/** Loop thread only. Lives as long as the loop runs. */
+/** Runs on the loop thread only; must live as long as the loop runs. */
 class usage_reporter {
  public:
   struct dependencies {
@@ -30,48 +29,48 @@
   usage_reporter(dependencies deps, const usage_options& options);
 
   void start();
-  /** The row of the lock, as the feed shows it. */
+  /** Handles the lock's row from the feed. */
   void onLockRow(const table::Row& row) { this->lock_.onRow(row); }
   void onLockRemoved() { this->lock_.onRowRemoved(); }
-  /** The table of locks was read: if the lock's row was not in it, there is none. */
+  /** Records that the table of locks was read: without a row until now, the lock is free. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsLock() const { return this->lock_.held(); }
   Task<void> handOver();
-  /** @return windows that the platform took from this daemon. */
+  /** @return the number of windows that the platform accepted from this daemon. */
   std::uint64_t reported() const { return this->total_reported_; }
 
  private:
-  /** The rows of a window, added up. */
+  /** The sum of a window's rows. */
   struct window_sum {
     usage_report report;
-    std::size_t daemons = 0;            ///< Rows that were added.
+    std::size_t daemons = 0;            ///< Rows summed.
     std::vector<std::string> obsolete;  ///< Keys of rows of earlier windows.
   };
 
   Task<void> lockLoop();
   Task<void> reportLoop();
-  /** Does the next thing that is due. */
+  /** Takes the next action that is due. */
   Task<void> reportNext();
   Task<bool> readProgress();
-  /** @return whether the window may be added up: its rows have had time to arrive. */
+  /** @return whether the window's rows have had time to arrive, so that it can be summed. */
   bool due(Instant now, window_number window) const;
-  /** Adds a window up, writes down what is to be reported, and sends it. */
+  /** Sums a window, stores the report and sends it. */
   Task<void> commitReport(window_number window);
-  /** @return nothing if the store did not answer. */
+  /** @return nothing if the store did not respond. */
   Task<std::optional<window_sum>> sumWindow(window_number window);
-  /** Removes rows that nobody needs any more. */
+  /** Removes obsolete rows. */
   Task<void> removeRows(std::vector<std::string> keys);
   Task<void> send();
 
   dependencies deps_;
   usage_options options_;
   lease::leader_lock lock_;
-  std::optional<usage_progress> progress_;  ///< Empty while this leader has not read the row.
+  std::optional<usage_progress> progress_;  ///< Empty until this leader has read the row.
   Instant acquired_at_{};                   ///< When this daemon became the leader.
-  /// Counts that were held up have this long been on their way: since then the store is known to
-  /// answer, and this leader could act.
+  /// Since when the store has responded and this leader could act. Delayed counts are arriving
+  /// since then.
   Instant store_recovered_at_{};
-  bool could_act_ = false;  ///< Whether this leader could act when last asked.
+  bool could_act_ = false;  ///< Whether this leader could act at the last tick.
   bool table_read_ = false;
   std::uint64_t total_reported_ = 0;
 };
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -1,9 +1,8 @@
 #pragma once
 
 /** @file
- * Usage: the requests of each tenant that began to run, reported by windows of true time. Composes
- * the counting (usage_writer.h), which every daemon does, and the reporting (usage_reporter.h),
- * which is one leader's.
+ * Counts the started requests of each tenant and reports them by windows of cluster time. Every
+ * daemon counts (usage_writer.h); only the leader reports (usage_reporter.h).
  */
 
 #include <functional>
@@ -17,12 +16,12 @@
 
 struct usage_totals {
   std::uint64_t counted = 0;
-  std::uint64_t dropped = 0;   ///< Not counted: too many waited for the store's clock.
-  std::uint64_t late = 0;      ///< Counted for a window that had been added up already.
-  std::uint64_t reported = 0;  ///< Windows that the platform took from this daemon.
+  std::uint64_t dropped = 0;   ///< Not counted: too many were waiting for the store's clock.
+  std::uint64_t late = 0;      ///< Counted for a window that had already been summed.
+  std::uint64_t reported = 0;  ///< Windows that the platform accepted from this daemon.
 };
 
-/** Loop thread only. Lives as long as the loop runs. */
+/** Runs on the loop thread only; must live as long as the loop runs. */
 class usage_service : public usage_recorder {
  public:
   struct dependencies {
@@ -36,24 +35,24 @@
 
   void start();
   void onRequestStarted(const TenantId& tenant, Instant at) override;
-  /** The row that says what true time is. */
+  /** Handles the row with the offset of cluster time. */
   void onClockRow(const table::Row& row) { this->clock_.onRow(row); }
-  /** The row of the reporting lock, as the feed shows it. */
+  /** Handles the reporting lock's row from the feed. */
   void onLockRow(const table::Row& row) { this->reporter_.onLockRow(row); }
   void onLockRemoved() { this->reporter_.onLockRemoved(); }
-  /** The table of locks was read: if the lock's row was not in it, there is none. */
+  /** Records that the table of locks was read: without a row until now, the lock is free. */
   void onTableRead() { this->reporter_.onTableRead(); }
   bool holdsLock() const { return this->reporter_.holdsLock(); }
-  /** Gives the lock up; counts go on being written. */
+  /** Releases the lock; counts are still written. */
   Task<void> handOver() { return this->reporter_.handOver(); }
-  /** @return whether counts wait to be written. */
+  /** @return whether counts are waiting to be stored. */
   bool unsaved() const { return this->writer_.unsaved(); }
   usage_totals totals() const;
 
  private:
   bool enabled() const { return this->window_ > Duration::zero(); }
 
-  Duration window_;  ///< Zero: usage is not reported.
+  Duration window_;  ///< Zero disables usage reports.
   cluster_clock clock_;
   usage_writer writer_;
   usage_reporter reporter_;
--- a/src/gateway/usage/usage_writer.h
+++ b/src/gateway/usage/usage_writer.h
@@ -1,12 +1,10 @@
 #pragma once
 
 /** @file
- * Counts the requests that began to run and writes the counts to the store.
- *
- * Every daemon keeps a row a window with all that this life of it has counted. It is written soon
- * after something was counted, so that the loss of the daemon, or of all, loses next to nothing. A
- * daemon that does not reach the store lets another one write. Samples of this daemon's clock go
- * with the same writes.
+ * Counts started requests and writes the counts to the store.
+ * Every daemon keeps one row per window with the total counts of its incarnation. Rows are written
+ * soon after a request was counted, so that a crash loses few counts. A daemon that cannot reach
+ * the store writes through a peer. The same writes carry samples of the daemon's wall clock.
  */
 
 #include <functional>
@@ -21,10 +19,10 @@
 
 namespace linenpier::usage {
 
-/** Loop thread only. Lives as long as the loop runs. */
+/** Runs on the loop thread only; must live as long as the loop runs. */
 class usage_writer {
  public:
-  /** Lets another daemon do a write. @return nothing if none did. */
+  /** Performs a write through another daemon. @return nothing if none could. */
   using write_by_peer = std::function<Task<std::optional<table::TransactionAnswer>>(table::Write)>;
 
   struct dependencies {
@@ -42,36 +40,36 @@
 
   void start();
   void onRequestStarted(const TenantId& tenant, Instant at);
-  /** @return whether counts wait to be written. */
+  /** @return whether counts are waiting to be stored. */
   bool unsaved() const { return !this->counter_.idle(); }
   std::uint64_t counted() const { return this->total_counted_; }
-  /** @return requests that were not counted: too many waited for the store's clock. */
+  /** @return requests not counted because too many were waiting for the store's clock. */
   std::uint64_t dropped() const { return this->total_dropped_; }
-  /** @return requests that were counted for a window that had been added up already. */
+  /** @return requests counted for a window that had already been summed. */
   std::uint64_t late() const { return this->total_late_; }
 
  private:
-  /** A window in a write that is under way. */
+  /** A window in a pending write. */
   struct written_window {
     window_number window = 0;
-    std::uint64_t changes = 0;  ///< Counted in it when the write was sent.
+    std::uint64_t changes = 0;  ///< Requests counted in it when the write was sent.
   };
 
   Task<void> writeLoop();
   Task<void> writeCounts();
   /** Adds the rows of windows with unsaved counts to the write. */
   std::vector<written_window> addUnsaved(table::Write& write);
-  /** Adds a sample of this daemon's clock to the write, if one is due. @return whether it did. */
+  /** Adds a sample of this daemon's wall clock to the write if due. @return whether it did. */
   bool addSample(Instant now, table::Write& write);
   void onWritten(const std::vector<written_window>& written,
                  const table::TransactionAnswer& answer);
-  /** The store refused a window's row, since its revision is another one. */
+  /** Handles a conflict: the store rejected the write because a row's revision has changed. */
   void onConflict(const written_window& written, const table::TransactionAnswer& answer);
 
   dependencies deps_;
   usage_options options_;
   usage_counter counter_;
-  Signal counted_;  ///< Something was counted.
+  Signal counted_;  ///< Notified when a request was counted.
   Instant sampled_at_{};
   std::uint64_t total_counted_ = 0;
   std::uint64_t total_dropped_ = 0;
