--- a/src/gateway/table/async_table.h
+++ b/src/gateway/table/async_table.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The platform's durable services as tasks of the event loop see them: rows under conditions, a
-/// feed of changes, and objects. Keys are "TABLE/KEY". Reads and writes are linearizable.
+/// Asynchronous interfaces of the platform's durable store: rows with conditional writes, a change
+/// feed, and objects. Keys are "TABLE/KEY". Reads and writes are linearizable.
 
 #include <cstdint>
 #include <string>
@@ -14,11 +14,11 @@
 
 namespace linenpier::table {
 
-/// Rows as of a single moment.
+/// A consistent snapshot of rows.
 struct RowPage {
   std::vector<Row> rows;      ///< Ascending by key.
   bool has_more = false;      ///< More rows follow the last one.
-  Revision revision = 0;      ///< The newest of the whole store.
+  Revision revision = 0;      ///< The latest revision of the whole store.
   std::int64_t clock_ms = 0;  ///< The store's steady clock.
 };
 
@@ -29,25 +29,25 @@
 };
 
 struct ChangeBatch {
-  std::vector<RowChange> changes;  ///< In the order of their revisions.
-  Revision revision = 0;           ///< Continue from here.
-  bool history_truncated = false;  ///< Read the table anew.
+  std::vector<RowChange> changes;  ///< In order of revision.
+  Revision revision = 0;           ///< Where to continue.
+  bool history_truncated = false;  ///< The table must be read again.
 };
 
 struct RowRange {
   std::string table;
   std::string from;       ///< Key without its table; inclusive.
   std::string until;      ///< Exclusive; empty: to the table's end.
-  std::size_t limit = 0;  ///< 0: as many as the store gives.
-  Duration timeout{};     ///< For the answer; zero: as long as any call waits.
+  std::size_t limit = 0;  ///< 0: the store's limit.
+  Duration timeout{};     ///< For the response; zero: the default timeout.
 };
 
-/// @return the range that holds this row alone.
+/// @return the range that contains only this row.
 inline RowRange singleRow(const std::string& table, const std::string& key) {
   return {table, key, key + '\x01', 1, Duration::zero()};
 }
 
-/// Moves a range behind the rows of a page that was read of it.
+/// Advances the start of a range past the rows of a page read from it.
 /// @return whether more rows follow.
 inline bool advancePast(const RowPage& page, RowRange& range) {
   if (!page.has_more || page.rows.empty()) return false;
@@ -64,13 +64,13 @@
  public:
   virtual ~AsyncTable() = default;
 
-  /// @return the store's answer; kAnswerLost if the write may have been or may yet be done.
+  /// @return the store's response; kAnswerLost if the write may have been or may still be executed.
   virtual Task<CallResult<TransactionAnswer>> write(Write write) = 0;
   virtual Task<CallResult<RowPage>> read(RowRange range) = 0;
-  /// Waits until rows of the table change after `after`, at most `wait`.
+  /// Waits at most `wait` for changes of the table's rows after the revision `after`.
   virtual Task<CallResult<ChangeBatch>> watch(std::string table, Revision after, Duration wait) = 0;
-  /// Gives up reads and writes that have waited for longer than `age`: they end as if their answers
-  /// were lost. A store that was silent never answers what it was sent then.
+  /// Cancels reads and writes that have been pending for longer than `age`; they fail as if their
+  /// responses were lost. After an outage the store never responds to calls sent during it.
   virtual void cancelOlderThan(Duration age) = 0;
 };
 
@@ -78,12 +78,13 @@
  public:
   virtual ~AsyncObjects() = default;
 
-  /// Writes an object whose content never differs between writers; present is done.
+  /// Writes an object whose content is the same for all writers, so that an existing object counts
+  /// as written.
   virtual Task<CallResult<bool>> put(std::string name, std::string bytes) = 0;
-  /// @return the bytes; kRejected if there is no such object.
+  /// @return the content; kRejected if the object does not exist.
   virtual Task<CallResult<std::string>> get(std::string name) = 0;
   virtual Task<CallResult<bool>> remove(std::string name) = 0;
-  /// @return names that begin with `prefix`, ascending; as many as one answer holds.
+  /// @return the names that start with `prefix`, ascending, up to the limit of one response.
   virtual Task<CallResult<std::vector<std::string>>> list(std::string prefix) = 0;
 };
 
--- a/src/gateway/table/store_keys.h
+++ b/src/gateway/table/store_keys.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// Keys of what this product keeps in the store. One small table, watched whole by every daemon,
-/// holds rights and jobs, which change seldom. Leases, which change all the time, and results lie
-/// in tables that nobody watches.
+/// Tables and keys in the store. The coordination table, which every daemon watches, is small and
+/// holds leader locks and jobs, which change rarely. Leases, which change continuously, and results
+/// are kept in tables that are not watched.
 
 #include <cstdio>
 #include <string>
@@ -21,7 +21,7 @@
 inline const std::string kJobPrefix = "job/";
 inline const std::string kOrderPrefix = "order/";
 
-/// @return the row's key as the table's writers spell it.
+/// @return the row's key without its table.
 inline std::string keyWithoutTable(const Row& row) {
   return row.key.substr(row.key.find('/') + 1);
 }
@@ -35,20 +35,20 @@
 inline std::string orderKey(const ServiceName& service) {
   return kCoordinationTable + "/" + kOrderPrefix + service.str();
 }
-inline const std::string kLockPrefix = "right/";  ///< Of rights to carry out duties.
+inline const std::string kLockPrefix = "right/";  ///< Leader locks other than those of services.
 inline const std::string kUsageTable = "usage";
 inline const std::string kClockTable = "clocks";
-/// A row a service: the last orders for a number of its engines.
+/// One row per service: its scaling record.
 inline const std::string kScalingTable = "scaling";
-/// In the table of use: what was reported last.
+/// In the usage table: the last report.
 inline const std::string kUsageProgress = "progress";
-/// In the table that everybody watches: what true time is.
+/// In the coordination table: the offset of cluster time.
 inline const std::string kClusterTimeName = "clock";
 
-/// In the table that everybody watches: requests under which engines ended.
+/// In the coordination table: requests during which engines crashed.
 inline const std::string kSuspectPrefix = "suspect/";
 
-/// @param request the key of a request, as text.
+/// @param request the key of a request.
 inline std::string suspectKey(const std::string& request) {
   return kCoordinationTable + "/" + kSuspectPrefix + request;
 }
@@ -64,9 +64,9 @@
 inline std::string clockSampleKey(const std::string& daemon) {
   return kClockTable + "/" + daemon;
 }
-/// What the keys of all counts begin with, without the table.
+/// Key prefix of all usage counts, without the table.
 inline const std::string kUsageRowPrefix = "w/";
-/// @return what the keys of all counts of a window begin with, without the table.
+/// @return the key prefix of a window's counts, without the table.
 inline std::string usageWindowPrefix(std::int64_t window) {
   char digits[24];
   std::snprintf(digits, sizeof(digits), "%016lld", static_cast<long long>(window));
@@ -78,18 +78,18 @@
 inline std::string usageKey(std::int64_t window, const LeaseId& lease) {
   return usageKeyPrefix(window) + lease.str();
 }
-/// @return the key of a job's row within the tables of results, checkpoints and bodies, where each
-///     job has many; they sort as the numbers do.
+/// @return the key, without the table, of one of a job's rows in the tables of results, checkpoints
+/// and bodies. Keys sort in numeric order.
 inline std::string numberedKey(const JobId& id, std::size_t number) {
   char digits[16];
   std::snprintf(digits, sizeof(digits), "%08zu", number);
   return id.str() + "/" + digits;
 }
-/// @return a key behind all of those.
+/// @return a key greater than all numbered keys of the job.
 inline std::string numberedKeyEnd(const JobId& id) {
   return id.str() + "/~";
 }
-/// @return what the names of all results of the job begin with that are too large for a row.
+/// @return the name prefix of the objects that hold the job's results too large for a row.
 inline std::string resultObjectPrefix(const JobId& id) {
   return "result-" + id.str() + "-";
 }
--- a/src/gateway/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -38,7 +38,8 @@
 }
 
 Task<CallResult<RowPage>> TableWatcher::readPage(RowRange range) {
-  // To begin a large table anew for one refused page would make many daemons refuse each other.
+  // Restarting the read of a large table after one rate-limited page would increase the load that
+  // causes the limiting.
   constexpr int kMaxTries = 8;
   for (int tries = 1;; ++tries) {
     auto page = co_await table_.read(range);
@@ -61,7 +62,7 @@
     }
     const bool first_page = revision == 0;
     if (first_page) revision = page->revision;
-    // A read from before what was told already would turn time back.
+    // The page is older than changes already reported.
     if (page->revision < revision_) co_return false;
     if (listener_.on_clock) listener_.on_clock(page->clock_ms);
     const bool more = advancePast(*page, range);
--- a/src/gateway/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Follows one table of the store: reads it whole, then waits for changes, and begins anew where
-/// the history was lost. What it tells never goes back in time.
+/// Watches one table of the store: reads all of it, then waits for changes, and reads it again if
+/// the change history was truncated. Reported revisions never decrease.
 
 #include <functional>
 #include <string>
@@ -15,26 +15,27 @@
 namespace linenpier::table {
 
 struct WatcherOptions {
-  Duration wait = std::chrono::seconds(2);  ///< Of one call.
-  /// Of a call while the feed counts as lost: its answer shows that the store is back.
+  Duration wait = std::chrono::seconds(2);  ///< Maximum wait of one call.
+  /// Maximum wait of a call while unhealthy; short, because its response shows that the store has
+  /// recovered.
   Duration wait_while_unhealthy = std::chrono::milliseconds(20);
-  /// Pause after changes, so that more come at once; empty: none. Asked after each answer, since
-  /// what the daemon does decides how fresh it must be.
+  /// Returns the pause after changes, which batches further ones; empty: none. Called after each
+  /// response, because the required freshness depends on what the daemon is doing.
   std::function<Duration()> coalesce = {};
-  /// Before a call is made again that failed, and at most.
+  /// Initial and maximum backoff after a failed call.
   Duration retry_pause = std::chrono::milliseconds(150);
   Duration max_retry_pause = std::chrono::milliseconds(600);
-  std::uint64_t seed = 1;  ///< Of the spread of those pauses.
+  std::uint64_t seed = 1;  ///< Of the backoff's jitter.
 };
 
-/// Loop thread only.
+/// Runs on the loop thread only.
 class TableWatcher {
  public:
   struct Listener {
     std::function<void(const std::vector<Row>&)>
-        on_snapshot;  ///< All rows, as of one moment or later.
-    /// Where it is set, rows of the whole table are told here page by page as they come, and
-    /// `on_snapshot` is told none: a large table is never held twice.
+        on_snapshot;  ///< All rows, as of one revision or later.
+    /// If set, receives the rows page by page as they are read, and `on_snapshot` receives none, so
+    /// that a large table is not held in memory twice.
     std::function<void(const std::vector<Row>&, bool first_page)> on_page;
     std::function<void(const RowChange&)> on_change;
     std::function<void(bool healthy)> on_health;          ///< Called on each change only.
@@ -52,22 +53,22 @@
         retry_now_(loop) {}
 
   void start();
-  /// The store was heard of elsewhere: a call that waits to be made again is made now.
+  /// Retries at once, because the store responded to another call.
   void retryNow() { retry_now_.notifyAll(); }
   bool healthy() const { return healthy_; }
-  /// @return whether the table was ever read.
+  /// @return whether the table was read at least once.
   bool read() const { return ever_read_; }
-  /// @return everything up to here was told.
+  /// @return the revision up to which all changes were reported.
   Revision revision() const { return revision_; }
-  /// @return when the store last answered for this table.
+  /// @return when the store last responded for this table.
   Instant lastAnswer() const { return last_answer_; }
-  /// @return how long the store had not answered when it last came back.
+  /// @return the duration of the last outage, as of its end.
   Duration lastOutage() const { return last_outage_; }
 
  private:
   Task<void> run();
   Task<bool> readWhole();
-  /// Reads one page, again and again while the store takes no more calls.
+  /// Reads one page, with retries while rate-limited.
   Task<CallResult<RowPage>> readPage(RowRange range);
   Task<bool> waitForChanges();
   void setHealthy(bool healthy);
@@ -79,8 +80,8 @@
   Listener listener_;
   retry_backoff backoff_;
   Signal retry_now_;
-  Revision revision_ = 0;   ///< Everything up to here was told.
-  bool have_rows_ = false;  ///< Whether `revision_` may be continued from.
+  Revision revision_ = 0;   ///< All changes up to here were reported.
+  bool have_rows_ = false;  ///< Whether changes can be watched from `revision_`.
   bool ever_read_ = false;
   bool healthy_ = false;
   Instant last_answer_{};
