--- a/tests/gateway/lease/lease_table_test.cpp
+++ b/tests/gateway/lease/lease_table_test.cpp
@@ -15,14 +15,14 @@
 const LeaseId kOwn = makeLeaseId("d1", "b");
 const LeaseId kOther = makeLeaseId("d2", "a");
 
-/// Reads the store, where `revision` stands for the lease of `kOther`, and asks for `lease`.
+/// Reads `revision` for the lease of `kOther`. @return whether `lease` has expired.
 bool expiredAfterRead(lease_table& table, Instant now, const LeaseId& lease,
                       Revision revision = 5) {
   table.onRead(now, now, {{kOther, lease_row{revision}}});
   return table.expired(lease);
 }
 
-lease_table watching() {
+lease_table tableWithOther() {
   lease_table table(kOwn, {}, kStart);
   table.onStoreRegained(kStart);
   table.onRow(kStart, kOther, 5);
@@ -31,37 +31,37 @@
 
 }  // namespace
 
-Test(lease_table, silence_longer_than_the_expiry_ends_a_lease) {
-  lease_table table = watching();
+Test(lease_table, a_lease_expires_without_renewal) {
+  lease_table table = tableWithOther();
   cr_assert_not(expiredAfterRead(table, kStart + std::chrono::milliseconds(1400), kOther));
   cr_assert(expiredAfterRead(table, kStart + std::chrono::milliseconds(1600), kOther));
   table.onRow(kStart + std::chrono::milliseconds(1600), kOther, 6);
   cr_assert_not(expiredAfterRead(table, kStart + std::chrono::milliseconds(2000), kOther, 6));
 }
 
-Test(lease_table, the_same_revision_again_is_no_renewal) {
-  lease_table table = watching();
+Test(lease_table, an_unchanged_revision_is_no_renewal) {
+  lease_table table = tableWithOther();
   table.onRow(kStart + std::chrono::seconds(1), kOther, 5);
   cr_assert(expiredAfterRead(table, kStart + std::chrono::milliseconds(1600), kOther));
 }
 
-Test(lease_table, silence_counts_up_to_the_last_read_only) {
-  lease_table table = watching();
+Test(lease_table, time_after_the_last_read_does_not_count) {
+  lease_table table = tableWithOther();
   table.onRead(kStart + std::chrono::seconds(1), kStart + std::chrono::seconds(1),
                {{kOther, lease_row{5}}});
-  cr_assert_not(table.expired(kOther), "nothing was read since");
+  cr_assert_not(table.expired(kOther), "no later read");
   cr_assert(expiredAfterRead(table, kStart + std::chrono::seconds(2), kOther));
 }
 
-Test(lease_table, an_owner_that_misses_renewals_is_suspected_for_a_while) {
-  lease_table table = watching();
+Test(lease_table, an_owner_that_missed_a_renewal_is_suspect_until_taken_over) {
+  lease_table table = tableWithOther();
   cr_assert_not(table.anySuspect(kStart + std::chrono::milliseconds(500)));
   cr_assert(table.anySuspect(kStart + std::chrono::milliseconds(900)));
-  cr_assert_not(table.anySuspect(kStart + std::chrono::seconds(5)), "others have taken over");
+  cr_assert_not(table.anySuspect(kStart + std::chrono::seconds(5)), "taken over by then");
 }
 
-Test(lease_table, rows_of_earlier_lives_and_of_long_silence_may_be_removed) {
-  lease_table table = watching();
+Test(lease_table, rows_of_previous_incarnations_and_old_rows_are_removable) {
+  lease_table table = tableWithOther();
   const LeaseId earlier = makeLeaseId("d1", "a");
   table.onRead(kStart, kStart,
                {{kOther, lease_row{5}}, {earlier, lease_row{3}}, {kOwn, lease_row{9}}});
@@ -70,8 +70,8 @@
   cr_assert_eq(table.removable(kStart + std::chrono::seconds(61)).size(), 2U);
 }
 
-Test(lease_table, nothing_expires_while_the_feed_is_away_or_just_after) {
-  lease_table table = watching();
+Test(lease_table, leases_do_not_expire_during_or_right_after_a_store_outage) {
+  lease_table table = tableWithOther();
   table.onStoreLost();
   cr_assert_not(expiredAfterRead(table, kStart + std::chrono::seconds(60), kOther));
   table.onStoreRegained(kStart + std::chrono::seconds(60));
@@ -79,27 +79,27 @@
   cr_assert(expiredAfterRead(table, kStart + std::chrono::milliseconds(61600), kOther));
 }
 
-Test(lease_table, an_earlier_life_of_this_daemon_has_ended_for_sure) {
-  lease_table table = watching();
+Test(lease_table, a_previous_incarnation_is_expired_at_once) {
+  lease_table table = tableWithOther();
   cr_assert(expiredAfterRead(table, kStart, makeLeaseId("d1", "a")));
   cr_assert_not(expiredAfterRead(table, kStart + std::chrono::seconds(60), kOwn));
 }
 
-Test(lease_table, an_owner_whose_row_was_never_seen_gets_its_time) {
-  lease_table table = watching();
+Test(lease_table, a_lease_without_a_row_expires_after_the_expiry) {
+  lease_table table = tableWithOther();
   const LeaseId unseen = makeLeaseId("d3", "x");
   cr_assert_not(expiredAfterRead(table, kStart, unseen));
   cr_assert(expiredAfterRead(table, kStart + std::chrono::milliseconds(1600), unseen));
 }
 
-Test(lease_table, daemons_that_started_last_take_over_first) {
-  const lease_table old(kOwn, {}, kStart);
-  const lease_table young(makeLeaseId("d4", "a"), {}, kStart + std::chrono::seconds(50));
+Test(lease_table, recently_started_daemons_take_over_first) {
+  const lease_table older(kOwn, {}, kStart);
+  const lease_table newer(makeLeaseId("d4", "a"), {}, kStart + std::chrono::seconds(50));
   const Instant now = kStart + std::chrono::seconds(55);
-  cr_assert(young.takeoverDelay(now, "job") < old.takeoverDelay(now, "job"));
+  cr_assert(newer.takeoverDelay(now, "job") < older.takeoverDelay(now, "job"));
 }
 
-Test(lease_table, an_owner_stops_before_others_may_start) {
+Test(lease_table, validity_fits_two_renewals_and_is_shorter_than_the_expiry) {
   const lease::lease_times times;
   cr_assert(times.renewal_interval * 2 <= times.validity);
   cr_assert(times.validity < times.expiry);
@@ -107,10 +107,10 @@
 
 namespace {
 
-constexpr Duration kQuick = std::chrono::milliseconds(5);
+constexpr Duration kFast = std::chrono::milliseconds(5);
 constexpr Duration kSlow = std::chrono::milliseconds(300);
 constexpr Instant kHealthySince{std::chrono::seconds(100)};
-const LeaseId kSlowOwner("other#1");
+const LeaseId kOwner("other#1");
 
 lease::lease_table tableOfHealthyStore() {
   lease::lease_table table(LeaseId("own#1"), {}, kHealthySince);
@@ -120,58 +120,58 @@
 
 /// Reads the owner's row, unchanged, at `sent`.
 void readUnchanged(lease::lease_table& table, Instant sent, Duration delay) {
-  table.onRead(sent, sent + delay, {{kSlowOwner, lease_row{1}}});
+  table.onRead(sent, sent + delay, {{kOwner, lease_row{1}}});
 }
 
 }  // namespace
 
-Test(lease_table, an_owner_whose_row_stays_as_it_is_is_gone_after_the_expiry) {
+Test(lease_table, an_unchanged_row_expires_with_a_fast_store) {
   lease::lease_table table = tableOfHealthyStore();
-  readUnchanged(table, kHealthySince, kQuick);
-  readUnchanged(table, kHealthySince + std::chrono::milliseconds(1400), kQuick);
-  cr_assert_not(table.expired(kSlowOwner));
-  readUnchanged(table, kHealthySince + std::chrono::milliseconds(1600), kQuick);
-  cr_assert(table.expired(kSlowOwner));
+  readUnchanged(table, kHealthySince, kFast);
+  readUnchanged(table, kHealthySince + std::chrono::milliseconds(1400), kFast);
+  cr_assert_not(table.expired(kOwner));
+  readUnchanged(table, kHealthySince + std::chrono::milliseconds(1600), kFast);
+  cr_assert(table.expired(kOwner));
 }
 
-Test(lease_table, a_store_that_answers_late_explains_more_silence) {
+Test(lease_table, a_slow_store_extends_the_expiry_up_to_a_limit) {
   lease::lease_table table = tableOfHealthyStore();
   readUnchanged(table, kHealthySince, kSlow);
   readUnchanged(table, kHealthySince + std::chrono::milliseconds(2500), kSlow);
-  cr_assert_not(table.expired(kSlowOwner), "its renewals wait in the same store");
+  cr_assert_not(table.expired(kOwner), "its renewals are delayed, too");
   readUnchanged(table, kHealthySince + std::chrono::milliseconds(4000), kSlow);
-  cr_assert(table.expired(kSlowOwner), "but not for ever");
+  cr_assert(table.expired(kOwner), "the allowance is limited");
 }
 
-Test(lease_table, a_store_that_is_quick_again_explains_little) {
+Test(lease_table, the_allowance_shrinks_when_the_store_is_fast_again) {
   lease::lease_table table = tableOfHealthyStore();
   readUnchanged(table, kHealthySince, kSlow);
   cr_assert(table.allowance() > std::chrono::seconds(1));
   for (int i = 1; i <= 5; ++i) {
-    readUnchanged(table, kHealthySince + i * std::chrono::seconds(1), kQuick);
+    readUnchanged(table, kHealthySince + i * std::chrono::seconds(1), kFast);
   }
   cr_assert(table.allowance() < std::chrono::milliseconds(100));
-  cr_assert(table.expired(kSlowOwner));
+  cr_assert(table.expired(kOwner));
 }
 
-Test(lease_table, this_life_never_expires_and_an_earlier_one_always_has) {
+Test(lease_table, the_own_lease_never_expires_and_previous_or_empty_ones_have) {
   lease::lease_table table = tableOfHealthyStore();
   cr_assert_not(table.expired(LeaseId("own#1")));
   cr_assert(table.expired(LeaseId("own#0")));
   cr_assert(table.expired(LeaseId("")));
 }
 
-Test(lease_table, while_the_store_is_away_those_count_as_alive_who_were_when_it_was_last_read) {
-  lease_table table = watching();
+Test(lease_table, daemons_alive_at_the_last_read_stay_alive_during_a_store_outage) {
+  lease_table table = tableWithOther();
   table.onRead(kStart, kStart, {{kOther, lease_row{6, 0.5}}});
   const Instant later = kStart + std::chrono::seconds(5);
-  cr_assert_not(table.alive(later, kOther), "the store answers, and nothing was renewed");
+  cr_assert_not(table.alive(later, kOther), "the store responds, but the lease was not renewed");
   table.onStoreLost();
   cr_assert(table.alive(later, kOther));
   cr_assert_eq(table.candidates(later).size(), 1U);
 }
 
-Test(lease_table, a_lease_tells_where_its_daemon_may_be_asked) {
+Test(lease_table, peer_addresses_round_trip_and_exclude_the_own_one) {
   const Address peer{0x0a010004, 8166};
   const std::string value = encodeLeaseRow({.capacity = 0.25, .peer = peer});
   cr_assert_float_eq(decodeLeaseRow(6, value).capacity, 0.25, 1e-6);
--- a/tests/gateway/lease/store_delay_test.cpp
+++ b/tests/gateway/lease/store_delay_test.cpp
@@ -29,12 +29,12 @@
 
 }  // namespace
 
-Test(store_delay, a_daemon_near_the_store_loses_nothing) {
+Test(store_delay, a_tolerated_delay_keeps_the_capacity) {
   cr_assert(delayAfterReadsOf(std::chrono::milliseconds(8)) == Duration::zero());
   cr_assert_eq(capacityAt(std::chrono::milliseconds(8)), 0.5);
 }
 
-Test(store_delay, a_daemon_far_from_the_store_counts_about_half) {
+Test(store_delay, a_distant_store_halves_the_capacity) {
   const double far = capacityAt(std::chrono::milliseconds(46));
   cr_assert(far > 0.2 && far < 0.3, "%f", far);
   const lease::owner_candidate near_one{lease::makeLeaseId("n", "1"), 0.4};
@@ -42,7 +42,7 @@
   cr_assert(lease::ranksHigher(near_one, far_one));
 }
 
-Test(store_delay, a_store_that_is_slow_for_all_does_not_put_the_ranks_about) {
+Test(store_delay, the_delay_of_a_slow_store_is_limited) {
   const Duration slow = delayAfterReadsOf(std::chrono::milliseconds(400));
   cr_assert(slow == lease::kMaxStoreDelay);
   cr_assert(slow == delayAfterReadsOf(std::chrono::milliseconds(440)));
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -1,6 +1,3 @@
-/// @file
-/// How many engines a service should have in each zone.
-
 #include "gateway/scaling/scaling_policy.h"
 
 #include <criterion/criterion.h>
@@ -70,7 +67,7 @@
   return 0;
 }
 
-/// Carries out what is due, as the service does. @return it.
+/// Executes the due orders as scaling_service does. @return these orders.
 std::vector<scaling_decision> step(scaling_policy& policy, int second, const scaling_view& view,
                                    FencedCallResult answer = FencedCallResult::kTaken,
                                    const scaling_bounds& within = bounds()) {
@@ -84,29 +81,29 @@
 
 }  // namespace
 
-Test(scaling_policy, nothing_is_ordered_while_nothing_is_missing) {
+Test(scaling_policy, no_order_while_no_engine_is_missing) {
   scaling_policy policy(options(), kStart, fourEach());
   for (int second = 0; second < 120; ++second) {
     cr_assert(step(policy, second, seen(4, 4, 4)).empty());
   }
 }
 
-Test(scaling_policy, nothing_is_ordered_before_the_usual_number_is_known) {
+Test(scaling_policy, no_order_before_the_baseline_is_known) {
   scaling_policy policy(options(), kStart, {});
   cr_assert(policy.decide(kStart, bounds(), closing(seen(4, 4, 4), "c")).empty());
 }
 
-Test(scaling_policy, a_fixed_number_orders_nothing_whatever_is_missing) {
+Test(scaling_policy, fixed_mode_sends_no_orders) {
   scaling_policy policy(options(ScalingMode::kFixed), kStart, fourEach());
   for (int second = 0; second < 60; ++second) {
     cr_assert(step(policy, second, closing(seen(4, 0, 4), "c")).empty());
   }
 }
 
-Test(scaling_policy, the_first_look_tells_the_usual_number) {
+Test(scaling_policy, the_stable_engine_list_becomes_the_baseline) {
   scaling_policy policy(options(), kStart, {});
   cr_assert_not(policy.learnBaseline(after(0), seen(4, 1, 0)).has_value(),
-                "they are listed one by one");
+                "engines are still being listed");
   cr_assert_not(policy.learnBaseline(after(2), seen(4, 3, 4)).has_value());
   cr_assert_not(policy.learnBaseline(after(4), seen(4, 3, 4)).has_value());
   const auto learned = policy.learnBaseline(after(5), seen(4, 3, 4));
@@ -116,7 +113,7 @@
   cr_assert_not(policy.learnBaseline(after(6), seen(4, 3, 4)).has_value());
 }
 
-Test(scaling_policy, engines_that_stay_without_an_order_raise_the_usual_number) {
+Test(scaling_policy, engines_that_stay_without_an_order_raise_the_baseline) {
   scaling_policy policy(options(), kStart, fourEach());
   policy.decide(after(0), bounds(), seen(4, 6, 4));
   cr_assert_not(policy.learnBaseline(after(0), seen(4, 6, 4)).has_value(),
@@ -127,16 +124,16 @@
   cr_assert_eq(learned->baseline.at(kB), 6U);
 }
 
-Test(scaling_policy, a_closed_zone_is_made_up_for_at_once_in_the_zones_that_are_left) {
+Test(scaling_policy, a_closed_zone_is_replaced_at_once_in_the_other_zones) {
   scaling_policy policy(options(), kStart, fourEach());
   const auto due = step(policy, 0, closing(seen(4, 4, 4), "c"));
-  cr_assert_eq(due.size(), 2U, "the closed zone's number stays");
+  cr_assert_eq(due.size(), 2U, "no order for the closed zone");
   cr_assert_eq(wantedOf(due, kA), 6U);
   cr_assert_eq(wantedOf(due, kB), 6U);
   cr_assert(due.front().reason == OrderReason::kReplace);
 }
 
-Test(scaling_policy, an_odd_engine_goes_to_the_cheaper_zone) {
+Test(scaling_policy, the_remaining_engine_goes_to_the_cheaper_zone) {
   scaling_record record = fourEach();
   record.baseline[kC] = 3;
   scaling_policy policy(options(), kStart, record);
@@ -145,7 +142,7 @@
   cr_assert_eq(wantedOf(due, kA), 5U);
 }
 
-Test(scaling_policy, replacements_keep_within_the_bounds) {
+Test(scaling_policy, replacements_stay_within_the_bounds) {
   scaling_policy policy(options(), kStart, fourEach());
   const auto due =
       step(policy, 0, closing(seen(4, 4, 4), "c"), FencedCallResult::kTaken, bounds(5));
@@ -153,13 +150,13 @@
   cr_assert_eq(wantedOf(due, kB), 5U);
 }
 
-Test(scaling_policy, nothing_is_ordered_where_every_zone_is_closed) {
+Test(scaling_policy, no_order_while_every_zone_is_closed) {
   scaling_policy policy(options(), kStart, fourEach());
   const auto view = closing(closing(closing(seen(4, 4, 4), "a"), "b"), "c");
   cr_assert(step(policy, 0, view).empty());
 }
 
-Test(scaling_policy, a_zone_that_vanished_is_made_up_for_once_it_is_not_a_lapse) {
+Test(scaling_policy, a_lost_zone_is_replaced_after_the_loss_timeout) {
   scaling_policy policy(options(), kStart, fourEach());
   cr_assert(step(policy, 0, seen(4, 4, 0)).empty());
   cr_assert(step(policy, 2, seen(4, 4, 0)).empty());
@@ -168,10 +165,10 @@
   cr_assert_eq(wantedOf(due, kB), 6U);
 }
 
-Test(scaling_policy, a_zone_that_lost_part_is_given_the_same_number_again) {
+Test(scaling_policy, a_partial_loss_repeats_the_order_with_backoff) {
   scaling_policy policy(options(), kStart, fourEach());
   for (int second = 0; second < 7; ++second) {
-    cr_assert(step(policy, second, seen(4, 4, 3)).empty(), "it may come back");
+    cr_assert(step(policy, second, seen(4, 4, 3)).empty(), "the engine may reappear");
   }
   const auto due = step(policy, 7, seen(4, 4, 3));
   cr_assert_eq(due.size(), 1U);
@@ -184,7 +181,7 @@
   cr_assert(orders <= 5, "%d orders without an effect", orders);
 }
 
-Test(scaling_policy, spot_engines_that_are_taken_back_are_made_up_for_at_their_notice) {
+Test(scaling_policy, reclaimed_spot_engines_are_replaced_at_the_notice) {
   scaling_record record = fourEach();
   record.baseline[kSpotB] = 3;
   scaling_policy policy(options(), kStart, record);
@@ -193,11 +190,11 @@
   const auto due = step(policy, 0, view);
   std::size_t more = 0;
   for (const scaling_decision& each : due) {
-    cr_assert(each.group.kind == EngineKind::kOnDemand, "spot engines are not to be had");
+    cr_assert(each.group.kind == EngineKind::kOnDemand, "the group is without capacity");
     more += each.wanted - each.before;
   }
   cr_assert_eq(more, 3U);
-  // Some time after they went they are asked for again.
+  // They are ordered again after the reclaim backoff.
   view.groups[kSpotB] = {0, 0, 0};
   bool again = false;
   for (int second = 1; second < 30; ++second) {
@@ -208,14 +205,14 @@
   cr_assert(again);
 }
 
-Test(scaling_policy, an_engine_that_drains_without_notice_is_no_reclaim) {
+Test(scaling_policy, a_draining_engine_is_not_a_reclaimed_one) {
   scaling_policy policy(options(), kStart, fourEach());
   scaling_view view = seen(4, 4, 3);
   view.groups[kC].draining = 1;
   cr_assert(step(policy, 0, view).empty());
 }
 
-Test(scaling_policy, where_none_are_to_be_had_the_other_zones_are_asked_and_it_is_left_for_longer) {
+Test(scaling_policy, a_group_without_capacity_is_replaced_and_retried_with_backoff) {
   scaling_policy policy(options(), kStart, fourEach());
   const scaling_view view = closing(seen(4, 4, 4), "c");
   const auto due = policy.decide(after(0), bounds(), view);
@@ -226,27 +223,27 @@
   }
   const auto next = step(policy, 1, view);
   cr_assert_eq(next.size(), 1U);
-  cr_assert_eq(wantedOf(next, kB), 8U, "all four where they are to be had");
-  std::vector<int> asked;
+  cr_assert_eq(wantedOf(next, kB), 8U, "all four in the zone with capacity");
+  std::vector<int> attempts;
   for (int second = 2; second < 70; ++second) {
     scaling_view now = view;
     now.groups[kB].serving = 8;
     const auto more = policy.decide(after(second), bounds(), now);
     for (const scaling_decision& each : more) {
       if (each.group != kA || each.scalesDown()) continue;
-      asked.push_back(second);
+      attempts.push_back(second);
       policy.onRecord(policy.withOrder(each));
       policy.onAnswer(after(second), each, FencedCallResult::kFenced);
     }
   }
-  cr_assert(asked.size() >= 3);
-  cr_assert(asked.size() <= 6, "asked %zu times", asked.size());
-  for (std::size_t i = 2; i < asked.size(); ++i) {
-    cr_assert(asked[i] - asked[i - 1] >= asked[i - 1] - asked[i - 2]);
+  cr_assert(attempts.size() >= 3);
+  cr_assert(attempts.size() <= 6, "%zu attempts", attempts.size());
+  for (std::size_t i = 2; i < attempts.size(); ++i) {
+    cr_assert(attempts[i] - attempts[i - 1] >= attempts[i - 1] - attempts[i - 2]);
   }
 }
 
-Test(scaling_policy, no_other_group_makes_up_for_one_whose_answer_is_awaited) {
+Test(scaling_policy, an_unanswered_order_is_not_replaced_in_another_group) {
   for (const FencedCallResult answer : {FencedCallResult::kUnknown, FencedCallResult::kRefused}) {
     scaling_policy policy(options(), kStart, fourEach());
     const scaling_view view = closing(seen(4, 4, 4), "c");
@@ -255,7 +252,7 @@
   }
 }
 
-Test(scaling_policy, a_call_that_was_turned_away_is_sent_again_a_moment_later) {
+Test(scaling_policy, a_rejected_call_is_retried) {
   scaling_policy policy(options(), kStart, fourEach());
   const scaling_view view = closing(seen(4, 4, 4), "c");
   cr_assert_eq(step(policy, 0, view, FencedCallResult::kRefused).size(), 2U);
@@ -264,7 +261,7 @@
   cr_assert_eq(wantedOf(again, kB), 6U);
 }
 
-Test(scaling_policy, going_back_is_slow_and_one_engine_at_a_time) {
+Test(scaling_policy, scale_down_is_slow_and_by_one_engine_at_a_time) {
   scaling_policy policy(options(), kStart, fourEach());
   step(policy, 0, closing(seen(4, 4, 4), "c"));
   for (int second = 1; second < 10; ++second) {
@@ -284,7 +281,7 @@
   for (int later = 20; later < 90; ++later) cr_assert(step(policy, later, seen(4, 4, 4)).empty());
 }
 
-Test(scaling_policy, an_engine_that_has_work_is_looked_at_again_later) {
+Test(scaling_policy, a_scale_down_of_a_busy_zone_is_retried_later) {
   scaling_policy policy(options(), kStart, fourEach());
   step(policy, 0, closing(seen(4, 4, 4), "c"));
   policy.decide(after(1), bounds(), seen(6, 6, 4));
@@ -295,19 +292,19 @@
   cr_assert_eq(policy.decide(after(15), bounds(), seen(6, 6, 4)).size(), 2U);
 }
 
-Test(scaling_policy, a_new_holder_does_not_undo_the_last_order) {
+Test(scaling_policy, a_new_leader_keeps_the_last_order) {
   scaling_record record = fourEach();
   record.ordered = {{kA, 6}, {kB, 6}};
   scaling_policy policy(options(), kStart, record);
   cr_assert(step(policy, 0, closing(seen(6, 6, 4), "c")).empty());
-  // Also where the zone is open again: not before the usual time.
+  // The same while the zone is open again, within the stabilization window.
   scaling_policy other(options(), kStart, record);
   for (int second = 0; second < 10; ++second) {
     cr_assert(step(other, second, seen(6, 6, 4)).empty());
   }
 }
 
-Test(scaling_policy, a_new_holder_sends_what_the_last_one_only_wrote_down) {
+Test(scaling_policy, a_new_leader_sends_a_stored_order_that_was_not_executed) {
   scaling_record record = fourEach();
   record.ordered = {{kA, 6}, {kB, 6}};
   scaling_policy policy(options(), kStart, record);
@@ -317,7 +314,7 @@
   cr_assert(due.front().reason == OrderReason::kRepeat);
 }
 
-Test(scaling_policy, an_order_that_was_carried_out_after_newer_ones_is_put_right) {
+Test(scaling_policy, an_order_executed_after_newer_ones_is_corrected) {
   scaling_options soon = options();
   soon.stabilization_window = std::chrono::seconds(3);
   scaling_policy policy(soon, kStart, fourEach());
@@ -325,7 +322,7 @@
   step(policy, 0, view, FencedCallResult::kUnknown);
   const auto again = step(policy, 1, view);
   cr_assert_eq(wantedOf(again, kA), 6U);
-  // Open again, and back to four; then the first order comes to be carried out.
+  // The zone reopens and is scaled back to four; then the first order is executed.
   scaling_view now = seen(6, 6, 4);
   int second = 2;
   for (; second < 40 && now.groups[kA].serving > 4; ++second) {
@@ -334,7 +331,7 @@
     }
   }
   cr_assert_eq(policy.record().current(kA), 4U);
-  cr_assert(second < 13, "a call without an answer is carried out seconds later");
+  cr_assert(second < 13, "within the maximum delay of a call without a response");
   now.groups[kA].serving = 6;
   for (int end = second + 60; second < end; ++second) {
     for (const scaling_decision& each : step(policy, second, now)) {
@@ -345,7 +342,7 @@
   cr_assert_eq(policy.record().current(kA), 4U);
 }
 
-Test(scaling_policy, demand_shrinks_in_dear_zones_and_keeps_half_of_each) {
+Test(scaling_policy, demand_mode_scales_down_expensive_zones_to_half_their_baseline) {
   scaling_policy policy(options(ScalingMode::kDemand), kStart, fourEach());
   scaling_view view = seen(4, 4, 4);
   view.engines_for_work = 9;
@@ -359,7 +356,7 @@
   cr_assert_eq(view.groups[kB].serving, 4U);
 }
 
-Test(scaling_policy, demand_grows_by_spot_engines_and_by_others_where_there_are_none) {
+Test(scaling_policy, demand_mode_scales_up_with_spot_engines_and_falls_back_to_on_demand) {
   scaling_policy policy(options(ScalingMode::kDemand), kStart, fourEach());
   scaling_view view = seen(4, 4, 4);
   view.engines_for_work = 15;
@@ -371,14 +368,14 @@
     spot += each.wanted;
   }
   cr_assert_eq(spot, 3U);
-  std::size_t others = 0;
+  std::size_t on_demand = 0;
   for (const scaling_decision& each : step(policy, 1, view)) {
-    if (each.group.kind == EngineKind::kOnDemand) others += each.wanted - each.before;
+    if (each.group.kind == EngineKind::kOnDemand) on_demand += each.wanted - each.before;
   }
-  cr_assert_eq(others, 3U);
+  cr_assert_eq(on_demand, 3U);
 }
 
-Test(scaling_policy, demand_never_shrinks_while_the_work_is_not_known) {
+Test(scaling_policy, demand_mode_does_not_scale_down_while_the_work_is_unknown) {
   scaling_policy policy(options(ScalingMode::kDemand), kStart, fourEach());
   for (int second = 0; second < 60; ++second) {
     cr_assert(step(policy, second, seen(4, 4, 4)).empty());
--- a/tests/gateway/scaling/scaling_record_test.cpp
+++ b/tests/gateway/scaling/scaling_record_test.cpp
@@ -1,7 +1,3 @@
-/** @file
- * The row of a service's number of engines.
- */
-
 #include "gateway/scaling/scaling_record.h"
 
 #include <criterion/criterion.h>
@@ -20,7 +16,7 @@
 
 }  // namespace
 
-Test(scaling_record, is_read_as_written) {
+Test(scaling_record, round_trips_and_rejects_malformed_text) {
   scaling_record record;
   record.baseline = {{kA, 4}, {kB, 4}, {kC, 4}};
   record.ordered = {{kA, 6}, {kSpotB, 0}};
--- a/tests/gateway/table/table_watcher_test.cpp
+++ b/tests/gateway/table/table_watcher_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A table whose reads are answered from a script; its feed tells nothing.
+/// A table with scripted read results and an empty change feed.
 class scripted_table : public table::AsyncTable {
  public:
   explicit scripted_table(boost::asio::io_context& loop) : loop_(loop) {}
@@ -20,7 +20,7 @@
   std::deque<CallResult<RowPage>> answers;
   std::vector<std::string> reads_from;
   std::vector<Duration> waits;
-  std::size_t failing_watch = 0;  ///< Which call of the feed fails, from 1; 0: none.
+  std::size_t failing_watch = 0;  ///< Index of the watch call that fails, from 1; 0: none.
 
   Task<CallResult<table::TransactionAnswer>> write(table::Write) override {
     co_return tl::make_unexpected(CallError{CallFailure::kUnavailable, "no writes"});
@@ -60,7 +60,7 @@
   return tl::make_unexpected(CallError{kind, "scripted"});
 }
 
-/// A watcher of a scripted table, with what it told.
+/// A watcher of a scripted table that records its notifications.
 struct Fixture {
   boost::asio::io_context loop{1};
   scripted_table rows{loop};
@@ -78,8 +78,8 @@
   }
   table::TableWatcher::Listener listener() {
     table::TableWatcher::Listener listener;
-    listener.on_snapshot = [this](const std::vector<table::Row>& told) {
-      snapshots.push_back(told.size());
+    listener.on_snapshot = [this](const std::vector<table::Row>& rows_read) {
+      snapshots.push_back(rows_read.size());
     };
     listener.on_change = [](const table::RowChange&) {};
     listener.on_health = [this](bool healthy) { health.push_back(healthy); };
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-Test(table_watcher, a_large_table_is_not_begun_anew_for_one_refused_page) {
+Test(table_watcher, a_rate_limited_page_is_retried_without_restarting_the_read) {
   Fixture fixture;
   fixture.rows.answers = {pageWith("a", true), failure(CallFailure::kRateLimited),
                           failure(CallFailure::kRateLimited), pageWith("b", false)};
@@ -102,10 +102,11 @@
   cr_assert(fixture.rows.reads_from == expected);
   cr_assert_eq(fixture.snapshots.size(), 1U);
   cr_assert_eq(fixture.snapshots[0], 2U);
-  cr_assert(fixture.health == std::vector<bool>{true}, "a refusal does not mean that it is lost");
+  cr_assert(fixture.health == std::vector<bool>{true},
+            "rate limiting does not make the watcher unhealthy");
 }
 
-Test(table_watcher, a_table_whose_store_is_away_is_begun_anew) {
+Test(table_watcher, an_unavailable_store_restarts_the_read) {
   Fixture fixture;
   fixture.rows.answers = {pageWith("a", true), failure(CallFailure::kUnavailable),
                           pageWith("a", true), pageWith("b", false)};
@@ -115,7 +116,7 @@
   cr_assert_eq(fixture.snapshots.size(), 1U);
 }
 
-Test(table_watcher, a_feed_that_was_lost_is_known_to_be_back_at_once) {
+Test(table_watcher, a_failed_watch_is_followed_by_a_short_one) {
   Fixture fixture;
   fixture.rows.answers = {pageWith("a", false)};
   fixture.rows.failing_watch = 1;
@@ -127,11 +128,11 @@
   cr_assert(fixture.rows.waits.at(2) == std::chrono::seconds(2));
 }
 
-Test(table_watcher, a_store_that_was_heard_of_elsewhere_is_asked_again_at_once) {
+Test(table_watcher, retry_now_skips_the_backoff) {
   Fixture fixture(std::chrono::seconds(10));
   fixture.rows.answers = {failure(CallFailure::kUnavailable), pageWith("a", false)};
   fixture.run();
-  cr_assert_eq(fixture.rows.reads_from.size(), 1U, "its pause is long");
+  cr_assert_eq(fixture.rows.reads_from.size(), 1U, "the backoff is long");
   fixture.watcher.retryNow();
   fixture.loop.restart();
   fixture.loop.run_for(std::chrono::milliseconds(50));
--- a/tests/gateway/usage/usage_counter_test.cpp
+++ b/tests/gateway/usage/usage_counter_test.cpp
@@ -1,6 +1,3 @@
-/// @file
-/// Counting by window and tenant, and true time.
-
 #include "gateway/usage/usage_counter.h"
 
 #include <criterion/criterion.h>
@@ -16,25 +13,25 @@
 const TenantId kBob("bob");
 }  // namespace
 
-Test(true_time, the_median_bears_clocks_that_are_off_as_long_as_they_are_fewer_than_half) {
+Test(cluster_time, the_median_tolerates_a_minority_of_wrong_clocks) {
   const std::vector<clock_sample> samples = {
       {5000, 100}, {5003, 100}, {4998, 100}, {7000, 100}, {3000, 100}};
   cr_assert_eq(*usage::medianOffset(samples, 0), 5000);
   cr_assert_not(usage::medianOffset({}, 0).has_value());
 }
 
-Test(true_time, samples_that_are_old_do_not_count) {
+Test(cluster_time, old_samples_are_ignored) {
   cr_assert_eq(*usage::medianOffset({{900, 10}, {900, 10}, {5000, 100}}, 50), 5000);
   cr_assert_not(usage::medianOffset({{900, 10}}, 50).has_value());
 }
 
-Test(true_time, samples_are_read_as_written) {
+Test(cluster_time, samples_round_trip) {
   const clock_sample sample{1796231995545, 4123};
   cr_assert(usage::decodeSample(usage::encodeSample(sample)) == sample);
   cr_assert_not(usage::decodeSample("soon").has_value());
 }
 
-Test(true_time, a_window_ends_where_the_next_begins) {
+Test(cluster_time, a_window_ends_where_the_next_begins) {
   const usage_windows all(std::chrono::seconds(5), 1796231995545);
   const auto window = all.at(4123);
   const std::int64_t end = all.endOf(window);
@@ -54,7 +51,7 @@
   cr_assert_eq(counter.of(7).counts.at(kAda), 1U);
 }
 
-Test(usage_counter, a_window_is_unsaved_until_all_of_it_is_stored) {
+Test(usage_counter, a_window_is_unsaved_until_all_its_counts_are_stored) {
   usage_counter counter;
   counter.onRequestStarted(kStart, kAda);
   counter.assign([](Instant) { return 7; });
@@ -62,7 +59,7 @@
   counter.onRequestStarted(kStart, kBob);
   counter.assign([](Instant) { return 7; });
   counter.of(7).stored = sent;
-  cr_assert_not(counter.idle(), "one came while the other was written");
+  cr_assert_not(counter.idle(), "a request was counted during the write");
   counter.discardBefore(9);
   cr_assert_eq(counter.unsaved().size(), 1U);
   counter.of(7).stored = counter.of(7).changes;
@@ -71,16 +68,16 @@
   cr_assert(counter.of(7).counts.empty());
 }
 
-Test(usage_counter, counts_are_read_as_written) {
+Test(usage_counter, counts_round_trip_and_reject_malformed_text) {
   const usage::tenant_counts counts = {{kAda, 3}, {kBob, 1}};
   cr_assert(usage::decodeCounts(usage::encodeCounts(counts)) == counts);
   cr_assert_not(usage::decodeCounts("[]").has_value());
   cr_assert_not(usage::decodeCounts("{\"ada\":-1}").has_value());
 }
 
-Test(usage_counter, too_many_that_wait_are_told) {
+Test(usage_counter, too_many_waiting_requests_are_rejected) {
   usage_counter counter;
-  bool taken = true;
-  for (int i = 0; i < 30000 && taken; ++i) taken = counter.onRequestStarted(kStart, kAda);
-  cr_assert_not(taken);
+  bool counted = true;
+  for (int i = 0; i < 30000 && counted; ++i) counted = counter.onRequestStarted(kStart, kAda);
+  cr_assert_not(counted);
 }
--- a/tests/gateway/versions/engine_assignment_test.cpp
+++ b/tests/gateway/versions/engine_assignment_test.cpp
@@ -1,7 +1,3 @@
-/** @file
- * Which engines are assigned to which model.
- */
-
 #include "gateway/versions/engine_assignment.h"
 
 #include <criterion/criterion.h>
@@ -37,7 +33,7 @@
 
 }  // namespace
 
-Test(engine_shares, each_model_has_its_engines_and_they_stay) {
+Test(engine_assignment, engines_are_shared_evenly_and_assignments_are_stable) {
   Fixture fixture(9);
   versions::engine_assignment assignment;
   engines::engine_list engines = fixture.list();
@@ -58,7 +54,7 @@
   cr_assert(moved <= 1, "%d moved", moved);
 }
 
-Test(engine_shares, a_new_holder_goes_on_with_what_the_engines_hold) {
+Test(engine_assignment, a_new_leader_adopts_the_loaded_models) {
   Fixture fixture(4);
   for (int i = 0; i < 2; ++i) fixture.states[static_cast<std::size_t>(i)].record.models[kModel] = 7;
   for (int i = 2; i < 4; ++i) {
@@ -71,7 +67,7 @@
   cr_assert(assignment.enginesFor(kOtherModel).contains(EngineId("e3")));
 }
 
-Test(engine_shares, models_are_dealt_as_many_engines_as_they_use_in_a_service_of_any_size) {
+Test(engine_assignment, models_get_the_wanted_engines_in_a_service_of_any_size) {
   for (const int size : {500, 1000, 10000}) {
     Fixture fixture(size);
     versions::engine_assignment assignment;
@@ -81,7 +77,7 @@
   }
 }
 
-Test(engine_shares, engines_of_a_model_are_spread_over_the_zones) {
+Test(engine_assignment, engines_of_a_model_are_spread_over_the_zones) {
   Fixture fixture(600);
   for (std::size_t i = 0; i < fixture.states.size(); ++i) {
     fixture.states[i].record.zone = ZoneName("z" + std::to_string(i / 200));
@@ -95,7 +91,7 @@
   for (const auto& [zone, count] : zones) cr_assert_eq(count, 20, "%s", zone.str().c_str());
 }
 
-Test(engine_shares, engines_that_are_lost_are_replaced_and_a_spare_is_given_back) {
+Test(engine_assignment, lost_engines_are_replaced_and_a_surplus_is_released) {
   Fixture fixture(500);
   versions::engine_assignment assignment;
   engines::engine_list engines = fixture.list();
