--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -67,9 +67,9 @@
 
 bool lease_table::anySuspect(Instant now) const {
   return std::any_of(this->rows_.begin(), this->rows_.end(), [&](const auto& each) {
-    const Duration silence = now - each.second.changed_at;
-    return each.first != this->own_ && silence > this->times_.suspicion &&
-           silence < 2 * this->times_.expiry;
+    const Duration since_change = now - each.second.changed_at;
+    return each.first != this->own_ && since_change > this->times_.suspicion &&
+           since_change < 2 * this->times_.expiry;
   });
 }
 
@@ -86,8 +86,8 @@
   std::vector<owner_candidate> found;
   for (const auto& [lease, seen] : this->rows_) {
     const bool other = lease != this->own_ && !this->isPreviousIncarnation(lease);
-    const bool offers = other && seen.row.capacity > 0 && this->alive(now, lease);
-    if (offers) found.push_back({lease, seen.row.capacity, seen.row.zone});
+    const bool eligible = other && seen.row.capacity > 0 && this->alive(now, lease);
+    if (eligible) found.push_back({lease, seen.row.capacity, seen.row.zone});
   }
   return found;
 }
@@ -119,8 +119,8 @@
   std::vector<LeaseId> found;
   for (const auto& [lease, seen] : this->rows_) {
     if (lease == this->own_ || seen.row.revision == 0) continue;
-    const bool silent = now - seen.changed_at > this->times_.removal_age;
-    if (silent || this->isPreviousIncarnation(lease)) found.push_back(lease);
+    const bool stale = now - seen.changed_at > this->times_.removal_age;
+    if (stale || this->isPreviousIncarnation(lease)) found.push_back(lease);
   }
   return found;
 }
--- a/src/gateway/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -13,15 +13,15 @@
 
 void TableWatcher::setHealthy(bool healthy) {
   const Instant now = steadyNow();
-  const Duration silent = ever_read_ ? now - last_answer_ : Duration::zero();
-  if (healthy && !healthy_) last_outage_ = silent;
+  const Duration outage = ever_read_ ? now - last_answer_ : Duration::zero();
+  if (healthy && !healthy_) last_outage_ = outage;
   if (healthy) last_answer_ = now;
   if (healthy == healthy_) return;
   healthy_ = healthy;
   logging::LogEvent("store", healthy ? "feed_regained" : "feed_lost")
       .text("table", name_)
       .number("revision", static_cast<std::int64_t>(revision_))
-      .milliseconds("silent_ms", silent);
+      .milliseconds("silent_ms", outage);
   listener_.on_health(healthy);
 }
 
--- a/src/gateway/usage/cluster_clock.cpp
+++ b/src/gateway/usage/cluster_clock.cpp
@@ -60,9 +60,9 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(this->options_.sample_lifetime).count();
   const auto median = medianOffset(*samples, store_ms - lifetime_ms);
   if (!median) co_return;
-  const bool good =
+  const bool accurate =
       this->offset_ms_ && std::abs(*median - *this->offset_ms_) < this->options_.min_correction_ms;
-  if (good) co_return;
+  if (accurate) co_return;
   table::Write write;
   write.transaction.checks.push_back(lock.condition());
   write.transaction.checks.push_back({table::clusterTimeKey(), this->revision_});
--- a/src/gateway/usage/usage_progress.h
+++ b/src/gateway/usage/usage_progress.h
@@ -13,7 +13,7 @@
 struct usage_progress {
   Revision revision = 0;  ///< Of the row; 0: no report yet.
   usage_report report;
-  bool taken = false;  ///< The platform accepted the report from this leader; not stored.
+  bool accepted = false;  ///< The platform accepted the report from this leader; not stored.
 };
 
 /** @return the row's value. */
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -72,7 +72,7 @@
   }
   if (!this->progress_ || !this->deps_.clock.known()) co_return;
   const bool any_committed = this->progress_->revision > 0;
-  if (any_committed && !this->progress_->taken) {
+  if (any_committed && !this->progress_->accepted) {
     co_await this->send();
     co_return;
   }
@@ -198,7 +198,7 @@
   const bool same = this->progress_ && this->progress_->report.window == report.window;
   if (answer == FencedCallResult::kTaken) {
     ++this->total_reported_;
-    if (same) this->progress_->taken = true;
+    if (same) this->progress_->accepted = true;
     co_return;
   }
   co_await sleepFor(this->deps_.lock.loop, kRefusedBackoff);
--- a/src/gateway/usage/usage_writer.cpp
+++ b/src/gateway/usage/usage_writer.cpp
@@ -63,8 +63,8 @@
 
 bool usage_writer::addSample(Instant now, table::Write& write) {
   const std::int64_t store_ms = this->deps_.keeper.storeClock(now);
-  const bool taken = this->sampled_at_ != Instant{};
-  const bool recent = taken && now - this->sampled_at_ < this->options_.sample_interval;
+  const bool ever_sampled = this->sampled_at_ != Instant{};
+  const bool recent = ever_sampled && now - this->sampled_at_ < this->options_.sample_interval;
   if (store_ms == 0 || recent) return false;
   const clock_sample sample{this->deps_.time_of_day_ms() - store_ms, store_ms};
   write.transaction.puts.push_back(
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -71,9 +71,9 @@
 }
 
 Task<void> rollout_service::tickLoop() {
-  const Instant begun = steadyNow();
+  const Instant started_at = steadyNow();
   for (;;) {
-    const bool started = steadyNow() - begun > kStartupTime;
+    const bool started = steadyNow() - started_at > kStartupTime;
     const bool idle = started && !this->deps_.pool.isCandidate() && !this->holdsAny();
     co_await sleepFor(this->deps_.loop, idle ? kIdleTickInterval : kTickInterval);
     const routing::RouteTablePtr routes = this->deps_.routes();
@@ -107,7 +107,7 @@
 
 Task<void> rollout_service::requestReport(ServiceName service, EngineId engine, Address address) {
   const auto report = co_await this->deps_.orders.report(engine, address);
-  // An engine that does not respond is asked again after the report interval.
+  // An engine that does not respond gets another report request after the report interval.
   if (report) this->leadershipOf(service).rollout.onReport(steadyNow(), engine, *report);
 }
 
