--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -12,8 +12,8 @@
 
 /// The lock is confirmed this long before a lease renewal is due, so that one write serves as both.
 constexpr Duration kConfirmLead = std::chrono::milliseconds(60);
-constexpr Duration kConfirmBackoff =
-    std::chrono::milliseconds(120);  ///< After a write without a response.
+/// After a write without a response.
+constexpr Duration kConfirmBackoff = std::chrono::milliseconds(120);
 /// Added to the time of the last action, because a slow response makes the estimate of the store's
 /// clock lag.
 constexpr std::int64_t kClockLagMs = 500;
--- a/src/gateway/lease/leader_lock.h
+++ b/src/gateway/lease/leader_lock.h
@@ -2,18 +2,23 @@
 
 /** @file
  * A leader lock, held by one daemon at a time: to order the engines of a service, or to make calls
- * to the platform that only one daemon may make. The lock is a row in the store that names the
- * leader's lease. The row's revision is the fencing token sent with every call of the leader. When
- * the leader's lease has expired, a daemon acquires the lock by a conditional write on the row,
- * after its takeover delay (`owner_pool::takeoverDelay`). Holding the row is not enough to make a
- * call: the leader may have been partitioned or suspended while another daemon acquired the lock.
- * The leader therefore confirms the lock periodically by a write conditional on the row being
- * unchanged, and acts only within the lease's validity, counted from when the last committed
- * confirmation was sent. A plain lease renewal is unconditional and confirms nothing. Calls of two
- * leaders never interleave within the handover pause. Where the callee does not check tokens, a
- * delayed call of the old leader may still be executed, so the new leader waits for the pause.
- * Where tokens are checked, such a call is rejected: the new leader acts at once, and only a daemon
- * that acted before another leader did waits for the pause after its own last action.
+ * to the platform that only one daemon may make.
+ *
+ * The lock is a row in the store that names the leader's lease. The row's revision is the fencing
+ * token sent with every call of the leader. When the leader's lease has expired, a daemon acquires
+ * the lock by a conditional write on the row, after its takeover delay
+ * (`owner_pool::takeoverDelay`).
+ *
+ * Holding the row is not enough to make a call: the leader may have been partitioned or suspended
+ * while another daemon acquired the lock. The leader therefore confirms the lock periodically by a
+ * write conditional on the row being unchanged, and acts only within the lease's validity, counted
+ * from when the last committed confirmation was sent. A plain lease renewal is unconditional and
+ * confirms nothing.
+ *
+ * Calls of two leaders never interleave within the handover pause. Where the callee does not check
+ * tokens, a delayed call of the old leader may still be executed, so the new leader waits for the
+ * pause. Where tokens are checked, such a call is rejected: the new leader acts at once, and only a
+ * daemon that acted before another leader did waits for the pause after its own last action.
  *
  * Models: spec/order_right.pml (tokens unchecked), spec/checked_right.pml (tokens checked).
  */
@@ -29,8 +34,8 @@
 /** The decoded row of a lock. */
 struct leader_lock_row {
   LeaseId owner;  ///< The leader's lease; empty: released.
-  std::int64_t last_action_ms =
-      0;  ///< Of the last leader that released the lock, by the store's clock; 0: unknown.
+  /// Of the last leader that released the lock, by the store's clock; 0: unknown.
+  std::int64_t last_action_ms = 0;
 
   bool operator==(const leader_lock_row&) const = default;
 };
@@ -40,9 +45,9 @@
 
 /** Timing of a handover from one leader to the next. */
 struct handover_options {
-  Duration pause =
-      std::chrono::milliseconds(3100);  ///< Calls of two leaders never interleave within it.
-  bool tokens_checked = false;          ///< The callee rejects tokens lower than one it has seen.
+  /// Calls of two leaders never interleave within it.
+  Duration pause = std::chrono::milliseconds(3100);
+  bool tokens_checked = false;  ///< The callee rejects tokens lower than one it has seen.
 
   bool operator==(const handover_options&) const = default;
 };
--- a/src/gateway/lease/lease_poller.h
+++ b/src/gateway/lease/lease_poller.h
@@ -2,6 +2,7 @@
 
 /** @file
  * Reads the leases of all daemons periodically.
+ *
  * Polling replaces a change feed, which would wake every daemon for each renewal: a daemon does
  * about one small read per second, independent of the number of owners. A daemon that may have to
  * take over reads more often.
@@ -41,7 +42,8 @@
         retry_now_(loop) {}
 
   /** @param on_health called after each read with whether the store responded; not called for a
-   * rate-limited read. */
+   * rate-limited read.
+   */
   void start(std::function<void(bool healthy)> on_health);
   /** Reads at once, because the store is known to respond to other calls. */
   void retryNow() { this->retry_now_.notifyAll(); }
--- a/src/gateway/lease/lease_row.h
+++ b/src/gateway/lease/lease_row.h
@@ -2,6 +2,7 @@
 
 /** @file
  * The row of a lease in the store, and the ids of leases.
+ *
  * Each incarnation of a daemon has one lease. Its row shows other daemons that it is alive (each
  * renewal raises the revision), its capacity, its zone and its peer address.
  */
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -2,10 +2,14 @@
 
 /** @file
  * Determines which daemons are alive from their lease rows in the store. Does no I/O; loop thread
- * only. Every daemon that owns something, or is a candidate owner, renews its row. The others read
- * all rows periodically (`lease_poller`) and measure by their own steady clock how long a row has
- * been unchanged. An expired lease only allows others to attempt a takeover. Mutual exclusion
- * between owners relies on conditional writes to the row of the owned resource (see leader_lock.h).
+ * only.
+ *
+ * Every daemon that owns something, or is a candidate owner, renews its row. The others read all
+ * rows periodically (`lease_poller`) and measure by their own steady clock how long a row has been
+ * unchanged.
+ *
+ * An expired lease only allows others to attempt a takeover. Mutual exclusion between owners relies
+ * on conditional writes to the row of the owned resource (see leader_lock.h).
  */
 
 #include <map>
--- a/src/gateway/lease/lease_times.h
+++ b/src/gateway/lease/lease_times.h
@@ -9,6 +9,7 @@
 namespace linenpier::lease {
 
 /** How often leases are renewed and when they expire.
+ *
  * Invariant: two renewals fit into the validity, and the validity is shorter than the expiry, so
  * that an owner stops acting before others start. docs/DECISIONS.md derives the time to a takeover.
  */
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -2,9 +2,11 @@
 
 /** @file
  * Decides whether this daemon is a candidate for owning jobs and leader locks. Does no I/O; loop
- * thread only. Machines in a fleet differ in speed, so the daemon that happens to receive a job
- * should not own it by default. A few daemons are candidates: each renews a lease even while it
- * owns nothing and publishes its capacity in the row, which all daemons read.
+ * thread only.
+ *
+ * Machines in a fleet differ in speed, so the daemon that happens to receive a job should not own
+ * it by default. A few daemons are candidates: each renews a lease even while it owns nothing and
+ * publishes its capacity in the row, which all daemons read.
  */
 
 #include <optional>
@@ -45,7 +47,8 @@
   /** Records that a timer of this daemon ran this long after it was due. */
   void onTimerLateness(Duration lateness) { this->capacity_.onTimerLateness(lateness); }
   /** Updates whether this daemon is a candidate after a read of the leases. @return whether it
-   * changed. */
+   * changed.
+   */
   bool onLeasesRead(Instant now, const pool_requirements& wanted);
 
   bool isCandidate() const { return this->candidate_; }
@@ -69,8 +72,8 @@
   ZoneName zone_;
   capacity_estimator capacity_;
   bool candidate_ = false;
-  std::optional<Instant>
-      members_missing_since_;  ///< Since when every read has shown missing members.
+  /// Since when every read has shown missing members.
+  std::optional<Instant> members_missing_since_;
 };
 
 /** @return whether `one` ranks before `other`. Capacities that differ little count as equal; then a
--- a/src/gateway/lease/store_delay.h
+++ b/src/gateway/lease/store_delay.h
@@ -12,7 +12,8 @@
 namespace linenpier::lease {
 
 /** Longer delays are caused by the store itself and affect all daemons, so they must not change the
- * ranking. */
+ * ranking.
+ */
 inline constexpr Duration kMaxStoreDelay = std::chrono::milliseconds(40);
 
 /** @param allowance of the lease table: a multiple of the excess delay of its reads.
--- a/src/gateway/scaling/scaling_options.h
+++ b/src/gateway/scaling/scaling_options.h
@@ -28,8 +28,8 @@
   Duration stabilization_window = std::chrono::seconds(10);
   /// Between two scale-downs by one engine in a group.
   Duration scale_down_interval = std::chrono::seconds(3);
-  Duration first_backoff =
-      std::chrono::seconds(2);  ///< After a rejected order; doubles with each further one.
+  /// After a rejected order; doubles with each further one.
+  Duration first_backoff = std::chrono::seconds(2);
   Duration max_backoff = std::chrono::seconds(30);
   /// How long a group counts as without capacity after the platform reclaimed engines of it.
   Duration reclaim_backoff = std::chrono::seconds(10);
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -2,9 +2,11 @@
 
 /** @file
  * Decides which scaling orders are due for one service. Does no I/O; runs on the loop thread of the
- * leader. scaling_targets.h computes the wanted counts; this class decides when to order them. It
- * scales up at once, scales down slowly (availability has priority over cost), and repeats an order
- * that had no effect.
+ * leader.
+ *
+ * scaling_targets.h computes the wanted counts; this class decides when to order them. It scales up
+ * at once, scales down slowly (availability has priority over cost), and repeats an order that had
+ * no effect.
  */
 
 #include <map>
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -15,8 +15,8 @@
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
 /// Between two decisions; much shorter than the platform's reclaim notice.
 constexpr Duration kDecisionInterval = std::chrono::milliseconds(200);
-constexpr Duration kReadBackoff =
-    std::chrono::milliseconds(300);  ///< After a failed read of the rows.
+/// After a failed read of the rows.
+constexpr Duration kReadBackoff = std::chrono::milliseconds(300);
 constexpr char kLockName[] = "scaling";
 
 std::int64_t number(std::size_t count) {
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -2,10 +2,11 @@
 
 /** @file
  * Scales the engines of all services through the platform. Runs at one daemon, the holder of a
- * leader lock. An order is first written to the service's row, conditional on the lock still being
- * held, and then sent, so that the next leader starts from the last order. A leader makes no
- * decision before it has read the rows and its list of engines has been up to date for the settle
- * time.
+ * leader lock.
+ *
+ * An order is first written to the service's row, conditional on the lock still being held, and
+ * then sent, so that the next leader starts from the last order. A leader makes no decision before
+ * it has read the rows and its list of engines has been up to date for the settle time.
  */
 
 #include <functional>
@@ -77,7 +78,8 @@
   scaling_view viewOf(const routing::Service& service, peak_demand& work) const;
   Task<void> writeBaseline(ServiceName name, scaling_record learned);
   /** Writes the service's row, conditional on the lock being held. @return whether it was
-   * committed. */
+   * committed.
+   */
   Task<bool> writeRecord(ServiceName name, scaling_record record);
   /** Stores an order and sends it; a scale-down only if the zone is quiet. */
   Task<void> carryOut(ServiceName name, scaling_decision decision);
--- a/src/gateway/scaling/scaling_targets.h
+++ b/src/gateway/scaling/scaling_targets.h
@@ -2,10 +2,11 @@
 
 /** @file
  * Computes how many engines each group of a service should have, regardless of when to order them.
- * Does no I/O. Every group should have its baseline. Engines that are unavailable because the zone
- * is closed or lost, or because the platform lacks capacity, are replaced in the remaining groups:
- * on-demand first, evenly, and within the bounds. With ScalingMode::kDemand the total follows the
- * open work.
+ * Does no I/O.
+ *
+ * Every group should have its baseline. Engines that are unavailable because the zone is closed or
+ * lost, or because the platform lacks capacity, are replaced in the remaining groups: on-demand
+ * first, evenly, and within the bounds. With ScalingMode::kDemand the total follows the open work.
  */
 
 #include <set>
@@ -21,8 +22,8 @@
   const scaling_view& view;
   const fleet::group_counts& baseline;
   std::set<ZoneName> unavailable;  ///< Zones that are closed or lost.
-  std::set<fleet::engine_group>
-      without_capacity;  ///< Groups for which the platform lacks capacity.
+  /// Groups for which the platform lacks capacity.
+  std::set<fleet::engine_group> without_capacity;
 };
 
 struct scaling_targets {
--- a/src/gateway/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -32,8 +32,8 @@
 class TableWatcher {
  public:
   struct Listener {
-    std::function<void(const std::vector<Row>&)>
-        on_snapshot;  ///< All rows, as of one revision or later.
+    /// All rows, as of one revision or later.
+    std::function<void(const std::vector<Row>&)> on_snapshot;
     /// If set, receives the rows page by page as they are read, and `on_snapshot` receives none, so
     /// that a large table is not held in memory twice.
     std::function<void(const std::vector<Row>&, bool first_page)> on_page;
--- a/src/gateway/usage/cluster_time.h
+++ b/src/gateway/usage/cluster_time.h
@@ -2,6 +2,7 @@
 
 /** @file
  * Cluster time, and the windows in which usage is counted. Does no I/O.
+ *
  * Any daemon's wall clock may be wrong or jump. The store's clock is steady, but its epoch is
  * arbitrary. Each daemon therefore publishes the offset of its wall clock from the store's clock;
  * the median offset, stored in one row, converts the store's clock to cluster time. This is correct
@@ -32,7 +33,8 @@
 std::optional<clock_sample> decodeSample(const std::string& text);
 
 /** @return the median offset of the samples taken at or after `since_ms`; nothing if there are
- * none. */
+ * none.
+ */
 std::optional<std::int64_t> medianOffset(const std::vector<clock_sample>& samples,
                                          std::int64_t since_ms);
 
--- a/src/gateway/usage/usage_options.h
+++ b/src/gateway/usage/usage_options.h
@@ -24,8 +24,8 @@
   Duration settle_after_outage = std::chrono::milliseconds(2500);
   /// … but at the latest this long after the window's end.
   Duration max_settle = std::chrono::milliseconds(8500);
-  Duration sample_interval =
-      std::chrono::seconds(20);  ///< Between two samples of a daemon's clock.
+  /// Between two samples of a daemon's clock.
+  Duration sample_interval = std::chrono::seconds(20);
   Duration sample_lifetime = std::chrono::seconds(60);  ///< Older samples are ignored.
   /// How long a new leader waits for the daemons' first samples if cluster time was never set.
   Duration first_samples_wait = std::chrono::seconds(4);
--- a/src/gateway/usage/usage_reporter.h
+++ b/src/gateway/usage/usage_reporter.h
@@ -2,9 +2,11 @@
 
 /** @file
  * Reports each window's usage to the platform once. Runs at one daemon, the holder of a leader
- * lock. Some time after a window's end the leader sums its rows. It stores the report, conditional
- * on the lock still being held, and then sends it repeatedly until the platform accepts it, so that
- * the next leader sends the same bytes. The leader also synchronizes cluster time.
+ * lock.
+ *
+ * Some time after a window's end the leader sums its rows. It stores the report, conditional on the
+ * lock still being held, and then sends it repeatedly until the platform accepts it, so that the
+ * next leader sends the same bytes. The leader also synchronizes cluster time.
  */
 
 #include <optional>
--- a/src/gateway/usage/usage_writer.h
+++ b/src/gateway/usage/usage_writer.h
@@ -2,6 +2,7 @@
 
 /** @file
  * Counts started requests and writes the counts to the store.
+ *
  * Every daemon keeps one row per window with the total counts of its incarnation. Rows are written
  * soon after a request was counted, so that a crash loses few counts. A daemon that cannot reach
  * the store writes through a peer. The same writes carry samples of the daemon's wall clock.
--- a/src/gateway/versions/engine_assignment.h
+++ b/src/gateway/versions/engine_assignment.h
@@ -2,6 +2,7 @@
 
 /** @file
  * Assigns the engines of one service to the models that are trained on them. Does no I/O.
+ *
  * An engine that served several models would spend its time loading weights. With one model per
  * engine, a new version needs only one load per engine of its model. Only as many engines are
  * assigned as the models can use, so that the cost of a tick depends on the open work and not on
@@ -61,7 +62,8 @@
   /** Moves engines from the model with the most to those with too few. */
   void balance(const engines::engine_list& engines, const engines_wanted& wanted);
   /** @return of the models that can use another engine, the one with the fewest; empty if there is
-   * none. */
+   * none.
+   */
   ModelName modelWithFewestEngines(const engines_wanted& wanted) const;
   /** @return the model with the most engines; `wanted` must not be empty. */
   ModelName modelWithMostEngines(const engines_wanted& wanted) const;
