--- a/src/gateway/table/store_keys.h
+++ b/src/gateway/table/store_keys.h
@@ -52,8 +52,8 @@
 inline std::string suspectKey(const std::string& request) {
   return kCoordinationTable + "/" + kSuspectPrefix + request;
 }
-inline std::string lockKey(const std::string& duty) {
-  return kCoordinationTable + "/" + kLockPrefix + duty;
+inline std::string lockKey(const std::string& name) {
+  return kCoordinationTable + "/" + kLockPrefix + name;
 }
 inline std::string scalingKey(const ServiceName& service) {
   return kScalingTable + "/" + service.str();
