--- a/src/gateway/lease/lease_poller.cpp
+++ b/src/gateway/lease/lease_poller.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-constexpr std::uint64_t kSpreadSteps = 1000;
-/// Every daemon sees the same stale rows; each tries to remove them after one read in so many.
-constexpr std::uint64_t kRemoveOneIn = 10;
-constexpr std::size_t kMaxRowsRemoved = 50;  ///< In one write.
+constexpr std::uint64_t kJitterSteps = 1000;
+/// All daemons see the same stale rows, so each tries to remove them only after one of this many
+/// reads on average.
+constexpr std::uint64_t kReadsPerRemoval = 10;
+constexpr std::size_t kMaxRowsRemoved = 50;  ///< Per write.
 
 }  // namespace
 
@@ -20,17 +21,17 @@
 }
 
 Duration lease_poller::nextInterval(bool answered) {
-  const bool hurry =
+  const bool urgent =
       !answered || this->pool_.isCandidate() || this->leases_.anySuspect(steadyNow());
-  const Duration mean = hurry ? this->options_.suspect_interval : this->options_.interval;
-  const auto step = static_cast<std::int64_t>(this->random_.below(kSpreadSteps));
-  return mean * 2 / 3 + mean * 2 / 3 * step / static_cast<std::int64_t>(kSpreadSteps);
+  const Duration mean = urgent ? this->options_.suspect_interval : this->options_.interval;
+  const auto step = static_cast<std::int64_t>(this->random_.below(kJitterSteps));
+  return mean * 2 / 3 + mean * 2 / 3 * step / static_cast<std::int64_t>(kJitterSteps);
 }
 
 Task<void> lease_poller::run() {
   for (;;) {
     const bool answered = co_await this->readAll();
-    if (answered && this->random_.below(kRemoveOneIn) == 0) {
+    if (answered && this->random_.below(kReadsPerRemoval) == 0) {
       co_await this->removeStaleRows();
     }
     const Duration interval = this->nextInterval(answered);
@@ -45,7 +46,8 @@
   for (;;) {
     auto page = co_await this->table_.read(range);
     if (!page) {
-      // A refusal for too many calls shows that the store can be reached, and asks for fewer.
+      // A rate-limited read shows that the store is reachable, and the caller should read less
+      // often.
       const bool rate_limited = page.error().failure == CallFailure::kRateLimited;
       if (!rate_limited) this->on_health_(false);
       co_return rate_limited;
--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -9,19 +9,18 @@
 
 namespace {
 
-/// Daemons outside the pool wait this much longer before they take over, well beyond the pool's own
-/// delays: they come only when nobody of the pool does.
-constexpr Duration kOutsiderDelay = std::chrono::milliseconds(600);
-/// Capacities are compared in steps of half a doubling: a timer's jitter must not change ranks.
+/// Extra takeover delay of daemons outside the pool. Longer than any delay within the pool, so that
+/// they take over only if no member does.
+constexpr Duration kNonCandidateDelay = std::chrono::milliseconds(600);
+/// Capacities are compared in logarithmic steps, so that timer jitter does not change the ranking.
 constexpr double kStepsPerDoubling = 2;
-constexpr double kMinCapacity = 1e-6;  ///< Of the logarithm.
+constexpr double kMinCapacity = 1e-6;  ///< Lower bound for the logarithm.
 
-/// Within this time the daemons of a fleet join a pool that lacks members, one after the other, so
-/// that most see it full before their turn: of 300 daemons some 20 a second come, and each sees the
-/// others after a second.
+/// Joins to a pool that lacks members are spread over this time, so that most daemons of a large
+/// fleet see it full before their turn.
 constexpr Duration kJoinSpread = std::chrono::seconds(12);
-/// Daemons of less capacity than the best member come later, in proportion, but by no more than
-/// this factor: a fleet without better ones must not be left without owners.
+/// Daemons with less capacity than the best member join proportionally later, but at most by this
+/// factor, so that a fleet of slow machines still gets owners.
 constexpr double kMaxJoinFactor = 4;
 constexpr std::uint64_t kJoinSteps = 1000;
 
@@ -31,7 +30,7 @@
 
 }  // namespace
 
-bool betterOwner(const owner_candidate& one, const owner_candidate& other) {
+bool ranksHigher(const owner_candidate& one, const owner_candidate& other) {
   const long step = capacityStep(one.capacity);
   const long other_step = capacityStep(other.capacity);
   if (step != other_step) return step > other_step;
@@ -45,16 +44,16 @@
 std::vector<owner_candidate> owner_pool::ranked(Instant now) const {
   std::vector<owner_candidate> candidates = this->leases_.candidates(now);
   if (this->candidate_) candidates.push_back({this->leases_.own(), this->capacity(), this->zone_});
-  std::sort(candidates.begin(), candidates.end(), betterOwner);
+  std::sort(candidates.begin(), candidates.end(), ranksHigher);
   return candidates;
 }
 
 bool owner_pool::lacksMembers(const pool_requirements& wanted,
                               const std::vector<owner_candidate>& others) const {
   const owner_candidate self{this->leases_.own(), this->capacity(), this->zone_};
-  std::vector<ZoneName> better;  // Zones of the better daemons.
+  std::vector<ZoneName> better;  // Zones of the better candidates.
   for (const owner_candidate& each : others) {
-    if (betterOwner(each, self)) better.push_back(each.zone);
+    if (ranksHigher(each, self)) better.push_back(each.zone);
   }
   if (better.size() < wanted.owners) return true;
   return std::any_of(
@@ -70,13 +69,13 @@
 bool owner_pool::onLeasesRead(Instant now, const pool_requirements& wanted) {
   const std::vector<owner_candidate> others = this->leases_.candidates(now);
   if (!this->lacksMembers(wanted, others)) {
-    this->lacking_since_.reset();
-  } else if (!this->lacking_since_) {
-    this->lacking_since_ = now;
+    this->members_missing_since_.reset();
+  } else if (!this->members_missing_since_) {
+    this->members_missing_since_ = now;
   }
   const bool before = this->candidate_;
-  this->candidate_ =
-      this->lacking_since_ && (before || now - *this->lacking_since_ >= this->joinDelay(others));
+  this->candidate_ = this->members_missing_since_ &&
+                     (before || now - *this->members_missing_since_ >= this->joinDelay(others));
   return this->candidate_ != before;
 }
 
@@ -89,9 +88,9 @@
 }
 
 Duration owner_pool::takeoverDelay(Instant now, const std::string& subject) const {
-  const bool in_turn = this->candidate_ || this->leases_.candidates(now).empty();
-  const Duration outsider = in_turn ? Duration::zero() : kOutsiderDelay;
-  return this->leases_.takeoverDelay(now, subject) + outsider;
+  const bool preferred = this->candidate_ || this->leases_.candidates(now).empty();
+  const Duration extra = preferred ? Duration::zero() : kNonCandidateDelay;
+  return this->leases_.takeoverDelay(now, subject) + extra;
 }
 
 }  // namespace linenpier::lease
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< Of the lock's leader.
-/// At the other daemons: each looks whether the lock is free.
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< At the leader.
+/// At the other daemons, which check whether the lock is free.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
-/// Between two decisions. Short against the platform's notice of a reclaim.
+/// Between two decisions; much shorter than the platform's reclaim notice.
 constexpr Duration kDecisionInterval = std::chrono::milliseconds(200);
-constexpr Duration kReadBackoff = std::chrono::milliseconds(300);  ///< After rows were not read.
+/// After a failed read of the rows.
+constexpr Duration kReadBackoff = std::chrono::milliseconds(300);
 constexpr char kLockName[] = "scaling";
 
 std::int64_t number(std::size_t count) {
@@ -126,7 +127,7 @@
   co_return true;
 }
 
-scaling_view scaling_service::viewOf(const routing::Service& service, work_peak& work) const {
+scaling_view scaling_service::viewOf(const routing::Service& service, peak_demand& work) const {
   scaling_view view;
   std::uint32_t slots = 1;
   for (const auto& [id, engine] : this->deps_.registry.all()) {
@@ -163,7 +164,7 @@
   }
   const scaling_view view = this->viewOf(service, at->second.work);
   const std::vector<scaling_decision> due = at->second.policy.decide(now, *service.scaling, view);
-  const std::optional<scaling_record> learned = at->second.policy.learn(now, view);
+  const std::optional<scaling_record> learned = at->second.policy.learnBaseline(now, view);
   if (learned) {
     co_await this->writeBaseline(name, *learned);
     co_return;
@@ -200,7 +201,7 @@
         .text("service", name.str())
         .number("token", static_cast<std::int64_t>(token))
         .text("outcome", answer ? "conflict" : "no_answer");
-    // Whether it was written is read before anything else is decided.
+    // The outcome may be unknown, so the rows are read before the next decision.
     this->records_read_ = false;
     co_return false;
   }
@@ -235,7 +236,7 @@
     const bool quiet = co_await this->zoneIsQuiet(name, decision.group.zone);
     if (!this->records_read_ || this->lock_.token() != token) co_return;
     if (!quiet) {
-      this->services_.at(name).policy.onBusy(steadyNow(), decision);
+      this->services_.at(name).policy.onZoneBusy(steadyNow(), decision);
       LogEvent("scaling", "not_quiet")
           .text("service", name.str())
           .text("zone", decision.group.zone.str())
@@ -257,7 +258,7 @@
   if (!this->lock_.mayAct(sent_at) || this->lock_.token() != token) co_return;
   const usage::fenced_call_context proof{this->deps_.holder, token, this->lock_.mayActUntil()};
   const scaling_order order{name, decision.group, decision.wanted};
-  this->lock_.onActed(sent_at);
+  this->lock_.recordAction(sent_at);
   ++this->totals_.sent;
   const FencedCallResult answer = co_await this->deps_.port.setEngineCount(order, proof);
   if (answer == FencedCallResult::kUnknown) ++this->totals_.unanswered;
--- a/src/gateway/scaling/count_targets.cpp
+++ b/src/gateway/scaling/scaling_targets.cpp
@@ -1,4 +1,4 @@
-#include "gateway/scaling/count_targets.h"
+#include "gateway/scaling/scaling_targets.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,10 +14,11 @@
   return sum;
 }
 
-/** @return the baseline of the groups that can have it, and how many engines that leaves missing.
+/** @return the baseline limited to what each group can have, and how many engines are missing from
+ * it.
  */
-count_targets reachableBaseline(const target_inputs& inputs) {
-  count_targets targets;
+scaling_targets reachableBaseline(const target_inputs& inputs) {
+  scaling_targets targets;
   for (const ZoneName& zone : zonesOf(inputs.baseline)) {
     if (inputs.unavailable.contains(zone)) {
       targets.missing += countInZone(inputs.baseline, zone);
@@ -27,17 +28,17 @@
       const fleet::engine_group group{zone, kind};
       const std::size_t baseline = countOf(inputs.baseline, group);
       const std::size_t there = std::min(baseline, inputs.view.of(group).serving);
-      const bool scarce = inputs.scarce.contains(group);
-      targets.wanted[group] = scarce ? there : baseline;
-      if (scarce) targets.missing += baseline - there;
+      const bool without_capacity = inputs.without_capacity.contains(group);
+      targets.wanted[group] = without_capacity ? there : baseline;
+      if (without_capacity) targets.missing += baseline - there;
     }
   }
   return targets;
 }
 
-/** Gives up to `count` more engines of the kind to the groups in `wanted`: to those with the fewest
- * beyond their baseline first, of these to the cheapest.
- * @return how many found no place.
+/** Adds up to `count` engines of the kind to the groups in `wanted`: first to those with the fewest
+ * beyond their baseline, then to the cheapest.
+ * @return how many could not be added.
  */
 std::size_t addEngines(const target_inputs& inputs, std::size_t count, fleet::EngineKind kind,
                        fleet::group_counts& wanted) {
@@ -46,7 +47,7 @@
     std::tuple<std::size_t, double> best_rank;
     for (auto at = wanted.begin(); at != wanted.end(); ++at) {
       const fleet::engine_group& group = at->first;
-      if (group.kind != kind || inputs.scarce.contains(group)) continue;
+      if (group.kind != kind || inputs.without_capacity.contains(group)) continue;
       if (countInZone(wanted, group.zone) >= inputs.bounds.max_engines) continue;
       const std::size_t baseline = countOf(inputs.baseline, group);
       const std::size_t extra = at->second > baseline ? at->second - baseline : 0;
@@ -61,8 +62,8 @@
   return 0;
 }
 
-/** Takes up to `count` engines from the groups in `wanted`, the dearest first; every zone keeps its
- * share of the baseline and its lower bound.
+/** Removes up to `count` engines from the groups in `wanted`, the most expensive first; every zone
+ * keeps its minimum share of the baseline and its lower bound.
  */
 void removeEngines(const target_inputs& inputs, std::size_t count, fleet::group_counts& wanted) {
   for (; count > 0; --count) {
@@ -81,7 +82,7 @@
   }
 }
 
-/** Moves every zone into its bounds by its engines on demand. */
+/** Clamps every zone to its bounds by changing its on-demand engines. */
 void clampToBounds(const fleet::scaling_bounds& bounds, fleet::group_counts& wanted) {
   for (auto& [group, count] : wanted) {
     if (group.kind != fleet::EngineKind::kOnDemand) continue;
@@ -110,14 +111,14 @@
   return found;
 }
 
-count_targets computeTargets(const target_inputs& inputs) {
-  count_targets targets = reachableBaseline(inputs);
+scaling_targets computeTargets(const target_inputs& inputs) {
+  scaling_targets targets = reachableBaseline(inputs);
   const std::size_t baseline = sumOf(inputs.baseline);
   std::size_t needed = baseline;
   if (inputs.options.mode == ScalingMode::kDemand) {
     needed = inputs.view.engines_for_work.value_or(baseline);
   }
-  // Where less is needed than the baseline, engines that are missing need not be replaced.
+  // If less than the baseline is needed, missing engines are not replaced up to the difference.
   std::size_t fewer = baseline - std::min(baseline, needed);
   const std::size_t not_replaced = std::min(fewer, targets.missing);
   targets.missing -= not_replaced;
--- a/src/gateway/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -13,15 +13,15 @@
 
 void TableWatcher::setHealthy(bool healthy) {
   const Instant now = steadyNow();
-  const Duration silent = ever_read_ ? now - last_answer_ : Duration::zero();
-  if (healthy && !healthy_) last_outage_ = silent;
+  const Duration outage = ever_read_ ? now - last_answer_ : Duration::zero();
+  if (healthy && !healthy_) last_outage_ = outage;
   if (healthy) last_answer_ = now;
   if (healthy == healthy_) return;
   healthy_ = healthy;
   logging::LogEvent("store", healthy ? "feed_regained" : "feed_lost")
       .text("table", name_)
       .number("revision", static_cast<std::int64_t>(revision_))
-      .milliseconds("silent_ms", silent);
+      .milliseconds("silent_ms", outage);
   listener_.on_health(healthy);
 }
 
@@ -38,7 +38,8 @@
 }
 
 Task<CallResult<RowPage>> TableWatcher::readPage(RowRange range) {
-  // To begin a large table anew for one refused page would make many daemons refuse each other.
+  // Restarting the read of a large table after one rate-limited page would increase the load that
+  // causes the limiting.
   constexpr int kMaxTries = 8;
   for (int tries = 1;; ++tries) {
     auto page = co_await table_.read(range);
@@ -61,7 +62,7 @@
     }
     const bool first_page = revision == 0;
     if (first_page) revision = page->revision;
-    // A read from before what was told already would turn time back.
+    // The page is older than changes already reported.
     if (page->revision < revision_) co_return false;
     if (listener_.on_clock) listener_.on_clock(page->clock_ms);
     const bool more = advancePast(*page, range);
@@ -81,7 +82,7 @@
 }
 
 Task<bool> TableWatcher::waitForChanges() {
-  const Duration wait = healthy_ ? options_.wait : options_.wait_while_lost;
+  const Duration wait = healthy_ ? options_.wait : options_.wait_while_unhealthy;
   auto batch = co_await table_.watch(name_, revision_, wait);
   if (!batch) {
     if (batch.error().failure != CallFailure::kRateLimited) setHealthy(false);
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr char kLockName[] = "usage";
-constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< Of the lock's leader.
-/// At the other daemons: each looks whether the lock is free.
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< At the leader.
+/// At the other daemons, which check whether the lock is free.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
-/// After a report that the platform did not take.
+/// After a report that the platform did not accept.
 constexpr Duration kRefusedBackoff = std::chrono::milliseconds(300);
-/// The store takes 100 entries a write.
+/// The store accepts 100 entries per write.
 constexpr std::size_t kMaxRemovedAtOnce = 90;
 
 }  // namespace
@@ -40,7 +40,7 @@
     co_await sleepFor(this->deps_.lock.loop,
                       this->lock_.held() ? kTickInterval : kIdleTickInterval);
     const Instant now = steadyNow();
-    if (!this->deps_.lock.leases.storeHealthy()) this->store_back_at_ = now;
+    if (!this->deps_.lock.leases.storeHealthy()) this->store_recovered_at_ = now;
     this->lock_.onTick(now, this->table_read_);
   }
 }
@@ -51,10 +51,10 @@
                       this->lock_.held() ? kTickInterval : kIdleTickInterval);
     const Instant now = steadyNow();
     const bool able = this->lock_.mayAct(now);
-    // A leader that could not confirm its lock did not reach the store, and others may not have
-    // reached it either.
-    if (able && !this->was_able_) this->store_back_at_ = now;
-    this->was_able_ = able;
+    // A leader that could not confirm its lock did not reach the store; other daemons may have been
+    // affected, too.
+    if (able && !this->could_act_) this->store_recovered_at_ = now;
+    this->could_act_ = able;
     if (able) {
       co_await this->reportNext();
     }
@@ -67,30 +67,30 @@
     if (!read) co_return;
   }
   const Instant now = steadyNow();
-  if (this->deps_.clock.settleDue(now)) {
-    co_await this->deps_.clock.settle(this->lock_, this->acquired_at_);
+  if (this->deps_.clock.synchronizationDue(now)) {
+    co_await this->deps_.clock.synchronize(this->lock_, this->acquired_at_);
   }
   if (!this->progress_ || !this->deps_.clock.known()) co_return;
-  const bool any = this->progress_->revision > 0;
-  if (any && !this->progress_->taken) {
+  const bool any_committed = this->progress_->revision > 0;
+  if (any_committed && !this->progress_->accepted) {
     co_await this->send();
     co_return;
   }
   const auto current = this->deps_.clock.windowAt(now);
   if (!current) co_return;
-  const window_number next = any ? this->progress_->report.window + 1 : *current - 1;
-  // The first one only says where reports begin: it holds nothing that could come late.
-  if (!any || this->due(now, next)) {
-    co_await this->decide(next);
+  const window_number next = any_committed ? this->progress_->report.window + 1 : *current - 1;
+  // The first report only marks the start, so it need not wait for delayed counts.
+  if (!any_committed || this->due(now, next)) {
+    co_await this->commitReport(next);
   }
 }
 
 bool usage_reporter::due(Instant now, window_number window) const {
-  const std::int64_t end_ms = this->deps_.clock.trueWindows()->endOf(window);
+  const std::int64_t end_ms = this->deps_.clock.usageWindows()->endOf(window);
   const std::int64_t now_ms = this->deps_.lock.keeper.storeClock(now);
   const Duration since = std::chrono::milliseconds(now_ms - end_ms);
   if (since < this->options_.settle) return false;
-  const bool settled = now - this->store_back_at_ >= this->options_.settle_after_outage;
+  const bool settled = now - this->store_recovered_at_ >= this->options_.settle_after_outage;
   return settled || since >= this->options_.max_settle;
 }
 
@@ -110,7 +110,7 @@
   co_return true;
 }
 
-Task<std::optional<usage_reporter::window_sum>> usage_reporter::addUp(window_number window) {
+Task<std::optional<usage_reporter::window_sum>> usage_reporter::sumWindow(window_number window) {
   window_sum sum;
   sum.report.window = window;
   const std::string prefix = table::usageKeyPrefix(window);
@@ -134,8 +134,8 @@
   co_return sum;
 }
 
-Task<void> usage_reporter::decide(window_number window) {
-  const auto sum = co_await this->addUp(window);
+Task<void> usage_reporter::commitReport(window_number window) {
+  const auto sum = co_await this->sumWindow(window);
   if (!sum || !this->progress_ || !this->lock_.mayAct(steadyNow())) co_return;
   const std::string key = table::kUsageTable + "/" + table::kUsageProgress;
   table::Write write;
@@ -155,7 +155,7 @@
                        : answer ? "conflict"
                                 : "no_answer");
   if (!done) {
-    // Whether it was written is read before anything else is decided.
+    // The outcome may be unknown, so the row is read before the next report.
     this->progress_.reset();
     co_return;
   }
@@ -175,7 +175,7 @@
     keys.resize(first);
     const auto answer = co_await this->deps_.lock.table.write(std::move(write));
     if (!answer) {
-      // The next window's decision finds them again.
+      // The next window's report removes them.
       LogEvent("usage", "rows_not_removed").number("rows", static_cast<std::int64_t>(first));
       co_return;
     }
@@ -187,7 +187,7 @@
   const fenced_call_context proof{this->deps_.holder, this->lock_.token(),
                                   this->lock_.mayActUntil()};
   const Instant sent_at = steadyNow();
-  this->lock_.onActed(sent_at);
+  this->lock_.recordAction(sent_at);
   const FencedCallResult answer = co_await this->deps_.port.reportUsage(report, proof);
   const Duration took = steadyNow() - sent_at;
   LogEvent("usage", "report_answered")
@@ -198,7 +198,7 @@
   const bool same = this->progress_ && this->progress_->report.window == report.window;
   if (answer == FencedCallResult::kTaken) {
     ++this->total_reported_;
-    if (same) this->progress_->taken = true;
+    if (same) this->progress_->accepted = true;
     co_return;
   }
   co_await sleepFor(this->deps_.lock.loop, kRefusedBackoff);
--- a/src/gateway/usage/usage_writer.cpp
+++ b/src/gateway/usage/usage_writer.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// Without counts to write, it is checked this often whether a sample of the clock is due.
+/// Without counts to write, how often to check whether a clock sample is due.
 constexpr Duration kIdleWriteInterval = std::chrono::seconds(1);
-/// The store takes 100 entries a write: a condition and a value a window, and a sample.
+/// The store accepts 100 entries per write: a check and a put for each window, and a sample.
 constexpr std::size_t kMaxWindowsAtOnce = 20;
-/// Windows that stay in memory, for writes whose answer comes late.
+/// Windows kept in memory for writes whose response is delayed.
 constexpr window_number kKeptWindows = 4;
 
 }  // namespace
@@ -63,8 +63,8 @@
 
 bool usage_writer::addSample(Instant now, table::Write& write) {
   const std::int64_t store_ms = this->deps_.keeper.storeClock(now);
-  const bool taken = this->sampled_at_ != Instant{};
-  const bool recent = taken && now - this->sampled_at_ < this->options_.sample_interval;
+  const bool ever_sampled = this->sampled_at_ != Instant{};
+  const bool recent = ever_sampled && now - this->sampled_at_ < this->options_.sample_interval;
   if (store_ms == 0 || recent) return false;
   const clock_sample sample{this->deps_.time_of_day_ms() - store_ms, store_ms};
   write.transaction.puts.push_back(
@@ -80,21 +80,21 @@
   const bool sampled = this->addSample(now, write);
   if (write.transaction.puts.empty()) co_return;
   const auto answer = co_await this->deps_.table.write(write);
-  std::optional<table::TransactionAnswer> settled;
-  if (answer) settled = *answer;
-  if (!settled && !sent.empty()) {
-    settled = co_await this->deps_.by_peer(std::move(write));
+  std::optional<table::TransactionAnswer> settled_answer;
+  if (answer) settled_answer = *answer;
+  if (!settled_answer && !sent.empty()) {
+    settled_answer = co_await this->deps_.by_peer(std::move(write));
   }
-  if (!settled) {
+  if (!settled_answer) {
     LogEvent("usage", "not_written")
         .number("windows", static_cast<std::int64_t>(sent.size()))
         .number("first", sent.empty() ? 0 : sent.front().window);
     co_return;
   }
-  if (settled->committed && sampled) this->sampled_at_ = now;
-  this->onWritten(sent, *settled);
+  if (settled_answer->committed && sampled) this->sampled_at_ = now;
+  this->onWritten(sent, *settled_answer);
   if (const auto current = this->deps_.clock.windowAt(now)) {
-    this->counter_.forgetBefore(*current - kKeptWindows);
+    this->counter_.discardBefore(*current - kKeptWindows);
   }
 }
 
@@ -119,7 +119,7 @@
                                 [&key](const table::Row& each) { return each.key == key; });
   const bool present = row != answer.conflicts.end();
   if (!present && counts.revision > 0) {
-    // The window was added up and its rows were removed.
+    // The window was summed and its rows were removed.
     const std::uint64_t missed = counts.changes - counts.stored;
     this->total_late_ += missed;
     counts.stored = counts.changes;
