--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -26,7 +26,7 @@
 /** Loop thread only. */
 struct active_job {
   active_job(boost::asio::io_context& loop, job_record row, batch_job job, run_rules rules,
-             result_times times)
+             result_timing_options times)
       : record(std::move(row)),
         run(std::move(job), rules),
         schedule(steadyNow(), times),
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -152,7 +152,7 @@
   progress.last_event = event;
   progress.versions.insert(version);
   progress.last_progress = now;
-  progress.late_starts = 0;
+  progress.first_event_timeouts = 0;
   return EventVerdict::kTaken;
 }
 
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -46,7 +46,7 @@
   int failures = 0;
   std::string score;
   int score_failures = 0;
-  int late_starts = 0;  ///< Runs in a row that were stopped since no event came.
+  int first_event_timeouts = 0;  ///< Runs in a row that were stopped since no event came.
   Instant not_before{};
   Instant last_progress{};
   EngineId last_engine;
@@ -112,7 +112,7 @@
   std::size_t unscored() const;
 
   /** A run was stopped since it brought no event in time. */
-  void onLateStart(ItemIndex item) { ++this->progress_[item].late_starts; }
+  void onFirstEventTimeout(ItemIndex item) { ++this->progress_[item].first_event_timeouts; }
   /** The attempt ended without it; the item goes on from what it has. */
   void onInterrupted(Instant now, ItemIndex item, Duration pause);
   /** The item must not run before `until`, since engines crashed under it. */
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -21,7 +21,7 @@
 }
 
 bool batch_service::isPublic(const JobId& id) const {
-  const known_job* job = this->jobs_.find(id);
+  const job_entry* job = this->jobs_.find(id);
   return job != nullptr && job->record.tenant.empty();
 }
 
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -22,10 +22,10 @@
 #include "gateway/batch/job_activation.h"
 #include "gateway/batch/job_ownership.h"
 #include "gateway/batch/job_reader.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_removal.h"
 #include "gateway/batch/job_residency.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/known_jobs.h"
 #include "gateway/batch/partial_result_reuse.h"
 #include "gateway/batch/result_writer.h"
 #include "gateway/batch/slow_run_mover.h"
@@ -61,7 +61,7 @@
   batch_service(dependencies deps, batch_options options) : deps_(std::move(deps)) {
     this->setOptions(options);
     this->jobs_.setListener(
-        [this](const JobId& id, known_job& job) { this->ownership_.onJobChanged(id, job); });
+        [this](const JobId& id, job_entry& job) { this->ownership_.onJobChanged(id, job); });
   }
 
   void start();
@@ -123,7 +123,7 @@
 
   dependencies deps_;
   batch_options options_;
-  known_jobs jobs_;
+  job_registry jobs_;
   batch_counts counts_;
   job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
   item_pick picks_{{residency_, deps_.routes, options_}};
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -22,7 +22,7 @@
   // What a write under way adds is not known yet.
   if (active->checkpoint_in_progress) active->kept_texts.onUnsettled();
   const checkpoint_part part = active->kept_texts.next(active->run);
-  const bool much = part.events >= this->deps_.options.checkpoint_events;
+  const bool much = part.events >= this->deps_.options.min_checkpoint_events;
   if (part.texts.empty() || (need == Need::kIfMuchIsNew && !much)) co_return;
   checkpoint_write write;
   write.rows = toRows(part.texts, this->deps_.store.rowBytes());
@@ -54,14 +54,14 @@
 }
 
 Task<void> checkpoint_writer::checkpointLoop(active_job_ptr active) {
-  Duration pause = this->deps_.options.checkpoint_gap;
+  Duration pause = this->deps_.options.checkpoint_interval;
   for (;;) {
     co_await sleepFor(this->deps_.loop, pause);
     if (active->stopped || active->run.allAppended()) co_return;
     const Instant begun = steadyNow();
     co_await this->write(active, Need::kIfMuchIsNew);
     // A store that is slow has results and renewals to take first.
-    pause = std::max<Duration>(this->deps_.options.checkpoint_gap,
+    pause = std::max<Duration>(this->deps_.options.checkpoint_interval,
                                kCheckpointRest * (steadyNow() - begun));
   }
 }
--- a/src/gateway/batch/checkpoint_writer.h
+++ b/src/gateway/batch/checkpoint_writer.h
@@ -6,8 +6,8 @@
  */
 
 #include "gateway/batch/batch_options.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/known_jobs.h"
 
 namespace linenpier::batch {
 
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -201,11 +201,11 @@
   if ((rejected || silent) && !run.model.empty()) {
     registry.onModelRefused(now, run.call->engine(), run.model);
   }
-  if (silent && !course.to_first_event) state.onLateStart(run.item);
+  if (silent && !course.to_first_event) state.onFirstEventTimeout(run.item);
   if (verdict == AttemptVerdict::kBroken && !run.model.empty()) {
     registry.onModelReset(now, run.call->engine(), run.model);
   }
-  const Duration pause = rejected ? options.refused_pause : options.broken_pause;
+  const Duration pause = rejected ? options.rejected_retry_delay : options.interrupted_retry_delay;
   state.onInterrupted(now, run.item, pause);
 }
 
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -14,7 +14,7 @@
 #include "common/success_sampler.h"
 #include "gateway/batch/item_pick.h"
 #include "gateway/batch/item_scorer.h"
-#include "gateway/batch/known_jobs.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/length_estimate.h"
 #include "gateway/batch/run_reader.h"
 #include "gateway/suspects/suspect_gate.h"
@@ -36,7 +36,7 @@
     const forward::engine_call_context& engines;
     forward::internal_requests& rewards;
     suspects::suspect_gate& suspects;
-    known_jobs& jobs;
+    job_registry& jobs;
     const item_pick& picks;
     std::function<routing::RouteTablePtr()> routes;
     batch_counts& counts;
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -11,13 +11,13 @@
 using logging::LogEvent;
 
 namespace {
-constexpr int kPutTries = 2;
+constexpr int kMaxPutAttempts = 2;
 /// For a question to a store that may be away, before a job is refused: many times its usual
 /// answer.
-constexpr Duration kAnswerTimeout = std::chrono::milliseconds(150);
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(150);
 
 /** @return the row as it is known, so that the store need not be asked for it. */
-std::optional<table::Row> rowOf(const known_job* job) {
+std::optional<table::Row> rowOf(const job_entry* job) {
   if (job == nullptr || job->revision == 0) return std::nullopt;
   return table::Row{table::jobKey(job->record.id), job->revision, encodeRecord(job->record)};
 }
@@ -29,19 +29,19 @@
                                   const http::Request& request, Instant received,
                                   http::ResponseWriter& writer) {
   const forward::field_names& names = this->deps_.names;
-  hand_in call{route,    request,
-               from,     JobId(http::fieldText(request, names.request_id)),
-               received, received + this->deps_.options.accept_time};
+  submission call{route,    request,
+                  from,     JobId(http::fieldText(request, names.request_id)),
+                  received, received + this->deps_.options.accept_timeout};
   if (call.id.empty()) {
     co_await sendStatus(writer, names, kBadRequest, "The job has no id.");
     co_return;
   }
-  if (const known_job* known = this->deps_.jobs.find(call.id)) {
+  if (const job_entry* known = this->deps_.jobs.find(call.id)) {
     const unsigned status = mayAccess(known->record, from) ? kAccepted : kConflict;
     co_await sendStatus(writer, names, status, {});
     co_return;
   }
-  hand_in_outcome outcome = co_await this->take(call);
+  submission_outcome outcome = co_await this->accept(call);
   if (outcome.status == kUnavailable) ++this->deps_.counts.refused;
   if (outcome.revision) ++this->deps_.counts.accepted;
   this->logOutcome(call, outcome);
@@ -49,38 +49,38 @@
   co_await sendStatus(writer, names, outcome.status, std::move(outcome.text));
 }
 
-Task<const char*> job_acceptance::whyClosed(JobId id) {
+Task<const char*> job_acceptance::rejectionReason(JobId id) {
   // A feed that is lost says little: the store may be back, or turn its feeds away only.
-  bool answers = this->deps_.leases.storeHealthy();
-  if (!this->stopping_ && !answers) {
-    answers = co_await this->deps_.store.answers(id, kAnswerTimeout);
+  bool reachable = this->deps_.leases.storeHealthy();
+  if (!this->stopping_ && !reachable) {
+    reachable = co_await this->deps_.store.isReachable(id, kProbeTimeout);
   }
   if (this->stopping_) co_return "stopping";
-  if (!answers) co_return "store_away";
+  if (!reachable) co_return "store_away";
   // A daemon that has just started may not know the store's clock. A job that it dated would seem
   // as old as the store, and its items would be given up at once.
   if (this->deps_.keeper.storeClock(steadyNow()) == 0) co_return "clock_unknown";
   co_return nullptr;
 }
 
-Task<job_acceptance::hand_in_outcome> job_acceptance::take(hand_in& call) {
-  const char* closed = co_await this->whyClosed(call.id);
-  if (closed != nullptr) co_return hand_in_outcome{closed, kUnavailable};
+Task<job_acceptance::submission_outcome> job_acceptance::accept(submission& call) {
+  const char* reason = co_await this->rejectionReason(call.id);
+  if (reason != nullptr) co_return submission_outcome{reason, kUnavailable};
   auto job = this->deps_.codec.parseJob(call.id, call.request.body());
   if (!job) {
-    hand_in_outcome malformed{"malformed", kBadRequest, describe(job.error())};
+    submission_outcome malformed{"malformed", kBadRequest, describe(job.error())};
     co_return malformed;
   }
   call.record = this->recordOf(call, *job);
   if (!this->deps_.residency.servedWithinResidency(call.route, call.record)) {
     ++this->deps_.counts.refused_for_residency;
-    co_return hand_in_outcome{"no_engine_at_home", kUnavailable};
+    co_return submission_outcome{"no_engine_at_home", kUnavailable};
   }
   std::vector<table::Put> body = this->deps_.store.bodyRows(call.id, call.request.body());
   if (body.empty()) {
     const bool stored = co_await this->storeObject(call.id, call.request.body(), call.deadline);
     // Without its row the object means nothing: the job has not been taken.
-    if (!stored) co_return hand_in_outcome{"object_not_stored", kUnavailable};
+    if (!stored) co_return submission_outcome{"object_not_stored", kUnavailable};
   }
   call.record.body_rows = body.size();
   call.record.accepted_ms = this->deps_.keeper.storeClock(steadyNow());
@@ -88,10 +88,10 @@
   call.job = std::move(*job);
   const fenced_write_result accepted =
       co_await this->acceptRecord(call.record, std::move(body), call.deadline);
-  co_return this->judge(call, accepted);
+  co_return this->toOutcome(call, accepted);
 }
 
-job_record job_acceptance::recordOf(const hand_in& call, const batch_job& job) const {
+job_record job_acceptance::recordOf(const submission& call, const batch_job& job) const {
   job_record record;
   record.id = call.id;
   record.host = http::fieldText(call.request, "Host");
@@ -105,11 +105,11 @@
 }
 
 Task<bool> job_acceptance::storeObject(JobId id, std::string bytes, Instant deadline) {
-  for (int tries = 1;; ++tries) {
+  for (int attempt = 1;; ++attempt) {
     const auto stored = co_await this->deps_.store.putJob(id, bytes);
     if (stored) co_return true;
-    if (tries == kPutTries || steadyNow() >= deadline) co_return false;
-    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+    if (attempt == kMaxPutAttempts || steadyNow() >= deadline) co_return false;
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
 }
 
@@ -127,13 +127,13 @@
       this->deps_.keeper.onRenewed(sent_at);
     if (answer.outcome != FencedWriteOutcome::kUnknown) co_return answer;
     // It may be done yet. Only a row that is there settles it; the same write may follow.
-    if (steadyNow() + this->deps_.options.store_pause >= deadline) co_return answer;
-    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+    if (steadyNow() + this->deps_.options.store_retry_delay >= deadline) co_return answer;
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
 }
 
-job_acceptance::hand_in_outcome job_acceptance::judge(const hand_in& call,
-                                                      const fenced_write_result& answer) {
+job_acceptance::submission_outcome job_acceptance::toOutcome(const submission& call,
+                                                             const fenced_write_result& answer) {
   switch (answer.outcome) {
     case FencedWriteOutcome::kNotCommitted:
       return {"row_not_stored", kUnavailable};
@@ -153,16 +153,16 @@
   return {"known_already", accessible ? kAccepted : kConflict};
 }
 
-void job_acceptance::onAccepted(hand_in& call, Revision revision) {
-  known_job& mine = this->deps_.jobs.obtain(call.id);
-  if (revision <= mine.revision || mine.activating || mine.active) return;
+void job_acceptance::onAccepted(submission& call, Revision revision) {
+  job_entry& mine = this->deps_.jobs.findOrCreate(call.id);
+  if (revision <= mine.revision || mine.transition_pending || mine.active) return;
   mine.record = call.record;
   mine.revision = revision;
   if (call.record.owner != this->deps_.leases.own()) return;
   this->deps_.activation.activate(call.id, std::move(*call.job), stored_progress{}, call.received);
 }
 
-void job_acceptance::logOutcome(const hand_in& call, const hand_in_outcome& outcome) const {
+void job_acceptance::logOutcome(const submission& call, const submission_outcome& outcome) const {
   LogEvent("batch", "submitted")
       .text("batch", call.id.str())
       .text("route", call.route.name.str())
@@ -180,7 +180,7 @@
   choice.items = record.total;
   choice.max_open_items = this->deps_.options.max_open_items;
   const std::vector<JobId> earlier =
-      this->deps_.jobs.earlierJobs(record, this->deps_.options.earlier_jobs);
+      this->deps_.jobs.earlierJobs(record, this->deps_.options.max_earlier_jobs);
   if (!earlier.empty()) {
     const LeaseId& owner = this->deps_.jobs.find(earlier.front())->record.owner;
     if (!owner.empty() && this->deps_.leases.alive(now, owner)) choice.previous = owner;
@@ -216,8 +216,8 @@
 
 // --- Ending -------------------------------------------------------------------------------------
 
-Task<unsigned> job_acceptance::endBy(JobId id, tenants::caller from, Instant deadline,
-                                     http::ResponseWriter& writer) {
+Task<unsigned> job_acceptance::endBefore(JobId id, tenants::caller from, Instant deadline,
+                                         http::ResponseWriter& writer) {
   // What the feed brought, or the store with its refusal of a write: it is asked only without
   // either.
   std::optional<table::Row> known = rowOf(this->deps_.jobs.find(id));
@@ -248,15 +248,15 @@
         continue;
       }
     }
-    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
   co_return kUnavailable;
 }
 
 Task<void> job_acceptance::end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
   const Instant begun = steadyNow();
-  const Instant deadline = begun + this->deps_.options.end_time;
-  const unsigned status = co_await this->endBy(id, from, deadline, writer);
+  const Instant deadline = begun + this->deps_.options.end_timeout;
+  const unsigned status = co_await this->endBefore(id, from, deadline, writer);
   if (status == kOk) ++this->deps_.counts.ended;
   LogEvent("batch", "end_asked")
       .text("batch", id.str())
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -14,8 +14,8 @@
 
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/job_activation.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_residency.h"
-#include "gateway/batch/known_jobs.h"
 #include "gateway/http/server.h"
 #include "gateway/lease/lease_keeper.h"
 #include "gateway/lease/lease_table.h"
@@ -36,7 +36,7 @@
     engines::engine_registry& registry;
     const batch_codec& codec;
     const forward::field_names& names;
-    known_jobs& jobs;
+    job_registry& jobs;
     const job_residency& residency;
     job_activation& activation;
     std::function<routing::RouteTablePtr()> routes;
@@ -57,7 +57,7 @@
 
  private:
   /** A job that is being handed in, and what is known of it so far. */
-  struct hand_in {
+  struct submission {
     const routing::Route& route;
     const http::Request& request;
     tenants::caller from;
@@ -68,7 +68,7 @@
     std::optional<batch_job> job = {};
   };
   /** What came of it, as the log and the caller get it. */
-  struct hand_in_outcome {
+  struct submission_outcome {
     const char* name = "";
     unsigned status = 0;
     std::string text = {};                  ///< For the caller.
@@ -76,18 +76,18 @@
   };
 
   /** @return why no job can be accepted now, as the log names it; nullptr if one can. */
-  Task<const char*> whyClosed(JobId id);
-  Task<hand_in_outcome> take(hand_in& call);
-  job_record recordOf(const hand_in& call, const batch_job& job) const;
+  Task<const char*> rejectionReason(JobId id);
+  Task<submission_outcome> accept(submission& call);
+  job_record recordOf(const submission& call, const batch_job& job) const;
   /** Keeps a job that is too large for rows. @return whether it is kept. */
   Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
   /** @param body rows to be written with the job's row. */
   Task<fenced_write_result> acceptRecord(job_record record, std::vector<table::Put> body,
                                          Instant deadline);
-  hand_in_outcome judge(const hand_in& call, const fenced_write_result& answer);
-  void logOutcome(const hand_in& call, const hand_in_outcome& outcome) const;
+  submission_outcome toOutcome(const submission& call, const fenced_write_result& answer);
+  void logOutcome(const submission& call, const submission_outcome& outcome) const;
   /** Takes the job in, and runs it if it is this daemon's. */
-  void onAccepted(hand_in& call, Revision revision);
+  void onAccepted(submission& call, Revision revision);
 
   /** @return who should run a job that is handed in here; nobody, if those who may are not known.
    */
@@ -96,8 +96,8 @@
   std::size_t modelIndex(const job_record& record) const;
 
   /** @return the status of the answer. */
-  Task<unsigned> endBy(JobId id, tenants::caller from, Instant deadline,
-                       http::ResponseWriter& writer);
+  Task<unsigned> endBefore(JobId id, tenants::caller from, Instant deadline,
+                           http::ResponseWriter& writer);
 
   dependencies deps_;
   bool stopping_ = false;
--- a/src/gateway/batch/job_activation.cpp
+++ b/src/gateway/batch/job_activation.cpp
@@ -47,9 +47,9 @@
 
 void job_activation::activate(const JobId& id, batch_job parsed, const stored_progress& progress,
                               Instant accepted_at) {
-  known_job& job = this->deps_.jobs.obtain(id);
+  job_entry& job = this->deps_.jobs.findOrCreate(id);
   const auto active = std::make_shared<active_job>(this->deps_.loop, job.record, std::move(parsed),
-                                                   run_rules{}, this->deps_.options.results);
+                                                   run_rules{}, this->deps_.options.result_timing);
   job.active = active;
   active->fence = job.revision;
   active->accepted_at = accepted_at;
--- a/src/gateway/batch/job_activation.h
+++ b/src/gateway/batch/job_activation.h
@@ -19,7 +19,7 @@
  public:
   struct dependencies {
     boost::asio::io_context& loop;
-    known_jobs& jobs;
+    job_registry& jobs;
     result_writer& results;
     checkpoint_writer& checkpoints;
     partial_result_reuse& reuse;
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -13,11 +13,12 @@
 namespace {
 /// A job that nobody takes for this long has no owner within its residency: those who are there
 /// take it within a second or two.
-constexpr Duration kResidencySilence = std::chrono::seconds(3);
-constexpr Duration kWaitLinePeriod = std::chrono::seconds(10);  ///< Between two lines on such jobs.
+constexpr Duration kResidencyWait = std::chrono::seconds(3);
+constexpr Duration kWaitLogInterval =
+    std::chrono::seconds(10);  ///< Between two lines on such jobs.
 }  // namespace
 
-bool job_ownership::isOwn(const known_job& job) const {
+bool job_ownership::isOwn(const job_entry& job) const {
   return job.record.owner == this->deps_.leases.own();
 }
 
@@ -29,31 +30,31 @@
 
 // --- Rows ---------------------------------------------------------------------------------------
 
-void job_ownership::onJobChanged(const JobId& id, known_job& job) {
+void job_ownership::onJobChanged(const JobId& id, job_entry& job) {
   const job_record& record = job.record;
   job.orphaned_at = Instant{};
   if (job.active && (record.ended || !this->isOwn(job))) {
     this->deactivate(job, record.ended ? "ended" : "taken_by_another");
   } else if (job.active && job.active->fence != job.revision) {
     job.active->fence = job.revision;
-  } else if (!job.active && !job.activating && !record.ended && !this->stopping_ &&
+  } else if (!job.active && !job.transition_pending && !record.ended && !this->stopping_ &&
              this->isOwn(job)) {
-    this->resumeOwn(id, job);
+    this->startResume(id, job);
   } else if (this->stopping_ && !job.active && !record.ended && this->isOwn(job)) {
     // It was given to this daemon before anybody knew that it stops.
     spawn(this->deps_.loop, [this, id] { return this->handOverJob(id); });
   }
 }
 
-void job_ownership::resumeOwn(const JobId& id, known_job& job) {
+void job_ownership::startResume(const JobId& id, job_entry& job) {
   // The next poll settles whether this daemon may own it.
-  job.resumes_within_residency = !this->deps_.residency.mayOwn(job.record);
-  if (job.resumes_within_residency) return;
-  job.activating = true;
+  job.resume_when_in_residency = !this->deps_.residency.mayOwn(job.record);
+  if (job.resume_when_in_residency) return;
+  job.transition_pending = true;
   spawn(this->deps_.loop, [this, id] { return this->resume(id); });
 }
 
-void job_ownership::deactivate(known_job& job, const char* reason) {
+void job_ownership::deactivate(job_entry& job, const char* reason) {
   if (!job.active || job.active->stopped) return;
   LogEvent("batch", "job_stopped")
       .text("batch", job.record.id.str())
@@ -78,35 +79,35 @@
   for (auto& [id, job] : this->deps_.jobs.all()) this->checkOwner(now, id, job);
 }
 
-void job_ownership::checkOwner(Instant now, const JobId& id, known_job& job) {
-  if (!this->settleResidency(id, job)) return;
-  this->forgetStopped(now, job);
-  if (job.record.ended || this->stopping_ || job.activating) return;
+void job_ownership::checkOwner(Instant now, const JobId& id, job_entry& job) {
+  if (!this->checkResidency(id, job)) return;
+  this->releaseStopped(now, job);
+  if (job.record.ended || this->stopping_ || job.transition_pending) return;
   if (job.active && !job.active->stopped) return;
   if (this->isOwn(job)) {
     // The feed brought a takeover while its answer was waited for, which then did not come. This
     // life never counts as lost, so that nobody else would run the job.
-    if (!job.active) this->resumeOwn(id, job);
+    if (!job.active) this->startResume(id, job);
     return;
   }
   this->considerTakeover(now, id, job);
 }
 
-void job_ownership::forgetStopped(Instant now, known_job& job) const {
+void job_ownership::releaseStopped(Instant now, job_entry& job) const {
   if (!job.active || !job.active->stopped) return;
   if (!job.active->calls.empty() || !job.active->scorings.empty()) return;
   // What may be removed from the store need not be kept in memory.
   const batch_options& options = this->deps_.options;
-  const Duration keep = std::min(options.keep_ended, options.job_retention);
+  const Duration keep = std::min(options.ended_job_cache_time, options.job_retention);
   if (now - job.active->stopped_at > keep) job.active.reset();
 }
 
-void job_ownership::considerTakeover(Instant now, const JobId& id, known_job& job) {
+void job_ownership::considerTakeover(Instant now, const JobId& id, job_entry& job) {
   lease::lease_table& leases = this->deps_.leases;
   if (!leases.storeHealthy() || !leases.expired(job.record.owner)) return;
   if (job.orphaned_at == Instant{}) job.orphaned_at = now;
   if (!this->deps_.residency.mayOwn(job.record)) {
-    this->noteAwaitsResidency(now, id, job);
+    this->reportAwaitingResidency(now, id, job);
     return;
   }
   const bool own = leases.isEarlierSelf(job.record.owner);
@@ -114,20 +115,20 @@
   const std::string& what = job.record.model.empty() ? id.str() : job.record.model.str();
   const Duration delay = own ? Duration::zero() : this->deps_.pool.takeoverDelay(now, what);
   if (now - job.orphaned_at < delay) return;
-  job.activating = true;
+  job.transition_pending = true;
   job.orphaned_at = Instant{};
   spawn(this->deps_.loop, [this, id] { return this->takeOver(id); });
 }
 
 Task<void> job_ownership::takeOver(JobId id) {
-  known_job* known = this->deps_.jobs.find(id);
+  job_entry* known = this->deps_.jobs.find(id);
   if (known == nullptr) co_return;
-  const LeaseId silent = known->record.owner;
-  const bool confirmed = co_await this->deps_.keeper.confirmSilent(silent);
-  known_job* at = this->deps_.jobs.find(id);
+  const LeaseId previous_owner = known->record.owner;
+  const bool confirmed = co_await this->deps_.keeper.confirmSilent(previous_owner);
+  job_entry* at = this->deps_.jobs.find(id);
   if (at == nullptr) co_return;
-  if (!confirmed || at->record.owner != silent) {
-    at->activating = false;
+  if (!confirmed || at->record.owner != previous_owner) {
+    at->transition_pending = false;
     co_return;
   }
   job_record record = at->record;
@@ -140,7 +141,7 @@
   renewal.push_back(this->deps_.keeper.renewal());
   const fenced_write_result answer =
       co_await this->deps_.store.putRecord(record, fence, std::move(renewal));
-  known_job* job = this->deps_.jobs.find(id);
+  job_entry* job = this->deps_.jobs.find(id);
   if (job == nullptr) co_return;
   LogEvent("batch", "takeover")
       .text("batch", id.str())
@@ -148,7 +149,7 @@
       .number("fence", static_cast<std::int64_t>(fence))
       .text("outcome", answer.outcome == FencedWriteOutcome::kCommitted ? "done" : "not_done");
   if (answer.outcome != FencedWriteOutcome::kCommitted) {
-    job->activating = false;
+    job->transition_pending = false;
     if (answer.current) this->deps_.jobs.onRow(id, *answer.current);
     co_return;
   }
@@ -163,24 +164,24 @@
 
 Task<void> job_ownership::resume(JobId id) {
   for (;;) {
-    known_job* known = this->deps_.jobs.find(id);
+    job_entry* known = this->deps_.jobs.find(id);
     if (known == nullptr) break;
     const job_record record = known->record;
     if (!this->deps_.residency.mayOwn(record)) {
-      known->resumes_within_residency = true;
+      known->resume_when_in_residency = true;
       break;
     }
     const auto bytes = co_await this->deps_.store.getJob(record);
-    known_job* at = this->deps_.jobs.find(id);
+    job_entry* at = this->deps_.jobs.find(id);
     const auto stillOwned = [&] {
       return at != nullptr && !at->record.ended && !this->stopping_ && this->isOwn(*at);
     };
     if (!stillOwned()) break;
-    const auto progress = co_await this->inherit(at->record);
-    const bool whole = bytes.has_value() && progress.has_value();
+    const auto progress = co_await this->readProgress(at->record);
+    const bool complete = bytes.has_value() && progress.has_value();
     at = this->deps_.jobs.find(id);
     if (!stillOwned()) break;
-    if (whole) {
+    if (complete) {
       auto job = this->deps_.codec.parseJob(id, *bytes);
       if (!job) break;
       const Duration age = std::chrono::milliseconds(progress->clock_ms - at->record.accepted_ms);
@@ -188,13 +189,13 @@
                                       steadyNow() - std::max(age, Duration::zero()));
       break;
     }
-    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
-  known_job* at = this->deps_.jobs.find(id);
-  if (at != nullptr) at->activating = false;
+  job_entry* at = this->deps_.jobs.find(id);
+  if (at != nullptr) at->transition_pending = false;
 }
 
-Task<CallResult<stored_progress>> job_ownership::inherit(job_record record) {
+Task<CallResult<stored_progress>> job_ownership::readProgress(job_record record) {
   stored_progress progress;
   if (!record.started) {
     progress.clock_ms = this->deps_.keeper.storeClock(steadyNow());
@@ -205,25 +206,25 @@
 
 // --- Residency ----------------------------------------------------------------------------------
 
-bool job_ownership::settleResidency(const JobId& id, known_job& job) {
+bool job_ownership::checkResidency(const JobId& id, job_entry& job) {
   const bool open = !job.record.ended && job.record.published < job.record.total;
-  if (!open || job.activating || this->stopping_ || !this->isOwn(job)) return true;
+  if (!open || job.transition_pending || this->stopping_ || !this->isOwn(job)) return true;
   const std::optional<fleet::data_residency> residency = this->deps_.residency.of(job.record);
   if (!residency) return true;
   const bool within_residency = residency->allows(this->deps_.residency.ownRegion());
-  if (within_residency && !job.resumes_within_residency) return true;
-  job.activating = true;
-  job.resumes_within_residency = false;
+  if (within_residency && !job.resume_when_in_residency) return true;
+  job.transition_pending = true;
+  job.resume_when_in_residency = false;
   if (within_residency) {
     spawn(this->deps_.loop, [this, id] { return this->resume(id); });
   } else {
-    spawn(this->deps_.loop, [this, id] { return this->giveUp(id); });
+    spawn(this->deps_.loop, [this, id] { return this->handOverForResidency(id); });
   }
   return false;
 }
 
-Task<void> job_ownership::giveUp(JobId id) {
-  known_job* known = this->deps_.jobs.find(id);
+Task<void> job_ownership::handOverForResidency(JobId id) {
+  job_entry* known = this->deps_.jobs.find(id);
   if (known == nullptr) co_return;
   const std::optional<fleet::data_residency> residency = this->deps_.residency.of(known->record);
   LogEvent("batch", "given_up")
@@ -233,22 +234,22 @@
       .text("region", this->deps_.residency.ownRegion().str());
   ++this->deps_.counts.given_up_for_residency;
   co_await this->handOverJob(id);
-  known_job* at = this->deps_.jobs.find(id);
+  job_entry* at = this->deps_.jobs.find(id);
   const bool still_owned = at != nullptr && this->isOwn(*at);
   if (still_owned) {
     // The store did not take it. The residency may change back until it does.
-    at->resumes_within_residency = true;
-    co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+    at->resume_when_in_residency = true;
+    co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
-  if (known_job* job = this->deps_.jobs.find(id)) job->activating = false;
+  if (job_entry* job = this->deps_.jobs.find(id)) job->transition_pending = false;
 }
 
-void job_ownership::noteAwaitsResidency(Instant now, const JobId& id, known_job& job) {
+void job_ownership::reportAwaitingResidency(Instant now, const JobId& id, job_entry& job) {
   const bool open = job.record.published < job.record.total;
-  if (!open || now - job.orphaned_at < kResidencySilence) return;
+  if (!open || now - job.orphaned_at < kResidencyWait) return;
   ++this->awaiting_residency_;
-  if (now < this->next_wait_line_) return;
-  this->next_wait_line_ = now + kWaitLinePeriod;
+  if (now < this->next_wait_log_) return;
+  this->next_wait_log_ = now + kWaitLogInterval;
   const std::optional<fleet::data_residency> residency = this->deps_.residency.of(job.record);
   LogEvent("batch", "waits_for_home")
       .text("batch", id.str())
@@ -272,7 +273,7 @@
 }
 
 Task<void> job_ownership::handOverJob(JobId id) {
-  known_job* at = this->deps_.jobs.find(id);
+  job_entry* at = this->deps_.jobs.find(id);
   if (at == nullptr || !this->isOwn(*at)) co_return;
   job_record record = at->record;
   record.owner = LeaseId();
--- a/src/gateway/batch/job_ownership.h
+++ b/src/gateway/batch/job_ownership.h
@@ -12,15 +12,15 @@
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/checkpoint_writer.h"
 #include "gateway/batch/job_activation.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_residency.h"
-#include "gateway/batch/known_jobs.h"
 #include "gateway/lease/lease_keeper.h"
 #include "gateway/lease/lease_table.h"
 #include "gateway/lease/owner_pool.h"
 
 namespace linenpier::batch {
 
-/** Owns the takeover state of known jobs (see `known_job`). Relies on leases for who is lost, on
+/** Owns the takeover state of known jobs (see `job_entry`). Relies on leases for who is lost, on
  * the pool of owners for who goes first, and on the store for what it owns. Loop thread only.
  */
 class job_ownership {
@@ -32,7 +32,7 @@
     lease::lease_keeper& keeper;
     const lease::owner_pool& pool;
     const batch_codec& codec;
-    known_jobs& jobs;
+    job_registry& jobs;
     const job_residency& residency;
     checkpoint_writer& checkpoints;
     job_activation& activation;
@@ -43,7 +43,7 @@
   explicit job_ownership(dependencies deps) : deps_(deps) {}
 
   /** A newer row of a job was read. */
-  void onJobChanged(const JobId& id, known_job& job);
+  void onJobChanged(const JobId& id, job_entry& job);
   /** Takes over jobs whose owner is lost, and settles those that this daemon should go on with. */
   void checkOwners(Instant now);
   /** @return whether this daemon owns jobs that have not ended. */
@@ -54,36 +54,36 @@
   std::size_t awaitingResidency() const { return this->awaiting_residency_; }
 
  private:
-  bool isOwn(const known_job& job) const;
-  void checkOwner(Instant now, const JobId& id, known_job& job);
+  bool isOwn(const job_entry& job) const;
+  void checkOwner(Instant now, const JobId& id, job_entry& job);
   /** Frees what is in memory of a job that stopped a while ago. */
-  void forgetStopped(Instant now, known_job& job) const;
+  void releaseStopped(Instant now, job_entry& job) const;
   /** Takes the job over if its owner is lost and it is this daemon's turn. */
-  void considerTakeover(Instant now, const JobId& id, known_job& job);
+  void considerTakeover(Instant now, const JobId& id, job_entry& job);
   Task<void> takeOver(JobId id);
 
   /** Begins to run a job that is this daemon's by its row. */
-  void resumeOwn(const JobId& id, known_job& job);
+  void startResume(const JobId& id, job_entry& job);
   /** Goes on with a job that is this daemon's by its row: reads what it is and what was written. */
   Task<void> resume(JobId id);
   /** @return what earlier owners wrote of the job. */
-  Task<CallResult<stored_progress>> inherit(job_record record);
-  void deactivate(known_job& job, const char* reason);
+  Task<CallResult<stored_progress>> readProgress(job_record record);
+  void deactivate(job_entry& job, const char* reason);
 
   /** Gives the job up if this daemon owns it and it must not be here; goes on with it where that
    * was not known.
    * @return whether it was left alone.
    */
-  bool settleResidency(const JobId& id, known_job& job);
-  Task<void> giveUp(JobId id);
+  bool checkResidency(const JobId& id, job_entry& job);
+  Task<void> handOverForResidency(JobId id);
   /** Nobody owns the job, and this daemon must not. */
-  void noteAwaitsResidency(Instant now, const JobId& id, known_job& job);
+  void reportAwaitingResidency(Instant now, const JobId& id, job_entry& job);
   /** Gives up an owned job with the text made so far. */
   Task<void> handOverJob(JobId id);
 
   dependencies deps_;
   std::size_t awaiting_residency_ = 0;
-  Instant next_wait_line_{};  ///< When the next line on jobs that await their residency is due.
+  Instant next_wait_log_{};  ///< When the next line on jobs that await their residency is due.
   bool stopping_ = false;
 };
 
--- a/src/gateway/batch/job_reader.cpp
+++ b/src/gateway/batch/job_reader.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 Task<bool> job_reader::lookUp(JobId id, tenants::caller from, std::optional<job_record>& record) {
-  if (known_job* at = this->deps_.jobs.find(id)) {
+  if (job_entry* at = this->deps_.jobs.find(id)) {
     if (mayAccess(at->record, from)) record = at->record;
     co_return true;
   }
@@ -35,7 +35,7 @@
 }
 
 /** Results that a reader may get with its answer, from the position that it asked for on. */
-struct job_reader::read_ahead {
+struct job_reader::result_page {
   std::size_t position = 0;
   std::vector<stored_result> results;
   std::size_t bytes = 0;
@@ -47,13 +47,13 @@
   }
 };
 
-Task<void> job_reader::answer(http::ResponseWriter& writer, unsigned status,
-                              std::string body) const {
+Task<void> job_reader::reply(http::ResponseWriter& writer, unsigned status,
+                             std::string body) const {
   co_await sendStatus(writer, this->deps_.names, status, std::move(body));
 }
 
-Task<void> job_reader::answerPage(http::ResponseWriter& writer, std::size_t total, std::size_t next,
-                                  const std::vector<std::string>& results) const {
+Task<void> job_reader::replyPage(http::ResponseWriter& writer, std::size_t total, std::size_t next,
+                                 const std::vector<std::string>& results) const {
   http::Response response(boost::beast::http::status::ok, 11);
   response.set(boost::beast::http::field::content_type, "application/json");
   response.body() = this->deps_.codec.encodePage(total, next, results);
@@ -61,29 +61,29 @@
 }
 
 std::size_t job_reader::publishedOf(const JobId& id) const {
-  const known_job* job = this->deps_.jobs.find(id);
+  const job_entry* job = this->deps_.jobs.find(id);
   if (job == nullptr) return 0;
   // The feed may show a publish before the answer to its write does.
   if (job->active && !job->active->stopped) return job->active->published;
   return job->record.published;
 }
 
-bool job_reader::readFromMemory(const JobId& id, read_ahead& page) const {
-  const known_job* job = this->deps_.jobs.find(id);
+bool job_reader::readFromMemory(const JobId& id, result_page& page) const {
+  const job_entry* job = this->deps_.jobs.find(id);
   if (job == nullptr || !job->active) return false;
   const active_job& active = *job->active;
   const std::size_t published = this->publishedOf(id);
   // A job that was taken by another daemon may have more results than are known here.
   if (active.appended.size() < published) return false;
-  for (std::size_t i = page.next(); i < published && page.bytes < this->deps_.options.page_bytes;
-       ++i) {
+  for (std::size_t i = page.next();
+       i < published && page.bytes < this->deps_.options.max_page_bytes; ++i) {
     page.add(active.appended[i]);
   }
   return true;
 }
 
-Task<bool> job_reader::readFromStore(const JobId& id, read_ahead& page) {
-  if (page.bytes >= this->deps_.options.page_bytes) co_return true;
+Task<bool> job_reader::readFromStore(const JobId& id, result_page& page) {
+  if (page.bytes >= this->deps_.options.max_page_bytes) co_return true;
   auto stored = co_await this->deps_.store.results(id, page.next(), 0);
   if (!stored) co_return false;
   for (stored_result& each : stored->results) page.add(std::move(each));
@@ -91,12 +91,12 @@
 }
 
 Task<void> job_reader::waitForPublish(JobId id, Duration limit) {
-  known_job* at = this->deps_.jobs.find(id);
+  job_entry* at = this->deps_.jobs.find(id);
   if (at == nullptr) {
-    co_await sleepFor(this->deps_.loop, std::min(limit, this->deps_.options.poll_gap));
+    co_await sleepFor(this->deps_.loop, std::min(limit, this->deps_.options.poll_interval));
     co_return;
   }
-  known_job& job = *at;
+  job_entry& job = *at;
   if (job.active && !job.active->stopped) {
     co_await job.active->published_changed.waitFor(limit);
     co_return;
@@ -104,22 +104,22 @@
   if (!job.changed) job.changed = std::make_shared<Signal>(this->deps_.loop);
   const std::shared_ptr<Signal> changed = job.changed;
   const bool healthy = this->deps_.leases.storeHealthy();
-  co_await changed->waitFor(
-      std::min(limit, healthy ? this->deps_.options.read_ahead_gap : this->deps_.options.poll_gap));
+  co_await changed->waitFor(std::min(limit, healthy ? this->deps_.options.read_ahead_interval
+                                                    : this->deps_.options.poll_interval));
   if (healthy) co_return;
   const auto row = co_await this->deps_.store.getRecord(id);
   if (row && row->revision > 0) this->deps_.jobs.onRow(id, *row);
 }
 
-Task<void> job_reader::answerRead(http::ResponseWriter& writer, const JobId& id,
-                                  const read_ahead& page, read_state state) const {
+Task<void> job_reader::replyResults(http::ResponseWriter& writer, const JobId& id,
+                                    const result_page& page, page_state state) const {
   std::vector<std::string> shown;
   std::size_t bytes = 0;
   const std::size_t end = std::min(page.next(), state.published);
   for (std::size_t i = page.position; i < end; ++i) {
     const std::string& result = page.results[i - page.position].encoded;
     bytes += result.size();
-    if (!shown.empty() && bytes >= this->deps_.options.page_bytes) break;
+    if (!shown.empty() && bytes >= this->deps_.options.max_page_bytes) break;
     shown.push_back(result);
   }
   if (!shown.empty()) {
@@ -129,22 +129,22 @@
         .number("results", static_cast<std::int64_t>(shown.size()))
         .text("from", state.from_memory ? "memory" : "store");
   }
-  co_await this->answerPage(writer, state.total, page.position + shown.size(), shown);
+  co_await this->replyPage(writer, state.total, page.position + shown.size(), shown);
 }
 
 Task<void> job_reader::readResults(JobId id, tenants::caller from, std::size_t position,
                                    Duration wait, http::ResponseWriter& writer) {
   const Instant deadline = steadyNow() + wait;
   std::optional<job_record> record;
-  const bool sure = co_await this->lookUp(id, from, record);
+  const bool conclusive = co_await this->lookUp(id, from, record);
   if (!record) {
     LogEvent("batch", "read_refused")
         .text("batch", id.str())
-        .text("why", sure ? "no such job" : "store away");
-    co_await this->answer(writer, sure ? kNotFound : kUnavailable);
+        .text("why", conclusive ? "no such job" : "store away");
+    co_await this->reply(writer, conclusive ? kNotFound : kUnavailable);
     co_return;
   }
-  read_ahead page{position, {}, 0};
+  result_page page{position, {}, 0};
   for (;;) {
     const std::size_t published =
         this->deps_.jobs.find(id) == nullptr ? record->published : this->publishedOf(id);
@@ -152,7 +152,7 @@
     if (!from_memory && page.next() < record->total) {
       const bool read = co_await this->readFromStore(id, page);
       if (!read && position < published) {
-        co_await this->answer(writer, kUnavailable);
+        co_await this->reply(writer, kUnavailable);
         co_return;
       }
     }
@@ -160,7 +160,7 @@
     const bool more = position < published;
     const bool over = position >= record->total || now >= deadline;
     if (more || over || this->stopping_ || writer.cancellation().requested()) {
-      co_await this->answerRead(writer, id, page, {record->total, published, from_memory});
+      co_await this->replyResults(writer, id, page, {record->total, published, from_memory});
       co_return;
     }
     ++this->waiting_readers_;
@@ -172,28 +172,28 @@
 Task<void> job_reader::readItem(JobId id, tenants::caller from, ItemId item,
                                 http::ResponseWriter& writer) {
   std::optional<job_record> record;
-  const bool sure = co_await this->lookUp(id, from, record);
+  const bool conclusive = co_await this->lookUp(id, from, record);
   if (!record) {
-    co_await this->answer(writer, sure ? kNotFound : kUnavailable);
+    co_await this->reply(writer, conclusive ? kNotFound : kUnavailable);
     co_return;
   }
-  known_job* at = this->deps_.jobs.find(id);
+  job_entry* at = this->deps_.jobs.find(id);
   std::optional<std::string> body;
   if (at != nullptr && at->active) {
     body = bodyOf(at->active->run.job(), item);
   } else {
     const auto bytes = co_await this->deps_.store.getJob(*record);
     if (!bytes) {
-      co_await this->answer(writer, kUnavailable);
+      co_await this->reply(writer, kUnavailable);
       co_return;
     }
     const auto job = this->deps_.codec.parseJob(id, *bytes);
     if (job) body = bodyOf(*job, item);
   }
   if (body) {
-    co_await this->answer(writer, kOk, std::move(*body));
+    co_await this->reply(writer, kOk, std::move(*body));
   } else {
-    co_await this->answer(writer, kNotFound);
+    co_await this->reply(writer, kNotFound);
   }
 }
 
--- a/src/gateway/batch/job_reader.h
+++ b/src/gateway/batch/job_reader.h
@@ -13,8 +13,8 @@
 
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/known_jobs.h"
 #include "gateway/forward/field_names.h"
 #include "gateway/http/server.h"
 #include "gateway/lease/lease_table.h"
@@ -33,7 +33,7 @@
     lease::lease_table& leases;
     const batch_codec& codec;
     const forward::field_names& names;
-    known_jobs& jobs;
+    job_registry& jobs;
     const batch_options& options;
   };
 
@@ -52,9 +52,9 @@
   void stop() { this->stopping_ = true; }
 
  private:
-  struct read_ahead;
+  struct result_page;
   /** What a reader's answer is made under. */
-  struct read_state {
+  struct page_state {
     std::size_t total = 0;      ///< Items of the job.
     std::size_t published = 0;  ///< Results that may be shown.
     bool from_memory = false;
@@ -67,16 +67,16 @@
   Task<bool> lookUp(JobId id, tenants::caller from, std::optional<job_record>& record);
   std::size_t publishedOf(const JobId& id) const;
   /** Adds published results from this daemon's memory. @return whether it has them. */
-  bool readFromMemory(const JobId& id, read_ahead& page) const;
+  bool readFromMemory(const JobId& id, result_page& page) const;
   /** Adds results from the store, also such as are not published yet. */
-  Task<bool> readFromStore(const JobId& id, read_ahead& page);
+  Task<bool> readFromStore(const JobId& id, result_page& page);
   /** Waits until more may be published. */
   Task<void> waitForPublish(JobId id, Duration limit);
-  Task<void> answerRead(http::ResponseWriter& writer, const JobId& id, const read_ahead& page,
-                        read_state state) const;
-  Task<void> answerPage(http::ResponseWriter& writer, std::size_t total, std::size_t next,
-                        const std::vector<std::string>& results) const;
-  Task<void> answer(http::ResponseWriter& writer, unsigned status, std::string body = {}) const;
+  Task<void> replyResults(http::ResponseWriter& writer, const JobId& id, const result_page& page,
+                          page_state state) const;
+  Task<void> replyPage(http::ResponseWriter& writer, std::size_t total, std::size_t next,
+                       const std::vector<std::string>& results) const;
+  Task<void> reply(http::ResponseWriter& writer, unsigned status, std::string body = {}) const;
 
   dependencies deps_;
   std::size_t waiting_readers_ = 0;
--- a/src/gateway/batch/known_jobs.cpp
+++ b/src/gateway/batch/job_registry.cpp
@@ -1,4 +1,4 @@
-#include "gateway/batch/known_jobs.h"
+#include "gateway/batch/job_registry.h"
 
 #include <algorithm>
 
@@ -8,13 +8,13 @@
 
 using logging::LogEvent;
 
-void known_jobs::onRow(const JobId& id, const table::Row& row) {
+void job_registry::onRow(const JobId& id, const table::Row& row) {
   const auto record = decodeRecord(id, row.value);
   if (!record) {
     LogEvent("batch", "bad_record").text("batch", id.str());
     return;
   }
-  known_job& job = this->jobs_[id];
+  job_entry& job = this->jobs_[id];
   if (row.revision <= job.revision) return;
   job.record = *record;
   job.revision = row.revision;
@@ -22,17 +22,17 @@
   this->on_changed_(id, job);
 }
 
-known_job* known_jobs::find(const JobId& id) {
+job_entry* job_registry::find(const JobId& id) {
   const auto at = this->jobs_.find(id);
   return at == this->jobs_.end() ? nullptr : &at->second;
 }
 
-const known_job* known_jobs::find(const JobId& id) const {
+const job_entry* job_registry::find(const JobId& id) const {
   const auto at = this->jobs_.find(id);
   return at == this->jobs_.end() ? nullptr : &at->second;
 }
 
-std::vector<JobId> known_jobs::earlierJobs(const job_record& record, std::size_t max_jobs) const {
+std::vector<JobId> job_registry::earlierJobs(const job_record& record, std::size_t max_jobs) const {
   std::vector<std::pair<std::int64_t, JobId>> earlier;
   for (const auto& [id, job] : this->jobs_) {
     const job_record& other = job.record;
--- a/src/gateway/batch/known_jobs.h
+++ b/src/gateway/batch/job_registry.h
@@ -22,7 +22,7 @@
 using active_job_ptr = std::shared_ptr<active_job>;
 
 /** A job as this daemon knows it. */
-struct known_job {
+struct job_entry {
   job_record record;
   Revision revision = 0;  ///< Of the row that `record` was read from; 0: no row was seen yet.
   /// Set while this daemon owns and runs the job, and for some time after it stopped: its results
@@ -32,20 +32,20 @@
 
   /// Owned by `job_ownership`: a takeover, a resume or a hand-over of the job is under way.
   /// Invariant: at most one of them at a time.
-  bool activating = false;
+  bool transition_pending = false;
   /// Owned by `job_ownership`: the job was given to this daemon, or kept by it, while the daemon
   /// was not known to be within its residency. It is resumed as soon as that is known.
-  bool resumes_within_residency = false;
+  bool resume_when_in_residency = false;
   /// Owned by `job_ownership`: when the job's owner was first seen to be lost.
   Instant orphaned_at{};
 };
 
 /** Invariant: the revision of a known job only grows while the job is known. */
-class known_jobs {
+class job_registry {
  public:
-  using job_map = std::map<JobId, known_job>;
+  using job_map = std::map<JobId, job_entry>;
   /** Called after a newer row of a job was taken in. */
-  using change_listener = std::function<void(const JobId&, known_job&)>;
+  using change_listener = std::function<void(const JobId&, job_entry&)>;
 
   void setListener(change_listener listener) { this->on_changed_ = std::move(listener); }
 
@@ -56,10 +56,10 @@
   /** @return the job, or nullptr if it is not known. Valid until the job is removed: coroutines
    * look it up again after each wait.
    */
-  known_job* find(const JobId& id);
-  const known_job* find(const JobId& id) const;
+  job_entry* find(const JobId& id);
+  const job_entry* find(const JobId& id) const;
   /** @return the job; if it was not known, a new one without a row. */
-  known_job& obtain(const JobId& id) { return this->jobs_[id]; }
+  job_entry& findOrCreate(const JobId& id) { return this->jobs_[id]; }
   job_map& all() { return this->jobs_; }
   const job_map& all() const { return this->jobs_; }
   std::size_t size() const { return this->jobs_.size(); }
--- a/src/gateway/batch/job_removal.h
+++ b/src/gateway/batch/job_removal.h
@@ -8,8 +8,8 @@
 #include <optional>
 
 #include "gateway/batch/batch_options.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/known_jobs.h"
 #include "gateway/lease/lease_keeper.h"
 #include "gateway/lease/lease_table.h"
 
@@ -23,7 +23,7 @@
     job_store& store;
     lease::lease_table& leases;
     lease::lease_keeper& keeper;
-    known_jobs& jobs;
+    job_registry& jobs;
     const batch_options& options;
   };
 
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -124,32 +124,32 @@
   co_return bytes;
 }
 
-fenced_write_result job_store::judge(const CallResult<table::TransactionAnswer>& answer,
-                                     const std::string& job_key, Revision fence) const {
-  fenced_write_result judged;
+fenced_write_result job_store::toWriteResult(const CallResult<table::TransactionAnswer>& answer,
+                                             const std::string& job_key, Revision fence) const {
+  fenced_write_result write_result;
   if (!answer) {
-    judged.outcome = certainlyNotProcessed(answer.error().failure)
-                         ? FencedWriteOutcome::kNotCommitted
-                         : FencedWriteOutcome::kUnknown;
-    return judged;
+    write_result.outcome = certainlyNotProcessed(answer.error().failure)
+                               ? FencedWriteOutcome::kNotCommitted
+                               : FencedWriteOutcome::kUnknown;
+    return write_result;
   }
   if (answer->committed) {
-    judged.outcome = FencedWriteOutcome::kCommitted;
-    judged.revision = answer->revision;
-    return judged;
+    write_result.outcome = FencedWriteOutcome::kCommitted;
+    write_result.revision = answer->revision;
+    return write_result;
   }
   const auto row = std::find_if(answer->conflicts.begin(), answer->conflicts.end(),
                                 [&](const table::Row& each) { return each.key == job_key; });
   const bool present = row != answer->conflicts.end();
   const Revision current = present ? row->revision : 0;
-  if (present) judged.current = *row;
+  if (present) write_result.current = *row;
   if (current != fence) {
-    judged.outcome = FencedWriteOutcome::kFenceLost;
-    return judged;
+    write_result.outcome = FencedWriteOutcome::kFenceLost;
+    return write_result;
   }
   // The row is the only condition: a conflict under its own revision was not this write's.
-  judged.outcome = FencedWriteOutcome::kNotCommitted;
-  return judged;
+  write_result.outcome = FencedWriteOutcome::kNotCommitted;
+  return write_result;
 }
 
 Task<fenced_write_result> job_store::putRecord(job_record record, Revision fence,
@@ -160,7 +160,7 @@
   write.transaction.puts.push_back({key, encodeRecord(record)});
   for (table::Put& put : also) write.transaction.puts.push_back(std::move(put));
   const auto answer = co_await this->table_.write(std::move(write));
-  co_return this->judge(answer, key, fence);
+  co_return this->toWriteResult(answer, key, fence);
 }
 
 namespace {
@@ -169,7 +169,7 @@
 }
 }  // namespace
 
-Task<bool> job_store::answers(JobId id, Duration timeout) {
+Task<bool> job_store::isReachable(JobId id, Duration timeout) {
   table::RowRange range = recordRange(id);
   range.timeout = timeout;
   const auto page = co_await this->table_.read(range);
@@ -205,7 +205,7 @@
     ++position;
   }
   const auto answer = co_await this->table_.write(std::move(write));
-  co_return this->judge(answer, job_key, fence);
+  co_return this->toWriteResult(answer, job_key, fence);
 }
 
 Task<fenced_write_result> job_store::putCheckpoint(JobId id, Revision fence,
@@ -220,8 +220,8 @@
     if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
       // A part that is cut off counts for nothing until its last row is there.
       const auto partial = co_await this->table_.write(std::move(write));
-      const fenced_write_result judged = this->judge(partial, job_key, fence);
-      if (judged.outcome != FencedWriteOutcome::kCommitted) co_return judged;
+      const fenced_write_result write_result = this->toWriteResult(partial, job_key, fence);
+      if (write_result.outcome != FencedWriteOutcome::kCommitted) co_return write_result;
       write = table::Write{};
       write.transaction.checks.push_back({job_key, fence});
       bytes = 0;
@@ -235,7 +235,7 @@
     write.removes.push_back(prefix + numberedKey(id, old));
   }
   const auto answer = co_await this->table_.write(std::move(write));
-  co_return this->judge(answer, job_key, fence);
+  co_return this->toWriteResult(answer, job_key, fence);
 }
 
 Task<bool> job_store::removeObjects(std::string prefix) {
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -95,7 +95,7 @@
   Task<fenced_write_result> putRecord(job_record record, Revision fence,
                                       std::vector<table::Put> also);
   /** @return whether the store answers a question about the job in time. */
-  Task<bool> answers(JobId id, Duration timeout);
+  Task<bool> isReachable(JobId id, Duration timeout);
   /** @return the row; revision 0 if there is none. */
   Task<CallResult<table::Row>> getRecord(JobId id);
 
@@ -125,8 +125,8 @@
   /** Removes the job's rows of a table that has many of each job. @return whether none is left. */
   Task<bool> removeRows(std::string table, JobId id, Revision fence);
   Task<bool> removeObjects(std::string prefix);
-  fenced_write_result judge(const CallResult<table::TransactionAnswer>& answer,
-                            const std::string& job_key, Revision fence) const;
+  fenced_write_result toWriteResult(const CallResult<table::TransactionAnswer>& answer,
+                                    const std::string& job_key, Revision fence) const;
 
   table::AsyncTable& table_;
   table::AsyncObjects& objects_;
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -85,7 +85,7 @@
 }
 
 void partial_result_reuse::searchJob(const JobId& id, const search_ptr& search) {
-  const known_job& earlier = *this->deps_.jobs.find(id);
+  const job_entry& earlier = *this->deps_.jobs.find(id);
   // It may be bound to other regions than the job that follows.
   if (!this->deps_.residency.mayOwn(earlier.record)) return;
   const active_job_ptr active = earlier.active;
@@ -115,7 +115,7 @@
 Task<void> partial_result_reuse::reuse(active_job_ptr active) {
   const batch_options& options = this->deps_.options;
   const std::vector<JobId> earlier =
-      this->deps_.jobs.earlierJobs(active->record, options.earlier_jobs);
+      this->deps_.jobs.earlierJobs(active->record, options.max_earlier_jobs);
   if (earlier.empty()) co_return;
   const search_ptr search(new search_state(this->deps_.loop, active->run.job()));
   const Instant begun = steadyNow();
--- a/src/gateway/batch/partial_result_reuse.h
+++ b/src/gateway/batch/partial_result_reuse.h
@@ -10,9 +10,9 @@
 
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_residency.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/known_jobs.h"
 
 namespace linenpier::batch {
 
@@ -25,7 +25,7 @@
     boost::asio::io_context& loop;
     job_store& store;
     const batch_codec& codec;
-    known_jobs& jobs;
+    job_registry& jobs;
     const job_residency& residency;
     const batch_options& options;
     std::function<void()> on_reused;  ///< Items of a job may now be able to start, or to be scored.
--- a/src/gateway/batch/result_schedule.h
+++ b/src/gateway/batch/result_schedule.h
@@ -15,21 +15,21 @@
 
 namespace linenpier::batch {
 
-struct result_times {
+struct result_timing_options {
   /// Longest time for which an appended result is held back once results are due.
-  Duration gather = std::chrono::seconds(1);
+  Duration max_hold_time = std::chrono::seconds(1);
   /// Between two publications: items that end together are shown together.
-  Duration publish_gap = std::chrono::milliseconds(60);
+  Duration min_publish_interval = std::chrono::milliseconds(60);
   /// Between two appends in the background. As far apart as checkpoints would be to keep the same.
-  Duration append_gap = std::chrono::milliseconds(400);
+  Duration append_interval = std::chrono::milliseconds(400);
 
-  bool operator==(const result_times&) const = default;
+  bool operator==(const result_timing_options&) const = default;
 };
 
 class result_schedule {
  public:
-  result_schedule(Instant begun, result_times times)
-      : published_at_(begun), appended_at_(begun), times_(times) {}
+  result_schedule(Instant begun, result_timing_options options)
+      : published_at_(begun), appended_at_(begun), options_(options) {}
 
   /** Results are due at this time: what is finished then is published then. */
   void setDue(Instant due_at) { this->due_at_ = due_at; }
@@ -50,7 +50,7 @@
   Instant published_at_;
   Instant appended_at_;
   Instant due_at_{};
-  result_times times_;
+  result_timing_options options_;
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -19,12 +19,13 @@
 }
 
 bool result_writer::fillsAppend(const batch_run& run) const {
-  return run.finished().size() >= this->deps_.options.write_rows ||
-         run.finishedBytes() >= this->deps_.options.write_bytes;
+  return run.finished().size() >= this->deps_.options.max_append_rows ||
+         run.finishedBytes() >= this->deps_.options.max_append_bytes;
 }
 
 bool result_writer::publishUrgent(const active_job& active) const {
-  return active.run.publishUrgent() || active.held_back_bytes >= this->deps_.options.publish_bytes;
+  return active.run.publishUrgent() ||
+         active.held_back_bytes >= this->deps_.options.max_unpublished_bytes;
 }
 
 Instant result_writer::nextPublishAt(const active_job& active, Instant now) const {
@@ -54,7 +55,7 @@
     const bool done = co_await this->writePending(active);
     if (active->stopped) break;
     if (!done) {
-      co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+      co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
     }
   }
   if (!active->stopped) {
@@ -71,7 +72,8 @@
   pending.position = active.appended.size();
   std::size_t bytes = 0;
   for (const ItemIndex item : active.run.finished()) {
-    if (pending.results.size() >= options.write_rows || bytes >= options.write_bytes) break;
+    if (pending.results.size() >= options.max_append_rows || bytes >= options.max_append_bytes)
+      break;
     stored_result result{item, this->deps_.codec.encodeResult(active.run.result(item))};
     bytes += result.encoded.size();
     pending.items.push_back(item);
@@ -90,7 +92,7 @@
   const Revision fence = active->fence;
   std::optional<job_record> publish;
   if (pending.publish) {
-    const known_job* job = this->deps_.jobs.find(id);
+    const job_entry* job = this->deps_.jobs.find(id);
     publish = job == nullptr ? active->record : job->record;
     publish->published = *pending.publish;
     publish->started = true;
--- a/src/gateway/batch/result_writer.h
+++ b/src/gateway/batch/result_writer.h
@@ -9,8 +9,8 @@
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/batch_run.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/known_jobs.h"
 #include "gateway/lease/lease_table.h"
 
 namespace linenpier::batch {
@@ -25,7 +25,7 @@
     job_store& store;
     lease::lease_table& leases;
     const batch_codec& codec;
-    known_jobs& jobs;
+    job_registry& jobs;
     batch_counts& counts;
     const batch_options& options;
   };
--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -64,8 +64,8 @@
   const batch_options& options = this->deps_.options;
   const Instant started = steadyNow();
   const Duration first_limit =
-      options.timeouts.forFirstEvent(active.run.progress(item).late_starts);
-  forward::attempt_limits limits{started + options.connect_time, started + first_limit, false,
+      options.timeouts.forFirstEvent(active.run.progress(item).first_event_timeouts);
+  forward::attempt_limits limits{started + options.connect_timeout, started + first_limit, false,
                                  engines::AttemptEnd::kRefused};
   AttemptVerdict verdict = co_await call.start(limits);
   if (verdict != AttemptVerdict::kAnswered) co_return verdict;
--- a/src/gateway/batch/run_timeouts.h
+++ b/src/gateway/batch/run_timeouts.h
@@ -20,24 +20,25 @@
   /// that leaves a queue loses its place there.
   Duration max_first_event = std::chrono::milliseconds(2500);
   /// Between two events, at the least: half of what an engine stands still to change its weights.
-  Duration gap = std::chrono::milliseconds(450);
+  Duration min_gap = std::chrono::milliseconds(450);
   Duration max_gap = std::chrono::milliseconds(1200);
   /// Between two events, in times of what the engine takes for one.
-  double event_times = 5;
+  double gap_event_times = 5;
 
   bool operator==(const run_timeouts&) const = default;
 
-  /** @param late_starts runs in a row that were stopped without an event. */
-  Duration forFirstEvent(int late_starts) const {
+  /** @param first_event_timeouts runs in a row that were stopped without an event. */
+  Duration forFirstEvent(int first_event_timeouts) const {
     Duration limit = this->first_event;
-    for (int i = 0; i < late_starts && limit < this->max_first_event; ++i) limit *= 2;
+    for (int i = 0; i < first_event_timeouts && limit < this->max_first_event; ++i) limit *= 2;
     return std::min(limit, this->max_first_event);
   }
 
   /** @param event_time of the engine, in seconds; 0: not known. */
   Duration forGap(double event_time) const {
     if (event_time <= 0) return this->max_gap;
-    return std::clamp(fromSeconds(this->event_times * event_time), this->gap, this->max_gap);
+    return std::clamp(fromSeconds(this->gap_event_times * event_time), this->min_gap,
+                      this->max_gap);
   }
 };
 
--- a/src/gateway/batch/slow_run_mover.h
+++ b/src/gateway/batch/slow_run_mover.h
@@ -9,7 +9,7 @@
 #include <functional>
 
 #include "gateway/batch/item_pick.h"
-#include "gateway/batch/known_jobs.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/length_estimate.h"
 #include "gateway/batch/moves_planned.h"
 #include "gateway/batch/run_moves.h"
@@ -21,7 +21,7 @@
  public:
   struct dependencies {
     engines::engine_registry& registry;
-    known_jobs& jobs;
+    job_registry& jobs;
     const length_estimate& lengths;
     const item_pick& picks;
     std::function<routing::RouteTablePtr()> routes;
--- a/tests/gateway/batch/run_timeouts_test.cpp
+++ b/tests/gateway/batch/run_timeouts_test.cpp
@@ -14,7 +14,7 @@
 
 Test(run_patience, a_slow_engine_is_given_more_time_between_events_than_a_fast_one) {
   const run_timeouts timeouts;
-  cr_assert(timeouts.forGap(0.04) == timeouts.gap);
+  cr_assert(timeouts.forGap(0.04) == timeouts.min_gap);
   cr_assert(timeouts.forGap(0.2) == std::chrono::seconds(1));
   cr_assert(timeouts.forGap(3) == timeouts.max_gap);
   cr_assert(timeouts.forGap(0) == timeouts.max_gap, "nothing is known of the engine");
