--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -15,7 +15,7 @@
 #include "common/event_log.h"
 #include "common/task.h"
 #include "gateway/batch/batch_run.h"
-#include "gateway/batch/checkpoint_log.h"
+#include "gateway/batch/checkpoint_tracker.h"
 #include "gateway/batch/job_store.h"
 #include "gateway/batch/result_schedule.h"
 #include "gateway/forward/engine_call.h"
@@ -30,7 +30,7 @@
       : record(std::move(row)),
         run(std::move(job), rules),
         schedule(steadyNow(), times),
-        finished(loop),
+        results_ready(loop),
         published_changed(loop) {}
 
   /** An append that was sent; it stays as it is until the store has settled it. */
@@ -50,32 +50,32 @@
   Instant accepted_at{};                ///< By this daemon's clock.
   std::vector<stored_result> appended;  ///< By position; all in the store.
   std::size_t published = 0;            ///< Those of them that readers are shown.
-  std::size_t held_back_bytes = 0;      ///< Of those that they are not.
+  std::size_t unpublished_bytes = 0;    ///< Of those that they are not.
   pending_append pending;
   std::map<ItemIndex, std::shared_ptr<forward::engine_call>> calls;   ///< By the item they run.
   std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;  ///< Reward requests.
-  Signal finished;           ///< There is something to list, or the job stops.
+  Signal results_ready;      ///< There is something to list, or the job stops.
   Signal published_changed;  ///< `published` has grown, or the job stops.
-  checkpoint_log kept_texts;
+  checkpoint_tracker checkpointed;
   std::size_t checkpoint_first_row = 0;  ///< Of the last whole part, or of what was inherited.
   std::size_t checkpoint_next_row = 0;
   bool checkpoint_in_progress = false;
-  bool first_event_noted = false;  ///< Lines that are written once a job and owner.
-  bool complete_noted = false;
-  bool published_noted = false;
+  bool first_event_logged = false;  ///< Lines that are written once a job and owner.
+  bool step_complete_logged = false;
+  bool step_published_logged = false;
   bool stopped = false;
   Instant stopped_at{};
 
-  void noteFirstEvent() {
-    if (first_event_noted) return;
-    first_event_noted = true;
+  void logFirstEvent() {
+    if (first_event_logged) return;
+    first_event_logged = true;
     logging::LogEvent("batch", "first_event").text("batch", record.id.str());
   }
 
   /** @param item that was finished last. */
-  void noteComplete(ItemIndex item) {
-    if (complete_noted || !run.stepComplete()) return;
-    complete_noted = true;
+  void logStepComplete(ItemIndex item) {
+    if (step_complete_logged || !run.stepComplete()) return;
+    step_complete_logged = true;
     logging::LogEvent("batch", "step_whole")
         .text("batch", record.id.str())
         .text("item", run.job().items[item].id.str())
@@ -86,9 +86,9 @@
         .milliseconds("took_ms", steadyNow() - accepted_at);
   }
 
-  void notePublished() {
-    if (published_noted || !run.stepComplete()) return;
-    published_noted = true;
+  void logStepPublished() {
+    if (step_published_logged || !run.stepComplete()) return;
+    step_published_logged = true;
     logging::LogEvent("batch", "step_listed")
         .text("batch", record.id.str())
         .number("results", static_cast<std::int64_t>(published))
@@ -101,7 +101,7 @@
     stopped_at = now;
     for (const auto& [item, call] : calls) call->abort();
     for (const auto& [item, cancellation] : scorings) cancellation->request();
-    finished.notifyAll();
+    results_ready.notifyAll();
     published_changed.notifyAll();
   }
 };
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -55,17 +55,17 @@
 }
 
 bool batch_run::stepComplete() const {
-  std::size_t whole = 0;
+  std::size_t complete = 0;
   for (const item_group& group : this->groups_) {
-    if (group.open == 0) ++whole;
+    if (group.open == 0) ++complete;
     if (group.open > 0 && group.reused) return false;
   }
   const std::size_t wanted =
       this->job_.desired_groups == 0 ? this->groups_.size() : this->job_.desired_groups;
-  return whole >= std::min(wanted, this->groups_.size());
+  return complete >= std::min(wanted, this->groups_.size());
 }
 
-bool batch_run::publishUrgent() const {
+bool batch_run::shouldPublishNow() const {
   if (this->job_.desired_groups == 0 || this->stepComplete() || allAppended()) return true;
   return std::any_of(this->finished_.begin(), this->finished_.end(), [this](ItemIndex item) {
     return this->progress_[item].outcome == ResultState::kTerminated;
@@ -140,12 +140,12 @@
 EventVerdict batch_run::onEvent(Instant now, ItemIndex item, std::uint64_t event,
                                 const std::string& data, WeightVersion version) {
   item_progress& progress = this->progress_[item];
-  if (progress.state != ItemState::kRunning) return EventVerdict::kUnfit;
-  if (event != progress.last_event + 1) return EventVerdict::kUnfit;
-  if (version < this->job_.minimum_version) return EventVerdict::kUnfit;
+  if (progress.state != ItemState::kRunning) return EventVerdict::kRejected;
+  if (event != progress.last_event + 1) return EventVerdict::kRejected;
+  if (version < this->job_.minimum_version) return EventVerdict::kRejected;
   if (this->rules_.single_version && !progress.versions.empty() &&
       !progress.versions.contains(version)) {
-    return EventVerdict::kUnfit;
+    return EventVerdict::kRejected;
   }
   if (event > 1) progress.text.push_back('\n');
   progress.text += data;
@@ -153,7 +153,7 @@
   progress.versions.insert(version);
   progress.last_progress = now;
   progress.first_event_timeouts = 0;
-  return EventVerdict::kTaken;
+  return EventVerdict::kAccepted;
 }
 
 void batch_run::finish(ItemIndex item, ResultState outcome) {
@@ -249,14 +249,14 @@
   progress.last_event = 0;
 }
 
-bool batch_run::onTick(Instant now) {
-  if (now < this->rules_.give_up_at) return false;
+bool batch_run::terminateExpired(Instant now) {
+  if (now < this->rules_.terminate_at) return false;
   const std::size_t before = this->finished_.size();
-  this->giveUpAll();
+  this->terminateUnfinished();
   return this->finished_.size() > before;
 }
 
-void batch_run::giveUpAll() {
+void batch_run::terminateUnfinished() {
   for (ItemIndex item = 0; item < this->progress_.size(); ++item)
     this->finish(item, ResultState::kTerminated);
 }
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -19,7 +19,7 @@
 struct run_rules {
   int max_failures = 3;         ///< Failed runs after which an item is given up.
   bool single_version = false;  ///< A text must come from one version.
-  Instant give_up_at{};         ///< Items that are not finished then are given up.
+  Instant terminate_at{};       ///< Items that are not finished then are given up.
 };
 
 enum class ItemState {
@@ -55,8 +55,8 @@
 
 /** What became of an event that an attempt brought. */
 enum class EventVerdict {
-  kTaken,
-  kUnfit,  ///< Not the next one, or of a version that does not fit: stop the attempt.
+  kAccepted,
+  kRejected,  ///< Not the next one, or of a version that does not fit: stop the attempt.
 };
 
 class batch_run {
@@ -84,7 +84,7 @@
   /** @return whether every group that the trainer waits for is complete. */
   bool stepComplete() const;
   /** @return whether readers should be shown at once what there is. */
-  bool publishUrgent() const;
+  bool shouldPublishNow() const;
   /** @return bytes of the texts that are finished and not appended. */
   std::size_t finishedBytes() const;
 
@@ -116,7 +116,7 @@
   /** The attempt ended without it; the item goes on from what it has. */
   void onInterrupted(Instant now, ItemIndex item, Duration pause);
   /** The item must not run before `until`, since engines crashed under it. */
-  void onHeld(ItemIndex item, Instant until) { this->progress_[item].not_before = until; }
+  void holdUntil(ItemIndex item, Instant until) { this->progress_[item].not_before = until; }
   /** The engine ran the item and failed. */
   void onFailed(Instant now, ItemIndex item);
   /** The item can never be done. */
@@ -124,8 +124,8 @@
   /** The text so far cannot be gone on with, as on an engine of another version. */
   void discardText(ItemIndex item);
   /** Gives up what is too late. @return whether anything was. */
-  bool onTick(Instant now);
-  void giveUpAll();
+  bool terminateExpired(Instant now);
+  void terminateUnfinished();
 
   /** @return finished items that are not appended, in the order in which they finished. */
   const std::vector<ItemIndex>& finished() const { return this->finished_; }
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -12,7 +12,7 @@
 /// wakes the process, in a large fleet on hundreds of machines.
 constexpr Duration kIdlePollInterval = std::chrono::milliseconds(250);
 /// A daemon that started just now may have to take up what its earlier life owned.
-constexpr Duration kStartTime = std::chrono::seconds(5);
+constexpr Duration kStartupTime = std::chrono::seconds(5);
 }  // namespace
 
 void batch_service::start() {
@@ -29,14 +29,14 @@
   const Instant begun = steadyNow();
   for (;;) {
     const bool idle = !this->deps_.pool.offers() && !this->ownership_.ownsOpenJobs() &&
-                      steadyNow() - begun > kStartTime;
+                      steadyNow() - begun > kStartupTime;
     co_await sleepFor(this->deps_.loop, idle ? kIdlePollInterval : kPollInterval);
     const Instant now = steadyNow();
     this->ownership_.checkOwners(now);
     for (auto& [id, job] : this->jobs_.all()) {
       if (!job.active || job.active->stopped) continue;
       applyRules(*job.active, this->deps_.routes());
-      if (job.active->run.onTick(now)) job.active->finished.notifyAll();
+      if (job.active->run.terminateExpired(now)) job.active->results_ready.notifyAll();
     }
     this->zone_drainer_.drainClosedZones(now);
     this->slow_run_mover_.moveSlowRuns(now);
--- a/src/gateway/batch/checkpoint_rows.cpp
+++ b/src/gateway/batch/checkpoint_rows.cpp
@@ -7,24 +7,24 @@
 
 namespace {
 
-constexpr char kOf = '/';
-constexpr char kEnd = ':';
+constexpr char kCountSeparator = '/';
+constexpr char kHeaderEnd = ':';
 constexpr std::size_t kHeaderBytes = 32;  ///< "PIECE/PIECES:" takes no more.
 
 /** A row's value: which piece of how many, and its bytes. */
 struct row_piece {
   std::size_t number = 0;  ///< From 1 on; 0: the value is no piece.
-  std::size_t of = 0;
+  std::size_t count = 0;
   std::string bytes;
 };
 
 row_piece parsePiece(const std::string& value) {
-  const std::size_t slash = value.find(kOf);
-  const std::size_t colon = value.find(kEnd);
+  const std::size_t slash = value.find(kCountSeparator);
+  const std::size_t colon = value.find(kHeaderEnd);
   if (slash == std::string::npos || colon == std::string::npos || colon < slash) return {};
   row_piece piece;
   piece.number = std::strtoull(value.c_str(), nullptr, 10);
-  piece.of = std::strtoull(value.c_str() + slash + 1, nullptr, 10);
+  piece.count = std::strtoull(value.c_str() + slash + 1, nullptr, 10);
   piece.bytes = value.substr(colon + 1);
   return piece;
 }
@@ -38,7 +38,7 @@
   std::vector<std::string> rows;
   rows.reserve(pieces);
   for (std::size_t i = 0; i < pieces; ++i) {
-    std::string row = std::to_string(i + 1) + kOf + std::to_string(pieces) + kEnd;
+    std::string row = std::to_string(i + 1) + kCountSeparator + std::to_string(pieces) + kHeaderEnd;
     row.append(bytes, i * room, room);
     rows.push_back(std::move(row));
   }
@@ -61,7 +61,7 @@
     }
     bytes += piece.bytes;
     ++next;
-    if (piece.number < piece.of) continue;
+    if (piece.number < piece.count) continue;
     if (auto part = decodeCheckpoint(bytes)) parts.push_back(std::move(*part));
     next = 0;
   }
--- a/src/gateway/batch/checkpoint_log.cpp
+++ b/src/gateway/batch/checkpoint_tracker.cpp
@@ -1,45 +1,45 @@
-#include "gateway/batch/checkpoint_log.h"
+#include "gateway/batch/checkpoint_tracker.h"
 
 namespace linenpier::batch {
 
 namespace {
 
 /// Shorter texts are made again as soon as they are read.
-constexpr std::uint64_t kFewestEventsKept = 5;
+constexpr std::uint64_t kMinCheckpointEvents = 5;
 /// A step of eight seconds writes as many at two a second: in the usual case it has one whole part
 /// at its begin, where texts are short.
 constexpr std::size_t kMaxParts = 16;
 
-bool isWhole(const item_progress& progress) {
+bool isTextComplete(const item_progress& progress) {
   return progress.state == ItemState::kFinished || progress.state == ItemState::kTextComplete ||
          progress.state == ItemState::kScoring;
 }
 
-bool isWorthKeeping(const item_progress& progress) {
+bool needsCheckpoint(const item_progress& progress) {
   if (progress.state == ItemState::kAppended) return false;
-  if (isWhole(progress)) return progress.outcome == ResultState::kCompleted;
-  return progress.last_event >= kFewestEventsKept;
+  if (isTextComplete(progress)) return progress.outcome == ResultState::kCompleted;
+  return progress.last_event >= kMinCheckpointEvents;
 }
 
 }  // namespace
 
-std::optional<item_checkpoint> checkpoint_log::addition(const batch_run& run, ItemIndex item,
-                                                        bool whole) const {
+std::optional<item_checkpoint> checkpoint_tracker::delta(const batch_run& run, ItemIndex item,
+                                                         bool full) const {
   const item_progress& progress = run.progress(item);
-  if (!isWorthKeeping(progress)) return std::nullopt;
+  if (!needsCheckpoint(progress)) return std::nullopt;
   item_checkpoint added;
   added.item_index = item;
   added.last_event = progress.last_event;
   added.versions = progress.versions;
-  added.finished = isWhole(progress);
+  added.finished = isTextComplete(progress);
   const std::optional<reward_request>& scorer = run.job().items[item].scorer;
   if (!progress.score.empty() && scorer) added.score = reward_score{scorer->id, progress.score};
   std::size_t from = 0;
-  if (!whole) {
-    const auto at = this->kept_->find(item);
-    const bool grows = at != this->kept_->end() && at->second.revision == progress.text_revision;
+  if (!full) {
+    const auto at = this->written_->find(item);
+    const bool grows = at != this->written_->end() && at->second.revision == progress.text_revision;
     if (grows) {
-      const kept_text& kept = at->second;
+      const written_text& kept = at->second;
       const bool news = kept.last_event < progress.last_event || kept.finished != added.finished ||
                         kept.scored != added.score.has_value();
       if (!news) return std::nullopt;
@@ -51,11 +51,11 @@
   return added;
 }
 
-checkpoint_part checkpoint_log::next(const batch_run& run) const {
+checkpoint_part checkpoint_tracker::next(const batch_run& run) const {
   checkpoint_part part;
-  part.whole = !this->kept_ || this->parts_ >= kMaxParts;
+  part.full = !this->written_ || this->parts_ >= kMaxParts;
   for (ItemIndex item = 0; item < run.job().items.size(); ++item) {
-    auto added = this->addition(run, item, part.whole);
+    auto added = this->delta(run, item, part.full);
     if (!added) continue;
     part.events += added->last_event - added->after_event;
     part.texts.push_back(std::move(*added));
@@ -64,16 +64,16 @@
   return part;
 }
 
-void checkpoint_log::onWritten(const checkpoint_part& part) {
-  if (part.whole) {
-    this->kept_ = kept_texts{};
+void checkpoint_tracker::onWritten(const checkpoint_part& part) {
+  if (part.full) {
+    this->written_ = written_texts{};
     this->parts_ = 0;
   }
-  if (!this->kept_) return;
+  if (!this->written_) return;
   ++this->parts_;
   for (std::size_t i = 0; i < part.texts.size(); ++i) {
     const item_checkpoint& each = part.texts[i];
-    kept_text& kept = (*this->kept_)[each.item_index];
+    written_text& kept = (*this->written_)[each.item_index];
     const std::size_t before = each.after_event == 0 ? 0 : kept.bytes;
     kept.last_event = each.last_event;
     kept.bytes = before + each.text.size();
--- a/src/gateway/batch/checkpoint_log.h
+++ b/src/gateway/batch/checkpoint_tracker.h
@@ -19,11 +19,11 @@
   checkpoint_texts texts;
   std::vector<std::uint32_t> revisions;  ///< Of each text, see ItemProgress::text_revision.
   /// It has all of each text: parts before it are of no use once it is written.
-  bool whole = false;
+  bool full = false;
   std::uint64_t events = 0;  ///< That it adds to what was kept.
 };
 
-class checkpoint_log {
+class checkpoint_tracker {
  public:
   /** @return what the texts of items that are not appended have gained; all of them in the first
    * part and, now and then, later, since whoever reads them reads all parts from the last whole one
@@ -34,23 +34,23 @@
   /** The part was written: the next one is added to it. */
   void onWritten(const checkpoint_part& part);
   /** It may or may not be written: the next one must be whole. */
-  void onUnsettled() { this->kept_.reset(); }
+  void onWriteUnknown() { this->written_.reset(); }
 
  private:
   /** Of one item's text. */
-  struct kept_text {
+  struct written_text {
     std::uint64_t last_event = 0;
     std::size_t bytes = 0;
     std::uint32_t revision = 0;  ///< See ItemProgress::text_revision.
     bool finished = false;
     bool scored = false;
   };
-  using kept_texts = std::map<ItemIndex, kept_text>;
+  using written_texts = std::map<ItemIndex, written_text>;
 
-  std::optional<item_checkpoint> addition(const batch_run& run, ItemIndex item, bool whole) const;
+  std::optional<item_checkpoint> delta(const batch_run& run, ItemIndex item, bool full) const;
 
-  std::optional<kept_texts> kept_;  ///< Absent: nothing is known to be kept.
-  std::size_t parts_ = 0;           ///< Written since the last whole one, with it.
+  std::optional<written_texts> written_;  ///< Absent: nothing is known to be kept.
+  std::size_t parts_ = 0;                 ///< Written since the last whole one, with it.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -11,7 +11,8 @@
 using logging::LogEvent;
 
 namespace {
-constexpr int kCheckpointRest = 3;  ///< Pause between two, in times that the last one took.
+constexpr int kCheckpointBackoffFactor =
+    3;  ///< Pause between two, in times that the last one took.
 }  // namespace
 
 void checkpoint_writer::start(const active_job_ptr& active) {
@@ -20,14 +21,14 @@
 
 Task<void> checkpoint_writer::write(active_job_ptr active, Need need) {
   // What a write under way adds is not known yet.
-  if (active->checkpoint_in_progress) active->kept_texts.onUnsettled();
-  const checkpoint_part part = active->kept_texts.next(active->run);
-  const bool much = part.events >= this->deps_.options.min_checkpoint_events;
-  if (part.texts.empty() || (need == Need::kIfMuchIsNew && !much)) co_return;
+  if (active->checkpoint_in_progress) active->checkpointed.onWriteUnknown();
+  const checkpoint_part part = active->checkpointed.next(active->run);
+  const bool enough_new = part.events >= this->deps_.options.min_checkpoint_events;
+  if (part.texts.empty() || (need == Need::kIfEnoughNew && !enough_new)) co_return;
   checkpoint_write write;
   write.rows = toRows(part.texts, this->deps_.store.rowBytes());
   write.first_row = active->checkpoint_next_row;
-  write.obsolete_from = part.whole ? active->checkpoint_first_row : write.first_row;
+  write.obsolete_from = part.full ? active->checkpoint_first_row : write.first_row;
   const std::size_t rows = write.rows.size();
   const std::size_t first_row = write.first_row;
   active->checkpoint_next_row += rows;
@@ -38,17 +39,17 @@
   active->checkpoint_in_progress = false;
   const bool done = answer.outcome == FencedWriteOutcome::kCommitted;
   if (done) {
-    active->kept_texts.onWritten(part);
-    if (part.whole) active->checkpoint_first_row = first_row;
+    active->checkpointed.onWritten(part);
+    if (part.full) active->checkpoint_first_row = first_row;
   } else {
-    active->kept_texts.onUnsettled();
+    active->checkpointed.onWriteUnknown();
   }
   LogEvent("batch", "checkpoint")
       .text("batch", active->record.id.str())
       .number("row", static_cast<std::int64_t>(first_row))
       .number("rows", static_cast<std::int64_t>(rows))
       .number("events", static_cast<std::int64_t>(part.events))
-      .text("part", part.whole ? "whole" : "addition")
+      .text("part", part.full ? "whole" : "addition")
       .text("outcome", done ? "done" : "not_done")
       .milliseconds("took_ms", steadyNow() - begun);
 }
@@ -59,10 +60,10 @@
     co_await sleepFor(this->deps_.loop, pause);
     if (active->stopped || active->run.allAppended()) co_return;
     const Instant begun = steadyNow();
-    co_await this->write(active, Need::kIfMuchIsNew);
+    co_await this->write(active, Need::kIfEnoughNew);
     // A store that is slow has results and renewals to take first.
     pause = std::max<Duration>(this->deps_.options.checkpoint_interval,
-                               kCheckpointRest * (steadyNow() - begun));
+                               kCheckpointBackoffFactor * (steadyNow() - begun));
   }
 }
 
--- a/src/gateway/batch/checkpoint_writer.h
+++ b/src/gateway/batch/checkpoint_writer.h
@@ -21,7 +21,7 @@
     job_store& store;
     const batch_options& options;
   };
-  enum class Need { kAlways, kIfMuchIsNew };
+  enum class Need { kAlways, kIfEnoughNew };
 
   explicit checkpoint_writer(dependencies deps) : deps_(deps) {}
 
--- a/src/gateway/batch/critical_runs.cpp
+++ b/src/gateway/batch/critical_runs.cpp
@@ -4,7 +4,7 @@
 
 namespace linenpier::batch {
 
-std::vector<ItemIndex> criticalRuns(const batch_run& run, const length_estimate& lengths) {
+std::vector<ItemIndex> criticalRuns(const batch_run& run, const length_estimator& lengths) {
   if (run.stepComplete()) return {};
   std::vector<std::pair<double, ItemIndex>> by_rest;
   for (ItemIndex item = 0; item < run.job().items.size(); ++item) {
--- a/src/gateway/batch/critical_runs.h
+++ b/src/gateway/batch/critical_runs.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "gateway/batch/batch_run.h"
-#include "gateway/batch/length_estimate.h"
+#include "gateway/batch/length_estimator.h"
 
 namespace linenpier::batch {
 
@@ -19,6 +19,6 @@
 /** @return the running items that are expected to last longest, at most `kMaxCriticalRuns`, none
  * that is expected to end in half of the longest one's time.
  */
-std::vector<ItemIndex> criticalRuns(const batch_run& run, const length_estimate& lengths);
+std::vector<ItemIndex> criticalRuns(const batch_run& run, const length_estimator& lengths);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/item_pick.h
+++ b/src/gateway/batch/engine_request_builder.h
@@ -14,7 +14,7 @@
 namespace linenpier::batch {
 
 /** Holds no state of its own. Loop thread only. */
-class item_pick {
+class engine_request_builder {
  public:
   struct dependencies {
     const job_residency& residency;
@@ -22,11 +22,11 @@
     const batch_options& options;
   };
 
-  explicit item_pick(dependencies deps) : deps_(std::move(deps)) {}
+  explicit engine_request_builder(dependencies deps) : deps_(std::move(deps)) {}
 
   /** @param route of the job; of the newest table. */
-  engines::engine_request pickFor(const active_job& active, ItemIndex item,
-                                  const routing::Route& route) const;
+  engines::engine_request build(const active_job& active, ItemIndex item,
+                                const routing::Route& route) const;
 
  private:
   dependencies deps_;
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -16,9 +16,9 @@
 /** What an item asks of an engine.
  * @param max_per_slot requests a slot that an engine may have, counting others'.
  */
-engines::engine_request pickRequestFor(const batch_run& run, ItemIndex item,
-                                       const routing::Route& route,
-                                       const routing::RouteTable& table, double max_per_slot);
+engines::engine_request engineRequestFor(const batch_run& run, ItemIndex item,
+                                         const routing::Route& route,
+                                         const routing::RouteTable& table, double max_per_slot);
 
 struct item_placement {
   const engines::engine_state* engine = nullptr;  ///< None admits the item if it is not set.
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 /// Between two polls of a suspect item whose like runs just now.
-constexpr Duration kTriedPause = std::chrono::milliseconds(100);
+constexpr Duration kSuspectRunningPoll = std::chrono::milliseconds(100);
 /// The same of a suspect item that is barred: another daemon's answer may clear it.
-constexpr Duration kHeldPause = std::chrono::seconds(1);
+constexpr Duration kSuspectHeldPoll = std::chrono::seconds(1);
 
 /// Statuses of an engine's answer.
-constexpr unsigned kFirstFailure = 300;
-constexpr unsigned kNeverPossible = 422;  ///< The item can never be done.
+constexpr unsigned kFirstErrorStatus = 300;
+constexpr unsigned kUnprocessable = 422;  ///< The item can never be done.
 
 const batch_item& itemOf(const active_job& active, ItemIndex item) {
   return active.run.job().items[item];
@@ -93,7 +93,7 @@
                             const routing::Route& route) {
   const Instant now = steadyNow();
   engines::engine_registry& registry = this->deps_.engines.registry;
-  const engines::engine_request wanted = this->deps_.picks.pickFor(*active, item, route);
+  const engines::engine_request wanted = this->deps_.engine_requests.build(*active, item, route);
   const item_placement placement = placeItem(now, registry, active->run.progress(item), wanted);
   if (placement.discard_text) active->run.discardText(item);
   if (placement.engine == nullptr) return false;
@@ -121,34 +121,35 @@
   attempt.crashes = admission.crashes;
   attempt.isolated = admission.state == suspects::AdmissionState::kMayRunAlone;
   if (attempt.isolated || admission.state == suspects::AdmissionState::kNotSuspect) return attempt;
-  const bool tried = admission.state == suspects::AdmissionState::kRunning;
-  const Duration wait = std::min(admission.wait, tried ? kTriedPause : kHeldPause);
-  active.run.onHeld(item, steadyNow() + wait);
+  const bool runs_isolated = admission.state == suspects::AdmissionState::kRunning;
+  const Duration wait =
+      std::min(admission.wait, runs_isolated ? kSuspectRunningPoll : kSuspectHeldPoll);
+  active.run.holdUntil(item, steadyNow() + wait);
   return std::nullopt;
 }
 
 // --- Running and judging ------------------------------------------------------------------------
 
 Task<void> item_runner::runItem(item_attempt run) {
-  run_course course;
+  run_report report;
   const AttemptVerdict verdict =
-      co_await this->reader_.read(*run.active, run.item, *run.call, run.model, course);
+      co_await this->reader_.read(*run.active, run.item, *run.call, run.model, report);
   if (verdict == AttemptVerdict::kBroken) {
-    course.engine_ended = co_await run.call->engineHasCrashed();
+    report.engine_crashed = co_await run.call->engineHasCrashed();
   }
-  this->settleSuspicion(run, verdict, course.engine_ended);
+  this->reportToSuspectGate(run, verdict, report.engine_crashed);
   run.active->calls.erase(run.item);
   this->deps_.engines.registry.onTokens(run.call->engine(),
                                         -expectedTokens(itemOf(*run.active, run.item)));
   if (run.active->stopped) co_return;
-  this->settleItem(run, verdict, course);
+  this->finishAttempt(run, verdict, report);
   this->startRunnableItems();
 }
 
-void item_runner::settleSuspicion(const item_attempt& run, AttemptVerdict verdict,
-                                  bool engine_ended) {
+void item_runner::reportToSuspectGate(const item_attempt& run, AttemptVerdict verdict,
+                                      bool engine_crashed) {
   suspects::suspect_gate& gate = this->deps_.suspects;
-  if (engine_ended) {
+  if (engine_crashed) {
     gate.onEngineCrashed(run.sent, keyOf(*run.active, run.item), run.call->engine(),
                          run.call->startedAt(), suspects::RequestSource::kItem,
                          itemOf(*run.active, run.item).id.str());
@@ -159,39 +160,39 @@
   }
 }
 
-void item_runner::settleItem(const item_attempt& run, AttemptVerdict verdict,
-                             const run_course& course) {
+void item_runner::finishAttempt(const item_attempt& run, AttemptVerdict verdict,
+                                const run_report& report) {
   const Instant now = steadyNow();
   active_job& active = *run.active;
   const unsigned status = verdict == AttemptVerdict::kAnswered ? run.call->status() : 0;
   const std::uint64_t events = active.run.progress(run.item).last_event;
-  this->applyVerdict(now, run, verdict, status, events, course);
+  this->applyVerdict(now, run, verdict, status, events, report);
   const ItemState state = active.run.progress(run.item).state;
-  if (state == ItemState::kFinished) active.finished.notifyAll();
-  active.noteComplete(run.item);
-  const bool success = verdict == AttemptVerdict::kAnswered && status < kFirstFailure;
+  if (state == ItemState::kFinished) active.results_ready.notifyAll();
+  active.logStepComplete(run.item);
+  const bool success = verdict == AttemptVerdict::kAnswered && status < kFirstErrorStatus;
   if (success && !this->sampler_.admit(now)) return;
-  this->logAttempt(now, run, verdict, status, events, course);
+  this->logAttempt(now, run, verdict, status, events, report);
 }
 
 void item_runner::applyVerdict(Instant now, const item_attempt& run, AttemptVerdict verdict,
-                               unsigned status, std::uint64_t events, const run_course& course) {
+                               unsigned status, std::uint64_t events, const run_report& report) {
   batch_run& state = run.active->run;
   const bool answered = verdict == AttemptVerdict::kAnswered;
-  if (answered && status == kNeverPossible) {
+  if (answered && status == kUnprocessable) {
     state.onRejected(run.item);
-  } else if (answered && status >= kFirstFailure) {
+  } else if (answered && status >= kFirstErrorStatus) {
     state.onFailed(now, run.item);
   } else if (answered && events > 0) {
     state.onCompleted(now, run.item);
     this->lengths_.onFinished(itemOf(*run.active, run.item).length_hint, events);
   } else {
-    this->noteInterrupted(now, run, verdict, course);
+    this->interruptItem(now, run, verdict, report);
   }
 }
 
-void item_runner::noteInterrupted(Instant now, const item_attempt& run, AttemptVerdict verdict,
-                                  const run_course& course) {
+void item_runner::interruptItem(Instant now, const item_attempt& run, AttemptVerdict verdict,
+                                const run_report& report) {
   engines::engine_registry& registry = this->deps_.engines.registry;
   const batch_options& options = this->deps_.options;
   batch_run& state = run.active->run;
@@ -201,7 +202,7 @@
   if ((rejected || silent) && !run.model.empty()) {
     registry.onModelRefused(now, run.call->engine(), run.model);
   }
-  if (silent && !course.to_first_event) state.onFirstEventTimeout(run.item);
+  if (silent && !report.first_event_delay) state.onFirstEventTimeout(run.item);
   if (verdict == AttemptVerdict::kBroken && !run.model.empty()) {
     registry.onModelReset(now, run.call->engine(), run.model);
   }
@@ -210,7 +211,7 @@
 }
 
 void item_runner::logAttempt(Instant now, const item_attempt& run, AttemptVerdict verdict,
-                             unsigned status, std::uint64_t events, const run_course& course) {
+                             unsigned status, std::uint64_t events, const run_report& report) {
   const batch_item& item = itemOf(*run.active, run.item);
   LogEvent event("batch", "attempt_ended");
   event.text("batch", run.active->record.id.str())
@@ -220,12 +221,12 @@
       .number("status", status)
       .number("events", static_cast<std::int64_t>(events))
       .number("hint", static_cast<std::int64_t>(item.length_hint))
-      .milliseconds("first_event_ms", course.to_first_event.value_or(Duration::zero()))
-      .milliseconds("longest_gap_ms", course.max_gap)
+      .milliseconds("first_event_ms", report.first_event_delay.value_or(Duration::zero()))
+      .milliseconds("longest_gap_ms", report.max_gap)
       .milliseconds("took_ms", now - run.call->startedAt());
   if (verdict == AttemptVerdict::kBroken) {
     event.text("key", keyOf(*run.active, run.item).str())
-        .text("engine_ended", course.engine_ended ? "yes" : "no");
+        .text("engine_ended", report.engine_crashed ? "yes" : "no");
   }
 }
 
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -12,10 +12,10 @@
 #include <vector>
 
 #include "common/success_sampler.h"
-#include "gateway/batch/item_pick.h"
+#include "gateway/batch/engine_request_builder.h"
 #include "gateway/batch/item_scorer.h"
 #include "gateway/batch/job_registry.h"
-#include "gateway/batch/length_estimate.h"
+#include "gateway/batch/length_estimator.h"
 #include "gateway/batch/run_reader.h"
 #include "gateway/suspects/suspect_gate.h"
 
@@ -37,7 +37,7 @@
     forward::internal_requests& rewards;
     suspects::suspect_gate& suspects;
     job_registry& jobs;
-    const item_pick& picks;
+    const engine_request_builder& engine_requests;
     std::function<routing::RouteTablePtr()> routes;
     batch_counts& counts;
     const batch_options& options;
@@ -48,7 +48,7 @@
   /** Starts reward requests and items, as far as engines have room. */
   void startRunnableItems();
 
-  const length_estimate& lengths() const { return this->lengths_; }
+  const length_estimator& lengths() const { return this->lengths_; }
   /** @return the engines with runs that the steps of owned jobs wait for. */
   std::set<EngineId> criticalEngines() const;
 
@@ -72,19 +72,20 @@
   std::optional<suspects::sent_attempt> admitSuspect(active_job& active, ItemIndex item);
   Task<void> runItem(item_attempt run);
   /** Reports what a run has shown of a request under which engines may crash. */
-  void settleSuspicion(const item_attempt& run, forward::AttemptVerdict verdict, bool engine_ended);
-  void settleItem(const item_attempt& run, forward::AttemptVerdict verdict,
-                  const run_course& course);
+  void reportToSuspectGate(const item_attempt& run, forward::AttemptVerdict verdict,
+                           bool engine_crashed);
+  void finishAttempt(const item_attempt& run, forward::AttemptVerdict verdict,
+                     const run_report& report);
   /** @param events that the item has. @param status of the answer; 0: none. */
   void applyVerdict(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
-                    unsigned status, std::uint64_t events, const run_course& course);
-  void noteInterrupted(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
-                       const run_course& course);
+                    unsigned status, std::uint64_t events, const run_report& report);
+  void interruptItem(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
+                     const run_report& report);
   void logAttempt(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
-                  unsigned status, std::uint64_t events, const run_course& course);
+                  unsigned status, std::uint64_t events, const run_report& report);
 
   dependencies deps_;
-  length_estimate lengths_;
+  length_estimator lengths_;
   logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
   item_scorer scorer_;
   run_reader reader_;
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 /// A reward request may be repeated: one that takes longer is better sent anew.
-constexpr Duration kRewardTime = std::chrono::milliseconds(1500);
-constexpr std::size_t kMaxScorings = 64;  ///< That one daemon has under way.
+constexpr Duration kRewardTimeout = std::chrono::milliseconds(1500);
+constexpr std::size_t kMaxInFlight = 64;  ///< That one daemon has under way.
 /// Share of an engine's slots that reward requests may fill, so that callers find room …
 constexpr double kDefaultShare = 0.67;
 /// … unless one has waited for this long.
-constexpr Duration kPatientTime = std::chrono::milliseconds(300);
+constexpr Duration kFullShareDelay = std::chrono::milliseconds(300);
 constexpr double kFullShare = 1.0;
-constexpr Duration kFullPause = std::chrono::milliseconds(20);  ///< No engine had room.
+constexpr Duration kNoEngineDelay = std::chrono::milliseconds(20);  ///< No engine had room.
 /// Of a reward request under which engines crashed: it is polled, as another daemon may clear it.
-constexpr Duration kMaxSuspectPause = std::chrono::seconds(1);
-constexpr Duration kFailurePause = std::chrono::milliseconds(60);
+constexpr Duration kMaxSuspectDelay = std::chrono::seconds(1);
+constexpr Duration kFailureRetryDelay = std::chrono::milliseconds(60);
 
 bool isSuccess(const forward::internal_outcome& outcome) {
   return outcome.status >= 200 && outcome.status < 300 && !outcome.signature.empty();
@@ -28,13 +28,13 @@
 
 void item_scorer::start(const active_job_ptr& active) {
   const Instant now = steadyNow();
-  while (this->under_way_ < kMaxScorings) {
+  while (this->in_flight_ < kMaxInFlight) {
     const auto item = active->run.nextToScore(now);
     if (!item) return;
     active->run.onScoringStarted(*item);
     const auto cancellation = std::make_shared<http::Cancellation>();
     active->scorings[*item] = cancellation;
-    ++this->under_way_;
+    ++this->in_flight_;
     const ItemIndex index = *item;
     spawn(this->deps_.loop, [this, active, index, cancellation] {
       return this->scoreItem(active, index, cancellation);
@@ -61,9 +61,9 @@
   request.route = request.table ? request.table->find(scorer.host, path) : nullptr;
   request.message = this->rewardRequest(scorer);
   request.tenant = active->record.tenant;
-  request.limit = kRewardTime;
-  const bool patient = begun - active->run.progress(item).last_progress < kPatientTime;
-  request.max_per_slot = patient ? kDefaultShare : kFullShare;
+  request.limit = kRewardTimeout;
+  const bool recent = begun - active->run.progress(item).last_progress < kFullShareDelay;
+  request.max_per_slot = recent ? kDefaultShare : kFullShare;
   request.cancellation = cancellation;
   const bool routed = request.route != nullptr;
   int max_failures = 0;
@@ -72,10 +72,10 @@
     max_failures = request.route->max_attempts;
     outcome = co_await this->deps_.rewards.send(std::move(request));
   }
-  --this->under_way_;
+  --this->in_flight_;
   active->scorings.erase(item);
   if (active->stopped) co_return;
-  this->settleScoring(*active, item, outcome, max_failures);
+  this->applyOutcome(*active, item, outcome, max_failures);
   const char* result = isSuccess(outcome)      ? "scored"
                        : !routed               ? "no_route"
                        : outcome.status > 0    ? "failed"
@@ -92,22 +92,22 @@
         .number("failures", active->run.progress(item).score_failures)
         .milliseconds("took_ms", steadyNow() - begun);
   }
-  this->deps_.on_settled();
+  this->deps_.on_finished();
 }
 
-void item_scorer::settleScoring(active_job& active, ItemIndex item,
-                                const forward::internal_outcome& outcome, int max_failures) {
+void item_scorer::applyOutcome(active_job& active, ItemIndex item,
+                               const forward::internal_outcome& outcome, int max_failures) {
   if (isSuccess(outcome)) {
     active.run.onScored(item, outcome.signature);
     ++this->deps_.counts.scored;
   } else {
-    const Duration usual = outcome.attempts == 0 ? kFullPause : kFailurePause;
-    const Duration pause = std::max(usual, std::min(outcome.wait, kMaxSuspectPause));
+    const Duration min_pause = outcome.attempts == 0 ? kNoEngineDelay : kFailureRetryDelay;
+    const Duration pause = std::max(min_pause, std::min(outcome.wait, kMaxSuspectDelay));
     active.run.onNotScored(steadyNow(), item, outcome.failures, max_failures, pause);
     ++this->deps_.counts.scorings_failed;
   }
-  if (active.run.progress(item).state == ItemState::kFinished) active.finished.notifyAll();
-  active.noteComplete(item);
+  if (active.run.progress(item).state == ItemState::kFinished) active.results_ready.notifyAll();
+  active.logStepComplete(item);
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -29,7 +29,7 @@
     std::function<routing::RouteTablePtr()> routes;
     batch_counts& counts;
     logging::SuccessSampler& sampler;
-    std::function<void()> on_settled;  ///< A reward request has ended.
+    std::function<void()> on_finished;  ///< A reward request has ended.
   };
 
   explicit item_scorer(dependencies deps) : deps_(std::move(deps)) {}
@@ -42,12 +42,12 @@
   Task<void> scoreItem(active_job_ptr active, ItemIndex item,
                        std::shared_ptr<http::Cancellation> cancellation);
   /** @param max_failures answers of 500 after which the item is given up. */
-  void settleScoring(active_job& active, ItemIndex item, const forward::internal_outcome& outcome,
-                     int max_failures);
+  void applyOutcome(active_job& active, ItemIndex item, const forward::internal_outcome& outcome,
+                    int max_failures);
   http::Request rewardRequest(const reward_request& scorer) const;
 
   dependencies deps_;
-  std::size_t under_way_ = 0;  ///< Reward requests.
+  std::size_t in_flight_ = 0;  ///< Reward requests.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -175,30 +175,30 @@
 }
 
 LeaseId job_acceptance::ownerFor(Instant now, const job_record& record) const {
-  new_job_owner_inputs choice;
-  choice.candidates = this->deps_.pool.ranked(now);
-  choice.items = record.total;
-  choice.max_open_items = this->deps_.options.max_open_items;
+  new_job_owner_inputs inputs;
+  inputs.candidates = this->deps_.pool.ranked(now);
+  inputs.items = record.total;
+  inputs.max_open_items = this->deps_.options.max_open_items;
   const std::vector<JobId> earlier =
       this->deps_.jobs.earlierJobs(record, this->deps_.options.max_earlier_jobs);
   if (!earlier.empty()) {
     const LeaseId& owner = this->deps_.jobs.find(earlier.front())->record.owner;
-    if (!owner.empty() && this->deps_.leases.alive(now, owner)) choice.previous = owner;
+    if (!owner.empty() && this->deps_.leases.alive(now, owner)) inputs.previous = owner;
     const bool own = owner == this->deps_.leases.own();
-    choice.previous_zone = own ? this->deps_.pool.zone() : this->deps_.leases.zoneOf(owner);
+    inputs.previous_zone = own ? this->deps_.pool.zone() : this->deps_.leases.zoneOf(owner);
   }
   const std::optional<fleet::data_residency> residency = this->deps_.residency.of(record);
   if (residency)
-    choice = withinResidency(std::move(choice), *residency, this->deps_.registry.layout());
+    inputs = withinResidency(std::move(inputs), *residency, this->deps_.registry.layout());
   for (const auto& [id, job] : this->deps_.jobs.all()) {
     if (job.record.ended) continue;
-    if (job.record.owner == choice.previous) choice.previous_items += job.record.total;
-    if (job.record.model != record.model) choice.busy.insert(job.record.owner);
+    if (job.record.owner == inputs.previous) inputs.previous_items += job.record.total;
+    if (job.record.model != record.model) inputs.busy.insert(job.record.owner);
   }
-  choice.model_index = this->modelIndex(record);
+  inputs.model_index = this->modelIndex(record);
   const LeaseId fallback =
       this->deps_.residency.mayOwn(record) ? this->deps_.leases.own() : LeaseId();
-  return chooseNewJobOwner(choice, fallback);
+  return chooseNewJobOwner(inputs, fallback);
 }
 
 std::size_t job_acceptance::modelIndex(const job_record& record) const {
--- a/src/gateway/batch/job_activation.cpp
+++ b/src/gateway/batch/job_activation.cpp
@@ -20,7 +20,7 @@
   }
   active.published = std::min(active.record.published, active.appended.size());
   for (std::size_t i = active.published; i < active.appended.size(); ++i) {
-    active.held_back_bytes += active.appended[i].encoded.size();
+    active.unpublished_bytes += active.appended[i].encoded.size();
   }
   active.checkpoint_first_row = progress.checkpoint.first_row;
   active.checkpoint_next_row = progress.checkpoint.next_row;
--- a/src/gateway/batch/job_removal.cpp
+++ b/src/gateway/batch/job_removal.cpp
@@ -9,7 +9,7 @@
 namespace {
 /// Daemons look for jobs to remove at different moments: each adds so many times its own takeover
 /// delay to the period.
-constexpr int kRemovalSpread = 5;
+constexpr int kRemovalJitterFactor = 5;
 }  // namespace
 
 void job_removal::start() {
@@ -34,7 +34,7 @@
   while (!this->stopping_) {
     const Duration own_delay = this->deps_.leases.takeoverDelay(steadyNow(), "removal");
     co_await sleepFor(this->deps_.loop,
-                      this->deps_.options.removal_period + kRemovalSpread * own_delay);
+                      this->deps_.options.removal_period + kRemovalJitterFactor * own_delay);
     const auto id = this->nextToRemove(steadyNow());
     if (!id) continue;
     const Revision revision = this->deps_.jobs.find(*id)->revision;
--- a/src/gateway/batch/job_rules.cpp
+++ b/src/gateway/batch/job_rules.cpp
@@ -11,7 +11,7 @@
 /// reader takes. A step that is complete by then is read in one piece.
 constexpr Duration kDueGrace = std::chrono::milliseconds(450);
 /// Items are given up this long after the route's queue limit.
-constexpr Duration kGiveUpSlack = std::chrono::milliseconds(1500);
+constexpr Duration kTerminationSlack = std::chrono::milliseconds(1500);
 constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< Without a route.
 }  // namespace
 
@@ -21,9 +21,9 @@
 
 run_rules rulesFor(const routing::Route* route, Instant accepted_at) {
   run_rules rules;
-  rules.give_up_at = accepted_at + kGiveUpSlack + kDefaultQueueLimit;
+  rules.terminate_at = accepted_at + kTerminationSlack + kDefaultQueueLimit;
   if (route != nullptr) {
-    rules.give_up_at = accepted_at + kGiveUpSlack + route->queue_limit;
+    rules.terminate_at = accepted_at + kTerminationSlack + route->queue_limit;
     rules.max_failures = std::max(1, route->max_attempts);
     rules.single_version = route->single_version;
   }
--- /dev/null
+++ b/src/gateway/batch/length_estimator.cpp
@@ -0,0 +1,25 @@
+#include "gateway/batch/length_estimator.h"
+
+#include <algorithm>
+
+namespace linenpier::batch {
+
+namespace {
+constexpr double kOverrunFactor = 0.5;  ///< Of what an item has made already.
+}  // namespace
+
+void length_estimator::onFinished(std::uint64_t hint, std::uint64_t events) {
+  if (hint == 0 || events == 0) return;
+  this->hinted_tokens_ += static_cast<double>(hint);
+  this->events_made_ += static_cast<double>(events);
+}
+
+double length_estimator::remainingEvents(std::uint64_t hint, std::uint64_t events) const {
+  const double made = static_cast<double>(events);
+  const double overrun = kOverrunFactor * made;
+  if (hint == 0 || this->hinted_tokens_ <= 0) return overrun;
+  const double expected = static_cast<double>(hint) * this->events_made_ / this->hinted_tokens_;
+  return std::max(expected - made, overrun);
+}
+
+}  // namespace linenpier::batch
--- a/src/gateway/batch/length_estimate.h
+++ b/src/gateway/batch/length_estimator.h
@@ -9,7 +9,7 @@
 
 namespace linenpier::batch {
 
-class length_estimate {
+class length_estimator {
  public:
   /** An item made all of its events.
    * @param hint expected tokens out; 0: not known.
--- a/src/gateway/batch/new_job_owner.cpp
+++ b/src/gateway/batch/new_job_owner.cpp
@@ -8,9 +8,9 @@
 
 /// A model's jobs stay with their owner until it can carry less than this part of what the best
 /// one can: to move costs the connections and what is kept in memory.
-constexpr double kWorthKeeping = 0.5;
+constexpr double kKeepOwnerCapacityRatio = 0.5;
 /// Daemons that can carry at least this part of what the best one can are as good as it.
-constexpr double kAsGood = 0.7;
+constexpr double kSimilarCapacityRatio = 0.7;
 
 double capacityOf(const std::vector<lease::owner_candidate>& candidates, const LeaseId& lease) {
   const auto at = std::find_if(candidates.begin(), candidates.end(),
@@ -18,44 +18,45 @@
   return at == candidates.end() ? 0 : at->capacity;
 }
 
-bool keepsPrevious(const new_job_owner_inputs& choice) {
-  if (choice.previous.empty()) return false;
-  if (choice.previous_items + choice.items > choice.max_open_items) return false;
-  if (choice.candidates.empty()) return true;
-  const double best = choice.candidates.front().capacity;
-  return capacityOf(choice.candidates, choice.previous) >= kWorthKeeping * best;
+bool keepsPrevious(const new_job_owner_inputs& inputs) {
+  if (inputs.previous.empty()) return false;
+  if (inputs.previous_items + inputs.items > inputs.max_open_items) return false;
+  if (inputs.candidates.empty()) return true;
+  const double best = inputs.candidates.front().capacity;
+  return capacityOf(inputs.candidates, inputs.previous) >= kKeepOwnerCapacityRatio * best;
 }
 
 }  // namespace
 
-new_job_owner_inputs withinResidency(new_job_owner_inputs choice,
+new_job_owner_inputs withinResidency(new_job_owner_inputs inputs,
                                      const fleet::data_residency& residency,
                                      const fleet::fleet_layout& layout) {
-  std::erase_if(choice.candidates, [&](const lease::owner_candidate& each) {
+  std::erase_if(inputs.candidates, [&](const lease::owner_candidate& each) {
     return !residency.allows(layout.regionOf(each.zone));
   });
-  if (!residency.allows(layout.regionOf(choice.previous_zone))) choice.previous = LeaseId();
-  return choice;
+  if (!residency.allows(layout.regionOf(inputs.previous_zone))) inputs.previous = LeaseId();
+  return inputs;
 }
 
-LeaseId chooseNewJobOwner(const new_job_owner_inputs& choice, const LeaseId& own) {
-  if (keepsPrevious(choice)) return choice.previous;
-  if (choice.candidates.empty()) return own;
-  const double least = kAsGood * choice.candidates.front().capacity;
-  std::vector<LeaseId> good;
-  for (const lease::owner_candidate& each : choice.candidates) {
-    if (each.capacity >= least && each.lease != choice.previous) good.push_back(each.lease);
+LeaseId chooseNewJobOwner(const new_job_owner_inputs& inputs, const LeaseId& fallback) {
+  if (keepsPrevious(inputs)) return inputs.previous;
+  if (inputs.candidates.empty()) return fallback;
+  const double min_capacity = kSimilarCapacityRatio * inputs.candidates.front().capacity;
+  std::vector<LeaseId> eligible;
+  for (const lease::owner_candidate& each : inputs.candidates) {
+    if (each.capacity >= min_capacity && each.lease != inputs.previous)
+      eligible.push_back(each.lease);
   }
   // Owners of other models are taken only where there is nobody else: a machine that is lost should
   // take few trainers with it.
   std::vector<LeaseId> idle;
-  std::copy_if(good.begin(), good.end(), std::back_inserter(idle),
-               [&choice](const LeaseId& each) { return !choice.busy.contains(each); });
-  const std::vector<LeaseId>& from = idle.empty() ? good : idle;
-  if (from.empty()) return choice.candidates.front().lease;
+  std::copy_if(eligible.begin(), eligible.end(), std::back_inserter(idle),
+               [&inputs](const LeaseId& each) { return !inputs.busy.contains(each); });
+  const std::vector<LeaseId>& from = idle.empty() ? eligible : idle;
+  if (from.empty()) return inputs.candidates.front().lease;
   // First jobs of several models are handed in at the same moment at daemons that know nothing of
   // each other's choice: by the model's position each takes another owner.
-  return from[choice.model_index % from.size()];
+  return from[inputs.model_index % from.size()];
 }
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/new_job_owner.h
+++ b/src/gateway/batch/new_job_owner.h
@@ -30,11 +30,11 @@
 };
 
 /** @return the choice without those that are elsewhere, or whose zone is not in the layout. */
-new_job_owner_inputs withinResidency(new_job_owner_inputs choice,
+new_job_owner_inputs withinResidency(new_job_owner_inputs inputs,
                                      const fleet::data_residency& residency,
                                      const fleet::fleet_layout& layout);
 
 /** @return the owner; `own` where nobody offers. */
-LeaseId chooseNewJobOwner(const new_job_owner_inputs& choice, const LeaseId& own);
+LeaseId chooseNewJobOwner(const new_job_owner_inputs& inputs, const LeaseId& fallback);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -92,7 +92,7 @@
   if (active) {
     const batch_job& job = active->run.job();
     if (!search->sharesItems(job)) return;
-    const checkpoint_texts texts = checkpoint_log{}.next(active->run).texts;
+    const checkpoint_texts texts = checkpoint_tracker{}.next(active->run).texts;
     search->add(job, texts, active->appended, this->deps_.codec);
     return;
   }
@@ -135,7 +135,7 @@
       .number("asked", static_cast<std::int64_t>(asked))
       .number("unanswered", static_cast<std::int64_t>(search->unanswered))
       .milliseconds("took_ms", steadyNow() - begun);
-  active->finished.notifyAll();
+  active->results_ready.notifyAll();
   this->deps_.on_reused();
 }
 
--- a/src/gateway/batch/moves_planned.h
+++ b/src/gateway/batch/planned_moves.h
@@ -12,21 +12,21 @@
 
 namespace linenpier::batch {
 
-class moves_planned {
+class planned_moves {
  public:
-  explicit moves_planned(std::size_t max_moves) : left_(max_moves) {}
+  explicit planned_moves(std::size_t max_moves) : remaining_(max_moves) {}
 
-  bool exhausted() const { return this->left_ == 0; }
+  bool exhausted() const { return this->remaining_ == 0; }
   /** @return engines that have no room beyond the moves planned. */
-  const std::set<EngineId>& full() const { return this->full_; }
+  const std::set<EngineId>& fullEngines() const { return this->full_; }
   /** @param room slots that the target had before any of these moves. */
-  void onMove(const EngineId& target, double room) {
-    if (this->left_ > 0) --this->left_;
+  void add(const EngineId& target, double room) {
+    if (this->remaining_ > 0) --this->remaining_;
     if (++this->planned_[target] + 1 > room) this->full_.insert(target);
   }
 
  private:
-  std::size_t left_;
+  std::size_t remaining_;
   std::map<EngineId, double> planned_;
   std::set<EngineId> full_;
 };
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -23,16 +23,16 @@
          run.finishedBytes() >= this->deps_.options.max_append_bytes;
 }
 
-bool result_writer::publishUrgent(const active_job& active) const {
-  return active.run.publishUrgent() ||
-         active.held_back_bytes >= this->deps_.options.max_unpublished_bytes;
+bool result_writer::shouldPublishNow(const active_job& active) const {
+  return active.run.shouldPublishNow() ||
+         active.unpublished_bytes >= this->deps_.options.max_unpublished_bytes;
 }
 
 Instant result_writer::nextPublishAt(const active_job& active, Instant now) const {
   const bool held_back =
       active.published < active.appended.size() || !active.run.finished().empty();
   if (!held_back) return now + kIdleWait;
-  return active.schedule.publishAt(now, this->publishUrgent(active));
+  return active.schedule.publishAt(now, this->shouldPublishNow(active));
 }
 
 Instant result_writer::nextAppendAt(const active_job& active, Instant now) const {
@@ -47,7 +47,7 @@
       const Instant now = steadyNow();
       const Instant due = this->nextAppendAt(*active, now);
       if (due > now) {
-        co_await active->finished.waitFor(due - now);
+        co_await active->results_ready.waitFor(due - now);
         continue;
       }
       this->preparePending(*active, now);
@@ -101,7 +101,7 @@
       co_await this->deps_.store.append(id, fence, pending.position, pending.results, publish);
   if (active->stopped) co_return false;
   const bool done =
-      answer.outcome == FencedWriteOutcome::kCommitted || this->publishedBefore(answer, *active);
+      answer.outcome == FencedWriteOutcome::kCommitted || this->alreadyPublished(answer, *active);
   if (!done && answer.outcome == FencedWriteOutcome::kFenceLost && answer.current) {
     this->deps_.jobs.onRow(id, *answer.current);
     co_return false;
@@ -122,8 +122,8 @@
   co_return true;
 }
 
-bool result_writer::publishedBefore(const fenced_write_result& answer,
-                                    const active_job& active) const {
+bool result_writer::alreadyPublished(const fenced_write_result& answer,
+                                     const active_job& active) const {
   if (answer.outcome != FencedWriteOutcome::kFenceLost || !answer.current) return false;
   const auto record = decodeRecord(active.record.id, answer.current->value);
   if (!record || record->ended || record->owner != this->deps_.leases.own()) return false;
@@ -137,7 +137,7 @@
     const bool completed = active.run.progress(pending.items[i]).outcome == ResultState::kCompleted;
     ++(completed ? this->deps_.counts.completed : this->deps_.counts.terminated);
     active.run.onAppended(pending.items[i]);
-    active.held_back_bytes += pending.results[i].encoded.size();
+    active.unpublished_bytes += pending.results[i].encoded.size();
     active.appended.push_back(std::move(pending.results[i]));
   }
   const std::optional<std::size_t> publish = pending.publish;
@@ -145,9 +145,9 @@
   active.schedule.onAppended(now);
   if (!publish) return;
   active.published = *publish;
-  active.held_back_bytes = 0;
+  active.unpublished_bytes = 0;
   active.schedule.onPublished(now);
-  active.notePublished();
+  active.logStepPublished();
   active.published_changed.notifyAll();
 }
 
--- a/src/gateway/batch/result_writer.h
+++ b/src/gateway/batch/result_writer.h
@@ -39,7 +39,7 @@
   Task<void> appendLoop(active_job_ptr active);
   /** @return whether what is finished fills an append. */
   bool fillsAppend(const batch_run& run) const;
-  bool publishUrgent(const active_job& active) const;
+  bool shouldPublishNow(const active_job& active) const;
   /** @return when results should be published; when to check again, if all are. */
   Instant nextPublishAt(const active_job& active, Instant now) const;
   Instant nextAppendAt(const active_job& active, Instant now) const;
@@ -50,7 +50,7 @@
   /** @return whether the pending write is done. */
   Task<bool> writePending(active_job_ptr active);
   /** @return whether an earlier try of the pending write, which was not answered, was done. */
-  bool publishedBefore(const fenced_write_result& answer, const active_job& active) const;
+  bool alreadyPublished(const fenced_write_result& answer, const active_job& active) const;
   void onPendingWritten(active_job& active);
 
   dependencies deps_;
--- a/src/gateway/batch/run_moves.cpp
+++ b/src/gateway/batch/run_moves.cpp
@@ -23,7 +23,7 @@
 }
 
 std::optional<run_move> planMove(Instant now, engines::engine_registry& registry,
-                                 const length_estimate& lengths, const batch_run& run,
+                                 const length_estimator& lengths, const batch_run& run,
                                  const item_run& from, const engines::engine_request& wanted,
                                  const run_move_rules& rules) {
   const engines::engine_state* better = registry.pick(now, wanted);
@@ -31,8 +31,8 @@
   run_move move;
   move.target = better->record.id;
   move.latency_ratio = registry.latencyRatio(now, from.engine);
-  move.latency_ratio_there = registry.latencyRatio(now, move.target);
-  if (move.latency_ratio < rules.min_speedup * move.latency_ratio_there) return std::nullopt;
+  move.target_latency_ratio = registry.latencyRatio(now, move.target);
+  if (move.latency_ratio < rules.min_speedup * move.target_latency_ratio) return std::nullopt;
   move.events_left = lengths.remainingEvents(run.job().items[from.item].length_hint,
                                              run.progress(from.item).last_event);
   const double seconds_an_event =
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "gateway/batch/batch_run.h"
-#include "gateway/batch/length_estimate.h"
+#include "gateway/batch/length_estimator.h"
 #include "gateway/batch/run_move_rules.h"
 #include "gateway/engines/engine_registry.h"
 
@@ -27,7 +27,7 @@
   EngineId target;
   double events_left = 0;
   double latency_ratio = 1;  ///< Of the engine that it is at, over the median.
-  double latency_ratio_there = 1;
+  double target_latency_ratio = 1;
 };
 
 /** @return the runs that may move, those that are expected to last longest first. */
@@ -39,7 +39,7 @@
  * @return where the run should go on, if the move is worth its cost.
  */
 std::optional<run_move> planMove(Instant now, engines::engine_registry& registry,
-                                 const length_estimate& lengths, const batch_run& run,
+                                 const length_estimator& lengths, const batch_run& run,
                                  const item_run& from, const engines::engine_request& wanted,
                                  const run_move_rules& rules);
 
--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -9,7 +9,7 @@
 using forward::AttemptVerdict;
 
 /** A run whose answer is read, and how far. */
-struct run_reader::reading {
+struct run_reader::read_context {
   active_job& active;
   ItemIndex item;
   forward::engine_call& call;
@@ -20,37 +20,38 @@
   bool first = true;  ///< None has come yet.
 };
 
-void run_reader::noteVersion(const reading& run) {
+void run_reader::reportVersion(const read_context& run) {
   if (run.model.empty()) return;
   this->deps_.registry.onVersionSeen(run.call.engine(), run.model, run.version);
 }
 
-Duration run_reader::gapOf(const reading& run, Duration first_limit) const {
+Duration run_reader::eventTimeout(const read_context& run, Duration first_limit) const {
   if (run.first) return first_limit;
   const double event_time = this->deps_.registry.measuredEventTime(steadyNow(), run.call.engine());
   return this->deps_.options.timeouts.forGap(event_time);
 }
 
-bool run_reader::takeEvents(Instant now, reading& run,
+bool run_reader::takeEvents(Instant now, read_context& run,
                             const std::vector<forward::stream_event>& events) {
   for (const forward::stream_event& event : events) {
     if (event.version) {
       run.version = *event.version;
-      this->noteVersion(run);
+      this->reportVersion(run);
     }
     const EventVerdict taken =
         run.active.run.onEvent(now, run.item, event.id.value_or(0), event.data, run.version);
-    if (taken == EventVerdict::kTaken) run.active.noteFirstEvent();
-    if (taken == EventVerdict::kUnfit) return false;
+    if (taken == EventVerdict::kAccepted) run.active.logFirstEvent();
+    if (taken == EventVerdict::kRejected) return false;
   }
   return true;
 }
 
-void run_reader::noteTimes(Instant now, reading& run, std::size_t events, run_course& course) {
+void run_reader::recordEventTimes(Instant now, read_context& run, std::size_t events,
+                                  run_report& report) {
   if (run.first) {
-    course.to_first_event = now - run.started;
+    report.first_event_delay = now - run.started;
   } else {
-    course.max_gap = std::max(course.max_gap, now - run.last);
+    report.max_gap = std::max(report.max_gap, now - run.last);
     this->deps_.registry.onEventTime(now, run.call.engine(),
                                      (now - run.last) / static_cast<int>(events));
   }
@@ -60,7 +61,7 @@
 
 Task<AttemptVerdict> run_reader::read(active_job& active, ItemIndex item,
                                       forward::engine_call& call, const ModelName& model,
-                                      run_course& course) {
+                                      run_report& report) {
   const batch_options& options = this->deps_.options;
   const Instant started = steadyNow();
   const Duration first_limit =
@@ -73,12 +74,12 @@
     std::string ignored;
     co_return co_await call.readWhole(ignored, steadyNow() + options.timeouts.max_gap);
   }
-  reading run{active, item, call, model, call.headVersion(), started, steadyNow()};
-  this->noteVersion(run);
+  read_context run{active, item, call, model, call.headVersion(), started, steadyNow()};
+  this->reportVersion(run);
   forward::event_parser parser(this->deps_.names.weight_versions);
   std::vector<forward::stream_event> events;
   while (!call.finished()) {
-    const Duration gap = this->gapOf(run, first_limit);
+    const Duration gap = this->eventTimeout(run, first_limit);
     verdict = co_await call.readEvents(parser, events, steadyNow() + gap);
     if (active.stopped) co_return AttemptVerdict::kAborted;
     const Instant now = steadyNow();
@@ -86,7 +87,7 @@
       call.abort();
       co_return AttemptVerdict::kBroken;
     }
-    if (!events.empty()) this->noteTimes(now, run, events.size(), course);
+    if (!events.empty()) this->recordEventTimes(now, run, events.size(), report);
     if (verdict != AttemptVerdict::kAnswered) co_return verdict;
   }
   co_return parser.rest().empty() ? AttemptVerdict::kAnswered : AttemptVerdict::kBroken;
--- a/src/gateway/batch/run_reader.h
+++ b/src/gateway/batch/run_reader.h
@@ -16,10 +16,10 @@
 struct active_job;
 
 /** How a run went, for its judgement and for the log. */
-struct run_course {
-  std::optional<Duration> to_first_event;
-  Duration max_gap{};         ///< Between two of its events.
-  bool engine_ended = false;  ///< Its engine crashed under it.
+struct run_report {
+  std::optional<Duration> first_event_delay;
+  Duration max_gap{};           ///< Between two of its events.
+  bool engine_crashed = false;  ///< Its engine crashed under it.
 };
 
 /** Holds no state of its own; tells the registry of versions and event times seen. Loop thread
@@ -40,17 +40,17 @@
    * @param model empty: the item names none.
    */
   Task<forward::AttemptVerdict> read(active_job& active, ItemIndex item, forward::engine_call& call,
-                                     const ModelName& model, run_course& course);
+                                     const ModelName& model, run_report& report);
 
  private:
-  struct reading;
+  struct read_context;
 
   /** @return whether all events fit the item; otherwise the run is broken. */
-  bool takeEvents(Instant now, reading& run, const std::vector<forward::stream_event>& events);
+  bool takeEvents(Instant now, read_context& run, const std::vector<forward::stream_event>& events);
   /** Notes when the events came; some did. */
-  void noteTimes(Instant now, reading& run, std::size_t events, run_course& course);
-  void noteVersion(const reading& run);
-  Duration gapOf(const reading& run, Duration first_limit) const;
+  void recordEventTimes(Instant now, read_context& run, std::size_t events, run_report& report);
+  void reportVersion(const read_context& run);
+  Duration eventTimeout(const read_context& run, Duration first_limit) const;
 
   dependencies deps_;
 };
--- a/src/gateway/batch/slow_run_mover.cpp
+++ b/src/gateway/batch/slow_run_mover.cpp
@@ -9,7 +9,7 @@
 using logging::LogEvent;
 
 void slow_run_mover::moveSlowRuns(Instant now) {
-  moves_planned moves(this->deps_.options.move_rules.max_moves_per_poll);
+  planned_moves moves(this->deps_.options.move_rules.max_moves_per_poll);
   for (auto& [id, job] : this->deps_.jobs.all()) {
     if (!job.active || job.active->stopped) continue;
     this->moveRunsOf(now, *job.active, moves);
@@ -17,7 +17,7 @@
   }
 }
 
-void slow_run_mover::moveRunsOf(Instant now, active_job& active, moves_planned& moves) {
+void slow_run_mover::moveRunsOf(Instant now, active_job& active, planned_moves& moves) {
   const routing::RouteTablePtr table = this->deps_.routes();
   const routing::Route* route = routeOf(active.record, table);
   // Items that wait need the room more.
@@ -35,10 +35,10 @@
 }
 
 void slow_run_mover::moveRun(Instant now, active_job& active, const item_run& run,
-                             const routing::Route& route, moves_planned& moves) {
+                             const routing::Route& route, planned_moves& moves) {
   engines::engine_registry& registry = this->deps_.registry;
-  engines::engine_request wanted = this->deps_.picks.pickFor(active, run.item, route);
-  wanted.excluded = moves.full();
+  engines::engine_request wanted = this->deps_.engine_requests.build(active, run.item, route);
+  wanted.excluded = moves.fullEngines();
   wanted.excluded.insert(run.engine);
   const auto move = planMove(now, registry, this->deps_.lengths, active.run, run, wanted,
                              this->deps_.options.move_rules);
@@ -49,8 +49,8 @@
       .text("towards", move->target.str())
       .real("events_left", move->events_left)
       .real("slowness", move->latency_ratio)
-      .real("slowness_there", move->latency_ratio_there);
-  moves.onMove(move->target, registry.room(now, move->target));
+      .real("slowness_there", move->target_latency_ratio);
+  moves.add(move->target, registry.room(now, move->target));
   active.calls.at(run.item)->abort();
 }
 
--- a/src/gateway/batch/slow_run_mover.h
+++ b/src/gateway/batch/slow_run_mover.h
@@ -8,10 +8,10 @@
 
 #include <functional>
 
-#include "gateway/batch/item_pick.h"
+#include "gateway/batch/engine_request_builder.h"
 #include "gateway/batch/job_registry.h"
-#include "gateway/batch/length_estimate.h"
-#include "gateway/batch/moves_planned.h"
+#include "gateway/batch/length_estimator.h"
+#include "gateway/batch/planned_moves.h"
 #include "gateway/batch/run_moves.h"
 
 namespace linenpier::batch {
@@ -22,8 +22,8 @@
   struct dependencies {
     engines::engine_registry& registry;
     job_registry& jobs;
-    const length_estimate& lengths;
-    const item_pick& picks;
+    const length_estimator& lengths;
+    const engine_request_builder& engine_requests;
     std::function<routing::RouteTablePtr()> routes;
     const batch_options& options;
   };
@@ -33,9 +33,9 @@
   void moveSlowRuns(Instant now);
 
  private:
-  void moveRunsOf(Instant now, active_job& active, moves_planned& moves);
+  void moveRunsOf(Instant now, active_job& active, planned_moves& moves);
   void moveRun(Instant now, active_job& active, const item_run& run, const routing::Route& route,
-               moves_planned& moves);
+               planned_moves& moves);
 
   dependencies deps_;
 };
--- a/src/gateway/batch/zone_drain_schedule.cpp
+++ b/src/gateway/batch/zone_drain_schedule.cpp
@@ -33,7 +33,7 @@
   if (elapsed >= drain_time) return this->options_.max_moves_per_poll;
   const double movable = static_cast<double>(progress.movable);
   const auto due_by_now = static_cast<std::size_t>(std::ceil(movable * elapsed / drain_time));
-  const std::size_t behind = due_by_now - std::min(due_by_now, progress.left);
+  const std::size_t behind = due_by_now - std::min(due_by_now, progress.moved);
   return std::min(behind, this->options_.max_moves_per_poll);
 }
 
@@ -61,7 +61,7 @@
 
 void zone_drain_schedule::onRunMoved(const ZoneName& zone) {
   const auto at = this->zones_.find(zone);
-  if (at != this->zones_.end()) ++at->second.left;
+  if (at != this->zones_.end()) ++at->second.moved;
 }
 
 std::vector<drained_zone> zone_drain_schedule::takeDrained(Instant now,
@@ -73,7 +73,7 @@
     });
     if (any || progress.drained) continue;
     progress.drained = true;
-    drained.push_back({zone, now - progress.started_at, progress.left});
+    drained.push_back({zone, now - progress.started_at, progress.moved});
   }
   return drained;
 }
--- a/src/gateway/batch/zone_drain_schedule.h
+++ b/src/gateway/batch/zone_drain_schedule.h
@@ -33,8 +33,8 @@
 /** A zone that the last run has left. */
 struct drained_zone {
   ZoneName zone;
-  Duration took{};       ///< Since the closing was first acted on.
-  std::size_t left = 0;  ///< Runs that went on elsewhere; the others ended there.
+  Duration took{};        ///< Since the closing was first acted on.
+  std::size_t moved = 0;  ///< Runs that went on elsewhere; the others ended there.
 };
 
 class zone_drain_schedule {
@@ -59,7 +59,7 @@
   struct zone_progress {
     Instant started_at{};
     std::size_t movable = 0;  ///< Runs at the closing that would not have ended in time.
-    std::size_t left = 0;
+    std::size_t moved = 0;
     bool drained = false;
   };
 
--- a/src/gateway/batch/zone_drainer.cpp
+++ b/src/gateway/batch/zone_drainer.cpp
@@ -51,16 +51,16 @@
   return runs;
 }
 
-bool zone_drainer::moveRun(Instant now, const located_run& run, moves_planned& moves) {
+bool zone_drainer::moveRun(Instant now, const located_run& run, planned_moves& moves) {
   const routing::RouteTablePtr table = this->deps_.routes();
   const routing::Route* route = routeOf(run.active->record, table);
   if (route == nullptr) return false;
-  engines::engine_request wanted = this->deps_.picks.pickFor(*run.active, run.item, *route);
-  wanted.excluded = moves.full();
+  engines::engine_request wanted = this->deps_.engine_requests.build(*run.active, run.item, *route);
+  wanted.excluded = moves.fullEngines();
   const engines::engine_state* target = this->deps_.registry.pick(now, wanted);
   if (target == nullptr) return false;
   const EngineId towards = target->record.id;
-  moves.onMove(towards, this->deps_.registry.room(now, towards));
+  moves.add(towards, this->deps_.registry.room(now, towards));
   run.active->calls.at(run.item)->abort();
   return true;
 }
@@ -71,16 +71,16 @@
   std::vector<located_run> located;
   const std::vector<placed_run> placed = this->runsInClosedZones(now, located);
   this->schedule_.onZones(now, closed, placed);
-  moves_planned moves(placed.size());
-  std::map<ZoneName, std::size_t> left;
+  planned_moves moves(placed.size());
+  std::map<ZoneName, std::size_t> moved;
   std::map<ZoneName, std::size_t> longest;
   for (const std::size_t i : this->schedule_.due(now, placed)) {
     if (!this->moveRun(now, located[i], moves)) continue;
     this->schedule_.onRunMoved(placed[i].zone);
-    ++left[placed[i].zone];
+    ++moved[placed[i].zone];
     longest.try_emplace(placed[i].zone, i);
   }
-  for (const auto& [zone, runs] : left) {
+  for (const auto& [zone, runs] : moved) {
     const located_run& first = located[longest[zone]];
     LogEvent("batch", "runs_leave_zone")
         .text("zone", zone.str())
@@ -94,7 +94,7 @@
     LogEvent("batch", "zone_empty")
         .text("zone", each.zone.str())
         .milliseconds("after_ms", each.took)
-        .number("moved", static_cast<std::int64_t>(each.left));
+        .number("moved", static_cast<std::int64_t>(each.moved));
   }
 }
 
--- a/src/gateway/batch/zone_drainer.h
+++ b/src/gateway/batch/zone_drainer.h
@@ -8,10 +8,10 @@
 #include <functional>
 #include <vector>
 
-#include "gateway/batch/item_pick.h"
+#include "gateway/batch/engine_request_builder.h"
 #include "gateway/batch/job_registry.h"
-#include "gateway/batch/length_estimate.h"
-#include "gateway/batch/moves_planned.h"
+#include "gateway/batch/length_estimator.h"
+#include "gateway/batch/planned_moves.h"
 #include "gateway/batch/zone_drain_schedule.h"
 
 namespace linenpier::batch {
@@ -22,8 +22,8 @@
   struct dependencies {
     engines::engine_registry& registry;
     job_registry& jobs;
-    const length_estimate& lengths;
-    const item_pick& picks;
+    const length_estimator& lengths;
+    const engine_request_builder& engine_requests;
     std::function<routing::RouteTablePtr()> routes;
   };
 
@@ -40,7 +40,7 @@
   /** @param there the same runs, in the same order. */
   std::vector<placed_run> runsInClosedZones(Instant now, std::vector<located_run>& located) const;
   /** Stops the run, which goes on elsewhere. @return whether there was room. */
-  bool moveRun(Instant now, const located_run& run, moves_planned& moves);
+  bool moveRun(Instant now, const located_run& run, planned_moves& moves);
 
   dependencies deps_;
   zone_drain_schedule schedule_;
--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -34,7 +34,7 @@
 batch::run_rules rules() {
   batch::run_rules made;
   made.max_failures = 2;
-  made.give_up_at = kStart + std::chrono::seconds(30);
+  made.terminate_at = kStart + std::chrono::seconds(30);
   return made;
 }
 
@@ -48,13 +48,13 @@
 Test(batch_run, a_text_is_joined_event_by_event_with_the_versions_that_made_it) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
-  cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 3), EventVerdict::kTaken);
+  cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 3), EventVerdict::kAccepted);
   run.onInterrupted(kStart, 0, Duration::zero());
   cr_assert_eq(run.progress(0).state, ItemState::kWaiting);
   run.onStarted(kStart, 0, kEngine);
-  cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 4), EventVerdict::kUnfit, "not twice");
-  cr_assert_eq(run.onEvent(kStart, 0, 3, "three", 4), EventVerdict::kUnfit, "no gap");
-  cr_assert_eq(run.onEvent(kStart, 0, 2, "two", 4), EventVerdict::kTaken);
+  cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 4), EventVerdict::kRejected, "not twice");
+  cr_assert_eq(run.onEvent(kStart, 0, 3, "three", 4), EventVerdict::kRejected, "no gap");
+  cr_assert_eq(run.onEvent(kStart, 0, 2, "two", 4), EventVerdict::kAccepted);
   run.onCompleted(kStart, 0);
   const batch::batch_result result = run.result(0);
   cr_assert_eq(result.text, "one\ntwo");
@@ -65,7 +65,7 @@
 Test(batch_run, events_of_too_old_weights_are_not_taken) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
-  cr_assert_eq(run.onEvent(kStart, 0, 1, "old", 2), EventVerdict::kUnfit);
+  cr_assert_eq(run.onEvent(kStart, 0, 1, "old", 2), EventVerdict::kRejected);
   cr_assert_eq(run.progress(0).last_event, 0U);
 }
 
@@ -75,11 +75,11 @@
   batch_run run(job(), single);
   run.onStarted(kStart, 0, kEngine);
   run.onEvent(kStart, 0, 1, "one", 3);
-  cr_assert_eq(run.onEvent(kStart, 0, 2, "two", 4), EventVerdict::kUnfit);
+  cr_assert_eq(run.onEvent(kStart, 0, 2, "two", 4), EventVerdict::kRejected);
   run.discardText(0);
   run.onInterrupted(kStart, 0, Duration::zero());
   run.onStarted(kStart, 0, kEngine);
-  cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 4), EventVerdict::kTaken);
+  cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 4), EventVerdict::kAccepted);
 }
 
 Test(batch_run, an_item_that_always_fails_is_given_up_after_the_attempts_allowed) {
@@ -98,8 +98,8 @@
 Test(batch_run, what_is_too_late_is_given_up_only_then) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
-  cr_assert_not(run.onTick(kStart + std::chrono::seconds(29)));
-  cr_assert(run.onTick(kStart + std::chrono::seconds(30)));
+  cr_assert_not(run.terminateExpired(kStart + std::chrono::seconds(29)));
+  cr_assert(run.terminateExpired(kStart + std::chrono::seconds(30)));
   cr_assert_eq(run.finished().size(), 4U);
   cr_assert(run.result(0).text.empty());
 }
@@ -126,7 +126,7 @@
   run.onAppended(1);
   cr_assert(run.progress(1).state == batch::ItemState::kAppended);
   cr_assert(run.progress(2).state == batch::ItemState::kAppended);
-  run.giveUpAll();
+  run.terminateUnfinished();
   cr_assert_eq(run.finished().size(), 2U, "listed items are not given up");
 }
 
@@ -136,9 +136,9 @@
 batch::partial_results leftBehind(const std::set<WeightVersion>& versions) {
   batch_job earlier;
   earlier.items = {item("c", "g2", 90), item("d", "g2", 5)};
-  batch::partial_results carried;
-  carried.addJob(earlier, {{0, 2, versions, "one\ntwo"}});
-  return carried;
+  batch::partial_results results;
+  results.addJob(earlier, {{0, 2, versions, "one\ntwo"}});
+  return results;
 }
 
 void finishItem(batch_run& run, batch::ItemIndex item) {
@@ -184,7 +184,7 @@
   const std::vector<batch::ItemIndex> obsolete = run.onPartialResults(leftBehind({3}));
   cr_assert_eq(obsolete.size(), 1U);
   cr_assert_eq(run.progress(2).text, "one\ntwo");
-  cr_assert_eq(run.onEvent(kStart, 2, 2, "other", 4), EventVerdict::kUnfit);
+  cr_assert_eq(run.onEvent(kStart, 2, 2, "other", 4), EventVerdict::kRejected);
   run.onInterrupted(kStart, 2, Duration::zero());
   cr_assert_eq(run.progress(2).state, ItemState::kWaiting);
 }
@@ -201,18 +201,18 @@
   batch_job one_group = job();
   one_group.desired_groups = 1;
   batch_run run(one_group, rules());
-  cr_assert_not(run.publishUrgent(), "nothing is finished");
+  cr_assert_not(run.shouldPublishNow(), "nothing is finished");
   finishItem(run, 0);
-  cr_assert_not(run.publishUrgent());
+  cr_assert_not(run.shouldPublishNow());
   finishItem(run, 1);
-  cr_assert(run.publishUrgent(), "the group is whole");
+  cr_assert(run.shouldPublishNow(), "the group is whole");
   batch_run given_up(one_group, rules());
   given_up.onStarted(kStart, 3, kEngine);
   given_up.onRejected(3);
-  cr_assert(given_up.publishUrgent());
+  cr_assert(given_up.shouldPublishNow());
   batch_run without_step(job(), rules());
   finishItem(without_step, 0);
-  cr_assert(without_step.publishUrgent(), "nobody waits for groups");
+  cr_assert(without_step.shouldPublishNow(), "nobody waits for groups");
 }
 
 Test(batch_run, a_kept_text_of_one_version_fits_a_single_version_route) {
@@ -279,7 +279,7 @@
 Test(batch_run, a_score_that_comes_after_the_item_was_given_up_changes_nothing) {
   batch_run run = runWithWholeText();
   run.onScoringStarted(0);
-  run.giveUpAll();
+  run.terminateUnfinished();
   run.onScored(0, "late");
   cr_assert_eq(run.result(0).state, ResultState::kTerminated);
   cr_assert(run.result(0).score.empty());
--- a/tests/gateway/batch/checkpoint_log_test.cpp
+++ b/tests/gateway/batch/checkpoint_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/batch/checkpoint_log.h"
+#include "gateway/batch/checkpoint_tracker.h"
 
 #include <criterion/criterion.h>
 
@@ -20,7 +20,7 @@
     job.items.push_back(item);
   }
   run_rules rules;
-  rules.give_up_at = kStart + std::chrono::hours(1);
+  rules.terminate_at = kStart + std::chrono::hours(1);
   return {job, rules};
 }
 
@@ -33,7 +33,7 @@
 }
 
 /// Writes the next part.
-checkpoint_texts writeNext(checkpoint_log& log, const batch_run& run) {
+checkpoint_texts writeNext(checkpoint_tracker& log, const batch_run& run) {
   const checkpoint_part part = log.next(run);
   log.onWritten(part);
   return part.texts;
@@ -41,9 +41,9 @@
 
 }  // namespace
 
-Test(checkpoint_log, each_part_holds_what_was_added_and_all_together_the_whole_text) {
+Test(checkpoint_tracker, each_part_holds_what_was_added_and_all_together_the_whole_text) {
   batch_run run = runOf(2);
-  checkpoint_log log;
+  checkpoint_tracker log;
   addEvents(run, 0, 1, 6);
   std::vector<checkpoint_texts> parts = {writeNext(log, run)};
   addEvents(run, 0, 7, 9);
@@ -63,9 +63,9 @@
   cr_assert_eq(merged[1].text, run.progress(1).text);
 }
 
-Test(checkpoint_log, a_text_that_was_begun_anew_is_written_whole) {
+Test(checkpoint_tracker, a_text_that_was_begun_anew_is_written_whole) {
   batch_run run = runOf(1);
-  checkpoint_log log;
+  checkpoint_tracker log;
   addEvents(run, 0, 1, 6);
   writeNext(log, run);
   run.discardText(0);
@@ -75,9 +75,9 @@
   cr_assert_eq(part[0].text, run.progress(0).text);
 }
 
-Test(checkpoint_log, a_text_that_was_begun_anew_during_a_write_is_written_whole_after_it) {
+Test(checkpoint_tracker, a_text_that_was_begun_anew_during_a_write_is_written_whole_after_it) {
   batch_run run = runOf(1);
-  checkpoint_log log;
+  checkpoint_tracker log;
   addEvents(run, 0, 1, 6);
   const checkpoint_part part = log.next(run);
   run.discardText(0);
@@ -86,38 +86,38 @@
   cr_assert_eq(log.next(run).texts[0].after_event, 0U);
 }
 
-Test(checkpoint_log, after_a_write_that_was_not_answered_the_next_part_is_whole) {
+Test(checkpoint_tracker, after_a_write_that_was_not_answered_the_next_part_is_whole) {
   batch_run run = runOf(1);
-  checkpoint_log log;
+  checkpoint_tracker log;
   addEvents(run, 0, 1, 6);
   writeNext(log, run);
   addEvents(run, 0, 7, 7);
-  cr_assert_not(log.next(run).whole);
-  log.onUnsettled();
+  cr_assert_not(log.next(run).full);
+  log.onWriteUnknown();
   const checkpoint_part part = log.next(run);
-  cr_assert(part.whole);
+  cr_assert(part.full);
   cr_assert_eq(part.texts[0].text, run.progress(0).text);
 }
 
-Test(checkpoint_log, a_reader_never_has_to_read_many_parts) {
+Test(checkpoint_tracker, a_reader_never_has_to_read_many_parts) {
   batch_run run = runOf(1);
-  checkpoint_log log;
+  checkpoint_tracker log;
   addEvents(run, 0, 1, 5);
-  int whole = 0;
+  int full = 0;
   for (std::uint64_t event = 6; event < 106; ++event) {
     addEvents(run, 0, event, event);
     const checkpoint_part part = log.next(run);
-    if (part.whole) ++whole;
+    if (part.full) ++full;
     log.onWritten(part);
   }
-  cr_assert_geq(whole, 6);
-  cr_assert_leq(whole, 8);
+  cr_assert_geq(full, 6);
+  cr_assert_leq(full, 8);
 }
 
-Test(checkpoint_log, listed_items_are_left_out) {
+Test(checkpoint_tracker, listed_items_are_left_out) {
   batch_run run = runOf(1);
   addEvents(run, 0, 1, 6);
   run.onCompleted(kStart, 0);
   run.onAppended(0);
-  cr_assert(checkpoint_log{}.next(run).texts.empty());
+  cr_assert(checkpoint_tracker{}.next(run).texts.empty());
 }
--- a/tests/gateway/batch/critical_runs_test.cpp
+++ b/tests/gateway/batch/critical_runs_test.cpp
@@ -23,8 +23,8 @@
   return run;
 }
 
-batch::length_estimate oneEventInTen() {
-  batch::length_estimate lengths;
+batch::length_estimator oneEventInTen() {
+  batch::length_estimator lengths;
   lengths.onFinished(100, 10);
   return lengths;
 }
--- a/tests/gateway/batch/new_job_owner_test.cpp
+++ b/tests/gateway/batch/new_job_owner_test.cpp
@@ -12,73 +12,73 @@
 const LeaseId kFast("fast#1");
 const LeaseId kOther("other#1");
 
-new_job_owner_inputs choiceOf(std::vector<lease::owner_candidate> candidates) {
-  new_job_owner_inputs choice;
-  choice.candidates = std::move(candidates);
-  choice.items = 200;
-  choice.max_open_items = 1000;
-  return choice;
+new_job_owner_inputs inputsOf(std::vector<lease::owner_candidate> candidates) {
+  new_job_owner_inputs inputs;
+  inputs.candidates = std::move(candidates);
+  inputs.items = 200;
+  inputs.max_open_items = 1000;
+  return inputs;
 }
 
 }  // namespace
 
-Test(owner_choice, a_job_handed_in_at_a_slow_machine_is_owned_by_a_fast_one) {
-  cr_assert_eq(chooseNewJobOwner(choiceOf({{kFast, 0.5}, {kOwn, 0.06}}), kOwn), kFast);
+Test(new_job_owner, a_job_handed_in_at_a_slow_machine_is_owned_by_a_fast_one) {
+  cr_assert_eq(chooseNewJobOwner(inputsOf({{kFast, 0.5}, {kOwn, 0.06}}), kOwn), kFast);
 }
 
-Test(owner_choice, where_nobody_offers_the_daemon_keeps_the_job) {
-  cr_assert_eq(chooseNewJobOwner(choiceOf({}), kOwn), kOwn);
+Test(new_job_owner, where_nobody_offers_the_daemon_keeps_the_job) {
+  cr_assert_eq(chooseNewJobOwner(inputsOf({}), kOwn), kOwn);
 }
 
-Test(owner_choice, jobs_of_a_model_stay_with_their_owner_while_it_can_carry_them) {
-  new_job_owner_inputs choice = choiceOf({{kFast, 0.5}, {kOther, 0.4}});
-  choice.previous = kOther;
-  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kOther);
-  choice.previous_items = 900;
-  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kFast, "it has enough to do");
+Test(new_job_owner, jobs_of_a_model_stay_with_their_owner_while_it_can_carry_them) {
+  new_job_owner_inputs inputs = inputsOf({{kFast, 0.5}, {kOther, 0.4}});
+  inputs.previous = kOther;
+  cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kOther);
+  inputs.previous_items = 900;
+  cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kFast, "it has enough to do");
 }
 
-Test(owner_choice, an_owner_that_became_slow_is_left) {
-  new_job_owner_inputs choice = choiceOf({{kFast, 0.5}, {kOther, 0.2}});
-  choice.previous = kOther;
-  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kFast);
+Test(new_job_owner, an_owner_that_became_slow_is_left) {
+  new_job_owner_inputs inputs = inputsOf({{kFast, 0.5}, {kOther, 0.2}});
+  inputs.previous = kOther;
+  cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kFast);
 }
 
-Test(owner_choice, owners_of_other_models_are_spared_while_there_are_others) {
-  new_job_owner_inputs choice = choiceOf({{kFast, 0.5}, {kOther, 0.45}});
-  choice.busy = {kFast};
-  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kOther);
-  choice.busy = {kFast, kOther};
-  cr_assert_eq(chooseNewJobOwner(choice, kOwn), kFast);
+Test(new_job_owner, owners_of_other_models_are_spared_while_there_are_others) {
+  new_job_owner_inputs inputs = inputsOf({{kFast, 0.5}, {kOther, 0.45}});
+  inputs.busy = {kFast};
+  cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kOther);
+  inputs.busy = {kFast, kOther};
+  cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kFast);
 }
 
-Test(owner_choice, daemons_elsewhere_are_left_out_before_the_choice) {
+Test(new_job_owner, daemons_elsewhere_are_left_out_before_the_choice) {
   const fleet::fleet_layout layout(
       {{ZoneName("a"), RegionName("near")}, {ZoneName("b"), RegionName("far")}});
   const fleet::data_residency far({RegionName("far")});
-  new_job_owner_inputs choice =
-      choiceOf({{kFast, 0.5, ZoneName("a")}, {kOther, 0.1, ZoneName("b")}, {kOwn, 0.4}});
-  choice.previous = kFast;
-  choice.previous_zone = ZoneName("a");
-  const new_job_owner_inputs kept = batch::withinResidency(choice, far, layout);
+  new_job_owner_inputs inputs =
+      inputsOf({{kFast, 0.5, ZoneName("a")}, {kOther, 0.1, ZoneName("b")}, {kOwn, 0.4}});
+  inputs.previous = kFast;
+  inputs.previous_zone = ZoneName("a");
+  const new_job_owner_inputs kept = batch::withinResidency(inputs, far, layout);
   cr_assert_eq(kept.candidates.size(), 1U, "one that told no zone is at home nowhere");
   cr_assert(kept.previous.empty());
   cr_assert_eq(chooseNewJobOwner(kept, kOwn), kOther);
-  cr_assert_eq(batch::withinResidency(choice, {}, layout).candidates.size(), 3U,
+  cr_assert_eq(batch::withinResidency(inputs, {}, layout).candidates.size(), 3U,
                "without homes all stay");
-  cr_assert_eq(batch::withinResidency(choice, {}, layout).previous, kFast);
+  cr_assert_eq(batch::withinResidency(inputs, {}, layout).previous, kFast);
 }
 
-Test(owner_choice, where_nobody_at_home_is_known_and_the_daemon_is_not_nobody_is_named) {
-  const new_job_owner_inputs choice = choiceOf({{kFast, 0.5, ZoneName("a")}});
+Test(new_job_owner, where_nobody_at_home_is_known_and_the_daemon_is_not_nobody_is_named) {
+  const new_job_owner_inputs inputs = inputsOf({{kFast, 0.5, ZoneName("a")}});
   const new_job_owner_inputs kept =
-      batch::withinResidency(choice, fleet::data_residency({RegionName("far")}), {});
+      batch::withinResidency(inputs, fleet::data_residency({RegionName("far")}), {});
   cr_assert(chooseNewJobOwner(kept, LeaseId()).empty());
 }
 
-Test(owner_choice, first_jobs_of_several_models_take_different_owners) {
-  new_job_owner_inputs choice = choiceOf({{kFast, 0.5}, {kOther, 0.5}});
-  const LeaseId first = chooseNewJobOwner(choice, kOwn);
-  choice.model_index = 1;
-  cr_assert_neq(chooseNewJobOwner(choice, kOwn), first);
+Test(new_job_owner, first_jobs_of_several_models_take_different_owners) {
+  new_job_owner_inputs inputs = inputsOf({{kFast, 0.5}, {kOther, 0.5}});
+  const LeaseId first = chooseNewJobOwner(inputs, kOwn);
+  inputs.model_index = 1;
+  cr_assert_neq(chooseNewJobOwner(inputs, kOwn), first);
 }
--- a/tests/gateway/batch/partial_results_test.cpp
+++ b/tests/gateway/batch/partial_results_test.cpp
@@ -20,20 +20,20 @@
 
 }  // namespace
 
-Test(carry_over, of_several_earlier_jobs_the_longest_text_stays) {
-  batch::partial_results carried;
-  cr_assert(carried.empty());
-  carried.addJob(jobOf({"a", "b"}), {{1, 7, {2}, "seven"}});
-  carried.addJob(jobOf({"b", "c"}), {{0, 3, {3}, "three"}});
-  cr_assert(carried.contains(ItemId("a")));
-  cr_assert(carried.contains(ItemId("c")));
-  cr_assert_not(carried.contains(ItemId("d")));
-  cr_assert_eq(carried.textOf(ItemId("a")), nullptr);
-  cr_assert_eq(carried.textOf(ItemId("b"))->last_event, 7U);
+Test(partial_results, of_several_earlier_jobs_the_longest_text_stays) {
+  batch::partial_results results;
+  cr_assert(results.empty());
+  results.addJob(jobOf({"a", "b"}), {{1, 7, {2}, "seven"}});
+  results.addJob(jobOf({"b", "c"}), {{0, 3, {3}, "three"}});
+  cr_assert(results.contains(ItemId("a")));
+  cr_assert(results.contains(ItemId("c")));
+  cr_assert_not(results.contains(ItemId("d")));
+  cr_assert_eq(results.textOf(ItemId("a")), nullptr);
+  cr_assert_eq(results.textOf(ItemId("b"))->last_event, 7U);
 }
 
-Test(carry_over, text_of_an_item_that_the_job_has_not_is_left_out) {
-  batch::partial_results carried;
-  carried.addJob(jobOf({"a"}), {{5, 7, {2}, "seven"}});
-  cr_assert_eq(carried.textOf(ItemId("a")), nullptr);
+Test(partial_results, text_of_an_item_that_the_job_has_not_is_left_out) {
+  batch::partial_results results;
+  results.addJob(jobOf({"a"}), {{5, 7, {2}, "seven"}});
+  cr_assert_eq(results.textOf(ItemId("a")), nullptr);
 }
--- a/tests/gateway/batch/result_schedule_test.cpp
+++ b/tests/gateway/batch/result_schedule_test.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kMoment = std::chrono::milliseconds(300);
 }  // namespace
 
-Test(listing_schedule, results_are_gathered_until_they_are_due) {
+Test(result_schedule, results_are_gathered_until_they_are_due) {
   result_schedule schedule(kBegun, {kMaxHold});
   schedule.setDue(kBegun + 5 * kMaxHold);
   const Instant now = kBegun + kMoment;
@@ -21,7 +21,7 @@
   cr_assert(schedule.publishAt(now, false) == kBegun + 5 * kMaxHold);
 }
 
-Test(listing_schedule, results_without_a_due_time_are_gathered_unless_they_are_urgent) {
+Test(result_schedule, results_without_a_due_time_are_gathered_unless_they_are_urgent) {
   result_schedule schedule(kBegun, {kMaxHold});
   const Instant now = kBegun + kMoment;
   cr_assert(schedule.publishAt(now, false) == kBegun + kMaxHold);
@@ -32,7 +32,7 @@
   cr_assert(schedule.publishAt(late, false) == late, "nothing is held back for longer");
 }
 
-Test(listing_schedule, what_is_finished_when_results_are_due_is_released_then) {
+Test(result_schedule, what_is_finished_when_results_are_due_is_released_then) {
   result_schedule schedule(kBegun, {kMaxHold});
   schedule.setDue(kBegun + kMoment);
   cr_assert(schedule.publishAt(kBegun, false) == kBegun + kMoment);
@@ -41,7 +41,7 @@
   cr_assert(schedule.publishAt(kBegun + 2 * kMoment, false) == kBegun + 2 * kMoment + kMaxHold);
 }
 
-Test(listing_schedule, finished_items_are_appended_soon_whether_or_not_they_are_released) {
+Test(result_schedule, finished_items_are_appended_soon_whether_or_not_they_are_released) {
   const batch::result_timing_options options;
   result_schedule schedule(kBegun, options);
   schedule.setDue(kBegun + std::chrono::seconds(8));
@@ -53,7 +53,7 @@
   cr_assert(schedule.publishAt(kBegun + kMoment, false) == kBegun + std::chrono::seconds(8));
 }
 
-Test(listing_schedule, urgent_releases_keep_a_small_distance) {
+Test(result_schedule, urgent_releases_keep_a_small_distance) {
   const batch::result_timing_options options;
   result_schedule schedule(kBegun, options);
   schedule.onPublished(kBegun);
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -71,7 +71,7 @@
 
 Test(run_moves, a_run_moves_only_for_more_than_it_costs) {
   engine_registry engines = registry();
-  batch::length_estimate lengths;
+  batch::length_estimator lengths;
   lengths.onFinished(100, 10);
   const batch_run run = twoItems();
   const auto long_run =
