--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /** @file
- * A job at its owner: everything that works on it shares this. Used within this folder only.
+ * State of a running job at its owner, shared by all components of this folder.
  *
- * Held by shared pointers: each coroutine that works on the job keeps it alive, also after the job
- * has stopped. Whoever goes on running the job checks `stopped` after each wait.
+ * Held by shared pointers: each coroutine that works on the job keeps it alive, even after the job
+ * has stopped. Coroutines check `stopped` after each suspension point.
  */
 
 #include <map>
@@ -23,7 +23,7 @@
 
 namespace linenpier::batch {
 
-/** Loop thread only. */
+/** Must be used from the event loop thread only. */
 struct active_job {
   active_job(boost::asio::io_context& loop, job_record row, batch_job job, run_rules rules,
              result_timing_options times)
@@ -33,34 +33,38 @@
         results_ready(loop),
         published_changed(loop) {}
 
-  /** An append that was sent; it stays as it is until the store has settled it. */
+  /** An append that was sent to the store. Unchanged until its outcome is known. */
   struct pending_append {
     std::size_t position = 0;
     std::vector<ItemIndex> items;
     std::vector<stored_result> results;
-    std::optional<std::size_t> publish;  ///< Results that readers are shown then.
+    /// New value of `published`, if the append publishes results.
+    std::optional<std::size_t> publish;
 
     bool empty() const { return results.empty() && !publish; }
   };
 
   job_record record;
-  Revision fence = 0;  ///< Revision of the job's row under which this daemon owns it.
+  Revision fence = 0;  ///< Revision of the job's row under which this daemon owns the job.
   batch_run run;
   result_schedule schedule;
   Instant accepted_at{};                ///< By this daemon's clock.
-  std::vector<stored_result> appended;  ///< By position; all in the store.
-  std::size_t published = 0;            ///< Those of them that readers are shown.
-  std::size_t unpublished_bytes = 0;    ///< Of those that they are not.
+  std::vector<stored_result> appended;  ///< Results stored so far, by position.
+  std::size_t published = 0;            ///< Number of results visible to readers.
+  std::size_t unpublished_bytes = 0;    ///< Size of the results that are stored but not published.
   pending_append pending;
-  std::map<ItemIndex, std::shared_ptr<forward::engine_call>> calls;   ///< By the item they run.
-  std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;  ///< Reward requests.
-  Signal results_ready;      ///< There is something to list, or the job stops.
-  Signal published_changed;  ///< `published` has grown, or the job stops.
+  /// Running engine calls, by item.
+  std::map<ItemIndex, std::shared_ptr<forward::engine_call>> calls;
+  /// Reward requests in flight, by item.
+  std::map<ItemIndex, std::shared_ptr<http::Cancellation>> scorings;
+  Signal results_ready;      ///< Notified when there are results to append, or when the job stops.
+  Signal published_changed;  ///< Notified when `published` has grown, or when the job stops.
   checkpoint_tracker checkpointed;
-  std::size_t checkpoint_first_row = 0;  ///< Of the last whole part, or of what was inherited.
+  /// First row of the latest full part, or of the parts of earlier owners.
+  std::size_t checkpoint_first_row = 0;
   std::size_t checkpoint_next_row = 0;
   bool checkpoint_in_progress = false;
-  bool first_event_logged = false;  ///< Lines that are written once a job and owner.
+  bool first_event_logged = false;  ///< Each of these events is logged once per job and owner.
   bool step_complete_logged = false;
   bool step_published_logged = false;
   bool stopped = false;
@@ -72,7 +76,7 @@
     logging::LogEvent("batch", "first_event").text("batch", record.id.str());
   }
 
-  /** @param item that was finished last. */
+  /** @param item the item that finished last. */
   void logStepComplete(ItemIndex item) {
     if (step_complete_logged || !run.stepComplete()) return;
     step_complete_logged = true;
--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Options of batch jobs, and the counters that their metrics are made of.
+ * Options of batch jobs, and the counters exported as metrics.
  */
 
 #include <cstddef>
@@ -16,50 +16,50 @@
 namespace linenpier::batch {
 
 struct batch_options {
-  Duration connect_timeout = std::chrono::milliseconds(200);  ///< To connect to an engine.
+  Duration connect_timeout = std::chrono::milliseconds(200);  ///< For connecting to an engine.
   run_timeouts timeouts;
   Duration rejected_retry_delay =
-      std::chrono::milliseconds(40);   ///< Of an item that an engine rejected.
-  Duration interrupted_retry_delay{};  ///< Of an item whose run was stopped or broken.
+      std::chrono::milliseconds(40);   ///< Before an item that an engine rejected is sent again.
+  Duration interrupted_retry_delay{};  ///< Before an item whose run was interrupted is sent again.
   result_timing_options result_timing;
-  Duration checkpoint_interval =
-      std::chrono::milliseconds(500);        ///< Between two checkpoints of a job.
-  std::uint64_t min_checkpoint_events = 10;  ///< Fewer new ones are not worth a checkpoint.
-  Duration store_retry_delay = std::chrono::milliseconds(150);  ///< Before a write is sent again.
-  /// Of a reader that waits while the feed of jobs does not say what is published.
+  Duration checkpoint_interval = std::chrono::milliseconds(500);  ///< Between checkpoints of a job.
+  /// A checkpoint is written only for at least so many new events.
+  std::uint64_t min_checkpoint_events = 10;
+  /// Before a failed write to the store is retried.
+  Duration store_retry_delay = std::chrono::milliseconds(150);
+  /// Poll interval of a waiting reader while the feed of job rows is unavailable.
   Duration poll_interval = std::chrono::milliseconds(100);
-  /// Of a reader that waits elsewhere than at the owner: it reads what is held back in the
-  /// meantime, so that little is left to read when it is published.
+  /// Poll interval of a waiting reader on daemons other than the owner. They fetch unpublished
+  /// results ahead of time, so that few are left to read once these are published.
   Duration read_ahead_interval = std::chrono::milliseconds(300);
-  /// From the receipt of a job until the store must have taken it.
+  /// From receiving a job until the store must have accepted it.
   Duration accept_timeout = std::chrono::milliseconds(2500);
-  /// From the call that ends a job until the store must have taken that.
+  /// From receiving the request that ends a job until the store must have accepted it.
   Duration end_timeout = std::chrono::milliseconds(3500);
-  /// Results of an ended job in memory. A trainer's next but one step, asked for some eight seconds
-  /// later, may hold groups of it.
+  /// How long the results of an ended job stay in memory, where the trainer's next steps can reuse
+  /// them.
   Duration ended_job_cache_time = std::chrono::seconds(10);
-  /// From a job's acceptance until it may be removed, if it has ended.
+  /// From a job's acceptance until it may be removed, provided that it has ended.
   Duration job_retention = std::chrono::seconds(120);
-  /// Until daemons that did not own an ended job remove it.
+  /// Additional delay before daemons other than the owner remove an ended job.
   Duration removal_delay = std::chrono::seconds(30);
-  Duration removal_period = std::chrono::seconds(2);  ///< Between two polls for such jobs.
-  /// What earlier jobs left is of little use to a job later.
+  Duration removal_period = std::chrono::seconds(2);  ///< Poll interval for such jobs.
+  /// Time limit for reading the partial results of earlier jobs.
   Duration reuse_timeout = std::chrono::seconds(2);
-  /// Trainers ask for the next step while one or two are under way.
+  /// Earlier jobs searched for partial results. Trainers keep one or two steps in flight.
   std::size_t max_earlier_jobs = 3;
-  /// Items of open jobs that one daemon is given: some four steps of a large trainer. Beyond that
-  /// the events of all of them would take more than a small machine's processor.
+  /// Limit of items in open jobs per owner. Bounds the processor time spent on their events.
   std::size_t max_open_items = 1000;
-  /// Requests a slot that an engine may have, counting others', for items to start there.
+  /// Upper limit of requests per engine slot, counting all daemons, for an item to start there.
   double requests_per_slot = 1.0;
   run_move_rules move_rules;
-  zone_drain_options zone_drain;              ///< Of closed zones.
-  std::size_t max_page_bytes = 900 * 1024;    ///< Of results in one answer to a reader.
-  std::size_t max_append_bytes = 640 * 1024;  ///< Of results in one append.
-  /// Results that are held back for longer are more than one page, which a trainer reads half a
-  /// second apart.
+  zone_drain_options zone_drain;              ///< How runs are moved out of closed zones.
+  std::size_t max_page_bytes = 900 * 1024;    ///< Size of the results in one page.
+  std::size_t max_append_bytes = 640 * 1024;  ///< Size of the results in one append.
+  /// Unpublished results beyond this size are published at once: they would not fit in one page.
   std::size_t max_unpublished_bytes = 640 * 1024;
-  /// The store takes 100 entries a write: the condition on the job's row, and a value each.
+  /// Limit of results per append. The store accepts 100 entries per write, one of them for the
+  /// job's row.
   std::size_t max_append_rows = 96;
 };
 
@@ -68,15 +68,16 @@
   std::uint64_t refused = 0;
   std::uint64_t taken_over = 0;
   std::uint64_t lost = 0;
-  std::uint64_t refused_for_residency = 0;  ///< Of `refused`: no engine within residency.
+  /// Part of `refused`: no engine within the job's residency.
+  std::uint64_t refused_for_residency = 0;
   std::uint64_t given_up_for_residency =
-      0;  ///< Jobs given up since this daemon is outside their residency.
+      0;  ///< Handed over because this daemon is outside the job's residency.
   std::uint64_t ended = 0;
   std::uint64_t completed = 0;
   std::uint64_t terminated = 0;
   std::uint64_t attempts = 0;
   std::uint64_t scored = 0;
-  std::uint64_t scorings_failed = 0;  ///< Reward requests that brought no score.
+  std::uint64_t scorings_failed = 0;  ///< Reward requests that returned no score.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -22,8 +22,8 @@
   }
 }
 
-/** Groups that come again are waited for in any case. Among the others the longest items begin
- * first, since the step ends with them.
+/** Reused groups first, since the step always waits for them; then the longest items first, since
+ * they determine when the step ends.
  */
 void batch_run::orderItems() {
   this->order_.resize(this->job_.items.size());
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -6,12 +6,12 @@
 namespace linenpier::batch {
 
 namespace {
-/// Poll interval: shorter than an event takes, so that a free slot is not left empty for long.
+/// Shorter than an engine takes for an event, so that free slots are filled soon.
 constexpr Duration kPollInterval = std::chrono::milliseconds(50);
-/// The same at a daemon that owns no job and is not among those that take one over first: each poll
-/// wakes the process, in a large fleet on hundreds of machines.
+/// Poll interval of a daemon that owns no job and is not a preferred owner. Limits wakeups in large
+/// fleets.
 constexpr Duration kIdlePollInterval = std::chrono::milliseconds(250);
-/// A daemon that started just now may have to take up what its earlier life owned.
+/// After its start, a daemon may have to resume the jobs that it owned before.
 constexpr Duration kStartupTime = std::chrono::seconds(5);
 }  // namespace
 
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /** @file
- * The batch jobs of this daemon: composes the parts of this folder, and polls them.
+ * Batch jobs of this daemon: composes the components of this folder and polls them.
  *
- * What callers may rely on:
- * - a job is accepted only after it and its row are in the store (`job_acceptance`);
- * - a reader is shown only results that are in the store (`job_reader`);
- * - items are run by the owner alone, as far as it knows (`job_ownership`), and positions are given
- *   only under the job's fence (`job_store`).
+ * Guarantees to callers:
+ * - a job is accepted only after the job and its row are stored (`job_acceptance`);
+ * - readers see only results that are stored (`job_reader`);
+ * - only the owner runs items, as far as it knows (`job_ownership`), and results are stored only
+ *   under the job's fence (`job_store`).
  */
 
 #include <functional>
@@ -42,7 +42,7 @@
 
 namespace linenpier::batch {
 
-/** Owns every part, and the options that all of them read. Loop thread only. */
+/** Owns all components and their options. Must be used from the event loop thread only. */
 class batch_service {
  public:
   struct dependencies {
@@ -55,7 +55,8 @@
     const batch_codec& codec;
     forward::internal_requests& rewards;
     suspects::suspect_gate& suspects;
-    std::function<routing::RouteTablePtr()> routes;  ///< The newest table; empty before the first.
+    /// The newest table; null before the first one is loaded.
+    std::function<routing::RouteTablePtr()> routes;
   };
 
   batch_service(dependencies deps, batch_options options) : deps_(std::move(deps)) {
@@ -85,37 +86,38 @@
   Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
     return this->acceptance_.end(std::move(id), std::move(from), writer);
   }
-  /** @return whether this daemon knows the job as one that needs no key. */
+  /** @return whether the job is known and may be accessed without a key. */
   bool isPublic(const JobId& id) const;
 
-  /** A job's row, from the feed. */
+  /** A row of the job feed. */
   void onRecordRow(const JobId& id, const table::Row& row) { this->jobs_.onRow(id, row); }
   void onRecordRemoved(const JobId& id) { this->jobs_.onRemoved(id); }
 
-  /** @return whether readers wait here for results to be published. */
+  /** @return whether readers wait at this daemon for results to be published. */
   bool hasWaitingReaders() const { return this->reader_.hasWaitingReaders(); }
   /** @return whether this daemon owns jobs that have not ended. */
   bool ownsOpenJobs() const { return this->ownership_.ownsOpenJobs(); }
-  /** @return the work of jobs under way at any daemon. */
+  /** @return the open work of all known jobs, whoever owns them. */
   versions::open_work_by_model openWork() const;
-  /** @return the engines with runs that the steps of owned jobs wait for. */
+  /** @return the engines with runs that determine when the steps of owned jobs end. */
   std::set<EngineId> criticalEngines() const { return this->runner_.criticalEngines(); }
-  /** Gives up every owned job so that others take it at once. */
+  /** Releases all owned jobs, so that other daemons can take them over at once. */
   Task<void> handOver();
 
   const batch_counts& counts() const { return this->counts_; }
   std::size_t jobCount() const { return this->jobs_.size(); }
-  /** Owned jobs under way and their items, for the metrics. */
+  /** Running jobs of this daemon and their items, for the metrics. */
   struct job_workload {
     std::size_t jobs = 0;
     std::size_t waiting = 0;
     std::size_t running = 0;
     std::size_t unscored = 0;
-    std::size_t in_closed_zones = 0;     ///< Of those that run.
-    std::size_t awaiting_residency = 0;  ///< Jobs of anybody that no daemon within residency takes.
+    std::size_t in_closed_zones = 0;  ///< Part of `running`.
+    /// Jobs, of any owner, that no daemon within their residency takes over.
+    std::size_t awaiting_residency = 0;
   };
   job_workload workload() const;
-  /** @return runs of owned jobs at engines of the zone. */
+  /** @return the number of runs of owned jobs on engines of the zone. */
   std::size_t runsIn(const ZoneName& zone) const { return this->zone_drainer_.runsIn(zone); }
 
  private:
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Batch jobs: many requests handed in together, run afterwards, whose results are appended one by
- * one at positions that never change.
+ * Batch jobs: many requests that are submitted together and run asynchronously. Each result gets a
+ * position that never changes.
  */
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace linenpier::batch {
 
-/** The request that scores an item's text once it is complete. */
+/** The request that scores the text of an item once it is complete. */
 struct reward_request {
   std::string id;
   std::string host;
@@ -27,10 +27,10 @@
   bool operator==(const reward_request&) const = default;
 };
 
-/** A score, and the request that earned it. */
+/** A score and the id of the request that returned it. */
 struct reward_score {
   std::string request_id;
-  std::string signature;  ///< Of the answer; what a trainer is given.
+  std::string signature;  ///< Of the response; returned to the trainer.
 
   bool operator==(const reward_score&) const = default;
 };
@@ -38,16 +38,16 @@
 struct batch_item {
   ItemId id;
   std::string path;
-  std::vector<std::pair<std::string, std::string>> fields;  ///< HTTP fields, in order.
+  std::vector<std::pair<std::string, std::string>> fields;  ///< HTTP header fields, in order.
   std::string body;
   GroupId group;
-  ModelName model;                       ///< Empty: none named.
-  double tokens = 0;                     ///< Of the prompt, plus the most that may come out.
-  std::uint64_t length_hint = 0;         ///< Expected tokens out; 0: not known.
-  std::optional<reward_request> scorer;  ///< Absent: the text needs no score.
+  ModelName model;                       ///< Empty: not specified.
+  double tokens = 0;                     ///< Prompt tokens plus the maximum of generated tokens.
+  std::uint64_t length_hint = 0;         ///< Expected number of generated tokens; 0: unknown.
+  std::optional<reward_request> scorer;  ///< Absent: the text is not scored.
 };
 
-/** A job as it was handed in. */
+/** A job as submitted. */
 struct batch_job {
   JobId id;
   std::vector<batch_item> items;
@@ -63,24 +63,26 @@
   ResultState state = ResultState::kCompleted;
   std::string text;
   std::set<WeightVersion> versions;
-  std::string score;  ///< Empty where the item has no scorer.
+  std::string score;  ///< Empty if the item has no scorer.
 };
 
-/** What every daemon knows of a job: the row that stands for it. */
+/** A job's row, which is known to all daemons. */
 struct job_record {
   JobId id;
-  LeaseId owner;     ///< Empty: nobody, to be taken.
-  std::string host;  ///< Of the route that it was handed in under.
+  LeaseId owner;     ///< Empty: none; any daemon may take the job over.
+  std::string host;  ///< Of the route that the job was submitted to.
   std::string path;
-  ModelName model;  ///< Of its items; empty if none is named.
-  TenantId tenant;  ///< Who handed it in; empty: nobody in particular, everybody may read it.
-  std::set<RouteName> other_routes;  ///< Of items and scorers, where they are others'.
+  ModelName model;  ///< Model of the items; empty if not specified.
+  TenantId tenant;  ///< Tenant that submitted the job; empty: the job is public.
+  /// Routes of items and scorers that differ from the job's route.
+  std::set<RouteName> other_routes;
   std::size_t total = 0;
-  std::size_t body_rows = 0;  ///< That hold the job as handed in; 0: an object does.
-  std::size_t published = 0;  ///< Results that readers are shown; those behind are kept back.
+  std::size_t body_rows = 0;  ///< Rows that hold the submitted job; 0: it is stored as an object.
+  /// Number of results visible to readers. Later results are stored but not published.
+  std::size_t published = 0;
   bool ended = false;
-  bool started = false;          ///< An owner may have appended or kept something already.
-  std::int64_t accepted_ms = 0;  ///< By the store's clock.
+  bool started = false;          ///< An owner may have stored results or checkpoints.
+  std::int64_t accepted_ms = 0;  ///< Time of acceptance by the store's clock.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/call_status.cpp
+++ b/src/gateway/batch/call_status.cpp
@@ -3,7 +3,7 @@
 namespace linenpier::batch {
 
 namespace {
-/// Seconds, as the field says them: a caller asks again soon, also while nothing is known of when.
+/// In seconds. Short, since it is usually unknown when the call will succeed.
 constexpr const char* kRetryAfter = "0.3";
 }  // namespace
 
--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Text of items that are not appended, for whoever goes on with them. It is kept in parts: each
- * holds what was added since the one before, so that a long text is not written again and again.
+ * Checkpoints: the text of items that are not appended, from which another owner or job can resume.
+ * Written incrementally, so that long texts are not rewritten each time.
  */
 
 #include <optional>
@@ -14,13 +14,14 @@
 namespace linenpier::batch {
 
 struct item_checkpoint {
-  std::size_t item_index = 0;  ///< In the job that it was kept of.
+  std::size_t item_index = 0;  ///< In the job that the checkpoint belongs to.
   std::uint64_t last_event = 0;
-  std::set<WeightVersion> versions;        ///< That made the text's events.
+  std::set<WeightVersion> versions;        ///< Versions that generated the events.
   std::string text;                        ///< Data of the events up to `last_event`.
-  bool finished = false;                   ///< The text is complete, but was not appended.
-  std::optional<reward_score> score = {};  ///< Of a complete text.
-  /// The text begins behind this event, as an addition to what an earlier part has; 0: it is all.
+  bool finished = false;                   ///< The text is complete, but not appended.
+  std::optional<reward_score> score = {};  ///< Set only for a complete text.
+  /// The text starts after this event and extends the text of an earlier part; 0: it is the full
+  /// text.
   std::uint64_t after_event = 0;
 
   bool operator==(const item_checkpoint&) const = default;
@@ -28,14 +29,15 @@
 
 using checkpoint_texts = std::vector<item_checkpoint>;
 
-/** @param parts in the order in which they were written. An addition to a text that no part before
- *     has is left out: that part was never written, and a later one has all of the text.
- * @return each item once, with all of its text that the parts have.
+/** Merges the parts of a checkpoint.
+ * @param parts in the order in which they were written. An increment whose predecessor is missing
+ *     is skipped.
+ * @return the merged text of each item.
  */
 checkpoint_texts mergeParts(const std::vector<checkpoint_texts>& parts);
 
 std::string encodeCheckpoint(const checkpoint_texts& checkpoint);
-/** @return nothing if the bytes are no checkpoint. */
+/** @return the checkpoint, or nothing if the bytes are malformed. */
 std::optional<checkpoint_texts> decodeCheckpoint(const std::string& bytes);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/checkpoint_rows.cpp
+++ b/src/gateway/batch/checkpoint_rows.cpp
@@ -9,11 +9,11 @@
 
 constexpr char kCountSeparator = '/';
 constexpr char kHeaderEnd = ':';
-constexpr std::size_t kHeaderBytes = 32;  ///< "PIECE/PIECES:" takes no more.
+constexpr std::size_t kHeaderBytes = 32;  ///< Upper limit for "PIECE/PIECES:".
 
-/** A row's value: which piece of how many, and its bytes. */
+/** A piece of an encoded part, as stored in one row. */
 struct row_piece {
-  std::size_t number = 0;  ///< From 1 on; 0: the value is no piece.
+  std::size_t number = 0;  ///< Starts at 1; 0: the value is malformed.
   std::size_t count = 0;
   std::string bytes;
 };
--- a/src/gateway/batch/checkpoint_rows.h
+++ b/src/gateway/batch/checkpoint_rows.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * How a part of a checkpoint lies in rows: its bytes, cut into pieces that fit. Pure.
+ * Splits encoded parts of a checkpoint into row values of limited size, and joins them again. Pure.
  */
 
 #include <string>
@@ -11,13 +11,13 @@
 
 namespace linenpier::batch {
 
-/** @param max_bytes of a row's value.
+/** @param max_bytes upper limit for the value of a row.
  * @return the values of consecutive rows; at least one.
  */
 std::vector<std::string> toRows(const checkpoint_texts& part, std::size_t max_bytes);
 
-/** @param values of consecutive rows of one job. Parts that are cut off or malformed are left out.
- * @return the parts, in order.
+/** @param values of consecutive rows of one job.
+ * @return the parts, in order. Incomplete and malformed parts are skipped.
  */
 std::vector<checkpoint_texts> partsFromRows(const std::vector<std::string>& values);
 
--- a/src/gateway/batch/checkpoint_tracker.cpp
+++ b/src/gateway/batch/checkpoint_tracker.cpp
@@ -4,10 +4,9 @@
 
 namespace {
 
-/// Shorter texts are made again as soon as they are read.
+/// Shorter texts are generated again as fast as they are read from the store.
 constexpr std::uint64_t kMinCheckpointEvents = 5;
-/// A step of eight seconds writes as many at two a second: in the usual case it has one whole part
-/// at its begin, where texts are short.
+/// Parts before the next full one. Bounds the number of rows to read when resuming a job.
 constexpr std::size_t kMaxParts = 16;
 
 bool isTextComplete(const item_progress& progress) {
--- a/src/gateway/batch/checkpoint_tracker.h
+++ b/src/gateway/batch/checkpoint_tracker.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * What of a job's texts was kept already, so that each part of its checkpoint holds only what is
- * new. Pure; at the job's owner.
+ * Tracks which text of a job is checkpointed, so that each part of the checkpoint holds only what
+ * is new. Pure.
  */
 
 #include <cstdint>
@@ -14,34 +14,33 @@
 
 namespace linenpier::batch {
 
-/** A part that should be written now. */
+/** The next part to write. */
 struct checkpoint_part {
   checkpoint_texts texts;
-  std::vector<std::uint32_t> revisions;  ///< Of each text, see ItemProgress::text_revision.
-  /// It has all of each text: parts before it are of no use once it is written.
+  std::vector<std::uint32_t> revisions;  ///< `item_progress::text_revision` of each text.
+  /// The part holds the full text of each item and makes earlier parts obsolete.
   bool full = false;
-  std::uint64_t events = 0;  ///< That it adds to what was kept.
+  std::uint64_t events = 0;  ///< Number of events that are new in this part.
 };
 
 class checkpoint_tracker {
  public:
-  /** @return what the texts of items that are not appended have gained; all of them in the first
-   * part and, now and then, later, since whoever reads them reads all parts from the last whole one
-   * on.
+  /** @return the text added since the last part. The first part is full, and so is one part in
+   *     `kMaxParts`, which bounds how many parts must be read to resume.
    */
   checkpoint_part next(const batch_run& run) const;
 
-  /** The part was written: the next one is added to it. */
+  /** The part was written: the next one extends it. */
   void onWritten(const checkpoint_part& part);
-  /** It may or may not be written: the next one must be whole. */
+  /** The part may or may not have been written: the next one must be full. */
   void onWriteUnknown() { this->written_.reset(); }
 
  private:
-  /** Of one item's text. */
+  /** Checkpointed state of an item. */
   struct written_text {
     std::uint64_t last_event = 0;
     std::size_t bytes = 0;
-    std::uint32_t revision = 0;  ///< See ItemProgress::text_revision.
+    std::uint32_t revision = 0;  ///< See `item_progress::text_revision`.
     bool finished = false;
     bool scored = false;
   };
@@ -49,8 +48,8 @@
 
   std::optional<item_checkpoint> delta(const batch_run& run, ItemIndex item, bool full) const;
 
-  std::optional<written_texts> written_;  ///< Absent: nothing is known to be kept.
-  std::size_t parts_ = 0;                 ///< Written since the last whole one, with it.
+  std::optional<written_texts> written_;  ///< Absent: unknown, the next part must be full.
+  std::size_t parts_ = 0;                 ///< Number of parts since the last full one, inclusive.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr int kCheckpointBackoffFactor =
-    3;  ///< Pause between two, in times that the last one took.
+    3;  ///< Minimum pause between checkpoints, as a multiple of the duration of the last write.
 }  // namespace
 
 void checkpoint_writer::start(const active_job_ptr& active) {
@@ -20,7 +20,7 @@
 }
 
 Task<void> checkpoint_writer::write(active_job_ptr active, Need need) {
-  // What a write under way adds is not known yet.
+  // The outcome of the write in progress is unknown, so this part must be full.
   if (active->checkpoint_in_progress) active->checkpointed.onWriteUnknown();
   const checkpoint_part part = active->checkpointed.next(active->run);
   const bool enough_new = part.events >= this->deps_.options.min_checkpoint_events;
@@ -61,7 +61,7 @@
     if (active->stopped || active->run.allAppended()) co_return;
     const Instant begun = steadyNow();
     co_await this->write(active, Need::kIfEnoughNew);
-    // A store that is slow has results and renewals to take first.
+    // Leaves a slow store capacity for results and lease renewals.
     pause = std::max<Duration>(this->deps_.options.checkpoint_interval,
                                kCheckpointBackoffFactor * (steadyNow() - begun));
   }
--- a/src/gateway/batch/checkpoint_writer.h
+++ b/src/gateway/batch/checkpoint_writer.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Writes the checkpoints of owned jobs: the text of items that are not appended yet, so that the
- * next owner, or a later job of the same groups, goes on with it.
+ * Writes checkpoints of owned jobs, from which the next owner, or a later job with the same groups,
+ * can resume.
  */
 
 #include "gateway/batch/batch_options.h"
@@ -11,8 +11,8 @@
 
 namespace linenpier::batch {
 
-/** What a job's checkpoint holds already is kept with the job, in `active_job`. Relies on the
- * store, which takes a checkpoint only under the job's fence. Loop thread only.
+/** The checkpointed state is kept in `active_job`. Each write is conditional on the job's fence.
+ * Must be used from the event loop thread only.
  */
 class checkpoint_writer {
  public:
@@ -27,7 +27,7 @@
 
   /** Writes checkpoints until the job has stopped or all of its items are appended. */
   void start(const active_job_ptr& active);
-  /** Writes what is new since the last checkpoint, if anything is. */
+  /** Writes the changes since the last checkpoint, if there are any. */
   Task<void> write(active_job_ptr active, Need need);
 
  private:
--- a/src/gateway/batch/critical_runs.h
+++ b/src/gateway/batch/critical_runs.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Which runs of a job its step is likely to end with. Pure.
+ * Selects the runs that are expected to determine when a job's step ends. Pure.
  */
 
 #include <vector>
@@ -11,13 +11,11 @@
 
 namespace linenpier::batch {
 
-/** Runs of a job that engines should be left alone with. Hints are right within a factor of two, so
- * that the one the step ends with is among the few that are expected to last longest.
- */
+/** Length hints are inexact, so that several of the longest runs are considered critical. */
 inline constexpr std::size_t kMaxCriticalRuns = 3;
 
-/** @return the running items that are expected to last longest, at most `kMaxCriticalRuns`, none
- * that is expected to end in half of the longest one's time.
+/** @return the running items with the longest expected remaining time, at most `kMaxCriticalRuns`,
+ *     without those that need less than half of the longest.
  */
 std::vector<ItemIndex> criticalRuns(const batch_run& run, const length_estimator& lengths);
 
--- a/src/gateway/batch/engine_request_builder.h
+++ b/src/gateway/batch/engine_request_builder.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * What an item asks of an engine: its version, room and residency. Asked before a run starts and
- * before it moves, so that both follow the same rules.
+ * Builds the requirements of an item on an engine: version, capacity and residency. Used for both
+ * starting and moving runs, so that both follow the same rules.
  */
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace linenpier::batch {
 
-/** Holds no state of its own. Loop thread only. */
+/** Stateless. Must be used from the event loop thread only. */
 class engine_request_builder {
  public:
   struct dependencies {
@@ -24,7 +24,7 @@
 
   explicit engine_request_builder(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** @param route of the job; of the newest table. */
+  /** @param route the job's route in the newest table. */
   engines::engine_request build(const active_job& active, ItemIndex item,
                                 const routing::Route& route) const;
 
--- a/src/gateway/batch/item_placement.cpp
+++ b/src/gateway/batch/item_placement.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::batch {
 
 namespace {
-constexpr double kPromptTokens = 300;  ///< A usual prompt.
+constexpr double kPromptTokens = 300;  ///< Typical length of a prompt.
 }  // namespace
 
 double expectedTokens(const batch_item& item) {
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Which engine runs an item. Pure: asks the registry, sends nothing.
+ * Selects the engine that runs an item. Pure: reads the engine registry, but sends nothing.
  */
 
 #include "gateway/batch/batch_run.h"
@@ -9,24 +9,24 @@
 
 namespace linenpier::batch {
 
-/** @return the memory that an item is expected to fill, in tokens: less than the most that it may.
- */
+/** @return the engine memory that the item is expected to use, in tokens. Less than its maximum. */
 double expectedTokens(const batch_item& item);
 
-/** What an item asks of an engine.
- * @param max_per_slot requests a slot that an engine may have, counting others'.
+/** @return the requirements of an item on an engine.
+ * @param max_per_slot upper limit of requests per slot, counting all daemons.
  */
 engines::engine_request engineRequestFor(const batch_run& run, ItemIndex item,
                                          const routing::Route& route,
                                          const routing::RouteTable& table, double max_per_slot);
 
 struct item_placement {
-  const engines::engine_state* engine = nullptr;  ///< None admits the item if it is not set.
-  /// No engine can go on with the text so far: the item is begun anew.
+  const engines::engine_state* engine = nullptr;  ///< Null: no engine admits the item.
+  /// No engine can resume the text: the item must be started again.
   bool discard_text = false;
 };
 
-/** Chooses an engine for an item that waits. One that failed it is taken only if there is no other.
+/** Selects an engine for a waiting item. The engine on which the item failed last is selected only
+ * if there is no other.
  */
 item_placement placeItem(Instant now, engines::engine_registry& registry,
                          const item_progress& progress, engines::engine_request wanted);
--- a/src/gateway/batch/item_request.h
+++ b/src/gateway/batch/item_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * The request that an item is sent with, and the key under which engines that crash under it are
+ * Builds the HTTP request of an item, and the key under which engine crashes caused by it are
  * counted. Pure.
  */
 
@@ -15,8 +15,8 @@
 
 struct active_job;
 
-/** @return the item's request; it asks for the events behind those that the item has already.
- * @param table the newest one, which names the tenant and its priority; may be empty.
+/** @return the item's request, which resumes after the last event received.
+ * @param table the newest table, which provides the tenant's fields; may be null.
  */
 http::Request itemRequest(const active_job& active, ItemIndex item,
                           const forward::field_names& names, const routing::RouteTablePtr& table);
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -15,27 +15,28 @@
 using logging::LogEvent;
 
 namespace {
-/// Between two polls of a suspect item whose like runs just now.
+/// Poll interval for a suspect item while an isolated run of the same request is in progress.
 constexpr Duration kSuspectRunningPoll = std::chrono::milliseconds(100);
-/// The same of a suspect item that is barred: another daemon's answer may clear it.
+/// Poll interval for a suspect item that is blocked, until another daemon reports that it is
+/// harmless.
 constexpr Duration kSuspectHeldPoll = std::chrono::seconds(1);
 
-/// Statuses of an engine's answer.
+/// HTTP status codes of engines.
 constexpr unsigned kFirstErrorStatus = 300;
-constexpr unsigned kUnprocessable = 422;  ///< The item can never be done.
+constexpr unsigned kUnprocessable = 422;  ///< The item cannot be processed; retrying is useless.
 
 const batch_item& itemOf(const active_job& active, ItemIndex item) {
   return active.run.job().items[item];
 }
 }  // namespace
 
-/** A job with an item that waits, while items are started. */
+/** A job with its next waiting item. */
 struct item_runner::startable_item {
   active_job_ptr active;
   routing::RouteTablePtr table;  ///< Keeps `route` alive.
   const routing::Route* route = nullptr;
   ItemIndex item = 0;
-  Instant latest_start{};  ///< Of that item, if its job is to be complete when it is due.
+  Instant latest_start{};  ///< Latest start of the item for the job to be complete in time.
 };
 
 item_runner::item_runner(dependencies deps)
@@ -78,7 +79,7 @@
     if (job.active && !job.active->stopped) this->scorer_.start(job.active);
   }
   std::vector<startable_item> jobs = this->startableItems();
-  // The item that is latest begins first, of whichever job: a long text decides when its step ends.
+  // Start the most urgent item of all jobs first: the longest text determines when its step ends.
   while (!jobs.empty()) {
     const auto next = std::min_element(jobs.begin(), jobs.end(),
                                        [](const startable_item& one, const startable_item& other) {
@@ -98,7 +99,7 @@
   if (placement.discard_text) active->run.discardText(item);
   if (placement.engine == nullptr) return false;
   const auto admission = this->admitSuspect(*active, item);
-  if (!admission) return true;  // It waits, and others may start.
+  if (!admission) return true;  // The item is on hold; other items of the job may start.
   const auto call = std::make_shared<forward::engine_call>(
       this->deps_.engines, *placement.engine,
       itemRequest(*active, item, this->deps_.engines.names, this->deps_.routes()));
@@ -198,7 +199,7 @@
   batch_run& state = run.active->run;
   const bool rejected = verdict == AttemptVerdict::kNotExecuted;
   const bool silent = verdict == AttemptVerdict::kSilent;
-  // A silent engine is full, or stands still while it loads.
+  // An engine that does not respond is overloaded, or blocked while it loads weights.
   if ((rejected || silent) && !run.model.empty()) {
     registry.onModelRefused(now, run.call->engine(), run.model);
   }
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /** @file
- * Runs the items of owned jobs: starts what engines have room for, reads the answers, and settles
- * what becomes of each item. How an item stands is kept by `batch_run`; which engine it gets is
- * decided by `placeItem`.
+ * Runs the items of owned jobs: starts items as engine capacity permits, reads the responses, and
+ * updates the state of the items. That state is kept in `batch_run`; `placeItem` selects the
+ * engine.
  */
 
 #include <functional>
@@ -21,13 +21,12 @@
 
 namespace linenpier::batch {
 
-/// Lines about finished items that a daemon writes in full each second, and one in how many then.
+/// Completed runs logged per second; beyond that rate they are sampled.
 inline constexpr std::uint32_t kFullLinesPerSecond = 60;
 inline constexpr std::uint32_t kSampleOneIn = 10;
 
-/** Owns what is learnt of texts' lengths, and the reward requests under way. The calls under way
- * are kept with their job, in `active_job`. Relies on the jobs that are known as active. Loop
- * thread only.
+/** Owns the length statistics and the reward requests in flight. Engine calls in flight are kept in
+ * `active_job`. Must be used from the event loop thread only.
  */
 class item_runner {
  public:
@@ -45,38 +44,40 @@
 
   explicit item_runner(dependencies deps);
 
-  /** Starts reward requests and items, as far as engines have room. */
+  /** Starts waiting reward requests and items, as engine capacity permits. */
   void startRunnableItems();
 
   const length_estimator& lengths() const { return this->lengths_; }
-  /** @return the engines with runs that the steps of owned jobs wait for. */
+  /** @return the engines with runs that determine when the steps of owned jobs end. */
   std::set<EngineId> criticalEngines() const;
 
  private:
   struct startable_item;
-  /** One run of an item. The job and the call live at least as long as it does. */
+  /** One run of an item. Keeps the job and the call alive. */
   struct item_attempt {
     active_job_ptr active;
     ItemIndex item = 0;
     std::shared_ptr<forward::engine_call> call;
-    ModelName model;  ///< Empty: the item names none.
+    ModelName model;  ///< Empty: not specified.
     suspects::sent_attempt sent;
   };
 
   std::vector<startable_item> startableItems();
-  /** @return whether the job has an item that may start; it is then set. */
+  /** Finds the job's next item. @return whether there is one that may start now. */
   bool findNext(startable_item& job) const;
   /** @return whether other items of the job may start. */
   bool startItem(const active_job_ptr& active, ItemIndex item, const routing::Route& route);
-  /** @return nothing if the item must wait, since engines crashed under it. */
+  /** @return nothing if the item must wait because engines crashed while running it. */
   std::optional<suspects::sent_attempt> admitSuspect(active_job& active, ItemIndex item);
   Task<void> runItem(item_attempt run);
-  /** Reports what a run has shown of a request under which engines may crash. */
+  /** Reports the outcome of a run to the detection of requests that crash engines. */
   void reportToSuspectGate(const item_attempt& run, forward::AttemptVerdict verdict,
                            bool engine_crashed);
   void finishAttempt(const item_attempt& run, forward::AttemptVerdict verdict,
                      const run_report& report);
-  /** @param events that the item has. @param status of the answer; 0: none. */
+  /** @param status of the response; 0: none.
+   * @param events number of events that the item has.
+   */
   void applyVerdict(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
                     unsigned status, std::uint64_t events, const run_report& report);
   void interruptItem(Instant now, const item_attempt& run, forward::AttemptVerdict verdict,
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -8,16 +8,19 @@
 using logging::LogEvent;
 
 namespace {
-/// A reward request may be repeated: one that takes longer is better sent anew.
+/// Reward requests are idempotent, so that slow ones are sent again.
 constexpr Duration kRewardTimeout = std::chrono::milliseconds(1500);
-constexpr std::size_t kMaxInFlight = 64;  ///< That one daemon has under way.
-/// Share of an engine's slots that reward requests may fill, so that callers find room …
+constexpr std::size_t kMaxInFlight = 64;  ///< Limit per daemon.
+/// Share of an engine's slots available to reward requests; the rest is left to interactive
+/// requests.
 constexpr double kDefaultShare = 0.67;
-/// … unless one has waited for this long.
+/// After this time, a waiting reward request may use all slots.
 constexpr Duration kFullShareDelay = std::chrono::milliseconds(300);
 constexpr double kFullShare = 1.0;
-constexpr Duration kNoEngineDelay = std::chrono::milliseconds(20);  ///< No engine had room.
-/// Of a reward request under which engines crashed: it is polled, as another daemon may clear it.
+/// Retry delay if no engine had a free slot.
+constexpr Duration kNoEngineDelay = std::chrono::milliseconds(20);
+/// Upper limit of the retry delay for requests that crashed engines. Another daemon may report in
+/// the meantime that the request is harmless.
 constexpr Duration kMaxSuspectDelay = std::chrono::seconds(1);
 constexpr Duration kFailureRetryDelay = std::chrono::milliseconds(60);
 
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Reward requests: a text that is complete is scored before it is appended.
+ * Sends reward requests, which score complete texts before they are appended.
  */
 
 #include <functional>
@@ -19,7 +19,7 @@
 struct active_job;
 using active_job_ptr = std::shared_ptr<active_job>;
 
-/** Loop thread only. */
+/** Must be used from the event loop thread only. */
 class item_scorer {
  public:
   struct dependencies {
@@ -29,25 +29,24 @@
     std::function<routing::RouteTablePtr()> routes;
     batch_counts& counts;
     logging::SuccessSampler& sampler;
-    std::function<void()> on_finished;  ///< A reward request has ended.
+    std::function<void()> on_finished;  ///< Called when a reward request has finished.
   };
 
   explicit item_scorer(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** Sends reward requests for the job's complete texts, as many as this daemon may have under way.
-   */
+  /** Sends reward requests for the job's complete texts, up to the limit per daemon. */
   void start(const active_job_ptr& active);
 
  private:
   Task<void> scoreItem(active_job_ptr active, ItemIndex item,
                        std::shared_ptr<http::Cancellation> cancellation);
-  /** @param max_failures answers of 500 after which the item is given up. */
+  /** @param max_failures failed attempts after which the item is terminated; 0: unlimited. */
   void applyOutcome(active_job& active, ItemIndex item, const forward::internal_outcome& outcome,
                     int max_failures);
   http::Request rewardRequest(const reward_request& scorer) const;
 
   dependencies deps_;
-  std::size_t in_flight_ = 0;  ///< Reward requests.
+  std::size_t in_flight_ = 0;  ///< Number of reward requests.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -12,18 +12,17 @@
 
 namespace {
 constexpr int kMaxPutAttempts = 2;
-/// For a question to a store that may be away, before a job is refused: many times its usual
-/// answer.
+/// For checking whether the store responds, many times its usual response time.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(150);
 
-/** @return the row as it is known, so that the store need not be asked for it. */
+/** @return the known row, which saves reading it from the store. */
 std::optional<table::Row> rowOf(const job_entry* job) {
   if (job == nullptr || job->revision == 0) return std::nullopt;
   return table::Row{table::jobKey(job->record.id), job->revision, encodeRecord(job->record)};
 }
 }  // namespace
 
-// --- Handing in ---------------------------------------------------------------------------------
+// --- Submitting ---------------------------------------------------------------------------------
 
 Task<void> job_acceptance::submit(const routing::Route& route, tenants::caller from,
                                   const http::Request& request, Instant received,
@@ -50,15 +49,14 @@
 }
 
 Task<const char*> job_acceptance::rejectionReason(JobId id) {
-  // A feed that is lost says little: the store may be back, or turn its feeds away only.
+  // A lost feed does not imply that the store is unavailable.
   bool reachable = this->deps_.leases.storeHealthy();
   if (!this->stopping_ && !reachable) {
     reachable = co_await this->deps_.store.isReachable(id, kProbeTimeout);
   }
   if (this->stopping_) co_return "stopping";
   if (!reachable) co_return "store_away";
-  // A daemon that has just started may not know the store's clock. A job that it dated would seem
-  // as old as the store, and its items would be given up at once.
+  // Without the store's clock the job's age would be unknown, and its items could expire at once.
   if (this->deps_.keeper.storeClock(steadyNow()) == 0) co_return "clock_unknown";
   co_return nullptr;
 }
@@ -79,7 +77,7 @@
   std::vector<table::Put> body = this->deps_.store.bodyRows(call.id, call.request.body());
   if (body.empty()) {
     const bool stored = co_await this->storeObject(call.id, call.request.body(), call.deadline);
-    // Without its row the object means nothing: the job has not been taken.
+    // The object alone is harmless: a job exists only if its row does.
     if (!stored) co_return submission_outcome{"object_not_stored", kUnavailable};
   }
   call.record.body_rows = body.size();
@@ -126,7 +124,7 @@
     if (own && answer.outcome == FencedWriteOutcome::kCommitted)
       this->deps_.keeper.onRenewed(sent_at);
     if (answer.outcome != FencedWriteOutcome::kUnknown) co_return answer;
-    // It may be done yet. Only a row that is there settles it; the same write may follow.
+    // The write may still succeed. Repeating it is safe, since it requires that the row is absent.
     if (steadyNow() + this->deps_.options.store_retry_delay >= deadline) co_return answer;
     co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
@@ -218,8 +216,7 @@
 
 Task<unsigned> job_acceptance::endBefore(JobId id, tenants::caller from, Instant deadline,
                                          http::ResponseWriter& writer) {
-  // What the feed brought, or the store with its refusal of a write: it is asked only without
-  // either.
+  // The row from the feed or from a failed conditional write saves reading it.
   std::optional<table::Row> known = rowOf(this->deps_.jobs.find(id));
   while (steadyNow() < deadline && !writer.cancellation().requested()) {
     CallResult<table::Row> row = known.value_or(table::Row{});
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -1,10 +1,11 @@
 #pragma once
 
 /** @file
- * Calls that hand batch jobs in and end them. Any daemon takes any job in; who is to run it is
- * decided by `chooseNewJobOwner`.
+ * Handles requests that submit and end batch jobs. Any daemon accepts any job; `chooseNewJobOwner`
+ * selects the daemon that runs it.
  *
- * A job is accepted only after it and its row are in the store: whoever got 202 may rely on it.
+ * A job is accepted only after the job and its row are stored, so that a client that received 202
+ * can rely on it.
  */
 
 #include <functional>
@@ -24,7 +25,7 @@
 
 namespace linenpier::batch {
 
-/** Keeps nothing between calls. Loop thread only. */
+/** Stateless between calls. Must be used from the event loop thread only. */
 class job_acceptance {
  public:
   struct dependencies {
@@ -46,56 +47,57 @@
 
   explicit job_acceptance(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** The job belongs to the tenant that hands it in. The caller keeps route, request and writer
-   * alive until the end.
+  /** The job belongs to the tenant that submits it. The caller keeps route, request and writer
+   * alive until the call returns.
    */
   Task<void> submit(const routing::Route& route, tenants::caller from, const http::Request& request,
                     Instant received, http::ResponseWriter& writer);
   Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer);
-  /** No job is accepted from now on. */
+  /** Rejects all jobs from now on. */
   void stop() { this->stopping_ = true; }
 
  private:
-  /** A job that is being handed in, and what is known of it so far. */
+  /** A job that is being submitted. */
   struct submission {
     const routing::Route& route;
     const http::Request& request;
     tenants::caller from;
     JobId id;
     Instant received;
-    Instant deadline;        ///< For writing it to the store.
-    job_record record = {};  ///< The owner is set once it is chosen.
+    Instant deadline;        ///< For writing the job to the store.
+    job_record record = {};  ///< The owner is set once it is selected.
     std::optional<batch_job> job = {};
   };
-  /** What came of it, as the log and the caller get it. */
+  /** Outcome of a submission, for the log and the response. */
   struct submission_outcome {
     const char* name = "";
     unsigned status = 0;
-    std::string text = {};                  ///< For the caller.
-    std::optional<Revision> revision = {};  ///< Of the row, if the job was accepted.
+    std::string text = {};                  ///< Body of the response.
+    std::optional<Revision> revision = {};  ///< Of the job's row, if the job was accepted.
   };
 
-  /** @return why no job can be accepted now, as the log names it; nullptr if one can. */
+  /** @return why no job can be accepted now, as a name for the log; nullptr if jobs can be
+   * accepted.
+   */
   Task<const char*> rejectionReason(JobId id);
   Task<submission_outcome> accept(submission& call);
   job_record recordOf(const submission& call, const batch_job& job) const;
-  /** Keeps a job that is too large for rows. @return whether it is kept. */
+  /** Stores a job that is too large for rows as an object. @return whether it succeeded. */
   Task<bool> storeObject(JobId id, std::string bytes, Instant deadline);
-  /** @param body rows to be written with the job's row. */
+  /** @param body rows to write together with the job's row. */
   Task<fenced_write_result> acceptRecord(job_record record, std::vector<table::Put> body,
                                          Instant deadline);
   submission_outcome toOutcome(const submission& call, const fenced_write_result& answer);
   void logOutcome(const submission& call, const submission_outcome& outcome) const;
-  /** Takes the job in, and runs it if it is this daemon's. */
+  /** Registers the job, and starts it if this daemon is its owner. */
   void onAccepted(submission& call, Revision revision);
 
-  /** @return who should run a job that is handed in here; nobody, if those who may are not known.
-   */
+  /** @return the owner of a new job; empty if no daemon within its residency is known. */
   LeaseId ownerFor(Instant now, const job_record& record) const;
-  /** @return the position of the job's model among those of the configuration. */
+  /** @return the index of the job's model in the configuration. */
   std::size_t modelIndex(const job_record& record) const;
 
-  /** @return the status of the answer. */
+  /** @return the status code of the response. */
   Task<unsigned> endBefore(JobId id, tenants::caller from, Instant deadline,
                            http::ResponseWriter& writer);
 
--- a/src/gateway/batch/job_activation.cpp
+++ b/src/gateway/batch/job_activation.cpp
@@ -53,7 +53,7 @@
   job.active = active;
   active->fence = job.revision;
   active->accepted_at = accepted_at;
-  // Before the texts: whether they fit depends on the rules.
+  // The rules must be set first: they determine which checkpointed texts are allowed.
   applyRules(*active, this->deps_.routes());
   restore(*active, progress);
   logActive(*active, progress);
--- a/src/gateway/batch/job_activation.h
+++ b/src/gateway/batch/job_activation.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Makes a job that this daemon owns run here: builds its state from what earlier owners wrote, and
- * starts everything that works on it.
+ * Starts a job that this daemon owns: restores its state from the store and starts all components
+ * that work on it.
  */
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace linenpier::batch {
 
-/** Holds no state of its own. Loop thread only. */
+/** Stateless. Must be used from the event loop thread only. */
 class job_activation {
  public:
   struct dependencies {
@@ -30,8 +30,8 @@
 
   explicit job_activation(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** The job's row, as it is known, must name this daemon as its owner.
-   * @param progress what earlier owners wrote; empty for a new job.
+  /** The known row of the job must name this daemon as its owner.
+   * @param progress stored results and checkpoints of earlier owners; empty for a new job.
    * @param accepted_at when the job was accepted, by this daemon's clock.
    */
   void activate(const JobId& id, batch_job job, const stored_progress& progress,
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -11,11 +11,11 @@
 using logging::LogEvent;
 
 namespace {
-/// A job that nobody takes for this long has no owner within its residency: those who are there
-/// take it within a second or two.
+/// Daemons within a job's residency take it over sooner than this. A job without an owner for
+/// longer is reported.
 constexpr Duration kResidencyWait = std::chrono::seconds(3);
 constexpr Duration kWaitLogInterval =
-    std::chrono::seconds(10);  ///< Between two lines on such jobs.
+    std::chrono::seconds(10);  ///< Between log entries about such jobs.
 }  // namespace
 
 bool job_ownership::isOwn(const job_entry& job) const {
@@ -41,13 +41,13 @@
              this->isOwn(job)) {
     this->startResume(id, job);
   } else if (this->stopping_ && !job.active && !record.ended && this->isOwn(job)) {
-    // It was given to this daemon before anybody knew that it stops.
+    // The job was assigned to this daemon before other daemons knew that it is shutting down.
     spawn(this->deps_.loop, [this, id] { return this->handOverJob(id); });
   }
 }
 
 void job_ownership::startResume(const JobId& id, job_entry& job) {
-  // The next poll settles whether this daemon may own it.
+  // The next poll checks whether this daemon may own it.
   job.resume_when_in_residency = !this->deps_.residency.mayOwn(job.record);
   if (job.resume_when_in_residency) return;
   job.transition_pending = true;
@@ -64,7 +64,7 @@
   if (!job.record.ended) ++this->deps_.counts.lost;
   job.active->stop(steadyNow());
   if (!job.record.ended || job.active->run.allAppended()) return;
-  // Its unfinished groups may come again in a later job.
+  // Later jobs may contain its incomplete groups.
   job.active->fence = job.revision;
   const active_job_ptr active = job.active;
   spawn(this->deps_.loop, [this, active] {
@@ -85,8 +85,8 @@
   if (job.record.ended || this->stopping_ || job.transition_pending) return;
   if (job.active && !job.active->stopped) return;
   if (this->isOwn(job)) {
-    // The feed brought a takeover while its answer was waited for, which then did not come. This
-    // life never counts as lost, so that nobody else would run the job.
+    // The feed reported a takeover by this daemon whose write was not answered. The lease of this
+    // daemon stays valid, so that no other daemon would take the job over.
     if (!job.active) this->startResume(id, job);
     return;
   }
@@ -96,7 +96,7 @@
 void job_ownership::releaseStopped(Instant now, job_entry& job) const {
   if (!job.active || !job.active->stopped) return;
   if (!job.active->calls.empty() || !job.active->scorings.empty()) return;
-  // What may be removed from the store need not be kept in memory.
+  // Jobs that may be removed from the store need not stay in memory.
   const batch_options& options = this->deps_.options;
   const Duration keep = std::min(options.ended_job_cache_time, options.job_retention);
   if (now - job.active->stopped_at > keep) job.active.reset();
@@ -111,7 +111,7 @@
     return;
   }
   const bool own = leases.isEarlierSelf(job.record.owner);
-  // One daemon takes all jobs of a model.
+  // The same daemon takes over all jobs of a model.
   const std::string& what = job.record.model.empty() ? id.str() : job.record.model.str();
   const Duration delay = own ? Duration::zero() : this->deps_.pool.takeoverDelay(now, what);
   if (now - job.orphaned_at < delay) return;
@@ -237,7 +237,7 @@
   job_entry* at = this->deps_.jobs.find(id);
   const bool still_owned = at != nullptr && this->isOwn(*at);
   if (still_owned) {
-    // The store did not take it. The residency may change back until it does.
+    // The write failed. Retry, unless the residency has changed back by then.
     at->resume_when_in_residency = true;
     co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
@@ -282,7 +282,8 @@
   const active_job_ptr active = at->active;
   if (active && !active->stopped) {
     active->stop(steadyNow());
-    // Also where one was sent just now: it may come too late, after the job was given up.
+    // Even if another checkpoint was sent just now: it may be committed only after the job was
+    // released, and fail.
     co_await this->deps_.checkpoints.write(active, checkpoint_writer::Need::kAlways);
   }
   const fenced_write_result answer = co_await this->deps_.store.putRecord(record, fence, {});
--- a/src/gateway/batch/job_ownership.h
+++ b/src/gateway/batch/job_ownership.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /** @file
- * Who owns a job, as far as it concerns this daemon: it goes on with jobs whose row names it, takes
- * over those whose owner is lost, stops those that another has taken, and hands over those that it
- * must not keep. Who gets a new job is decided by `new_job_owner.h`.
+ * Ownership of jobs by this daemon: resumes jobs that are assigned to it, takes over jobs whose
+ * owner is lost, stops jobs that another daemon has taken over, and releases jobs that it must not
+ * own. `new_job_owner.h` selects the owner of a new job.
  *
- * Invariant: items are run by the owner alone, as far as it knows. Whatever it writes is under the
- * job's fence, so that an owner that does not know yet that it lost a job changes nothing.
+ * Invariant: only the owner runs items, as far as it knows. All of its writes are conditional on
+ * the job's fence, so that a daemon that has lost a job unnoticed cannot change it.
  */
 
 #include "gateway/batch/batch_codec.h"
@@ -20,8 +20,8 @@
 
 namespace linenpier::batch {
 
-/** Owns the takeover state of known jobs (see `job_entry`). Relies on leases for who is lost, on
- * the pool of owners for who goes first, and on the store for what it owns. Loop thread only.
+/** Owns the ownership fields of `job_entry`. Leases tell which owners are lost; the pool of owners
+ * orders the daemons that take over. Must be used from the event loop thread only.
  */
 class job_ownership {
  public:
@@ -42,48 +42,53 @@
 
   explicit job_ownership(dependencies deps) : deps_(deps) {}
 
-  /** A newer row of a job was read. */
+  /** Called when a newer row of a job was read. */
   void onJobChanged(const JobId& id, job_entry& job);
-  /** Takes over jobs whose owner is lost, and settles those that this daemon should go on with. */
+  /** Takes over jobs whose owner is lost, and resumes owned jobs that do not run. */
   void checkOwners(Instant now);
   /** @return whether this daemon owns jobs that have not ended. */
   bool ownsOpenJobs() const;
-  /** Gives up every owned job so that others take it at once; from now on none is taken. */
+  /** Releases all owned jobs, so that other daemons can take them over at once. No jobs are taken
+   * over afterwards.
+   */
   Task<void> handOver();
-  /** @return jobs that nobody within their residency takes up, at the last check. */
+  /** @return the number of jobs that no daemon within their residency had taken over at the last
+   *     check.
+   */
   std::size_t awaitingResidency() const { return this->awaiting_residency_; }
 
  private:
   bool isOwn(const job_entry& job) const;
   void checkOwner(Instant now, const JobId& id, job_entry& job);
-  /** Frees what is in memory of a job that stopped a while ago. */
+  /** Frees the memory of a job that has been stopped for some time. */
   void releaseStopped(Instant now, job_entry& job) const;
-  /** Takes the job over if its owner is lost and it is this daemon's turn. */
+  /** Takes the job over if its owner is lost and this daemon is next in order. */
   void considerTakeover(Instant now, const JobId& id, job_entry& job);
   Task<void> takeOver(JobId id);
 
-  /** Begins to run a job that is this daemon's by its row. */
+  /** Starts to resume a job whose row names this daemon as its owner. */
   void startResume(const JobId& id, job_entry& job);
-  /** Goes on with a job that is this daemon's by its row: reads what it is and what was written. */
+  /** Reads the job and its progress from the store, and activates it. */
   Task<void> resume(JobId id);
-  /** @return what earlier owners wrote of the job. */
+  /** @return stored results and checkpoints of earlier owners. */
   Task<CallResult<stored_progress>> readProgress(job_record record);
   void deactivate(job_entry& job, const char* reason);
 
-  /** Gives the job up if this daemon owns it and it must not be here; goes on with it where that
-   * was not known.
-   * @return whether it was left alone.
+  /** Releases an owned job if this daemon is outside its residency, and resumes it if the residency
+   * was unknown before.
+   * @return whether neither was necessary.
    */
   bool checkResidency(const JobId& id, job_entry& job);
   Task<void> handOverForResidency(JobId id);
-  /** Nobody owns the job, and this daemon must not. */
+  /** Logs that the job has no owner and that this daemon is outside its residency. */
   void reportAwaitingResidency(Instant now, const JobId& id, job_entry& job);
-  /** Gives up an owned job with the text made so far. */
+  /** Releases an owned job after writing a checkpoint. */
   Task<void> handOverJob(JobId id);
 
   dependencies deps_;
   std::size_t awaiting_residency_ = 0;
-  Instant next_wait_log_{};  ///< When the next line on jobs that await their residency is due.
+  /// When the next log entry about jobs without an owner within their residency is due.
+  Instant next_wait_log_{};
   bool stopping_ = false;
 };
 
--- a/src/gateway/batch/job_reader.cpp
+++ b/src/gateway/batch/job_reader.cpp
@@ -34,7 +34,7 @@
   co_return true;
 }
 
-/** Results that a reader may get with its answer, from the position that it asked for on. */
+/** Results from the requested position on, including unpublished ones. */
 struct job_reader::result_page {
   std::size_t position = 0;
   std::vector<stored_result> results;
@@ -63,7 +63,7 @@
 std::size_t job_reader::publishedOf(const JobId& id) const {
   const job_entry* job = this->deps_.jobs.find(id);
   if (job == nullptr) return 0;
-  // The feed may show a publish before the answer to its write does.
+  // The feed may deliver the row of a publication before the response to its write arrives.
   if (job->active && !job->active->stopped) return job->active->published;
   return job->record.published;
 }
@@ -73,7 +73,7 @@
   if (job == nullptr || !job->active) return false;
   const active_job& active = *job->active;
   const std::size_t published = this->publishedOf(id);
-  // A job that was taken by another daemon may have more results than are known here.
+  // After a takeover by another daemon there may be results that are not in memory.
   if (active.appended.size() < published) return false;
   for (std::size_t i = page.next();
        i < published && page.bytes < this->deps_.options.max_page_bytes; ++i) {
--- a/src/gateway/batch/job_reader.h
+++ b/src/gateway/batch/job_reader.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /** @file
- * Calls that read a batch job: pages of its published results, and bodies of its items. Any daemon
- * answers them for any job; the owner from memory, the others from the store.
+ * Handles requests that read batch jobs: pages of published results, and bodies of items. Any
+ * daemon serves any job; the owner from memory, the others from the store.
  *
- * A reader is shown only results that are in the store, up to the watermark in the job's row.
+ * Readers see only results that are stored, up to the number published in the job's row.
  */
 
 #include <optional>
@@ -22,8 +22,8 @@
 
 namespace linenpier::batch {
 
-/** Owns nothing but the number of readers that wait; relies on the known jobs, and on the results
- * in memory of those that this daemon owns. Loop thread only.
+/** Owns only the number of waiting readers; results are read from the job registry or the store.
+ * Must be used from the event loop thread only.
  */
 class job_reader {
  public:
@@ -39,38 +39,38 @@
 
   explicit job_reader(dependencies deps) : deps_(deps) {}
 
-  /** Answers with results from `position` on, once there are any or `wait` is over. Calls about a
-   * job of another tenant are answered as if there were no such job.
+  /** Responds with the results from `position` on as soon as there are any, or after `wait`. For a
+   * job of another tenant, the response is the same as for an unknown job.
    */
   Task<void> readResults(JobId id, tenants::caller from, std::size_t position, Duration wait,
                          http::ResponseWriter& writer);
   Task<void> readItem(JobId id, tenants::caller from, ItemId item, http::ResponseWriter& writer);
 
-  /** @return whether readers wait here for results to be published. */
+  /** @return whether readers wait at this daemon for results to be published. */
   bool hasWaitingReaders() const { return this->waiting_readers_ > 0; }
-  /** Readers that wait are answered with what there is. */
+  /** Waiting readers receive the results available now. */
   void stop() { this->stopping_ = true; }
 
  private:
   struct result_page;
-  /** What a reader's answer is made under. */
+  /** State of the job that a response is based on. */
   struct page_state {
     std::size_t total = 0;      ///< Items of the job.
-    std::size_t published = 0;  ///< Results that may be shown.
+    std::size_t published = 0;  ///< Results that readers may see.
     bool from_memory = false;
   };
 
-  /** Looks a job up, in the store if need be.
-   * @param record stays empty if there is no job, or none that the caller may know of.
-   * @return whether that is sure.
+  /** Finds a job, in the store if it is not known.
+   * @param record stays empty if there is no such job or the caller may not access it.
+   * @return whether the answer is reliable; false if the store did not respond.
    */
   Task<bool> lookUp(JobId id, tenants::caller from, std::optional<job_record>& record);
   std::size_t publishedOf(const JobId& id) const;
-  /** Adds published results from this daemon's memory. @return whether it has them. */
+  /** Adds published results from memory. @return whether they are in memory. */
   bool readFromMemory(const JobId& id, result_page& page) const;
-  /** Adds results from the store, also such as are not published yet. */
+  /** Adds results from the store, including unpublished ones. */
   Task<bool> readFromStore(const JobId& id, result_page& page);
-  /** Waits until more may be published. */
+  /** Waits until more results may be published. */
   Task<void> waitForPublish(JobId id, Duration limit);
   Task<void> replyResults(http::ResponseWriter& writer, const JobId& id, const result_page& page,
                           page_state state) const;
--- a/src/gateway/batch/job_removal.cpp
+++ b/src/gateway/batch/job_removal.cpp
@@ -7,8 +7,8 @@
 using logging::LogEvent;
 
 namespace {
-/// Daemons look for jobs to remove at different moments: each adds so many times its own takeover
-/// delay to the period.
+/// Multiple of the daemon's takeover delay that is added to the poll interval, so that daemons do
+/// not all remove the same jobs.
 constexpr int kRemovalJitterFactor = 5;
 }  // namespace
 
--- a/src/gateway/batch/job_removal.h
+++ b/src/gateway/batch/job_removal.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Removes batch jobs that have ended and that nobody may ask for any more, with all that the store
- * holds of them. Any daemon may remove a job; its owner goes first.
+ * Removes ended batch jobs from the store after their retention time. Any daemon may remove a job;
+ * its owner tries first.
  */
 
 #include <optional>
@@ -15,7 +15,7 @@
 
 namespace linenpier::batch {
 
-/** Relies on the rows of known jobs and on the store's clock. Loop thread only. */
+/** Must be used from the event loop thread only. */
 class job_removal {
  public:
   struct dependencies {
@@ -30,7 +30,7 @@
   explicit job_removal(dependencies deps) : deps_(deps) {}
 
   void start();
-  /** No removal begins from now on. */
+  /** Starts no further removals. */
   void stop() { this->stopping_ = true; }
 
  private:
--- a/src/gateway/batch/job_residency.h
+++ b/src/gateway/batch/job_residency.h
@@ -2,7 +2,7 @@
 
 /** @file
  * Data residency of batch jobs: in which regions a job may be owned and its items served, by the
- * newest routing table. Decides nothing about who owns a job; see `job_ownership`.
+ * newest routing table. Ownership itself is managed by `job_ownership`.
  */
 
 #include <functional>
@@ -20,36 +20,36 @@
 
 struct active_job;
 
-/** @return regions for a log line: "anywhere", "nowhere", or their names. */
+/** @return the regions for the log: "anywhere", "nowhere", or their names. */
 std::string namesOf(const fleet::data_residency& residency);
-/** The same of a residency that may not be known: "not_known". */
+/** @return the same; "not_known" if the residency is unknown. */
 std::string namesOf(const std::optional<fleet::data_residency>& residency);
 
-/** @return the routes of items and scorers that are not the job's own. */
+/** @return the routes of items and scorers that differ from the job's route. */
 std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
                                 const std::string& host, const batch_job& job);
 
-/** Holds no state of its own. Loop thread only. */
+/** Stateless. Must be used from the event loop thread only. */
 class job_residency {
  public:
   struct dependencies {
     engines::engine_registry& registry;
     const lease::owner_pool& pool;
-    std::function<routing::RouteTablePtr()> routes;  ///< Empty before the first.
+    std::function<routing::RouteTablePtr()> routes;  ///< Null before the first table is loaded.
   };
 
   explicit job_residency(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** @return where the job may be; nothing before there is a configuration. */
+  /** @return where the job may be owned; nothing before the first table is loaded. */
   std::optional<fleet::data_residency> of(const job_record& record) const;
   /** @return where an item of the job may be served. */
   fleet::data_residency ofItem(const active_job& active, std::size_t item,
                                const routing::RouteTable& table, const routing::Route& route) const;
   RegionName ownRegion() const;
-  /** @return whether the job may be owned by this daemon. */
+  /** @return whether this daemon may own the job. */
   bool mayOwn(const job_record& record) const;
-  /** @return whether the job may be owned somewhere, and an engine of the route's service is where
-   *     its items may be.
+  /** @return whether there are a region that may own the job and an engine of the route's service
+   *     that may serve its items.
    */
   bool servedWithinResidency(const routing::Route& route, const job_record& record) const;
 
--- a/src/gateway/batch/job_rules.cpp
+++ b/src/gateway/batch/job_rules.cpp
@@ -7,12 +7,12 @@
 namespace linenpier::batch {
 
 namespace {
-/// Results that are read this long after they are due count as in time, less what the way to the
-/// reader takes. A step that is complete by then is read in one piece.
+/// Results read up to this long after their due time still count as on time. Waiting for it lets a
+/// step that is complete by then be read in one page.
 constexpr Duration kDueGrace = std::chrono::milliseconds(450);
-/// Items are given up this long after the route's queue limit.
+/// Added to the route's queue limit before items are terminated.
 constexpr Duration kTerminationSlack = std::chrono::milliseconds(1500);
-constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< Without a route.
+constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< If there is no route.
 }  // namespace
 
 const routing::Route* routeOf(const job_record& record, const routing::RouteTablePtr& table) {
--- a/src/gateway/batch/job_rules.h
+++ b/src/gateway/batch/job_rules.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * The rules that a job runs under, from its route in the newest table. Pure.
+ * Derives the rules of a job from its route in the newest table. Pure.
  */
 
 #include "gateway/batch/batch_run.h"
@@ -11,15 +11,15 @@
 
 struct active_job;
 
-/** @return the route that the job was handed in under; nullptr without a table or such a route. */
+/** @return the route that the job was submitted to; nullptr without a table or such a route. */
 const routing::Route* routeOf(const job_record& record, const routing::RouteTablePtr& table);
 
-/** @param route nullptr: the defaults.
+/** @param route nullptr: use defaults.
  * @param accepted_at when the job was accepted, by this daemon's clock.
  */
 run_rules rulesFor(const routing::Route* route, Instant accepted_at);
 
-/** Applies the newest table to a job that runs: its rules, and when its results are due. */
+/** Applies the newest table to a running job: its rules, and when its results are due. */
 void applyRules(active_job& active, const routing::RouteTablePtr& table);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -17,13 +17,14 @@
 
 namespace {
 
-/// A result's row: the item's index, then the result itself or the name of the object it is in.
+/// Markers in the value of a result's row, between the item's index and the result or the name of
+/// its object.
 constexpr char kInline = '=';
 constexpr char kObject = '@';
-constexpr std::size_t kMaxRemovedAtOnce = 90;  ///< The store takes 100 entries a write.
-/// Removed beside a part of a checkpoint, which takes some twenty entries.
+constexpr std::size_t kMaxRemovedAtOnce = 90;  ///< The store accepts 100 entries per write.
+/// Leaves room for the part's own rows within the limit of the store.
 constexpr std::size_t kMaxRemovedWithPart = 60;
-/// Of one write's rows: the store takes 1 MB, and they grow by a third on their way.
+/// The store accepts 1 MB per write, and the encoding adds a third.
 constexpr std::size_t kMaxWriteBytes = 600 * 1024;
 
 std::string resultRowKey(const JobId& id, std::size_t position) {
@@ -147,7 +148,7 @@
     write_result.outcome = FencedWriteOutcome::kFenceLost;
     return write_result;
   }
-  // The row is the only condition: a conflict under its own revision was not this write's.
+  // The row's revision is the only condition, so that the conflict has another cause.
   write_result.outcome = FencedWriteOutcome::kNotCommitted;
   return write_result;
 }
@@ -218,7 +219,8 @@
   std::size_t number = part.first_row;
   for (std::string& row : part.rows) {
     if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
-      // A part that is cut off counts for nothing until its last row is there.
+      // Incomplete parts are skipped by readers, so that a part may be written in several
+      // transactions.
       const auto partial = co_await this->table_.write(std::move(write));
       const fenced_write_result write_result = this->toWriteResult(partial, job_key, fence);
       if (write_result.outcome != FencedWriteOutcome::kCommitted) co_return write_result;
@@ -273,7 +275,7 @@
   if (!checkpoints_gone) co_return false;
   const auto job_gone = co_await this->objects_.remove(jobObject(id));
   if (!job_gone) co_return false;
-  // The row goes last: until then anybody can go on with the removal.
+  // The row is removed last, so that any daemon can complete an interrupted removal.
   table::Write write;
   write.transaction.checks.push_back({jobKey(id), fence});
   write.removes.push_back(jobKey(id));
--- a/src/gateway/batch/length_estimator.cpp
+++ b/src/gateway/batch/length_estimator.cpp
@@ -5,7 +5,8 @@
 namespace linenpier::batch {
 
 namespace {
-constexpr double kOverrunFactor = 0.5;  ///< Of what an item has made already.
+/// Minimum of expected events, relative to those generated so far.
+constexpr double kOverrunFactor = 0.5;
 }  // namespace
 
 void length_estimator::onFinished(std::uint64_t hint, std::uint64_t events) {
--- a/src/gateway/batch/length_estimator.h
+++ b/src/gateway/batch/length_estimator.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * How many more events an item is expected to make, learnt from hints and from the items that have
- * finished. Pure.
+ * Estimates how many more events an item will generate, from its length hint and the items finished
+ * so far. Pure.
  */
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 class length_estimator {
  public:
-  /** An item made all of its events.
-   * @param hint expected tokens out; 0: not known.
+  /** Adds a finished item to the statistics.
+   * @param hint expected number of generated tokens; 0: unknown.
    */
   void onFinished(std::uint64_t hint, std::uint64_t events);
 
-  /** @return events that are expected to follow; an item that has outlived its hint is expected to
-   *     go on for half as long again. 0 if nothing is known of it.
+  /** @return the expected number of further events, at least half of those generated so far; 0 if
+   *     nothing is known.
    */
   double remainingEvents(std::uint64_t hint, std::uint64_t events) const;
 
--- a/src/gateway/batch/new_job_owner.cpp
+++ b/src/gateway/batch/new_job_owner.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// A model's jobs stay with their owner until it can carry less than this part of what the best
-/// one can: to move costs the connections and what is kept in memory.
+/// The previous owner is kept while its capacity is at least this share of the best candidate's:
+/// another one would have to open connections and lacks the results in memory.
 constexpr double kKeepOwnerCapacityRatio = 0.5;
-/// Daemons that can carry at least this part of what the best one can are as good as it.
+/// Candidates with at least this share of the best one's capacity are considered equivalent.
 constexpr double kSimilarCapacityRatio = 0.7;
 
 double capacityOf(const std::vector<lease::owner_candidate>& candidates, const LeaseId& lease) {
@@ -47,15 +47,15 @@
     if (each.capacity >= min_capacity && each.lease != inputs.previous)
       eligible.push_back(each.lease);
   }
-  // Owners of other models are taken only where there is nobody else: a machine that is lost should
-  // take few trainers with it.
+  // Prefer daemons that own no jobs of other models, so that the loss of one machine affects few
+  // trainers.
   std::vector<LeaseId> idle;
   std::copy_if(eligible.begin(), eligible.end(), std::back_inserter(idle),
                [&inputs](const LeaseId& each) { return !inputs.busy.contains(each); });
   const std::vector<LeaseId>& from = idle.empty() ? eligible : idle;
   if (from.empty()) return inputs.candidates.front().lease;
-  // First jobs of several models are handed in at the same moment at daemons that know nothing of
-  // each other's choice: by the model's position each takes another owner.
+  // The first jobs of several models may be submitted concurrently at daemons that do not know of
+  // each other's choice. The model's index distributes them.
   return from[inputs.model_index % from.size()];
 }
 
--- a/src/gateway/batch/new_job_owner.h
+++ b/src/gateway/batch/new_job_owner.h
@@ -1,8 +1,7 @@
 #pragma once
 
 /** @file
- * Which daemon is to own a job that is handed in. Pure. Who goes on with a job whose owner is lost
- * is another question: `job_ownership`.
+ * Selects the owner of a new job. Pure. See `job_ownership` for jobs whose owner is lost.
  */
 
 #include <set>
@@ -16,25 +15,27 @@
 namespace linenpier::batch {
 
 struct new_job_owner_inputs {
-  /// Live daemons that offer to own jobs, by capacity, best first.
+  /// Live daemons that are willing to own jobs, by capacity, highest first.
   std::vector<lease::owner_candidate> candidates;
-  /// Owner of the model's newest job, if it lives: it has connections to the engines, and what it
-  /// runs there and what is kept in memory. Empty: there is none.
+  /// Owner of the latest job of the model, if it is alive. It has connections to the engines and
+  /// recent results in memory. Empty: none.
   LeaseId previous;
-  ZoneName previous_zone;          ///< Empty: not known.
-  std::size_t previous_items = 0;  ///< Items of open jobs that `previous` owns.
-  std::size_t items = 0;           ///< Of the new job.
+  ZoneName previous_zone;          ///< Empty: unknown.
+  std::size_t previous_items = 0;  ///< Items of open jobs owned by `previous`.
+  std::size_t items = 0;           ///< Items of the new job.
   std::set<LeaseId> busy;          ///< Owners of open jobs of other models.
-  std::size_t model_index = 0;     ///< Position among the models that are trained.
-  std::size_t max_open_items = 0;  ///< That one daemon is given.
+  std::size_t model_index = 0;     ///< Index of the model in the configuration.
+  std::size_t max_open_items = 0;  ///< Limit per owner.
 };
 
-/** @return the choice without those that are elsewhere, or whose zone is not in the layout. */
+/** @return the inputs without daemons outside the residency. A daemon of an unknown zone is outside
+ *     of any restricted residency.
+ */
 new_job_owner_inputs withinResidency(new_job_owner_inputs inputs,
                                      const fleet::data_residency& residency,
                                      const fleet::fleet_layout& layout);
 
-/** @return the owner; `own` where nobody offers. */
+/** @return the owner; `fallback` if there are no candidates. */
 LeaseId chooseNewJobOwner(const new_job_owner_inputs& inputs, const LeaseId& fallback);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/** @return the text that a completed result has. */
+/** @return the text of a completed result as a checkpoint. */
 item_checkpoint toCheckpoint(std::size_t index, const batch_item& item,
                              const batch_result& result) {
   item_checkpoint kept;
   kept.item_index = index;
-  // The data of an event may have line feeds of its own: never fewer events than there were.
+  // Event data may contain line feeds, so that this is an upper bound of the number of events.
   kept.last_event =
       1 + static_cast<std::uint64_t>(std::count(result.text.begin(), result.text.end(), '\n'));
   kept.versions = result.versions;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-/** Reads under way of what earlier jobs left. */
+/** State of a search in earlier jobs. */
 struct partial_result_reuse::search_state
     : boost::intrusive_ref_counter<search_state, boost::thread_unsafe_counter> {
   search_state(boost::asio::io_context& loop, const batch_job& job) : changed(loop) {
@@ -44,7 +44,7 @@
   }
 
   /** @param texts of the earlier job's items that are not appended.
-   * @param appended its results; completed ones of wanted items count as texts, too.
+   * @param appended results of the earlier job. Completed ones of the wanted items are used, too.
    */
   void add(const batch_job& earlier, checkpoint_texts texts,
            const std::vector<stored_result>& appended, const batch_codec& codec) {
@@ -60,7 +60,7 @@
     found.addJob(earlier, texts);
   }
 
-  std::set<ItemId> wanted;  ///< Of the job that looks for texts.
+  std::set<ItemId> wanted;  ///< Items of the job that the search is for.
   partial_results found;
   std::size_t unanswered = 0;
   Signal changed;
@@ -86,7 +86,7 @@
 
 void partial_result_reuse::searchJob(const JobId& id, const search_ptr& search) {
   const job_entry& earlier = *this->deps_.jobs.find(id);
-  // It may be bound to other regions than the job that follows.
+  // The earlier job may be restricted to other regions.
   if (!this->deps_.residency.mayOwn(earlier.record)) return;
   const active_job_ptr active = earlier.active;
   if (active) {
--- a/src/gateway/batch/partial_result_reuse.h
+++ b/src/gateway/batch/partial_result_reuse.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Lets a job go on with the text that earlier jobs of the same route and model have of its items: a
- * trainer hands groups in again that were not complete when it ended the job before.
+ * Reuses the text that earlier jobs of the same route and model have generated. Trainers resubmit
+ * groups that were incomplete when the earlier job ended.
  */
 
 #include <boost/smart_ptr/intrusive_ptr.hpp>
@@ -16,8 +16,8 @@
 
 namespace linenpier::batch {
 
-/** Reads earlier jobs from memory where this daemon ran them, else from the store. Owns nothing but
- * the searches under way. Loop thread only.
+/** Reads earlier jobs from memory if this daemon ran them, otherwise from the store. Owns only the
+ * searches in progress. Must be used from the event loop thread only.
  */
 class partial_result_reuse {
  public:
@@ -28,12 +28,13 @@
     job_registry& jobs;
     const job_residency& residency;
     const batch_options& options;
-    std::function<void()> on_reused;  ///< Items of a job may now be able to start, or to be scored.
+    /// Called when items of a job may have become ready to start or to be scored.
+    std::function<void()> on_reused;
   };
 
   explicit partial_result_reuse(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** Begins to search for what earlier jobs left of the job's items. */
+  /** Starts to search earlier jobs for text of the job's items. */
   void start(const active_job_ptr& active);
 
  private:
@@ -41,10 +42,10 @@
   using search_ptr = boost::intrusive_ptr<search_state>;
 
   Task<void> reuse(active_job_ptr active);
-  /** Adds what an earlier job left, at once or when the store has answered. */
+  /** Adds the texts of an earlier job, immediately or when the store has responded. */
   void searchJob(const JobId& id, const search_ptr& search);
   Task<void> readEarlierJob(job_record record, search_ptr search);
-  /** @return the items whose runs were stopped, since the text found replaces theirs. */
+  /** @return the items whose runs were stopped because the reused text replaces theirs. */
   std::vector<std::size_t> apply(active_job& active, const search_state& search);
 
   dependencies deps_;
--- a/src/gateway/batch/partial_results.h
+++ b/src/gateway/batch/partial_results.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Groups that a trainer hands in again because an earlier job ended before they were complete. A
- * job waits for every one of them, and may go on with the text that they had so far. Pure.
+ * Partial results of earlier jobs whose groups a trainer has submitted again. The new job waits for
+ * all of these groups and may resume their text. Pure.
  */
 
 #include <map>
@@ -13,17 +13,17 @@
 
 namespace linenpier::batch {
 
-/** What earlier jobs of the same route and model left. */
+/** Items and texts of earlier jobs of the same route and model. */
 class partial_results {
  public:
-  /** Adds an earlier job. Of two texts of one item the longer one stays.
-   * @param kept text of its items that were not finished.
+  /** Adds an earlier job. Of several texts of an item, the longest is kept.
+   * @param kept text of its items, finished or not.
    */
   void addJob(const batch_job& earlier, const checkpoint_texts& kept);
 
-  /** @return whether the item was handed in before. */
+  /** @return whether an earlier job contained the item. */
   bool contains(const ItemId& item) const { return this->items_.contains(item); }
-  /** @return what is kept of the item, or nullptr. */
+  /** @return the text of the item, or nullptr. */
   const item_checkpoint* textOf(const ItemId& item) const;
   bool empty() const { return this->items_.empty(); }
 
--- a/src/gateway/batch/planned_moves.h
+++ b/src/gateway/batch/planned_moves.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /** @file
- * Moves of runs that were decided in one go: each takes room that the next ones do not have. Pure.
+ * Moves of runs that are planned together: accounts for the slots that earlier moves will take.
+ * Pure.
  */
 
 #include <cstddef>
@@ -17,9 +18,9 @@
   explicit planned_moves(std::size_t max_moves) : remaining_(max_moves) {}
 
   bool exhausted() const { return this->remaining_ == 0; }
-  /** @return engines that have no room beyond the moves planned. */
+  /** @return engines without slots left for further moves. */
   const std::set<EngineId>& fullEngines() const { return this->full_; }
-  /** @param room slots that the target had before any of these moves. */
+  /** @param room free slots of the target before any of these moves. */
   void add(const EngineId& target, double room) {
     if (this->remaining_ > 0) --this->remaining_;
     if (++this->planned_[target] + 1 > room) this->full_.insert(target);
--- a/src/gateway/batch/result_schedule.h
+++ b/src/gateway/batch/result_schedule.h
@@ -1,14 +1,13 @@
 #pragma once
 
 /** @file
- * When an owner appends finished items to a job's results, and when it publishes them to readers.
- * Pure.
+ * Decides when an owner appends finished items to a job's results, and when it publishes them to
+ * readers. Pure.
  *
- * Results are appended soon, in the background: that keeps them, and leaves little to write when
- * the step ends. A trainer can use its step only once enough groups are complete, and it reads
- * again and again until then. A read that finds nothing new waits at the daemon and is answered at
- * the step's end; one that was answered with a part comes again later. So results are published
- * when the step is complete, or are due.
+ * Results are appended soon, in the background, so that they are durable and little is left to
+ * write when the step ends. They are published when the step is complete or due: a read without new
+ * results waits and is answered at once when they are published, whereas a trainer that received
+ * part of the results polls again only later.
  */
 
 #include "common/time.h"
@@ -16,11 +15,11 @@
 namespace linenpier::batch {
 
 struct result_timing_options {
-  /// Longest time for which an appended result is held back once results are due.
+  /// Maximum time for which an appended result stays unpublished once results are due.
   Duration max_hold_time = std::chrono::seconds(1);
-  /// Between two publications: items that end together are shown together.
+  /// Minimum time between publications, so that items that end together are published together.
   Duration min_publish_interval = std::chrono::milliseconds(60);
-  /// Between two appends in the background. As far apart as checkpoints would be to keep the same.
+  /// Minimum time between appends in the background.
   Duration append_interval = std::chrono::milliseconds(400);
 
   bool operator==(const result_timing_options&) const = default;
@@ -31,18 +30,18 @@
   result_schedule(Instant begun, result_timing_options options)
       : published_at_(begun), appended_at_(begun), options_(options) {}
 
-  /** Results are due at this time: what is finished then is published then. */
+  /** Sets the time at which available results are published in any case. */
   void setDue(Instant due_at) { this->due_at_ = due_at; }
   void onAppended(Instant now) { this->appended_at_ = now; }
   void onPublished(Instant now) { this->published_at_ = now; }
 
-  /** @param urgent readers wait for what is finished.
-   * @return when to publish what is finished; not before `now`.
+  /** @param urgent readers wait for the finished results.
+   * @return when to publish the finished results; not before `now`.
    */
   Instant publishAt(Instant now, bool urgent) const;
 
-  /** @param full what is finished fills an append.
-   * @return when to append what is finished; not before `now`.
+  /** @param full the finished results fill an append.
+   * @return when to append the finished results; not before `now`.
    */
   Instant appendAt(Instant now, bool full) const;
 
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -79,7 +79,8 @@
     pending.items.push_back(item);
     pending.results.push_back(std::move(result));
   }
-  // What one write does not take follows at once; readers are shown all of it together.
+  // If one write cannot take all results, the rest follows at once, and only the last write
+  // publishes.
   const bool takes_all = pending.items.size() == active.run.finished().size();
   if (takes_all && this->nextPublishAt(active, now) <= now) {
     pending.publish = pending.position + pending.results.size();
--- a/src/gateway/batch/result_writer.h
+++ b/src/gateway/batch/result_writer.h
@@ -1,9 +1,8 @@
 #pragma once
 
 /** @file
- * Appends finished items of owned jobs to their results, and publishes results to readers. When is
- * decided by `result_schedule`; this class carries it out and goes on until the store has settled
- * each write.
+ * Appends finished items of owned jobs to their results, and publishes results to readers, as
+ * scheduled by `result_schedule`. Writes are retried until their outcome is known.
  */
 
 #include "gateway/batch/batch_codec.h"
@@ -15,8 +14,8 @@
 
 namespace linenpier::batch {
 
-/** The results of a job are kept with the job, in `active_job`. Relies on the store, which gives
- * each position once and only under the job's fence. Loop thread only.
+/** Results are kept in `active_job`. The store writes each position only once and only under the
+ * job's fence. Must be used from the event loop thread only.
  */
 class result_writer {
  public:
@@ -32,24 +31,22 @@
 
   explicit result_writer(dependencies deps) : deps_(deps) {}
 
-  /** Appends and publishes until all results are published or the job has stopped. */
+  /** Appends and publishes results until all are published or the job has stopped. */
   void start(const active_job_ptr& active);
 
  private:
   Task<void> appendLoop(active_job_ptr active);
-  /** @return whether what is finished fills an append. */
+  /** @return whether the finished results fill an append. */
   bool fillsAppend(const batch_run& run) const;
   bool shouldPublishNow(const active_job& active) const;
-  /** @return when results should be published; when to check again, if all are. */
+  /** @return when to publish results; if all are published, when to check again. */
   Instant nextPublishAt(const active_job& active, Instant now) const;
   Instant nextAppendAt(const active_job& active, Instant now) const;
-  /** Chooses what the next append writes and publishes. It stays as it is until the store settles
-   * it.
-   */
+  /** Prepares the next append. It stays unchanged until its outcome is known. */
   void preparePending(active_job& active, Instant now) const;
-  /** @return whether the pending write is done. */
+  /** @return whether the pending write is committed. */
   Task<bool> writePending(active_job_ptr active);
-  /** @return whether an earlier try of the pending write, which was not answered, was done. */
+  /** @return whether an earlier, unanswered attempt of the pending write was committed. */
   bool alreadyPublished(const fenced_write_result& answer, const active_job& active) const;
   void onPendingWritten(active_job& active);
 
--- a/src/gateway/batch/run_move_rules.h
+++ b/src/gateway/batch/run_move_rules.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * From which gain on a run moves from a slow engine to a faster one.
+ * Conditions for moving a run from a slow engine to a faster one.
  */
 
 #include <cstddef>
@@ -11,12 +11,13 @@
 namespace linenpier::batch {
 
 struct run_move_rules {
-  /// An engine must be this much faster for a run to move there.
+  /// Minimum ratio of the engines' event times.
   double min_speedup = 1.15;
-  /// A move must save more than this; reading a prompt and the text so far again costs less.
+  /// Minimum time saved. Exceeds the cost of processing the prompt and text again.
   Duration min_saving = std::chrono::milliseconds(250);
-  Duration min_run_time = std::chrono::milliseconds(1000);  ///< Runs that began later stay.
-  std::size_t max_moves_per_poll = 6;  ///< Runs of this daemon that move in one poll.
+  /// Runs that started more recently are not moved.
+  Duration min_run_time = std::chrono::milliseconds(1000);
+  std::size_t max_moves_per_poll = 6;  ///< Limit per daemon.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Which runs move from slow engines to clearly faster ones that have room. Pure: asks the registry,
- * sends nothing.
+ * Selects runs to move from slow engines to clearly faster ones with free slots. Pure: reads the
+ * engine registry, but sends nothing.
  */
 
 #include <optional>
@@ -15,28 +15,28 @@
 
 namespace linenpier::batch {
 
-/** An item's run on an engine. */
+/** A run of an item on an engine. */
 struct item_run {
   ItemIndex item = 0;
   EngineId engine;
   Instant started_at{};
 };
 
-/** A run that should go on at another engine, with what that was decided on. */
+/** A planned move of a run, with the figures that it is based on. */
 struct run_move {
   EngineId target;
   double events_left = 0;
-  double latency_ratio = 1;  ///< Of the engine that it is at, over the median.
+  double latency_ratio = 1;  ///< Event time of the current engine, relative to the median.
   double target_latency_ratio = 1;
 };
 
-/** @return the runs that may move, those that are expected to last longest first. */
+/** @return the runs that may be moved, those with the longest expected texts first. */
 std::vector<item_run> movableRuns(Instant now, const engines::engine_registry& registry,
                                   const ServiceName& service, const batch_job& job,
                                   const std::vector<item_run>& runs, const run_move_rules& rules);
 
-/** @param wanted what the item asks of an engine, without the one that it is at.
- * @return where the run should go on, if the move is worth its cost.
+/** @param wanted the item's requirements, which exclude the current engine.
+ * @return the move, if it is worth its cost.
  */
 std::optional<run_move> planMove(Instant now, engines::engine_registry& registry,
                                  const length_estimator& lengths, const batch_run& run,
--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -8,16 +8,16 @@
 
 using forward::AttemptVerdict;
 
-/** A run whose answer is read, and how far. */
+/** State of reading the response of a run. */
 struct run_reader::read_context {
   active_job& active;
   ItemIndex item;
   forward::engine_call& call;
   const ModelName& model;
-  WeightVersion version;  ///< That makes the events now.
+  WeightVersion version;  ///< Version that generates the current events.
   Instant started;
-  Instant last;       ///< When events came last.
-  bool first = true;  ///< None has come yet.
+  Instant last;       ///< When the last events arrived.
+  bool first = true;  ///< No event has arrived yet.
 };
 
 void run_reader::reportVersion(const read_context& run) {
--- a/src/gateway/batch/run_reader.h
+++ b/src/gateway/batch/run_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Reads what an engine answers to an item's request, event by event, into the state of the job.
+ * Reads the event stream of an engine into the state of an item.
  */
 
 #include <optional>
@@ -15,15 +15,15 @@
 
 struct active_job;
 
-/** How a run went, for its judgement and for the log. */
+/** Measurements of a run, for its evaluation and for the log. */
 struct run_report {
   std::optional<Duration> first_event_delay;
-  Duration max_gap{};           ///< Between two of its events.
-  bool engine_crashed = false;  ///< Its engine crashed under it.
+  Duration max_gap{};           ///< Between two events.
+  bool engine_crashed = false;  ///< The engine crashed during the run.
 };
 
-/** Holds no state of its own; tells the registry of versions and event times seen. Loop thread
- * only.
+/** Stateless; reports versions and event times to the engine registry. Must be used from the event
+ * loop thread only.
  */
 class run_reader {
  public:
@@ -35,9 +35,9 @@
 
   explicit run_reader(dependencies deps) : deps_(deps) {}
 
-  /** Sends the request and reads its answer to the end, or until an event does not come in time.
-   * The caller keeps the job, the call and `course` alive.
-   * @param model empty: the item names none.
+  /** Sends the request and reads the response until it ends or an event does not arrive in time.
+   * The caller keeps the job, the call and `report` alive.
+   * @param model empty: the item specifies none.
    */
   Task<forward::AttemptVerdict> read(active_job& active, ItemIndex item, forward::engine_call& call,
                                      const ModelName& model, run_report& report);
@@ -45,9 +45,9 @@
  private:
   struct read_context;
 
-  /** @return whether all events fit the item; otherwise the run is broken. */
+  /** @return whether all events were accepted; if not, the run must be stopped. */
   bool takeEvents(Instant now, read_context& run, const std::vector<forward::stream_event>& events);
-  /** Notes when the events came; some did. */
+  /** Records the arrival of at least one event. */
   void recordEventTimes(Instant now, read_context& run, std::size_t events, run_report& report);
   void reportVersion(const read_context& run);
   Duration eventTimeout(const read_context& run, Duration first_limit) const;
--- a/src/gateway/batch/slow_run_mover.cpp
+++ b/src/gateway/batch/slow_run_mover.cpp
@@ -20,7 +20,7 @@
 void slow_run_mover::moveRunsOf(Instant now, active_job& active, planned_moves& moves) {
   const routing::RouteTablePtr table = this->deps_.routes();
   const routing::Route* route = routeOf(active.record, table);
-  // Items that wait need the room more.
+  // Waiting items take precedence over moves.
   if (route == nullptr || route->single_version || active.run.waiting() > 0) return;
   std::vector<item_run> runs;
   for (const auto& [item, call] : active.calls) {
--- a/src/gateway/batch/slow_run_mover.h
+++ b/src/gateway/batch/slow_run_mover.h
@@ -1,9 +1,8 @@
 #pragma once
 
 /** @file
- * Moves runs of owned jobs from slow engines to clearly faster ones that have room. Which runs, and
- * whether a move is worth its cost, is decided by `run_moves.h`; this class stops the run, and the
- * item then waits for an engine as any other.
+ * Moves runs of owned jobs from slow engines to clearly faster ones with free slots. `run_moves.h`
+ * selects the runs; this class stops them, and their items then wait for an engine like any other.
  */
 
 #include <functional>
@@ -16,7 +15,7 @@
 
 namespace linenpier::batch {
 
-/** Holds no state of its own. Loop thread only. */
+/** Stateless. Must be used from the event loop thread only. */
 class slow_run_mover {
  public:
   struct dependencies {
--- a/src/gateway/batch/zone_drain_schedule.h
+++ b/src/gateway/batch/zone_drain_schedule.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /** @file
- * Which runs leave the engines of closed zones now. Those that would not end in time by themselves
- * go on elsewhere, the longest first and spread over some time, so that they do not all ask the
- * engines that are left to read their texts at once. Pure.
+ * Schedules the moves of runs out of closed zones. Runs that would not end in time are moved, the
+ * longest first and spread over the drain time, so that the remaining engines do not have to
+ * process all of their texts at once. Pure.
  */
 
 #include <cstddef>
@@ -16,25 +16,25 @@
 namespace linenpier::batch {
 
 struct zone_drain_options {
-  /// From the closing of a zone until the last run leaves it. The zone's engines may be taken away
-  /// some five seconds after the closing; half of that leaves time for a second try.
+  /// From the closing of a zone until its last run is moved. Leaves time for another attempt before
+  /// the zone's engines may be shut down.
   Duration drain_time = std::chrono::milliseconds(2500);
-  /// A run that ends this soon stays in any case: to leave takes about as long.
+  /// Runs that are expected to end sooner are not moved: moving them would take as long.
   Duration min_remaining_time = std::chrono::milliseconds(250);
-  std::size_t max_moves_per_poll = 6;  ///< Of one zone that leave in one go.
+  std::size_t max_moves_per_poll = 6;  ///< Limit per zone.
 };
 
-/** A run at an engine of a closed zone. */
+/** A run on an engine of a closed zone. */
 struct placed_run {
   ZoneName zone;
-  double seconds_left = 0;  ///< Until it is expected to end; infinite if nothing is known.
+  double seconds_left = 0;  ///< Expected remaining time; infinite if unknown.
 };
 
-/** A zone that the last run has left. */
+/** A zone without remaining runs. */
 struct drained_zone {
   ZoneName zone;
-  Duration took{};        ///< Since the closing was first acted on.
-  std::size_t moved = 0;  ///< Runs that went on elsewhere; the others ended there.
+  Duration took{};        ///< Since draining started.
+  std::size_t moved = 0;  ///< Runs that were moved; the others ended in the zone.
 };
 
 class zone_drain_schedule {
@@ -42,15 +42,15 @@
   void setOptions(const zone_drain_options& options) { this->options_ = options; }
   const zone_drain_options& options() const { return this->options_; }
 
-  /** Begins with zones that were closed lately and forgets those that were opened.
-   * @param runs all that are at engines of closed zones.
+  /** Starts draining newly closed zones and forgets reopened ones.
+   * @param runs all runs on engines of closed zones.
    */
   void onZones(Instant now, const fleet::closed_zones& closed, const std::vector<placed_run>& runs);
-  /** @return indices into `runs` of those that should leave now, the longest first. */
+  /** @return indices into `runs` of those to move now, the longest first. */
   std::vector<std::size_t> due(Instant now, const std::vector<placed_run>& runs) const;
-  /** A run that was due has left, since there was room elsewhere. */
+  /** A run that was due was moved. */
   void onRunMoved(const ZoneName& zone);
-  /** @return zones without runs, each once a closing. */
+  /** @return zones that have no runs left, each once per closing. */
   std::vector<drained_zone> takeDrained(Instant now, const std::vector<placed_run>& runs);
   /** @return whether no closed zone is known. */
   bool idle() const { return this->zones_.empty(); }
@@ -58,13 +58,13 @@
  private:
   struct zone_progress {
     Instant started_at{};
-    std::size_t movable = 0;  ///< Runs at the closing that would not have ended in time.
+    std::size_t movable = 0;  ///< Runs at the start of draining that would not end in time.
     std::size_t moved = 0;
     bool drained = false;
   };
 
   bool mayFinishInPlace(Instant now, const zone_progress& progress, const placed_run& run) const;
-  /** @return how many runs of the zone may leave now. */
+  /** @return how many runs of the zone may be moved now. */
   std::size_t moveQuota(Instant now, const zone_progress& progress) const;
 
   zone_drain_options options_;
--- a/src/gateway/batch/zone_drainer.cpp
+++ b/src/gateway/batch/zone_drainer.cpp
@@ -10,8 +10,7 @@
 
 using logging::LogEvent;
 
-/** A run at an engine of a closed zone, as `zone_drain_schedule` has it and as this daemon has it.
- */
+/** A run on an engine of a closed zone. */
 struct zone_drainer::located_run {
   active_job_ptr active;
   ItemIndex item = 0;
--- a/src/gateway/batch/zone_drainer.h
+++ b/src/gateway/batch/zone_drainer.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Moves runs of owned jobs away from the engines of closed zones, with the text made so far, as far
- * as there is room elsewhere. When each leaves is decided by `zone_drain_schedule`.
+ * Moves runs of owned jobs, with their text, out of closed zones as capacity elsewhere permits.
+ * `zone_drain_schedule` decides when each run is moved.
  */
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace linenpier::batch {
 
-/** Owns how far each closed zone is emptied. Loop thread only. */
+/** Owns the progress of draining. Must be used from the event loop thread only. */
 class zone_drainer {
  public:
   struct dependencies {
@@ -31,15 +31,15 @@
 
   void setOptions(const zone_drain_options& options) { this->schedule_.setOptions(options); }
   void drainClosedZones(Instant now);
-  /** @return runs of owned jobs at engines of the zone. */
+  /** @return the number of runs of owned jobs on engines of the zone. */
   std::size_t runsIn(const ZoneName& zone) const;
 
  private:
   struct located_run;
 
-  /** @param there the same runs, in the same order. */
+  /** @param located receives the jobs and items of the returned runs, in the same order. */
   std::vector<placed_run> runsInClosedZones(Instant now, std::vector<located_run>& located) const;
-  /** Stops the run, which goes on elsewhere. @return whether there was room. */
+  /** Stops the run, so that it resumes elsewhere. @return whether there was a free engine. */
   bool moveRun(Instant now, const located_run& run, planned_moves& moves);
 
   dependencies deps_;
