--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -40,20 +40,20 @@
 
 }  // namespace
 
-Test(batch_run, the_longest_items_begin_first) {
+Test(batch_run, the_longest_items_start_first) {
   batch_run run(job(), rules());
   cr_assert_eq(*run.nextToStart(kStart), 2U);
 }
 
-Test(batch_run, a_text_is_joined_event_by_event_with_the_versions_that_made_it) {
+Test(batch_run, text_and_versions_are_collected_event_by_event) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
   cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 3), EventVerdict::kAccepted);
   run.onInterrupted(kStart, 0, Duration::zero());
   cr_assert_eq(run.progress(0).state, ItemState::kWaiting);
   run.onStarted(kStart, 0, kEngine);
-  cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 4), EventVerdict::kRejected, "not twice");
-  cr_assert_eq(run.onEvent(kStart, 0, 3, "three", 4), EventVerdict::kRejected, "no gap");
+  cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 4), EventVerdict::kRejected, "duplicate event");
+  cr_assert_eq(run.onEvent(kStart, 0, 3, "three", 4), EventVerdict::kRejected, "missing event");
   cr_assert_eq(run.onEvent(kStart, 0, 2, "two", 4), EventVerdict::kAccepted);
   run.onCompleted(kStart, 0);
   const batch::batch_result result = run.result(0);
@@ -62,14 +62,14 @@
   cr_assert_eq(result.state, ResultState::kCompleted);
 }
 
-Test(batch_run, events_of_too_old_weights_are_not_taken) {
+Test(batch_run, events_below_the_minimum_version_are_rejected) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
   cr_assert_eq(run.onEvent(kStart, 0, 1, "old", 2), EventVerdict::kRejected);
   cr_assert_eq(run.progress(0).last_event, 0U);
 }
 
-Test(batch_run, a_single_version_route_never_joins_versions) {
+Test(batch_run, a_single_version_route_never_mixes_versions) {
   batch::run_rules single = rules();
   single.single_version = true;
   batch_run run(job(), single);
@@ -82,7 +82,7 @@
   cr_assert_eq(run.onEvent(kStart, 0, 1, "one", 4), EventVerdict::kAccepted);
 }
 
-Test(batch_run, an_item_that_always_fails_is_given_up_after_the_attempts_allowed) {
+Test(batch_run, an_item_is_terminated_after_the_allowed_number_of_failures) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
   run.onFailed(kStart, 0);
@@ -92,10 +92,11 @@
   cr_assert_eq(run.result(0).state, ResultState::kTerminated);
   run.onStarted(kStart, 1, kEngine);
   run.onRejected(1);
-  cr_assert_eq(run.result(1).state, ResultState::kTerminated, "a rejected item at once");
+  cr_assert_eq(run.result(1).state, ResultState::kTerminated,
+               "a rejected item is terminated at once");
 }
 
-Test(batch_run, what_is_too_late_is_given_up_only_then) {
+Test(batch_run, unfinished_items_are_terminated_only_at_the_deadline) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 0, kEngine);
   cr_assert_not(run.terminateExpired(kStart + std::chrono::seconds(29)));
@@ -104,7 +105,7 @@
   cr_assert(run.result(0).text.empty());
 }
 
-Test(batch_run, a_checkpoint_is_taken_if_it_fits) {
+Test(batch_run, a_checkpoint_is_restored_if_its_versions_are_allowed) {
   batch_run run(job(), rules());
   cr_assert_not(run.onCheckpoint(0, {0, 2, {3}, "one\ntwo"}));
   run.onCheckpoint(1, {1, 2, {2}, "too\nold"});
@@ -113,10 +114,10 @@
   run.onStarted(kStart, 0, kEngine);
   run.onEvent(kStart, 0, 3, "three", 4);
   run.onCheckpoint(0, {0, 1, {3}, "one"});
-  cr_assert_eq(run.progress(0).last_event, 3U, "never back");
+  cr_assert_eq(run.progress(0).last_event, 3U, "an older checkpoint is ignored");
 }
 
-Test(batch_run, listed_items_stay_listed) {
+Test(batch_run, appended_items_stay_appended) {
   batch_run run(job(), rules());
   run.onAlreadyAppended(2);
   cr_assert_eq(*run.nextToStart(kStart), 1U);
@@ -127,13 +128,13 @@
   cr_assert(run.progress(1).state == batch::ItemState::kAppended);
   cr_assert(run.progress(2).state == batch::ItemState::kAppended);
   run.terminateUnfinished();
-  cr_assert_eq(run.finished().size(), 2U, "listed items are not given up");
+  cr_assert_eq(run.finished().size(), 2U, "appended items are not terminated");
 }
 
 namespace {
 
-/// An earlier job from which the group `g2` comes again; `text` is kept of its item "c".
-batch::partial_results leftBehind(const std::set<WeightVersion>& versions) {
+/// Results of an earlier job that contained the group `g2` and has text of its item "c".
+batch::partial_results earlierResults(const std::set<WeightVersion>& versions) {
   batch_job earlier;
   earlier.items = {item("c", "g2", 90), item("d", "g2", 5)};
   batch::partial_results results;
@@ -149,39 +150,39 @@
 
 }  // namespace
 
-Test(batch_run, a_group_that_comes_again_begins_first_and_is_waited_for) {
+Test(batch_run, a_reused_group_starts_first_and_is_required_for_the_step) {
   batch_job one_group = job();
   one_group.desired_groups = 1;
   one_group.items[0].length_hint = 200;
   batch_run run(one_group, rules());
-  cr_assert_eq(*run.nextToStart(kStart), 0U, "the longest item, while nothing is known");
-  run.onPartialResults(leftBehind({2}));
+  cr_assert_eq(*run.nextToStart(kStart), 0U, "the longest item, without reused groups");
+  run.onPartialResults(earlierResults({2}));
   cr_assert_eq(run.reusedGroups(), 1U);
-  cr_assert_eq(*run.nextToStart(kStart), 2U, "the group that comes again");
+  cr_assert_eq(*run.nextToStart(kStart), 2U, "the reused group");
   finishItem(run, 0);
   finishItem(run, 1);
-  cr_assert_not(run.stepComplete(), "one group is whole, but not the one that came again");
+  cr_assert_not(run.stepComplete(), "one group is complete, but not the reused one");
   finishItem(run, 2);
   finishItem(run, 3);
   cr_assert(run.stepComplete());
 }
 
-Test(batch_run, text_of_a_group_that_comes_again_is_gone_on_with_if_its_versions_fit) {
+Test(batch_run, text_of_a_reused_group_is_resumed_if_its_versions_are_allowed) {
   batch_run fitting(job(), rules());
-  cr_assert(fitting.onPartialResults(leftBehind({3, 4})).empty());
+  cr_assert(fitting.onPartialResults(earlierResults({3, 4})).empty());
   cr_assert_eq(fitting.progress(2).last_event, 2U);
   cr_assert_eq(fitting.progress(2).text, "one\ntwo");
   batch_run too_old(job(), rules());
-  too_old.onPartialResults(leftBehind({2, 3}));
+  too_old.onPartialResults(earlierResults({2, 3}));
   cr_assert_eq(too_old.progress(2).last_event, 0U);
-  cr_assert_eq(too_old.reusedGroups(), 1U, "it is waited for all the same");
+  cr_assert_eq(too_old.reusedGroups(), 1U, "the group is required nevertheless");
 }
 
-Test(batch_run, an_attempt_that_has_less_than_what_was_kept_is_of_no_use) {
+Test(batch_run, an_attempt_with_less_text_than_reused_is_obsolete) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 2, kEngine);
   run.onEvent(kStart, 2, 1, "one", 4);
-  const std::vector<batch::ItemIndex> obsolete = run.onPartialResults(leftBehind({3}));
+  const std::vector<batch::ItemIndex> obsolete = run.onPartialResults(earlierResults({3}));
   cr_assert_eq(obsolete.size(), 1U);
   cr_assert_eq(run.progress(2).text, "one\ntwo");
   cr_assert_eq(run.onEvent(kStart, 2, 2, "other", 4), EventVerdict::kRejected);
@@ -189,7 +190,7 @@
   cr_assert_eq(run.progress(2).state, ItemState::kWaiting);
 }
 
-Test(batch_run, a_finished_text_that_was_kept_is_not_made_again) {
+Test(batch_run, a_finished_text_from_a_checkpoint_is_not_generated_again) {
   batch_run run(job(), rules());
   run.onCheckpoint(1, {1, 2, {3}, "one\ntwo", true});
   cr_assert_eq(run.finished().size(), 1U);
@@ -197,7 +198,7 @@
   cr_assert_eq(run.waiting(), 3U);
 }
 
-Test(batch_run, results_are_urgent_once_the_step_is_whole_or_an_item_is_given_up) {
+Test(batch_run, results_are_published_at_once_if_the_step_is_complete_or_an_item_terminated) {
   batch_job one_group = job();
   one_group.desired_groups = 1;
   batch_run run(one_group, rules());
@@ -205,17 +206,17 @@
   finishItem(run, 0);
   cr_assert_not(run.shouldPublishNow());
   finishItem(run, 1);
-  cr_assert(run.shouldPublishNow(), "the group is whole");
+  cr_assert(run.shouldPublishNow(), "the group is complete");
   batch_run given_up(one_group, rules());
   given_up.onStarted(kStart, 3, kEngine);
   given_up.onRejected(3);
   cr_assert(given_up.shouldPublishNow());
   batch_run without_step(job(), rules());
   finishItem(without_step, 0);
-  cr_assert(without_step.shouldPublishNow(), "nobody waits for groups");
+  cr_assert(without_step.shouldPublishNow(), "the trainer waits for no groups");
 }
 
-Test(batch_run, a_kept_text_of_one_version_fits_a_single_version_route) {
+Test(batch_run, a_single_version_route_restores_only_text_of_one_version) {
   batch::run_rules single = rules();
   single.single_version = true;
   batch_run run(job(), single);
@@ -235,8 +236,8 @@
   return made;
 }
 
-/// A run of `scoredJob` whose item 0 has its whole text.
-batch_run runWithWholeText() {
+/// A run of `scoredJob` whose item 0 has its complete text.
+batch_run runWithCompleteText() {
   batch_run run(scoredJob(), rules());
   run.onStarted(kStart, 0, kEngine);
   run.onEvent(kStart, 0, 1, "one", 3);
@@ -246,8 +247,8 @@
 
 }  // namespace
 
-Test(batch_run, a_whole_text_is_finished_only_with_its_score) {
-  batch_run run = runWithWholeText();
+Test(batch_run, a_complete_text_is_finished_only_with_its_score) {
+  batch_run run = runWithCompleteText();
   cr_assert(run.finished().empty());
   cr_assert(run.progress(0).state == ItemState::kTextComplete);
   cr_assert_eq(*run.nextToScore(kStart), 0U);
@@ -259,12 +260,12 @@
   cr_assert_eq(run.result(0).text, "one");
 }
 
-Test(batch_run, scoring_is_given_up_only_after_as_many_failures_as_the_route_allows) {
-  batch_run run = runWithWholeText();
+Test(batch_run, scoring_is_retried_up_to_the_failure_limit) {
+  batch_run run = runWithCompleteText();
   const Duration pause = std::chrono::milliseconds(50);
   run.onScoringStarted(0);
   run.onNotScored(kStart, 0, 0, 3, pause);
-  cr_assert_not(run.nextToScore(kStart).has_value(), "not before the pause is over");
+  cr_assert_not(run.nextToScore(kStart).has_value(), "not before the retry delay has passed");
   cr_assert_eq(*run.nextToScore(kStart + pause), 0U);
   run.onScoringStarted(0);
   run.onNotScored(kStart, 0, 2, 3, pause);
@@ -276,8 +277,8 @@
   cr_assert(run.result(0).score.empty());
 }
 
-Test(batch_run, a_score_that_comes_after_the_item_was_given_up_changes_nothing) {
-  batch_run run = runWithWholeText();
+Test(batch_run, a_score_for_a_terminated_item_is_ignored) {
+  batch_run run = runWithCompleteText();
   run.onScoringStarted(0);
   run.terminateUnfinished();
   run.onScored(0, "late");
@@ -285,7 +286,7 @@
   cr_assert(run.result(0).score.empty());
 }
 
-Test(batch_run, a_kept_whole_text_is_not_made_again_and_a_kept_score_not_asked_again) {
+Test(batch_run, complete_texts_and_scores_are_restored_from_checkpoints) {
   batch_run run(scoredJob(), rules());
   run.onCheckpoint(0, {0, 2, {3}, "one\ntwo", true});
   cr_assert(run.progress(0).state == ItemState::kTextComplete);
@@ -294,13 +295,14 @@
   cr_assert(run.progress(1).state == ItemState::kFinished);
   cr_assert_eq(run.result(1).score, "kept");
   run.onCheckpoint(2, {2, 1, {3}, "one", true, batch::reward_score{"other", "kept"}});
-  cr_assert(run.progress(2).state == ItemState::kTextComplete, "another request earned that score");
+  cr_assert(run.progress(2).state == ItemState::kTextComplete,
+            "the score belongs to another request");
   run.onCheckpoint(3, {3, 1, {2}, "old", true, batch::reward_score{"r-d", "kept"}});
-  cr_assert(run.progress(3).state == ItemState::kWaiting, "its text is too old");
+  cr_assert(run.progress(3).state == ItemState::kWaiting, "its version is below the minimum");
   cr_assert(run.progress(3).score.empty());
 }
 
-Test(batch_run, a_text_that_lacks_its_score_keeps_its_group_open) {
+Test(batch_run, a_text_without_its_score_keeps_its_group_open) {
   batch_job one_group = scoredJob();
   one_group.items.resize(1);
   one_group.desired_groups = 1;
--- a/tests/gateway/batch/checkpoint_rows_test.cpp
+++ b/tests/gateway/batch/checkpoint_rows_test.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Test(checkpoint_rows, parts_of_any_size_come_back_in_their_order) {
+Test(checkpoint_rows, parts_of_any_size_are_restored_in_order) {
   std::vector<std::string> rows = rowsOf(kLarge);
   cr_assert_gt(rows.size(), 4U);
   for (const std::string& row : rows) cr_assert_leq(row.size(), kRowBytes);
@@ -28,7 +28,7 @@
   cr_assert(parts[1] == kSmall);
 }
 
-Test(checkpoint_rows, a_part_that_lacks_a_row_is_left_out) {
+Test(checkpoint_rows, a_part_with_a_missing_row_is_skipped) {
   for (std::size_t missing = 0; missing < rowsOf(kLarge).size(); ++missing) {
     std::vector<std::string> rows = rowsOf(kLarge);
     rows.erase(rows.begin() + static_cast<std::ptrdiff_t>(missing));
@@ -39,6 +39,6 @@
   }
 }
 
-Test(checkpoint_rows, rows_that_are_none_are_left_out) {
+Test(checkpoint_rows, malformed_rows_are_skipped) {
   cr_assert(partsFromRows({"nonsense", "", "1/1:", "2:3/4", "0/0:x"}).empty());
 }
--- a/tests/gateway/batch/checkpoint_tracker_test.cpp
+++ b/tests/gateway/batch/checkpoint_tracker_test.cpp
@@ -24,7 +24,7 @@
   return {job, rules};
 }
 
-/// Lets the item have the events from `first` up to `last`.
+/// Adds the events from `first` up to `last` to the item.
 void addEvents(batch_run& run, ItemIndex item, std::uint64_t first, std::uint64_t last) {
   if (run.progress(item).state == ItemState::kWaiting) run.onStarted(kStart, item, kEngine);
   for (std::uint64_t event = first; event <= last; ++event) {
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-Test(checkpoint_tracker, each_part_holds_what_was_added_and_all_together_the_whole_text) {
+Test(checkpoint_tracker, parts_hold_increments_and_merge_to_the_full_text) {
   batch_run run = runOf(2);
   checkpoint_tracker log;
   addEvents(run, 0, 1, 6);
@@ -52,7 +52,7 @@
   cr_assert_eq(parts[1].size(), 2U);
   cr_assert_eq(parts[1][0].after_event, 6U);
   cr_assert_eq(parts[1][0].text, "\ne7\ne8\ne9");
-  cr_assert(log.next(run).texts.empty(), "nothing is new");
+  cr_assert(log.next(run).texts.empty(), "no changes");
   run.onCompleted(kStart, 0);
   parts.push_back(writeNext(log, run));
   cr_assert_eq(parts[2].size(), 1U);
@@ -63,7 +63,7 @@
   cr_assert_eq(merged[1].text, run.progress(1).text);
 }
 
-Test(checkpoint_tracker, a_text_that_was_begun_anew_is_written_whole) {
+Test(checkpoint_tracker, a_restarted_text_is_written_in_full) {
   batch_run run = runOf(1);
   checkpoint_tracker log;
   addEvents(run, 0, 1, 6);
@@ -75,7 +75,7 @@
   cr_assert_eq(part[0].text, run.progress(0).text);
 }
 
-Test(checkpoint_tracker, a_text_that_was_begun_anew_during_a_write_is_written_whole_after_it) {
+Test(checkpoint_tracker, a_text_restarted_during_a_write_is_written_in_full_afterwards) {
   batch_run run = runOf(1);
   checkpoint_tracker log;
   addEvents(run, 0, 1, 6);
@@ -86,7 +86,7 @@
   cr_assert_eq(log.next(run).texts[0].after_event, 0U);
 }
 
-Test(checkpoint_tracker, after_a_write_that_was_not_answered_the_next_part_is_whole) {
+Test(checkpoint_tracker, the_part_after_an_unanswered_write_is_full) {
   batch_run run = runOf(1);
   checkpoint_tracker log;
   addEvents(run, 0, 1, 6);
@@ -99,7 +99,7 @@
   cr_assert_eq(part.texts[0].text, run.progress(0).text);
 }
 
-Test(checkpoint_tracker, a_reader_never_has_to_read_many_parts) {
+Test(checkpoint_tracker, the_number_of_parts_since_the_last_full_one_is_bounded) {
   batch_run run = runOf(1);
   checkpoint_tracker log;
   addEvents(run, 0, 1, 5);
@@ -114,7 +114,7 @@
   cr_assert_leq(full, 8);
 }
 
-Test(checkpoint_tracker, listed_items_are_left_out) {
+Test(checkpoint_tracker, appended_items_are_omitted) {
   batch_run run = runOf(1);
   addEvents(run, 0, 1, 6);
   run.onCompleted(kStart, 0);
--- a/tests/gateway/batch/critical_runs_test.cpp
+++ b/tests/gateway/batch/critical_runs_test.cpp
@@ -23,7 +23,7 @@
   return run;
 }
 
-batch::length_estimator oneEventInTen() {
+batch::length_estimator oneEventPerTenTokens() {
   batch::length_estimator lengths;
   lengths.onFinished(100, 10);
   return lengths;
@@ -31,16 +31,17 @@
 
 }  // namespace
 
-Test(critical_runs, the_few_longest_are_awaited) {
-  const auto critical = batch::criticalRuns(running({900, 1000, 800, 950, 990}), oneEventInTen());
+Test(critical_runs, the_longest_runs_are_critical) {
+  const auto critical =
+      batch::criticalRuns(running({900, 1000, 800, 950, 990}), oneEventPerTenTokens());
   cr_assert(critical == std::vector<batch::ItemIndex>({1, 4, 3}));
 }
 
-Test(critical_runs, a_run_that_ends_long_before_the_longest_is_not) {
-  const auto critical = batch::criticalRuns(running({400, 1000, 10}), oneEventInTen());
+Test(critical_runs, a_run_much_shorter_than_the_longest_is_not_critical) {
+  const auto critical = batch::criticalRuns(running({400, 1000, 10}), oneEventPerTenTokens());
   cr_assert(critical == std::vector<batch::ItemIndex>({1}));
 }
 
-Test(critical_runs, nothing_is_awaited_before_anything_is_known_of_lengths) {
+Test(critical_runs, no_run_is_critical_without_length_estimates) {
   cr_assert(batch::criticalRuns(running({0, 0}), {}).empty());
 }
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -44,18 +44,18 @@
 
 }  // namespace
 
-Test(item_placement, an_item_asks_for_its_model_version_and_expected_memory) {
+Test(item_placement, the_request_has_the_items_model_version_and_expected_memory) {
   routing::RouteTable table;
   table.services[kService].memory_tokens = 30000;
   const auto wanted = batch::engineRequestFor(oneItem(), 0, route(false), table, 1.0);
   cr_assert_eq(wanted.model.str(), "m");
   cr_assert_eq(wanted.minimum_version, 2U);
-  cr_assert_eq(wanted.tokens, 1200, "the hint and a usual prompt");
+  cr_assert_eq(wanted.tokens, 1200, "length hint plus a typical prompt");
   cr_assert_eq(wanted.memory_tokens, 30000);
   cr_assert_not(wanted.exact_version.has_value());
 }
 
-Test(item_placement, an_engine_that_failed_the_item_is_taken_only_if_there_is_no_other) {
+Test(item_placement, the_engine_of_the_last_failure_is_selected_only_without_alternatives) {
   engine_registry registry(ZoneName("z"), {}, 1);
   test::listEngines(registry, kStart, {record("a", 2), record("b", 2)});
   batch::item_progress progress;
@@ -67,7 +67,7 @@
   cr_assert_eq(batch::placeItem(kStart, registry, progress, wanted).engine->record.id.str(), "a");
 }
 
-Test(item_placement, a_text_of_one_version_is_begun_anew_where_that_version_is_gone) {
+Test(item_placement, a_single_version_text_is_discarded_if_its_version_is_gone) {
   engine_registry registry(ZoneName("z"), {}, 1);
   test::listEngines(registry, kStart, {record("a", 3)});
   batch_run run = oneItem();
--- a/tests/gateway/batch/new_job_owner_test.cpp
+++ b/tests/gateway/batch/new_job_owner_test.cpp
@@ -22,29 +22,29 @@
 
 }  // namespace
 
-Test(new_job_owner, a_job_handed_in_at_a_slow_machine_is_owned_by_a_fast_one) {
+Test(new_job_owner, the_candidate_with_the_highest_capacity_is_selected) {
   cr_assert_eq(chooseNewJobOwner(inputsOf({{kFast, 0.5}, {kOwn, 0.06}}), kOwn), kFast);
 }
 
-Test(new_job_owner, where_nobody_offers_the_daemon_keeps_the_job) {
+Test(new_job_owner, without_candidates_the_fallback_is_selected) {
   cr_assert_eq(chooseNewJobOwner(inputsOf({}), kOwn), kOwn);
 }
 
-Test(new_job_owner, jobs_of_a_model_stay_with_their_owner_while_it_can_carry_them) {
+Test(new_job_owner, the_previous_owner_is_kept_while_it_has_capacity) {
   new_job_owner_inputs inputs = inputsOf({{kFast, 0.5}, {kOther, 0.4}});
   inputs.previous = kOther;
   cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kOther);
   inputs.previous_items = 900;
-  cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kFast, "it has enough to do");
+  cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kFast, "its item limit would be exceeded");
 }
 
-Test(new_job_owner, an_owner_that_became_slow_is_left) {
+Test(new_job_owner, a_previous_owner_with_low_capacity_is_replaced) {
   new_job_owner_inputs inputs = inputsOf({{kFast, 0.5}, {kOther, 0.2}});
   inputs.previous = kOther;
   cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kFast);
 }
 
-Test(new_job_owner, owners_of_other_models_are_spared_while_there_are_others) {
+Test(new_job_owner, owners_of_other_models_are_selected_only_without_alternatives) {
   new_job_owner_inputs inputs = inputsOf({{kFast, 0.5}, {kOther, 0.45}});
   inputs.busy = {kFast};
   cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kOther);
@@ -52,7 +52,7 @@
   cr_assert_eq(chooseNewJobOwner(inputs, kOwn), kFast);
 }
 
-Test(new_job_owner, daemons_elsewhere_are_left_out_before_the_choice) {
+Test(new_job_owner, daemons_outside_the_residency_are_excluded) {
   const fleet::fleet_layout layout(
       {{ZoneName("a"), RegionName("near")}, {ZoneName("b"), RegionName("far")}});
   const fleet::data_residency far({RegionName("far")});
@@ -61,22 +61,22 @@
   inputs.previous = kFast;
   inputs.previous_zone = ZoneName("a");
   const new_job_owner_inputs kept = batch::withinResidency(inputs, far, layout);
-  cr_assert_eq(kept.candidates.size(), 1U, "one that told no zone is at home nowhere");
+  cr_assert_eq(kept.candidates.size(), 1U, "a daemon without a zone is within no residency");
   cr_assert(kept.previous.empty());
   cr_assert_eq(chooseNewJobOwner(kept, kOwn), kOther);
   cr_assert_eq(batch::withinResidency(inputs, {}, layout).candidates.size(), 3U,
-               "without homes all stay");
+               "without a residency nobody is excluded");
   cr_assert_eq(batch::withinResidency(inputs, {}, layout).previous, kFast);
 }
 
-Test(new_job_owner, where_nobody_at_home_is_known_and_the_daemon_is_not_nobody_is_named) {
+Test(new_job_owner, no_owner_is_selected_if_no_daemon_is_within_the_residency) {
   const new_job_owner_inputs inputs = inputsOf({{kFast, 0.5, ZoneName("a")}});
   const new_job_owner_inputs kept =
       batch::withinResidency(inputs, fleet::data_residency({RegionName("far")}), {});
   cr_assert(chooseNewJobOwner(kept, LeaseId()).empty());
 }
 
-Test(new_job_owner, first_jobs_of_several_models_take_different_owners) {
+Test(new_job_owner, first_jobs_of_several_models_get_different_owners) {
   new_job_owner_inputs inputs = inputsOf({{kFast, 0.5}, {kOther, 0.5}});
   const LeaseId first = chooseNewJobOwner(inputs, kOwn);
   inputs.model_index = 1;
--- a/tests/gateway/batch/partial_results_test.cpp
+++ b/tests/gateway/batch/partial_results_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Test(partial_results, of_several_earlier_jobs_the_longest_text_stays) {
+Test(partial_results, the_longest_text_of_several_jobs_is_kept) {
   batch::partial_results results;
   cr_assert(results.empty());
   results.addJob(jobOf({"a", "b"}), {{1, 7, {2}, "seven"}});
@@ -32,7 +32,7 @@
   cr_assert_eq(results.textOf(ItemId("b"))->last_event, 7U);
 }
 
-Test(partial_results, text_of_an_item_that_the_job_has_not_is_left_out) {
+Test(partial_results, text_of_an_item_that_the_job_lacks_is_skipped) {
   batch::partial_results results;
   results.addJob(jobOf({"a"}), {{5, 7, {2}, "seven"}});
   cr_assert_eq(results.textOf(ItemId("a")), nullptr);
--- a/tests/gateway/batch/planned_moves_test.cpp
+++ b/tests/gateway/batch/planned_moves_test.cpp
@@ -5,7 +5,7 @@
 using namespace linenpier;
 using batch::planned_moves;
 
-Test(planned_moves, an_engine_gets_no_more_moves_than_it_has_room) {
+Test(planned_moves, an_engine_gets_no_more_moves_than_it_has_free_slots) {
   planned_moves moves(6);
   const EngineId engine("e");
   moves.add(engine, 2);
--- a/tests/gateway/batch/run_moves_test.cpp
+++ b/tests/gateway/batch/run_moves_test.cpp
@@ -27,7 +27,7 @@
   return made;
 }
 
-/** One engine twice as slow as the two others. */
+/** A registry with one engine that is half as fast as the two others. */
 engine_registry registry() {
   engine_registry made(ZoneName("z"), {}, 1);
   test::listEngines(made, kStart, {record(kSlow), record(kQuick), record(EngineId("quick2"))});
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-Test(run_moves, runs_on_slow_engines_may_move_the_longest_first) {
+Test(run_moves, runs_on_slow_engines_may_be_moved_longest_first) {
   const std::vector<item_run> runs = {{0, kSlow, kStart}, {1, kSlow, kStart}, {1, kQuick, kStart}};
   const batch_run run = twoItems();
   const auto movable = batch::movableRuns(kLater, registry(), kService, run.job(), runs, kRules);
@@ -62,23 +62,23 @@
   cr_assert_eq(movable[0].item, 1U);
 }
 
-Test(run_moves, a_run_that_began_just_now_stays) {
+Test(run_moves, a_recently_started_run_is_not_moved) {
   const batch_run run = twoItems();
   const auto movable =
       batch::movableRuns(kLater, registry(), kService, run.job(), {{1, kSlow, kLater}}, kRules);
   cr_assert(movable.empty());
 }
 
-Test(run_moves, a_run_moves_only_for_more_than_it_costs) {
+Test(run_moves, a_run_is_moved_only_if_the_saving_exceeds_the_cost) {
   engine_registry engines = registry();
   batch::length_estimator lengths;
   lengths.onFinished(100, 10);
   const batch_run run = twoItems();
   const auto long_run =
       batch::planMove(kLater, engines, lengths, run, {1, kSlow, kStart}, wanted(), kRules);
-  cr_assert(long_run.has_value(), "100 events of 50 ms less each");
+  cr_assert(long_run.has_value(), "saves 50 ms for each of 100 events");
   cr_assert_neq(long_run->target.str(), "slow");
   const auto short_run =
       batch::planMove(kLater, engines, lengths, run, {0, kSlow, kStart}, wanted(), kRules);
-  cr_assert_not(short_run.has_value(), "one event");
+  cr_assert_not(short_run.has_value(), "only one event is left");
 }
--- a/tests/gateway/batch/zone_drain_schedule_test.cpp
+++ b/tests/gateway/batch/zone_drain_schedule_test.cpp
@@ -17,7 +17,7 @@
 constexpr Instant kStart{std::chrono::seconds(100)};
 constexpr Duration kTick = std::chrono::milliseconds(50);
 
-/// Runs that all leave when they are due, and otherwise go on.
+/// Simulates a zone in which every run moves as soon as it is due.
 struct Zone {
   zone_drain_schedule schedule;
   std::vector<placed_run> runs;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-Test(zone_drain_schedule, the_longest_leave_first_and_those_that_end_in_time_stay) {
+Test(zone_drain_schedule, the_longest_runs_move_first_and_short_ones_stay) {
   Zone zone;
   zone.runs = {{kNorth, 4}, {kNorth, 1}, {kNorth, 9}, {kNorth, 6}};
   std::vector<double> order;
@@ -49,23 +49,23 @@
   }
   cr_assert_eq(order.size(), 3U);
   cr_assert(order[0] == 9 && order[1] == 6 && order[2] == 4);
-  cr_assert_eq(zone.runs.size(), 1U, "the run of one second has ended by itself meanwhile");
+  cr_assert_eq(zone.runs.size(), 1U, "the run of one second ends in the zone");
 }
 
-Test(zone_drain_schedule, they_are_spread_over_the_time_and_all_have_left_by_its_end) {
+Test(zone_drain_schedule, moves_are_spread_over_the_drain_time_and_complete_by_its_end) {
   Zone zone;
   for (int i = 0; i < 100; ++i) zone.runs.push_back({kNorth, 20.0 + i});
   cr_assert(zone.tick(kStart).empty());
   for (Instant now = kStart + kTick; now <= kStart + std::chrono::milliseconds(1250); now += kTick)
     cr_assert_leq(zone.tick(now).size(), 3U);
-  cr_assert_eq(zone.runs.size(), 50U, "half of them in half of the time");
+  cr_assert_eq(zone.runs.size(), 50U, "half of the runs in half of the time");
   for (Instant now = kStart + std::chrono::milliseconds(1300);
        now <= kStart + std::chrono::milliseconds(2500); now += kTick)
     zone.tick(now);
   cr_assert(zone.runs.empty());
 }
 
-Test(zone_drain_schedule, without_room_elsewhere_they_stay_and_are_due_again) {
+Test(zone_drain_schedule, runs_that_could_not_be_moved_stay_due) {
   zone_drain_schedule schedule;
   const std::vector<placed_run> runs(10, {kNorth, 30});
   schedule.onZones(kStart, kNorthClosed, runs);
@@ -75,14 +75,14 @@
   }
 }
 
-Test(zone_drain_schedule, a_run_of_which_nothing_is_known_leaves) {
+Test(zone_drain_schedule, a_run_of_unknown_length_is_moved) {
   Zone zone;
   zone.runs = {{kNorth, std::numeric_limits<double>::infinity()}};
   zone.tick(kStart);
   cr_assert_eq(zone.tick(kStart + kTick).size(), 1U);
 }
 
-Test(zone_drain_schedule, zones_are_emptied_each_by_itself_and_told_once_a_closing) {
+Test(zone_drain_schedule, each_drained_zone_is_reported_once_per_closing) {
   zone_drain_schedule schedule;
   const fleet::closed_zones both({{kNorth, 5}, {kSouth, 6}});
   const std::vector<placed_run> south = {{kSouth, 9}};
@@ -95,7 +95,7 @@
   cr_assert_eq(schedule.takeDrained(kStart + kTick, {}).size(), 1U);
 }
 
-Test(zone_drain_schedule, a_closing_that_is_taken_back_and_sent_again_begins_anew) {
+Test(zone_drain_schedule, reopening_and_closing_a_zone_restarts_draining) {
   zone_drain_schedule schedule;
   const std::vector<placed_run> runs(4, {kNorth, 30});
   schedule.onZones(kStart, kNorthClosed, runs);
@@ -104,6 +104,6 @@
   cr_assert(schedule.idle());
   cr_assert(schedule.due(later, runs).empty());
   schedule.onZones(later, kNorthClosed, runs);
-  cr_assert(schedule.due(later, runs).empty(), "spread from the new closing on");
+  cr_assert(schedule.due(later, runs).empty(), "moves are spread from the new closing on");
   cr_assert_eq(schedule.due(later + kTick, runs).size(), 1U);
 }
