--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -70,7 +70,7 @@
   std::uint64_t lost = 0;
   /// Part of `refused`: no engine within the job's residency.
   std::uint64_t refused_for_residency = 0;
-  std::uint64_t given_up_for_residency =
+  std::uint64_t handed_over_for_residency =
       0;  ///< Handed over because this daemon is outside the job's residency.
   std::uint64_t ended = 0;
   std::uint64_t completed = 0;
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -232,7 +232,7 @@
       .text("reason", "not_at_home")
       .text("homes", namesOf(residency))
       .text("region", this->deps_.residency.ownRegion().str());
-  ++this->deps_.counts.given_up_for_residency;
+  ++this->deps_.counts.handed_over_for_residency;
   co_await this->handOverJob(id);
   job_entry* at = this->deps_.jobs.find(id);
   const bool still_owned = at != nullptr && this->isOwn(*at);
--- a/src/gateway/service/metrics_page.cpp
+++ b/src/gateway/service/metrics_page.cpp
@@ -80,7 +80,7 @@
   state.jobs_refused = counts.refused;
   state.jobs_taken_over = counts.taken_over;
   state.jobs_refused_for_home = counts.refused_for_residency;
-  state.jobs_given_to_home = counts.given_up_for_residency;
+  state.jobs_given_to_home = counts.handed_over_for_residency;
 }
 
 void metrics_page::addLeadership(Instant now, metrics::GatewayState& state) const {
