--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -26,10 +26,10 @@
 /** Must be used from the event loop thread only. */
 struct active_job {
   active_job(boost::asio::io_context& loop, job_record row, batch_job job, run_rules rules,
-             result_timing_options times)
+             result_timing_options timing)
       : record(std::move(row)),
         run(std::move(job), rules),
-        schedule(steadyNow(), times),
+        schedule(steadyNow(), timing),
         results_ready(loop),
         published_changed(loop) {}
 
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -41,8 +41,8 @@
   for (ItemIndex item = 0; item < this->job_.items.size(); ++item) {
     if (!reused.contains(this->job_.items[item].id)) continue;
     this->groups_[this->group_of_[item]].reused = true;
-    const item_checkpoint* kept = reused.textOf(this->job_.items[item].id);
-    if (kept != nullptr && this->onCheckpoint(item, *kept)) obsolete.push_back(item);
+    const item_checkpoint* checkpoint = reused.textOf(this->job_.items[item].id);
+    if (checkpoint != nullptr && this->onCheckpoint(item, *checkpoint)) obsolete.push_back(item);
   }
   if (this->reusedGroups() > 0) this->orderItems();
   return obsolete;
@@ -85,21 +85,22 @@
   ++this->appended_;
 }
 
-bool batch_run::onCheckpoint(ItemIndex item, const item_checkpoint& kept) {
+bool batch_run::onCheckpoint(ItemIndex item, const item_checkpoint& checkpoint) {
   item_progress& progress = this->progress_[item];
   const bool open = progress.state == ItemState::kWaiting || progress.state == ItemState::kRunning;
-  if (!open || kept.last_event <= progress.last_event || kept.versions.empty()) return false;
-  if (*kept.versions.begin() < this->job_.minimum_version) return false;
-  if (this->rules_.single_version && kept.versions.size() > 1) return false;
+  if (!open || checkpoint.last_event <= progress.last_event || checkpoint.versions.empty())
+    return false;
+  if (*checkpoint.versions.begin() < this->job_.minimum_version) return false;
+  if (this->rules_.single_version && checkpoint.versions.size() > 1) return false;
   const bool running = progress.state == ItemState::kRunning;
-  progress.last_event = kept.last_event;
-  progress.versions = kept.versions;
-  progress.text = kept.text;
+  progress.last_event = checkpoint.last_event;
+  progress.versions = checkpoint.versions;
+  progress.text = checkpoint.text;
   ++progress.text_revision;
   const std::optional<reward_request>& scorer = this->job_.items[item].scorer;
-  const bool score_fits = kept.score && scorer && kept.score->request_id == scorer->id;
-  if (kept.finished && score_fits) progress.score = kept.score->signature;
-  if (kept.finished) this->onTextComplete(item);
+  const bool score_fits = checkpoint.score && scorer && checkpoint.score->request_id == scorer->id;
+  if (checkpoint.finished && score_fits) progress.score = checkpoint.score->signature;
+  if (checkpoint.finished) this->onTextComplete(item);
   return running;
 }
 
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -75,7 +75,7 @@
    * text.
    * @return whether a running attempt is obsolete and must be stopped.
    */
-  bool onCheckpoint(ItemIndex item, const item_checkpoint& kept);
+  bool onCheckpoint(ItemIndex item, const item_checkpoint& checkpoint);
 
   /** Restores text from earlier jobs and marks the groups found there as reused.
    * @return the items whose running attempts must be stopped.
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -26,10 +26,10 @@
 }
 
 Task<void> batch_service::pollLoop() {
-  const Instant begun = steadyNow();
+  const Instant start_time = steadyNow();
   for (;;) {
     const bool idle = !this->deps_.pool.offers() && !this->ownership_.ownsOpenJobs() &&
-                      steadyNow() - begun > kStartupTime;
+                      steadyNow() - start_time > kStartupTime;
     co_await sleepFor(this->deps_.loop, idle ? kIdlePollInterval : kPollInterval);
     const Instant now = steadyNow();
     this->ownership_.checkOwners(now);
--- a/src/gateway/batch/checkpoint_tracker.cpp
+++ b/src/gateway/batch/checkpoint_tracker.cpp
@@ -38,12 +38,13 @@
     const auto at = this->written_->find(item);
     const bool grows = at != this->written_->end() && at->second.revision == progress.text_revision;
     if (grows) {
-      const written_text& kept = at->second;
-      const bool news = kept.last_event < progress.last_event || kept.finished != added.finished ||
-                        kept.scored != added.score.has_value();
-      if (!news) return std::nullopt;
-      added.after_event = kept.last_event;
-      from = kept.bytes;
+      const written_text& written = at->second;
+      const bool changed = written.last_event < progress.last_event ||
+                           written.finished != added.finished ||
+                           written.scored != added.score.has_value();
+      if (!changed) return std::nullopt;
+      added.after_event = written.last_event;
+      from = written.bytes;
     }
   }
   added.text = progress.text.substr(from);
@@ -72,13 +73,13 @@
   ++this->parts_;
   for (std::size_t i = 0; i < part.texts.size(); ++i) {
     const item_checkpoint& each = part.texts[i];
-    written_text& kept = (*this->written_)[each.item_index];
-    const std::size_t before = each.after_event == 0 ? 0 : kept.bytes;
-    kept.last_event = each.last_event;
-    kept.bytes = before + each.text.size();
-    kept.finished = each.finished;
-    kept.scored = each.score.has_value();
-    kept.revision = part.revisions[i];
+    written_text& written = (*this->written_)[each.item_index];
+    const std::size_t before = each.after_event == 0 ? 0 : written.bytes;
+    written.last_event = each.last_event;
+    written.bytes = before + each.text.size();
+    written.finished = each.finished;
+    written.scored = each.score.has_value();
+    written.revision = part.revisions[i];
   }
 }
 
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -33,7 +33,7 @@
   const std::size_t first_row = write.first_row;
   active->checkpoint_next_row += rows;
   active->checkpoint_in_progress = true;
-  const Instant begun = steadyNow();
+  const Instant start_time = steadyNow();
   const fenced_write_result answer =
       co_await this->deps_.store.putCheckpoint(active->record.id, active->fence, std::move(write));
   active->checkpoint_in_progress = false;
@@ -51,7 +51,7 @@
       .number("events", static_cast<std::int64_t>(part.events))
       .text("part", part.full ? "whole" : "addition")
       .text("outcome", done ? "done" : "not_done")
-      .milliseconds("took_ms", steadyNow() - begun);
+      .milliseconds("took_ms", steadyNow() - start_time);
 }
 
 Task<void> checkpoint_writer::checkpointLoop(active_job_ptr active) {
@@ -59,11 +59,11 @@
   for (;;) {
     co_await sleepFor(this->deps_.loop, pause);
     if (active->stopped || active->run.allAppended()) co_return;
-    const Instant begun = steadyNow();
+    const Instant start_time = steadyNow();
     co_await this->write(active, Need::kIfEnoughNew);
     // Leaves a slow store capacity for results and lease renewals.
     pause = std::max<Duration>(this->deps_.options.checkpoint_interval,
-                               kCheckpointBackoffFactor * (steadyNow() - begun));
+                               kCheckpointBackoffFactor * (steadyNow() - start_time));
   }
 }
 
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -129,7 +129,7 @@
   return std::nullopt;
 }
 
-// --- Running and judging ------------------------------------------------------------------------
+// --- Running and evaluating ---------------------------------------------------------------------
 
 Task<void> item_runner::runItem(item_attempt run) {
   run_report report;
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -56,7 +56,7 @@
 
 Task<void> item_scorer::scoreItem(active_job_ptr active, ItemIndex item,
                                   std::shared_ptr<http::Cancellation> cancellation) {
-  const Instant begun = steadyNow();
+  const Instant start_time = steadyNow();
   const reward_request& scorer = *active->run.job().items[item].scorer;
   forward::internal_request request;
   request.table = this->deps_.routes();
@@ -65,7 +65,7 @@
   request.message = this->rewardRequest(scorer);
   request.tenant = active->record.tenant;
   request.limit = kRewardTimeout;
-  const bool recent = begun - active->run.progress(item).last_progress < kFullShareDelay;
+  const bool recent = start_time - active->run.progress(item).last_progress < kFullShareDelay;
   request.max_per_slot = recent ? kDefaultShare : kFullShare;
   request.cancellation = cancellation;
   const bool routed = request.route != nullptr;
@@ -84,7 +84,7 @@
                        : outcome.status > 0    ? "failed"
                        : outcome.attempts == 0 ? "no_engine"
                                                : "no_answer";
-  if (!isSuccess(outcome) || this->deps_.sampler.admit(begun)) {
+  if (!isSuccess(outcome) || this->deps_.sampler.admit(start_time)) {
     LogEvent("batch", "scoring_ended")
         .text("batch", active->record.id.str())
         .text("item", active->run.job().items[item].id.str())
@@ -93,7 +93,7 @@
         .number("status", outcome.status)
         .number("attempts", outcome.attempts)
         .number("failures", active->run.progress(item).score_failures)
-        .milliseconds("took_ms", steadyNow() - begun);
+        .milliseconds("took_ms", steadyNow() - start_time);
   }
   this->deps_.on_finished();
 }
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -251,15 +251,15 @@
 }
 
 Task<void> job_acceptance::end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
-  const Instant begun = steadyNow();
-  const Instant deadline = begun + this->deps_.options.end_timeout;
+  const Instant start_time = steadyNow();
+  const Instant deadline = start_time + this->deps_.options.end_timeout;
   const unsigned status = co_await this->endBefore(id, from, deadline, writer);
   if (status == kOk) ++this->deps_.counts.ended;
   LogEvent("batch", "end_asked")
       .text("batch", id.str())
       .text("tenant", from.tenant.str())
       .number("status", status)
-      .milliseconds("took_ms", steadyNow() - begun);
+      .milliseconds("took_ms", steadyNow() - start_time);
   co_await sendStatus(writer, this->deps_.names, status, {});
 }
 
--- a/src/gateway/batch/job_activation.cpp
+++ b/src/gateway/batch/job_activation.cpp
@@ -24,8 +24,8 @@
   }
   active.checkpoint_first_row = progress.checkpoint.first_row;
   active.checkpoint_next_row = progress.checkpoint.next_row;
-  for (const item_checkpoint& kept : progress.checkpoint.texts) {
-    if (kept.item_index < items) active.run.onCheckpoint(kept.item_index, kept);
+  for (const item_checkpoint& restored : progress.checkpoint.texts) {
+    if (restored.item_index < items) active.run.onCheckpoint(restored.item_index, restored);
   }
 }
 
--- a/src/gateway/batch/job_reader.cpp
+++ b/src/gateway/batch/job_reader.cpp
@@ -113,23 +113,24 @@
 
 Task<void> job_reader::replyResults(http::ResponseWriter& writer, const JobId& id,
                                     const result_page& page, page_state state) const {
-  std::vector<std::string> shown;
+  std::vector<std::string> published_results;
   std::size_t bytes = 0;
   const std::size_t end = std::min(page.next(), state.published);
   for (std::size_t i = page.position; i < end; ++i) {
     const std::string& result = page.results[i - page.position].encoded;
     bytes += result.size();
-    if (!shown.empty() && bytes >= this->deps_.options.max_page_bytes) break;
-    shown.push_back(result);
+    if (!published_results.empty() && bytes >= this->deps_.options.max_page_bytes) break;
+    published_results.push_back(result);
   }
-  if (!shown.empty()) {
+  if (!published_results.empty()) {
     LogEvent("batch", "page_read")
         .text("batch", id.str())
         .number("position", static_cast<std::int64_t>(page.position))
-        .number("results", static_cast<std::int64_t>(shown.size()))
+        .number("results", static_cast<std::int64_t>(published_results.size()))
         .text("from", state.from_memory ? "memory" : "store");
   }
-  co_await this->replyPage(writer, state.total, page.position + shown.size(), shown);
+  co_await this->replyPage(writer, state.total, page.position + published_results.size(),
+                           published_results);
 }
 
 Task<void> job_reader::readResults(JobId id, tenants::caller from, std::size_t position,
@@ -157,9 +158,9 @@
       }
     }
     const Instant now = steadyNow();
-    const bool more = position < published;
-    const bool over = position >= record->total || now >= deadline;
-    if (more || over || this->stopping_ || writer.cancellation().requested()) {
+    const bool has_more = position < published;
+    const bool at_end = position >= record->total || now >= deadline;
+    if (has_more || at_end || this->stopping_ || writer.cancellation().requested()) {
       co_await this->replyResults(writer, id, page, {record->total, published, from_memory});
       co_return;
     }
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -117,7 +117,8 @@
     const auto page = co_await this->table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
     if (page->rows.empty()) {
-      co_return tl::make_unexpected(CallError{CallFailure::kRejected, "the job's rows are gone"});
+      co_return tl::make_unexpected(
+          CallError{CallFailure::kRejected, "rows of the submitted job are missing"});
     }
     for (const table::Row& row : page->rows) bytes += row.value;
     read += page->rows.size();
@@ -311,14 +312,15 @@
   stored_results found;
   found.clock_ms = page->clock_ms;
   for (const table::Row& row : page->rows) {
-    const std::size_t mark = row.value.find_first_not_of("0123456789");
-    if (mark == std::string::npos || row.key != resultRowKey(id, position + found.results.size())) {
-      co_return tl::make_unexpected(CallError{CallFailure::kBadAnswer, "a gap in the results"});
+    const std::size_t marker = row.value.find_first_not_of("0123456789");
+    if (marker == std::string::npos ||
+        row.key != resultRowKey(id, position + found.results.size())) {
+      co_return tl::make_unexpected(CallError{CallFailure::kBadAnswer, "a result row is missing"});
     }
     stored_result result;
     result.item_index = std::strtoull(row.value.c_str(), nullptr, 10);
-    result.encoded = row.value.substr(mark + 1);
-    if (row.value[mark] == kObject) {
+    result.encoded = row.value.substr(marker + 1);
+    if (row.value[marker] == kObject) {
       auto bytes = co_await this->objects_.get(result.encoded);
       if (!bytes) co_return tl::make_unexpected(bytes.error());
       result.encoded = std::move(*bytes);
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -15,18 +15,18 @@
 /** @return the text of a completed result as a checkpoint. */
 item_checkpoint toCheckpoint(std::size_t index, const batch_item& item,
                              const batch_result& result) {
-  item_checkpoint kept;
-  kept.item_index = index;
+  item_checkpoint entry;
+  entry.item_index = index;
   // Event data may contain line feeds, so that this is an upper bound of the number of events.
-  kept.last_event =
+  entry.last_event =
       1 + static_cast<std::uint64_t>(std::count(result.text.begin(), result.text.end(), '\n'));
-  kept.versions = result.versions;
-  kept.text = result.text;
-  kept.finished = true;
+  entry.versions = result.versions;
+  entry.text = result.text;
+  entry.finished = true;
   if (item.scorer && !result.score.empty()) {
-    kept.score = reward_score{item.scorer->id, result.score};
+    entry.score = reward_score{item.scorer->id, result.score};
   }
-  return kept;
+  return entry;
 }
 
 }  // namespace
@@ -118,10 +118,10 @@
       this->deps_.jobs.earlierJobs(active->record, options.max_earlier_jobs);
   if (earlier.empty()) co_return;
   const search_ptr search(new search_state(this->deps_.loop, active->run.job()));
-  const Instant begun = steadyNow();
+  const Instant start_time = steadyNow();
   for (const JobId& id : earlier) this->searchJob(id, search);
   const std::size_t asked = search->unanswered;
-  const Instant deadline = begun + options.reuse_timeout;
+  const Instant deadline = start_time + options.reuse_timeout;
   while (search->unanswered > 0 && steadyNow() < deadline) {
     co_await search->changed.waitFor(deadline - steadyNow());
   }
@@ -134,7 +134,7 @@
       .number("earlier_jobs", static_cast<std::int64_t>(earlier.size()))
       .number("asked", static_cast<std::int64_t>(asked))
       .number("unanswered", static_cast<std::int64_t>(search->unanswered))
-      .milliseconds("took_ms", steadyNow() - begun);
+      .milliseconds("took_ms", steadyNow() - start_time);
   active->results_ready.notifyAll();
   this->deps_.on_reused();
 }
--- a/src/gateway/batch/partial_results.cpp
+++ b/src/gateway/batch/partial_results.cpp
@@ -2,9 +2,9 @@
 
 namespace linenpier::batch {
 
-void partial_results::addJob(const batch_job& earlier, const checkpoint_texts& kept) {
+void partial_results::addJob(const batch_job& earlier, const checkpoint_texts& checkpoint) {
   for (const batch_item& item : earlier.items) this->items_.insert(item.id);
-  for (const item_checkpoint& text : kept) {
+  for (const item_checkpoint& text : checkpoint) {
     if (text.item_index >= earlier.items.size()) continue;
     item_checkpoint& longest = this->texts_[earlier.items[text.item_index].id];
     if (text.last_event > longest.last_event) longest = text;
--- a/src/gateway/batch/partial_results.h
+++ b/src/gateway/batch/partial_results.h
@@ -17,9 +17,9 @@
 class partial_results {
  public:
   /** Adds an earlier job. Of several texts of an item, the longest is kept.
-   * @param kept text of its items, finished or not.
+   * @param checkpoint text of its items, finished or not.
    */
-  void addJob(const batch_job& earlier, const checkpoint_texts& kept);
+  void addJob(const batch_job& earlier, const checkpoint_texts& checkpoint);
 
   /** @return whether an earlier job contained the item. */
   bool contains(const ItemId& item) const { return this->items_.contains(item); }
--- a/src/gateway/batch/result_schedule.h
+++ b/src/gateway/batch/result_schedule.h
@@ -27,8 +27,8 @@
 
 class result_schedule {
  public:
-  result_schedule(Instant begun, result_timing_options options)
-      : published_at_(begun), appended_at_(begun), options_(options) {}
+  result_schedule(Instant start_time, result_timing_options options)
+      : published_at_(start_time), appended_at_(start_time), options_(options) {}
 
   /** Sets the time at which available results are published in any case. */
   void setDue(Instant due_at) { this->due_at_ = due_at; }
--- a/tests/gateway/batch/new_job_owner_test.cpp
+++ b/tests/gateway/batch/new_job_owner_test.cpp
@@ -60,10 +60,10 @@
       inputsOf({{kFast, 0.5, ZoneName("a")}, {kOther, 0.1, ZoneName("b")}, {kOwn, 0.4}});
   inputs.previous = kFast;
   inputs.previous_zone = ZoneName("a");
-  const new_job_owner_inputs kept = batch::withinResidency(inputs, far, layout);
-  cr_assert_eq(kept.candidates.size(), 1U, "a daemon without a zone is within no residency");
-  cr_assert(kept.previous.empty());
-  cr_assert_eq(chooseNewJobOwner(kept, kOwn), kOther);
+  const new_job_owner_inputs restricted = batch::withinResidency(inputs, far, layout);
+  cr_assert_eq(restricted.candidates.size(), 1U, "a daemon without a zone is within no residency");
+  cr_assert(restricted.previous.empty());
+  cr_assert_eq(chooseNewJobOwner(restricted, kOwn), kOther);
   cr_assert_eq(batch::withinResidency(inputs, {}, layout).candidates.size(), 3U,
                "without a residency nobody is excluded");
   cr_assert_eq(batch::withinResidency(inputs, {}, layout).previous, kFast);
@@ -71,9 +71,9 @@
 
 Test(new_job_owner, no_owner_is_selected_if_no_daemon_is_within_the_residency) {
   const new_job_owner_inputs inputs = inputsOf({{kFast, 0.5, ZoneName("a")}});
-  const new_job_owner_inputs kept =
+  const new_job_owner_inputs restricted =
       batch::withinResidency(inputs, fleet::data_residency({RegionName("far")}), {});
-  cr_assert(chooseNewJobOwner(kept, LeaseId()).empty());
+  cr_assert(chooseNewJobOwner(restricted, LeaseId()).empty());
 }
 
 Test(new_job_owner, first_jobs_of_several_models_get_different_owners) {
