--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -18,8 +18,8 @@
 struct batch_options {
   Duration connect_timeout = std::chrono::milliseconds(200);  ///< For connecting to an engine.
   run_timeouts timeouts;
-  Duration rejected_retry_delay =
-      std::chrono::milliseconds(40);   ///< Before an item that an engine rejected is sent again.
+  /// Before an item that an engine rejected is sent again.
+  Duration rejected_retry_delay = std::chrono::milliseconds(40);
   Duration interrupted_retry_delay{};  ///< Before an item whose run was interrupted is sent again.
   result_timing_options result_timing;
   Duration checkpoint_interval = std::chrono::milliseconds(500);  ///< Between checkpoints of a job.
@@ -70,8 +70,8 @@
   std::uint64_t lost = 0;
   /// Part of `refused`: no engine within the job's residency.
   std::uint64_t refused_for_residency = 0;
-  std::uint64_t handed_over_for_residency =
-      0;  ///< Handed over because this daemon is outside the job's residency.
+  /// Handed over because this daemon is outside the job's residency.
+  std::uint64_t handed_over_for_residency = 0;
   std::uint64_t ended = 0;
   std::uint64_t completed = 0;
   std::uint64_t terminated = 0;
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -11,8 +11,8 @@
 using logging::LogEvent;
 
 namespace {
-constexpr int kCheckpointBackoffFactor =
-    3;  ///< Minimum pause between checkpoints, as a multiple of the duration of the last write.
+/// Minimum pause between checkpoints, as a multiple of the duration of the last write.
+constexpr int kCheckpointBackoffFactor = 3;
 }  // namespace
 
 void checkpoint_writer::start(const active_job_ptr& active) {
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -14,8 +14,8 @@
 /// Daemons within a job's residency take it over sooner than this. A job without an owner for
 /// longer is reported.
 constexpr Duration kResidencyWait = std::chrono::seconds(3);
-constexpr Duration kWaitLogInterval =
-    std::chrono::seconds(10);  ///< Between log entries about such jobs.
+/// Between log entries about such jobs.
+constexpr Duration kWaitLogInterval = std::chrono::seconds(10);
 }  // namespace
 
 bool job_ownership::isOwn(const job_entry& job) const {
--- a/src/gateway/batch/job_ownership.h
+++ b/src/gateway/batch/job_ownership.h
@@ -80,7 +80,7 @@
    */
   bool checkResidency(const JobId& id, job_entry& job);
   Task<void> handOverForResidency(JobId id);
-  /** Logs that the job has no owner and that this daemon is outside its residency. */
+  /** Counts and logs a job without an owner if this daemon is outside its residency. */
   void reportAwaitingResidency(Instant now, const JobId& id, job_entry& job);
   /** Releases an owned job after writing a checkpoint. */
   Task<void> handOverJob(JobId id);
