--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -22,8 +22,8 @@
   }
 }
 
-/** Groups that come again are waited for in any case. Among the others the longest items begin
- * first, since the step ends with them.
+/** Reused groups first, since the step always waits for them; then the longest items first, since
+ * they determine when the step ends.
  */
 void batch_run::orderItems() {
   this->order_.resize(this->job_.items.size());
@@ -41,8 +41,8 @@
   for (ItemIndex item = 0; item < this->job_.items.size(); ++item) {
     if (!reused.contains(this->job_.items[item].id)) continue;
     this->groups_[this->group_of_[item]].reused = true;
-    const item_checkpoint* kept = reused.textOf(this->job_.items[item].id);
-    if (kept != nullptr && this->onCheckpoint(item, *kept)) obsolete.push_back(item);
+    const item_checkpoint* checkpoint = reused.textOf(this->job_.items[item].id);
+    if (checkpoint != nullptr && this->onCheckpoint(item, *checkpoint)) obsolete.push_back(item);
   }
   if (this->reusedGroups() > 0) this->orderItems();
   return obsolete;
@@ -55,17 +55,17 @@
 }
 
 bool batch_run::stepComplete() const {
-  std::size_t whole = 0;
+  std::size_t complete = 0;
   for (const item_group& group : this->groups_) {
-    if (group.open == 0) ++whole;
+    if (group.open == 0) ++complete;
     if (group.open > 0 && group.reused) return false;
   }
   const std::size_t wanted =
       this->job_.desired_groups == 0 ? this->groups_.size() : this->job_.desired_groups;
-  return whole >= std::min(wanted, this->groups_.size());
+  return complete >= std::min(wanted, this->groups_.size());
 }
 
-bool batch_run::publishUrgent() const {
+bool batch_run::shouldPublishNow() const {
   if (this->job_.desired_groups == 0 || this->stepComplete() || allAppended()) return true;
   return std::any_of(this->finished_.begin(), this->finished_.end(), [this](ItemIndex item) {
     return this->progress_[item].outcome == ResultState::kTerminated;
@@ -85,21 +85,22 @@
   ++this->appended_;
 }
 
-bool batch_run::onCheckpoint(ItemIndex item, const item_checkpoint& kept) {
+bool batch_run::onCheckpoint(ItemIndex item, const item_checkpoint& checkpoint) {
   item_progress& progress = this->progress_[item];
   const bool open = progress.state == ItemState::kWaiting || progress.state == ItemState::kRunning;
-  if (!open || kept.last_event <= progress.last_event || kept.versions.empty()) return false;
-  if (*kept.versions.begin() < this->job_.minimum_version) return false;
-  if (this->rules_.single_version && kept.versions.size() > 1) return false;
+  if (!open || checkpoint.last_event <= progress.last_event || checkpoint.versions.empty())
+    return false;
+  if (*checkpoint.versions.begin() < this->job_.minimum_version) return false;
+  if (this->rules_.single_version && checkpoint.versions.size() > 1) return false;
   const bool running = progress.state == ItemState::kRunning;
-  progress.last_event = kept.last_event;
-  progress.versions = kept.versions;
-  progress.text = kept.text;
+  progress.last_event = checkpoint.last_event;
+  progress.versions = checkpoint.versions;
+  progress.text = checkpoint.text;
   ++progress.text_revision;
   const std::optional<reward_request>& scorer = this->job_.items[item].scorer;
-  const bool score_fits = kept.score && scorer && kept.score->request_id == scorer->id;
-  if (kept.finished && score_fits) progress.score = kept.score->signature;
-  if (kept.finished) this->onTextComplete(item);
+  const bool score_fits = checkpoint.score && scorer && checkpoint.score->request_id == scorer->id;
+  if (checkpoint.finished && score_fits) progress.score = checkpoint.score->signature;
+  if (checkpoint.finished) this->onTextComplete(item);
   return running;
 }
 
@@ -140,20 +141,20 @@
 EventVerdict batch_run::onEvent(Instant now, ItemIndex item, std::uint64_t event,
                                 const std::string& data, WeightVersion version) {
   item_progress& progress = this->progress_[item];
-  if (progress.state != ItemState::kRunning) return EventVerdict::kUnfit;
-  if (event != progress.last_event + 1) return EventVerdict::kUnfit;
-  if (version < this->job_.minimum_version) return EventVerdict::kUnfit;
+  if (progress.state != ItemState::kRunning) return EventVerdict::kRejected;
+  if (event != progress.last_event + 1) return EventVerdict::kRejected;
+  if (version < this->job_.minimum_version) return EventVerdict::kRejected;
   if (this->rules_.single_version && !progress.versions.empty() &&
       !progress.versions.contains(version)) {
-    return EventVerdict::kUnfit;
+    return EventVerdict::kRejected;
   }
   if (event > 1) progress.text.push_back('\n');
   progress.text += data;
   progress.last_event = event;
   progress.versions.insert(version);
   progress.last_progress = now;
-  progress.late_starts = 0;
-  return EventVerdict::kTaken;
+  progress.first_event_timeouts = 0;
+  return EventVerdict::kAccepted;
 }
 
 void batch_run::finish(ItemIndex item, ResultState outcome) {
@@ -249,14 +250,14 @@
   progress.last_event = 0;
 }
 
-bool batch_run::onTick(Instant now) {
-  if (now < this->rules_.give_up_at) return false;
+bool batch_run::terminateExpired(Instant now) {
+  if (now < this->rules_.terminate_at) return false;
   const std::size_t before = this->finished_.size();
-  this->giveUpAll();
+  this->terminateUnfinished();
   return this->finished_.size() > before;
 }
 
-void batch_run::giveUpAll() {
+void batch_run::terminateUnfinished() {
   for (ItemIndex item = 0; item < this->progress_.size(); ++item)
     this->finish(item, ResultState::kTerminated);
 }
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -6,13 +6,13 @@
 namespace linenpier::batch {
 
 namespace {
-/// Poll interval: shorter than an event takes, so that a free slot is not left empty for long.
+/// Shorter than an engine takes for an event, so that free slots are filled soon.
 constexpr Duration kPollInterval = std::chrono::milliseconds(50);
-/// The same at a daemon that owns no job and is not among those that take one over first: each poll
-/// wakes the process, in a large fleet on hundreds of machines.
+/// Poll interval of a daemon that owns no job and is not a preferred owner. Limits wakeups in large
+/// fleets.
 constexpr Duration kIdlePollInterval = std::chrono::milliseconds(250);
-/// A daemon that started just now may have to take up what its earlier life owned.
-constexpr Duration kStartTime = std::chrono::seconds(5);
+/// After its start, a daemon may have to resume the jobs that it owned before.
+constexpr Duration kStartupTime = std::chrono::seconds(5);
 }  // namespace
 
 void batch_service::start() {
@@ -21,22 +21,22 @@
 }
 
 bool batch_service::isPublic(const JobId& id) const {
-  const known_job* job = this->jobs_.find(id);
+  const job_entry* job = this->jobs_.find(id);
   return job != nullptr && job->record.tenant.empty();
 }
 
 Task<void> batch_service::pollLoop() {
-  const Instant begun = steadyNow();
+  const Instant start_time = steadyNow();
   for (;;) {
     const bool idle = !this->deps_.pool.isCandidate() && !this->ownership_.ownsOpenJobs() &&
-                      steadyNow() - begun > kStartTime;
+                      steadyNow() - start_time > kStartupTime;
     co_await sleepFor(this->deps_.loop, idle ? kIdlePollInterval : kPollInterval);
     const Instant now = steadyNow();
     this->ownership_.checkOwners(now);
     for (auto& [id, job] : this->jobs_.all()) {
       if (!job.active || job.active->stopped) continue;
       applyRules(*job.active, this->deps_.routes());
-      if (job.active->run.onTick(now)) job.active->finished.notifyAll();
+      if (job.active->run.terminateExpired(now)) job.active->results_ready.notifyAll();
     }
     this->zone_drainer_.drainClosedZones(now);
     this->slow_run_mover_.moveSlowRuns(now);
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -11,7 +11,8 @@
 using logging::LogEvent;
 
 namespace {
-constexpr int kCheckpointRest = 3;  ///< Pause between two, in times that the last one took.
+/// Minimum pause between checkpoints, as a multiple of the duration of the last write.
+constexpr int kCheckpointBackoffFactor = 3;
 }  // namespace
 
 void checkpoint_writer::start(const active_job_ptr& active) {
@@ -19,50 +20,50 @@
 }
 
 Task<void> checkpoint_writer::write(active_job_ptr active, Need need) {
-  // What a write under way adds is not known yet.
-  if (active->checkpoint_in_progress) active->kept_texts.onUnsettled();
-  const checkpoint_part part = active->kept_texts.next(active->run);
-  const bool much = part.events >= this->deps_.options.checkpoint_events;
-  if (part.texts.empty() || (need == Need::kIfMuchIsNew && !much)) co_return;
+  // The outcome of the write in progress is unknown, so this part must be full.
+  if (active->checkpoint_in_progress) active->checkpointed.onWriteUnknown();
+  const checkpoint_part part = active->checkpointed.next(active->run);
+  const bool enough_new = part.events >= this->deps_.options.min_checkpoint_events;
+  if (part.texts.empty() || (need == Need::kIfEnoughNew && !enough_new)) co_return;
   checkpoint_write write;
   write.rows = toRows(part.texts, this->deps_.store.rowBytes());
   write.first_row = active->checkpoint_next_row;
-  write.obsolete_from = part.whole ? active->checkpoint_first_row : write.first_row;
+  write.obsolete_from = part.full ? active->checkpoint_first_row : write.first_row;
   const std::size_t rows = write.rows.size();
   const std::size_t first_row = write.first_row;
   active->checkpoint_next_row += rows;
   active->checkpoint_in_progress = true;
-  const Instant begun = steadyNow();
+  const Instant start_time = steadyNow();
   const fenced_write_result answer =
       co_await this->deps_.store.putCheckpoint(active->record.id, active->fence, std::move(write));
   active->checkpoint_in_progress = false;
   const bool done = answer.outcome == FencedWriteOutcome::kCommitted;
   if (done) {
-    active->kept_texts.onWritten(part);
-    if (part.whole) active->checkpoint_first_row = first_row;
+    active->checkpointed.onWritten(part);
+    if (part.full) active->checkpoint_first_row = first_row;
   } else {
-    active->kept_texts.onUnsettled();
+    active->checkpointed.onWriteUnknown();
   }
   LogEvent("batch", "checkpoint")
       .text("batch", active->record.id.str())
       .number("row", static_cast<std::int64_t>(first_row))
       .number("rows", static_cast<std::int64_t>(rows))
       .number("events", static_cast<std::int64_t>(part.events))
-      .text("part", part.whole ? "whole" : "addition")
+      .text("part", part.full ? "whole" : "addition")
       .text("outcome", done ? "done" : "not_done")
-      .milliseconds("took_ms", steadyNow() - begun);
+      .milliseconds("took_ms", steadyNow() - start_time);
 }
 
 Task<void> checkpoint_writer::checkpointLoop(active_job_ptr active) {
-  Duration pause = this->deps_.options.checkpoint_gap;
+  Duration pause = this->deps_.options.checkpoint_interval;
   for (;;) {
     co_await sleepFor(this->deps_.loop, pause);
     if (active->stopped || active->run.allAppended()) co_return;
-    const Instant begun = steadyNow();
-    co_await this->write(active, Need::kIfMuchIsNew);
-    // A store that is slow has results and renewals to take first.
-    pause = std::max<Duration>(this->deps_.options.checkpoint_gap,
-                               kCheckpointRest * (steadyNow() - begun));
+    const Instant start_time = steadyNow();
+    co_await this->write(active, Need::kIfEnoughNew);
+    // Leaves a slow store capacity for results and lease renewals.
+    pause = std::max<Duration>(this->deps_.options.checkpoint_interval,
+                               kCheckpointBackoffFactor * (steadyNow() - start_time));
   }
 }
 
--- /dev/null
+++ b/src/gateway/batch/engine_request_builder.h
@@ -0,0 +1,35 @@
+#pragma once
+
+/** @file
+ * Builds the requirements of an item on an engine: version, capacity and residency. Used for both
+ * starting and moving runs, so that both follow the same rules.
+ */
+
+#include <functional>
+
+#include "gateway/batch/batch_options.h"
+#include "gateway/batch/item_placement.h"
+#include "gateway/batch/job_residency.h"
+
+namespace linenpier::batch {
+
+/** Stateless. Must be used from the event loop thread only. */
+class engine_request_builder {
+ public:
+  struct dependencies {
+    const job_residency& residency;
+    std::function<routing::RouteTablePtr()> routes;
+    const batch_options& options;
+  };
+
+  explicit engine_request_builder(dependencies deps) : deps_(std::move(deps)) {}
+
+  /** @param route the job's route in the newest table. */
+  engines::engine_request build(const active_job& active, ItemIndex item,
+                                const routing::Route& route) const;
+
+ private:
+  dependencies deps_;
+};
+
+}  // namespace linenpier::batch
--- a/src/gateway/batch/job_activation.cpp
+++ b/src/gateway/batch/job_activation.cpp
@@ -20,12 +20,12 @@
   }
   active.published = std::min(active.record.published, active.appended.size());
   for (std::size_t i = active.published; i < active.appended.size(); ++i) {
-    active.held_back_bytes += active.appended[i].encoded.size();
+    active.unpublished_bytes += active.appended[i].encoded.size();
   }
   active.checkpoint_first_row = progress.checkpoint.first_row;
   active.checkpoint_next_row = progress.checkpoint.next_row;
-  for (const item_checkpoint& kept : progress.checkpoint.texts) {
-    if (kept.item_index < items) active.run.onCheckpoint(kept.item_index, kept);
+  for (const item_checkpoint& restored : progress.checkpoint.texts) {
+    if (restored.item_index < items) active.run.onCheckpoint(restored.item_index, restored);
   }
 }
 
@@ -47,13 +47,13 @@
 
 void job_activation::activate(const JobId& id, batch_job parsed, const stored_progress& progress,
                               Instant accepted_at) {
-  known_job& job = this->deps_.jobs.obtain(id);
+  job_entry& job = this->deps_.jobs.findOrCreate(id);
   const auto active = std::make_shared<active_job>(this->deps_.loop, job.record, std::move(parsed),
-                                                   run_rules{}, this->deps_.options.results);
+                                                   run_rules{}, this->deps_.options.result_timing);
   job.active = active;
   active->fence = job.revision;
   active->accepted_at = accepted_at;
-  // Before the texts: whether they fit depends on the rules.
+  // The rules must be set first: they determine which checkpointed texts are allowed.
   applyRules(*active, this->deps_.routes());
   restore(*active, progress);
   logActive(*active, progress);
--- a/src/gateway/batch/job_removal.h
+++ b/src/gateway/batch/job_removal.h
@@ -1,21 +1,21 @@
 #pragma once
 
 /** @file
- * Removes batch jobs that have ended and that nobody may ask for any more, with all that the store
- * holds of them. Any daemon may remove a job; its owner goes first.
+ * Removes ended batch jobs from the store after their retention time. Any daemon may remove a job;
+ * its owner tries first.
  */
 
 #include <optional>
 
 #include "gateway/batch/batch_options.h"
+#include "gateway/batch/job_registry.h"
 #include "gateway/batch/job_store.h"
-#include "gateway/batch/known_jobs.h"
 #include "gateway/lease/lease_keeper.h"
 #include "gateway/lease/lease_table.h"
 
 namespace linenpier::batch {
 
-/** Relies on the rows of known jobs and on the store's clock. Loop thread only. */
+/** Must be used from the event loop thread only. */
 class job_removal {
  public:
   struct dependencies {
@@ -23,14 +23,14 @@
     job_store& store;
     lease::lease_table& leases;
     lease::lease_keeper& keeper;
-    known_jobs& jobs;
+    job_registry& jobs;
     const batch_options& options;
   };
 
   explicit job_removal(dependencies deps) : deps_(deps) {}
 
   void start();
-  /** No removal begins from now on. */
+  /** Starts no further removals. */
   void stop() { this->stopping_ = true; }
 
  private:
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -17,13 +17,14 @@
 
 namespace {
 
-/// A result's row: the item's index, then the result itself or the name of the object it is in.
+/// Markers in the value of a result's row, between the item's index and the result or the name of
+/// its object.
 constexpr char kInline = '=';
 constexpr char kObject = '@';
-constexpr std::size_t kMaxRemovedAtOnce = 90;  ///< The store takes 100 entries a write.
-/// Removed beside a part of a checkpoint, which takes some twenty entries.
+constexpr std::size_t kMaxRemovedAtOnce = 90;  ///< The store accepts 100 entries per write.
+/// Leaves room for the part's own rows within the limit of the store.
 constexpr std::size_t kMaxRemovedWithPart = 60;
-/// Of one write's rows: the store takes 1 MB, and they grow by a third on their way.
+/// The store accepts 1 MB per write, and the encoding adds a third.
 constexpr std::size_t kMaxWriteBytes = 600 * 1024;
 
 std::string resultRowKey(const JobId& id, std::size_t position) {
@@ -116,7 +117,8 @@
     const auto page = co_await this->table_.read(range);
     if (!page) co_return tl::make_unexpected(page.error());
     if (page->rows.empty()) {
-      co_return tl::make_unexpected(CallError{CallFailure::kRejected, "the job's rows are gone"});
+      co_return tl::make_unexpected(
+          CallError{CallFailure::kRejected, "rows of the submitted job are missing"});
     }
     for (const table::Row& row : page->rows) bytes += row.value;
     read += page->rows.size();
@@ -124,32 +126,32 @@
   co_return bytes;
 }
 
-fenced_write_result job_store::judge(const CallResult<table::TransactionAnswer>& answer,
-                                     const std::string& job_key, Revision fence) const {
-  fenced_write_result judged;
+fenced_write_result job_store::toWriteResult(const CallResult<table::TransactionAnswer>& answer,
+                                             const std::string& job_key, Revision fence) const {
+  fenced_write_result write_result;
   if (!answer) {
-    judged.outcome = certainlyNotProcessed(answer.error().failure)
-                         ? FencedWriteOutcome::kNotCommitted
-                         : FencedWriteOutcome::kUnknown;
-    return judged;
+    write_result.outcome = certainlyNotProcessed(answer.error().failure)
+                               ? FencedWriteOutcome::kNotCommitted
+                               : FencedWriteOutcome::kUnknown;
+    return write_result;
   }
   if (answer->committed) {
-    judged.outcome = FencedWriteOutcome::kCommitted;
-    judged.revision = answer->revision;
-    return judged;
+    write_result.outcome = FencedWriteOutcome::kCommitted;
+    write_result.revision = answer->revision;
+    return write_result;
   }
   const auto row = std::find_if(answer->conflicts.begin(), answer->conflicts.end(),
                                 [&](const table::Row& each) { return each.key == job_key; });
   const bool present = row != answer->conflicts.end();
   const Revision current = present ? row->revision : 0;
-  if (present) judged.current = *row;
+  if (present) write_result.current = *row;
   if (current != fence) {
-    judged.outcome = FencedWriteOutcome::kFenceLost;
-    return judged;
+    write_result.outcome = FencedWriteOutcome::kFenceLost;
+    return write_result;
   }
-  // The row is the only condition: a conflict under its own revision was not this write's.
-  judged.outcome = FencedWriteOutcome::kNotCommitted;
-  return judged;
+  // The row's revision is the only condition, so that the conflict has another cause.
+  write_result.outcome = FencedWriteOutcome::kNotCommitted;
+  return write_result;
 }
 
 Task<fenced_write_result> job_store::putRecord(job_record record, Revision fence,
@@ -160,7 +162,7 @@
   write.transaction.puts.push_back({key, encodeRecord(record)});
   for (table::Put& put : also) write.transaction.puts.push_back(std::move(put));
   const auto answer = co_await this->table_.write(std::move(write));
-  co_return this->judge(answer, key, fence);
+  co_return this->toWriteResult(answer, key, fence);
 }
 
 namespace {
@@ -169,7 +171,7 @@
 }
 }  // namespace
 
-Task<bool> job_store::answers(JobId id, Duration timeout) {
+Task<bool> job_store::isReachable(JobId id, Duration timeout) {
   table::RowRange range = recordRange(id);
   range.timeout = timeout;
   const auto page = co_await this->table_.read(range);
@@ -205,7 +207,7 @@
     ++position;
   }
   const auto answer = co_await this->table_.write(std::move(write));
-  co_return this->judge(answer, job_key, fence);
+  co_return this->toWriteResult(answer, job_key, fence);
 }
 
 Task<fenced_write_result> job_store::putCheckpoint(JobId id, Revision fence,
@@ -218,10 +220,11 @@
   std::size_t number = part.first_row;
   for (std::string& row : part.rows) {
     if (bytes > 0 && bytes + row.size() > kMaxWriteBytes) {
-      // A part that is cut off counts for nothing until its last row is there.
+      // Incomplete parts are skipped by readers, so that a part may be written in several
+      // transactions.
       const auto partial = co_await this->table_.write(std::move(write));
-      const fenced_write_result judged = this->judge(partial, job_key, fence);
-      if (judged.outcome != FencedWriteOutcome::kCommitted) co_return judged;
+      const fenced_write_result write_result = this->toWriteResult(partial, job_key, fence);
+      if (write_result.outcome != FencedWriteOutcome::kCommitted) co_return write_result;
       write = table::Write{};
       write.transaction.checks.push_back({job_key, fence});
       bytes = 0;
@@ -235,7 +238,7 @@
     write.removes.push_back(prefix + numberedKey(id, old));
   }
   const auto answer = co_await this->table_.write(std::move(write));
-  co_return this->judge(answer, job_key, fence);
+  co_return this->toWriteResult(answer, job_key, fence);
 }
 
 Task<bool> job_store::removeObjects(std::string prefix) {
@@ -273,7 +276,7 @@
   if (!checkpoints_gone) co_return false;
   const auto job_gone = co_await this->objects_.remove(jobObjectName(id));
   if (!job_gone) co_return false;
-  // The row goes last: until then anybody can go on with the removal.
+  // The row is removed last, so that any daemon can complete an interrupted removal.
   table::Write write;
   write.transaction.checks.push_back({jobKey(id), fence});
   write.removes.push_back(jobKey(id));
@@ -309,14 +312,15 @@
   stored_results found;
   found.clock_ms = page->clock_ms;
   for (const table::Row& row : page->rows) {
-    const std::size_t mark = row.value.find_first_not_of("0123456789");
-    if (mark == std::string::npos || row.key != resultRowKey(id, position + found.results.size())) {
-      co_return tl::make_unexpected(CallError{CallFailure::kBadAnswer, "a gap in the results"});
+    const std::size_t marker = row.value.find_first_not_of("0123456789");
+    if (marker == std::string::npos ||
+        row.key != resultRowKey(id, position + found.results.size())) {
+      co_return tl::make_unexpected(CallError{CallFailure::kBadAnswer, "a result row is missing"});
     }
     stored_result result;
     result.item_index = std::strtoull(row.value.c_str(), nullptr, 10);
-    result.encoded = row.value.substr(mark + 1);
-    if (row.value[mark] == kObject) {
+    result.encoded = row.value.substr(marker + 1);
+    if (row.value[marker] == kObject) {
       auto bytes = co_await this->objects_.get(result.encoded);
       if (!bytes) co_return tl::make_unexpected(bytes.error());
       result.encoded = std::move(*bytes);
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -12,26 +12,26 @@
 
 namespace {
 
-/** @return the text that a completed result has. */
+/** @return the text of a completed result as a checkpoint. */
 item_checkpoint toCheckpoint(std::size_t index, const batch_item& item,
                              const batch_result& result) {
-  item_checkpoint kept;
-  kept.item_index = index;
-  // The data of an event may have line feeds of its own: never fewer events than there were.
-  kept.last_event =
+  item_checkpoint entry;
+  entry.item_index = index;
+  // Event data may contain line feeds, so that this is an upper bound of the number of events.
+  entry.last_event =
       1 + static_cast<std::uint64_t>(std::count(result.text.begin(), result.text.end(), '\n'));
-  kept.versions = result.versions;
-  kept.text = result.text;
-  kept.finished = true;
+  entry.versions = result.versions;
+  entry.text = result.text;
+  entry.finished = true;
   if (item.scorer && !result.score.empty()) {
-    kept.score = reward_score{item.scorer->id, result.score};
+    entry.score = reward_score{item.scorer->id, result.score};
   }
-  return kept;
+  return entry;
 }
 
 }  // namespace
 
-/** Reads under way of what earlier jobs left. */
+/** State of a search in earlier jobs. */
 struct partial_result_reuse::search_state
     : boost::intrusive_ref_counter<search_state, boost::thread_unsafe_counter> {
   search_state(boost::asio::io_context& loop, const batch_job& job) : changed(loop) {
@@ -44,7 +44,7 @@
   }
 
   /** @param texts of the earlier job's items that are not appended.
-   * @param appended its results; completed ones of wanted items count as texts, too.
+   * @param appended results of the earlier job. Completed ones of the wanted items are used, too.
    */
   void add(const batch_job& earlier, checkpoint_texts texts,
            const std::vector<stored_result>& appended, const batch_codec& codec) {
@@ -60,7 +60,7 @@
     found.addJob(earlier, texts);
   }
 
-  std::set<ItemId> wanted;  ///< Of the job that looks for texts.
+  std::set<ItemId> wanted;  ///< Items of the job that the search is for.
   partial_results found;
   std::size_t unanswered = 0;
   Signal changed;
@@ -85,14 +85,14 @@
 }
 
 void partial_result_reuse::searchJob(const JobId& id, const search_ptr& search) {
-  const known_job& earlier = *this->deps_.jobs.find(id);
-  // It may be bound to other regions than the job that follows.
+  const job_entry& earlier = *this->deps_.jobs.find(id);
+  // The earlier job may be restricted to other regions.
   if (!this->deps_.residency.mayOwn(earlier.record)) return;
   const active_job_ptr active = earlier.active;
   if (active) {
     const batch_job& job = active->run.job();
     if (!search->sharesItems(job)) return;
-    const checkpoint_texts texts = checkpoint_log{}.next(active->run).texts;
+    const checkpoint_texts texts = checkpoint_tracker{}.next(active->run).texts;
     search->add(job, texts, active->appended, this->deps_.codec);
     return;
   }
@@ -115,13 +115,13 @@
 Task<void> partial_result_reuse::reuse(active_job_ptr active) {
   const batch_options& options = this->deps_.options;
   const std::vector<JobId> earlier =
-      this->deps_.jobs.earlierJobs(active->record, options.earlier_jobs);
+      this->deps_.jobs.earlierJobs(active->record, options.max_earlier_jobs);
   if (earlier.empty()) co_return;
   const search_ptr search(new search_state(this->deps_.loop, active->run.job()));
-  const Instant begun = steadyNow();
+  const Instant start_time = steadyNow();
   for (const JobId& id : earlier) this->searchJob(id, search);
   const std::size_t asked = search->unanswered;
-  const Instant deadline = begun + options.reuse_timeout;
+  const Instant deadline = start_time + options.reuse_timeout;
   while (search->unanswered > 0 && steadyNow() < deadline) {
     co_await search->changed.waitFor(deadline - steadyNow());
   }
@@ -134,8 +134,8 @@
       .number("earlier_jobs", static_cast<std::int64_t>(earlier.size()))
       .number("asked", static_cast<std::int64_t>(asked))
       .number("unanswered", static_cast<std::int64_t>(search->unanswered))
-      .milliseconds("took_ms", steadyNow() - begun);
-  active->finished.notifyAll();
+      .milliseconds("took_ms", steadyNow() - start_time);
+  active->results_ready.notifyAll();
   this->deps_.on_reused();
 }
 
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -19,19 +19,20 @@
 }
 
 bool result_writer::fillsAppend(const batch_run& run) const {
-  return run.finished().size() >= this->deps_.options.write_rows ||
-         run.finishedBytes() >= this->deps_.options.write_bytes;
+  return run.finished().size() >= this->deps_.options.max_append_rows ||
+         run.finishedBytes() >= this->deps_.options.max_append_bytes;
 }
 
-bool result_writer::publishUrgent(const active_job& active) const {
-  return active.run.publishUrgent() || active.held_back_bytes >= this->deps_.options.publish_bytes;
+bool result_writer::shouldPublishNow(const active_job& active) const {
+  return active.run.shouldPublishNow() ||
+         active.unpublished_bytes >= this->deps_.options.max_unpublished_bytes;
 }
 
 Instant result_writer::nextPublishAt(const active_job& active, Instant now) const {
   const bool held_back =
       active.published < active.appended.size() || !active.run.finished().empty();
   if (!held_back) return now + kIdleWait;
-  return active.schedule.publishAt(now, this->publishUrgent(active));
+  return active.schedule.publishAt(now, this->shouldPublishNow(active));
 }
 
 Instant result_writer::nextAppendAt(const active_job& active, Instant now) const {
@@ -46,7 +47,7 @@
       const Instant now = steadyNow();
       const Instant due = this->nextAppendAt(*active, now);
       if (due > now) {
-        co_await active->finished.waitFor(due - now);
+        co_await active->results_ready.waitFor(due - now);
         continue;
       }
       this->preparePending(*active, now);
@@ -54,7 +55,7 @@
     const bool done = co_await this->writePending(active);
     if (active->stopped) break;
     if (!done) {
-      co_await sleepFor(this->deps_.loop, this->deps_.options.store_pause);
+      co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
     }
   }
   if (!active->stopped) {
@@ -71,13 +72,15 @@
   pending.position = active.appended.size();
   std::size_t bytes = 0;
   for (const ItemIndex item : active.run.finished()) {
-    if (pending.results.size() >= options.write_rows || bytes >= options.write_bytes) break;
+    if (pending.results.size() >= options.max_append_rows || bytes >= options.max_append_bytes)
+      break;
     stored_result result{item, this->deps_.codec.encodeResult(active.run.result(item))};
     bytes += result.encoded.size();
     pending.items.push_back(item);
     pending.results.push_back(std::move(result));
   }
-  // What one write does not take follows at once; readers are shown all of it together.
+  // If one write cannot take all results, the rest follows at once, and only the last write
+  // publishes.
   const bool takes_all = pending.items.size() == active.run.finished().size();
   if (takes_all && this->nextPublishAt(active, now) <= now) {
     pending.publish = pending.position + pending.results.size();
@@ -90,7 +93,7 @@
   const Revision fence = active->fence;
   std::optional<job_record> publish;
   if (pending.publish) {
-    const known_job* job = this->deps_.jobs.find(id);
+    const job_entry* job = this->deps_.jobs.find(id);
     publish = job == nullptr ? active->record : job->record;
     publish->published = *pending.publish;
     publish->started = true;
@@ -99,7 +102,7 @@
       co_await this->deps_.store.append(id, fence, pending.position, pending.results, publish);
   if (active->stopped) co_return false;
   const bool done =
-      answer.outcome == FencedWriteOutcome::kCommitted || this->publishedBefore(answer, *active);
+      answer.outcome == FencedWriteOutcome::kCommitted || this->alreadyPublished(answer, *active);
   if (!done && answer.outcome == FencedWriteOutcome::kFenceLost && answer.current) {
     this->deps_.jobs.onRow(id, *answer.current);
     co_return false;
@@ -120,8 +123,8 @@
   co_return true;
 }
 
-bool result_writer::publishedBefore(const fenced_write_result& answer,
-                                    const active_job& active) const {
+bool result_writer::alreadyPublished(const fenced_write_result& answer,
+                                     const active_job& active) const {
   if (answer.outcome != FencedWriteOutcome::kFenceLost || !answer.current) return false;
   const auto record = decodeRecord(active.record.id, answer.current->value);
   if (!record || record->ended || record->owner != this->deps_.leases.own()) return false;
@@ -135,7 +138,7 @@
     const bool completed = active.run.progress(pending.items[i]).outcome == ResultState::kCompleted;
     ++(completed ? this->deps_.counts.completed : this->deps_.counts.terminated);
     active.run.onAppended(pending.items[i]);
-    active.held_back_bytes += pending.results[i].encoded.size();
+    active.unpublished_bytes += pending.results[i].encoded.size();
     active.appended.push_back(std::move(pending.results[i]));
   }
   const std::optional<std::size_t> publish = pending.publish;
@@ -143,9 +146,9 @@
   active.schedule.onAppended(now);
   if (!publish) return;
   active.published = *publish;
-  active.held_back_bytes = 0;
+  active.unpublished_bytes = 0;
   active.schedule.onPublished(now);
-  active.notePublished();
+  active.logStepPublished();
   active.published_changed.notifyAll();
 }
 
--- a/src/gateway/batch/slow_run_mover.h
+++ b/src/gateway/batch/slow_run_mover.h
@@ -1,29 +1,28 @@
 #pragma once
 
 /** @file
- * Moves runs of owned jobs from slow engines to clearly faster ones that have room. Which runs, and
- * whether a move is worth its cost, is decided by `run_moves.h`; this class stops the run, and the
- * item then waits for an engine as any other.
+ * Moves runs of owned jobs from slow engines to clearly faster ones with free slots. `run_moves.h`
+ * selects the runs; this class stops them, and their items then wait for an engine like any other.
  */
 
 #include <functional>
 
-#include "gateway/batch/item_pick.h"
-#include "gateway/batch/known_jobs.h"
-#include "gateway/batch/length_estimate.h"
-#include "gateway/batch/moves_planned.h"
+#include "gateway/batch/engine_request_builder.h"
+#include "gateway/batch/job_registry.h"
+#include "gateway/batch/length_estimator.h"
+#include "gateway/batch/planned_moves.h"
 #include "gateway/batch/run_moves.h"
 
 namespace linenpier::batch {
 
-/** Holds no state of its own. Loop thread only. */
+/** Stateless. Must be used from the event loop thread only. */
 class slow_run_mover {
  public:
   struct dependencies {
     engines::engine_registry& registry;
-    known_jobs& jobs;
-    const length_estimate& lengths;
-    const item_pick& picks;
+    job_registry& jobs;
+    const length_estimator& lengths;
+    const engine_request_builder& engine_requests;
     std::function<routing::RouteTablePtr()> routes;
     const batch_options& options;
   };
@@ -33,9 +32,9 @@
   void moveSlowRuns(Instant now);
 
  private:
-  void moveRunsOf(Instant now, active_job& active, moves_planned& moves);
+  void moveRunsOf(Instant now, active_job& active, planned_moves& moves);
   void moveRun(Instant now, active_job& active, const item_run& run, const routing::Route& route,
-               moves_planned& moves);
+               planned_moves& moves);
 
   dependencies deps_;
 };
