--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -35,7 +35,7 @@
 
 constexpr int kExitBadSettings = 2;
 constexpr int kExitCannotBind = 3;
-constexpr Duration kSettingsPeriod = std::chrono::milliseconds(1500);
+constexpr Duration kSettingsPollInterval = std::chrono::milliseconds(1500);
 
 std::string settingsFile(std::map<std::string, docopt::value>& arguments) {
   if (arguments["--settings"]) return arguments["--settings"].asString();
@@ -65,7 +65,7 @@
     if (!error) daemon.stop();
   });
   gateway::settings_watcher settings_watcher(
-      loop, file, kSettingsPeriod, [&](const gateway::GatewaySettings& changed) {
+      loop, file, kSettingsPollInterval, [&](const gateway::GatewaySettings& changed) {
         platform.setAddresses(changed.store_address, changed.duties_address);
         daemon.applySettings(changed);
       });
--- a/apps/linenpierctl.cpp
+++ b/apps/linenpierctl.cpp
@@ -191,7 +191,7 @@
   if (!readLogs(arguments, reader)) return kExitWrong;
   const logging::Trace all = reader.all();
   if (all.lines.empty()) return kExitRefused;
-  std::cout << logging::toTable(logging::stepsOf(all), all.lines.front().time_ms);
+  std::cout << logging::formatSteps(logging::collectSteps(all), all.lines.front().time_ms);
   return 0;
 }
 
@@ -199,20 +199,20 @@
 int trace(Arguments& arguments) {
   logging::TraceReader reader;
   if (!readLogs(arguments, reader)) return kExitWrong;
-  const logging::Trace found = reader.about(arguments["ID"].asString());
+  const logging::Trace found = reader.linesFor(arguments["ID"].asString());
   std::cout << (arguments["--json"].asBool() ? logging::toJson(found) : logging::toText(found));
   return found.lines.empty() ? kExitRefused : 0;
 }
 
 /// @return the one file that the command names; docopt gives a list since another command takes it.
-std::string onlyFile(Arguments& arguments) {
+std::string fileArgument(Arguments& arguments) {
   return arguments["FILE"].asStringList().at(0);
 }
 
 int run(Arguments& arguments) {
   if (arguments["trace"].asBool()) return trace(arguments);
   if (arguments["steps"].asBool()) return steps(arguments);
-  if (arguments["check"].asBool()) return checkFile(onlyFile(arguments));
+  if (arguments["check"].asBool()) return checkFile(fileArgument(arguments));
   const auto address = parseAddress(arguments["--daemon"].asString());
   if (!address) {
     std::cerr << "--daemon must be an IP number and a port.\n";
@@ -234,10 +234,10 @@
   } else if (arguments["get"].asBool()) {
     reply = client.get("/admin/" + kind + "/" + arguments["NAME"].asString());
   } else {
-    const auto text = settings::readFile(onlyFile(arguments));
+    const auto text = settings::readFile(fileArgument(arguments));
     const json document = text ? json::parse(*text, nullptr, false) : json();
     if (!document.is_object()) {
-      std::cerr << onlyFile(arguments) << " is not a JSON object.\n";
+      std::cerr << fileArgument(arguments) << " is not a JSON object.\n";
       return kExitWrong;
     }
     const auto from = static_cast<Revision>(std::stoull(arguments["--from"].asString()));
--- a/apps/linenpierd.cpp
+++ b/apps/linenpierd.cpp
@@ -35,9 +35,9 @@
 
 constexpr int kExitBadSettings = 2;
 constexpr int kExitCannotBind = 3;
-constexpr auto kPollPeriod = std::chrono::milliseconds(200);
+constexpr auto kPollInterval = std::chrono::milliseconds(200);
 /// Others are told before the last stream may end.
-constexpr auto kLeaveNotice = std::chrono::milliseconds(500);
+constexpr auto kDeregistrationDelay = std::chrono::milliseconds(500);
 
 volatile std::sig_atomic_t stop_signal = 0;
 
@@ -56,7 +56,7 @@
   return overrides;
 }
 
-tl::expected<settings::DaemonSettings, Findings> readSettings(
+tl::expected<settings::DaemonSettings, Findings> readDaemonSettings(
     std::map<std::string, docopt::value>& arguments) {
   const auto overrides = readOverrides(arguments["--set"].asStringList());
   if (!overrides) return tl::make_unexpected(overrides.error());
@@ -85,16 +85,16 @@
       LINENPIER_LOG(info, "daemon") << (now_ready ? "Ready." : "Not ready.");
     }
     ready = now_ready;
-    std::this_thread::sleep_for(kPollPeriod);
+    std::this_thread::sleep_for(kPollInterval);
   }
   LINENPIER_LOG(info, "daemon") << "Stopping; open requests are finished first.";
   stopping = true;
   daemon.beginStop();
-  std::this_thread::sleep_for(kLeaveNotice);
+  std::this_thread::sleep_for(kDeregistrationDelay);
   const Instant limit = steadyNow() + settings.drain_limit;
   while (steadyNow() < limit) {
     if (open_requests == 0 && daemon.samplesRunning() == 0) break;
-    std::this_thread::sleep_for(kPollPeriod);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
@@ -131,7 +131,7 @@
 
 int main(int argc, char** argv) {
   auto arguments = docopt::docopt(kUsage, {argv + 1, argv + argc});
-  const auto settings = readSettings(arguments);
+  const auto settings = readDaemonSettings(arguments);
   if (!settings) {
     std::cerr << describe(settings.error());
     return kExitBadSettings;
--- a/src/gateway/metrics/gateway_metrics.h
+++ b/src/gateway/metrics/gateway_metrics.h
@@ -26,30 +26,30 @@
 /// State at the moment of a scrape.
 struct GatewayState {
   std::uint64_t config_version = 0;
-  std::map<std::string, bool> feeds_healthy;  ///< By table.
-  std::map<std::string, double> feed_ages;    ///< Seconds since the store's last answer.
+  std::map<std::string, bool> feeds_healthy;       ///< By table.
+  std::map<std::string, double> feed_age_seconds;  ///< Seconds since the store's last answer.
   std::map<std::string, std::map<std::string, int>> engines;  ///< By service, by state.
   std::map<std::string, ColdEngines> cold_engines;  ///< By service; of those that are bounded.
   std::uint64_t cold_refusals = 0;
   std::size_t suspects_known = 0;
-  std::size_t suspects_barred = 0;
-  std::uint64_t suspect_engines_ended = 0;
+  std::size_t suspects_blocked = 0;
+  std::uint64_t suspect_engine_crashes = 0;
   std::uint64_t suspect_refusals = 0;
   std::uint64_t suspects_cleared = 0;
   std::size_t jobs_known = 0;
   std::size_t jobs_owned = 0;
   std::size_t items_waiting = 0;
   std::size_t items_running = 0;
-  std::size_t items_unscored = 0;
+  std::size_t items_awaiting_score = 0;
   std::size_t zones_closed = 0;
-  std::size_t runs_in_closed_zones = 0;
+  std::size_t items_in_closed_zones = 0;
   std::size_t client_connections = 0;
   std::size_t requests_in_progress = 0;
   std::uint64_t engine_connections_opened = 0;
-  std::uint64_t engine_looks = 0;
+  std::uint64_t engines_examined = 0;
   std::uint64_t log_lines_dropped = 0;
   bool lease_valid = false;
-  std::size_t order_rights_held = 0;
+  std::size_t order_locks_held = 0;
   std::uint64_t usage_requests_counted = 0;
   std::uint64_t usage_requests_late = 0;
   std::uint64_t usage_windows_reported = 0;
@@ -57,9 +57,9 @@
   std::map<std::array<std::string, 3>, std::size_t> engines_present;
   /// The last orders for them, by the same; empty unless this daemon decides.
   std::map<std::array<std::string, 3>, std::size_t> engines_ordered;
-  std::uint64_t scaling_sent = 0;
-  std::uint64_t scaling_refused = 0;
-  std::uint64_t scaling_unanswered = 0;
+  std::uint64_t scaling_orders_sent = 0;
+  std::uint64_t scaling_orders_refused = 0;
+  std::uint64_t scaling_orders_unanswered = 0;
   std::uint64_t orders_sent = 0;
   std::uint64_t orders_unanswered = 0;
   std::uint64_t items_completed = 0;
@@ -67,9 +67,9 @@
   std::uint64_t jobs_accepted = 0;
   std::uint64_t jobs_refused = 0;
   std::uint64_t jobs_taken_over = 0;
-  std::size_t jobs_waiting_for_home = 0;
-  std::uint64_t jobs_refused_for_home = 0;
-  std::uint64_t jobs_given_to_home = 0;
+  std::size_t jobs_awaiting_residency = 0;
+  std::uint64_t jobs_refused_for_residency = 0;
+  std::uint64_t jobs_released_for_residency = 0;
   std::uint64_t item_attempts = 0;
   std::uint64_t items_scored = 0;
   std::uint64_t scorings_failed = 0;
@@ -92,8 +92,8 @@
   std::string render(const GatewayState& state);
 
  private:
-  void set(const std::string& name, const std::string& help, double value,
-           const std::map<std::string, std::string>& labels = {});
+  void setGauge(const std::string& name, const std::string& help, double value,
+                const std::map<std::string, std::string>& labels = {});
   void setProcessMetrics();
 
   prometheus::Registry registry_;
--- a/src/gateway/service/closed_zones_monitor.cpp
+++ b/src/gateway/service/closed_zones_monitor.cpp
@@ -10,21 +10,21 @@
 
 namespace {
 
-const char* const kFromStore = "store";
+const char* const kStoreSource = "store";
 
 }  // namespace
 
-void closed_zones_monitor::onTable(Revision revision, const std::map<ZoneName, Revision>& closed,
-                                   const char* source) {
+void closed_zones_monitor::onSnapshot(Revision revision, const std::map<ZoneName, Revision>& closed,
+                                      const char* source) {
   this->apply(this->closings_.onTable(revision, closed), revision, source);
 }
 
-void closed_zones_monitor::onClosed(const ZoneName& zone, Revision revision) {
-  this->apply(this->closings_.onClosed(zone, revision), revision, kFromStore);
+void closed_zones_monitor::onZoneClosed(const ZoneName& zone, Revision revision) {
+  this->apply(this->closings_.onClosed(zone, revision), revision, kStoreSource);
 }
 
-void closed_zones_monitor::onOpened(const ZoneName& zone, Revision revision) {
-  this->apply(this->closings_.onOpened(zone, revision), revision, kFromStore);
+void closed_zones_monitor::onZoneOpened(const ZoneName& zone, Revision revision) {
+  this->apply(this->closings_.onOpened(zone, revision), revision, kStoreSource);
 }
 
 void closed_zones_monitor::apply(const fleet::zone_changes& changes, Revision revision,
@@ -35,7 +35,7 @@
         .text("zone", zone.str())
         .number("revision", static_cast<std::int64_t>(revision))
         .text("source", source)
-        .number("engines", static_cast<std::int64_t>(this->enginesIn(zone)));
+        .number("engines", static_cast<std::int64_t>(this->engineCount(zone)));
   }
   this->registry_.setClosedZones(closed);
   for (const ZoneName& zone : changes.closed) {
@@ -43,12 +43,12 @@
         .text("zone", zone.str())
         .number("revision", static_cast<std::int64_t>(closed.all().at(zone)))
         .text("source", source)
-        .number("engines", static_cast<std::int64_t>(this->enginesIn(zone)))
-        .number("runs", static_cast<std::int64_t>(this->runs_in_(zone)));
+        .number("engines", static_cast<std::int64_t>(this->engineCount(zone)))
+        .number("runs", static_cast<std::int64_t>(this->count_runs_(zone)));
   }
 }
 
-std::size_t closed_zones_monitor::enginesIn(const ZoneName& zone) const {
+std::size_t closed_zones_monitor::engineCount(const ZoneName& zone) const {
   const auto& engines = this->registry_.all();
   return static_cast<std::size_t>(
       std::count_if(engines.begin(), engines.end(),
--- a/src/gateway/service/closed_zones_monitor.h
+++ b/src/gateway/service/closed_zones_monitor.h
@@ -18,17 +18,18 @@
 /** Loop thread only. */
 class closed_zones_monitor {
  public:
-  /** @param runs_in counts the runs of batch items in a zone, for the log. */
+  /** @param count_runs counts the runs of batch items in a zone, for the log. */
   closed_zones_monitor(engines::engine_registry& registry,
-                       std::function<std::size_t(const ZoneName&)> runs_in)
-      : registry_(registry), runs_in_(std::move(runs_in)) {}
+                       std::function<std::size_t(const ZoneName&)> count_runs)
+      : registry_(registry), count_runs_(std::move(count_runs)) {}
 
   /** All closed zones as of a revision of the operator's table.
    * @param source "store" or "peer", for the log.
    */
-  void onTable(Revision revision, const std::map<ZoneName, Revision>& closed, const char* source);
-  void onClosed(const ZoneName& zone, Revision revision);
-  void onOpened(const ZoneName& zone, Revision revision);
+  void onSnapshot(Revision revision, const std::map<ZoneName, Revision>& closed,
+                  const char* source);
+  void onZoneClosed(const ZoneName& zone, Revision revision);
+  void onZoneOpened(const ZoneName& zone, Revision revision);
 
   /** @return the revision of the operator's table that the closed zones are as of. */
   Revision revision() const { return this->closings_.revision(); }
@@ -37,10 +38,10 @@
 
  private:
   void apply(const fleet::zone_changes& changes, Revision revision, const char* source);
-  std::size_t enginesIn(const ZoneName& zone) const;
+  std::size_t engineCount(const ZoneName& zone) const;
 
   engines::engine_registry& registry_;
-  std::function<std::size_t(const ZoneName&)> runs_in_;
+  std::function<std::size_t(const ZoneName&)> count_runs_;
   fleet::zone_closings closings_;
 };
 
--- a/src/gateway/service/cold_engines_monitor.cpp
+++ b/src/gateway/service/cold_engines_monitor.cpp
@@ -60,7 +60,7 @@
   }
 }
 
-void cold_engines_monitor::addTo(metrics::GatewayState& state, Instant now) const {
+void cold_engines_monitor::collectMetrics(metrics::GatewayState& state, Instant now) const {
   const engines::cold_budget& cold = this->registry_.cold();
   state.cold_refusals = cold.refused();
   for (const auto& [id, engine] : this->registry_.all()) {
--- a/src/gateway/service/cold_engines_monitor.h
+++ b/src/gateway/service/cold_engines_monitor.h
@@ -32,7 +32,7 @@
    * @param feed of the engines: what it last answered bounds how old a known start may be.
    */
   void report(Instant now, const table::TableWatcher& feed);
-  void addTo(metrics::GatewayState& state, Instant now) const;
+  void collectMetrics(metrics::GatewayState& state, Instant now) const;
 
  private:
   void logRefusals(std::vector<engines::cold_refusals> refusals) const;
--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -7,19 +7,20 @@
 namespace {
 
 /** Of one call of the feed. */
-constexpr Duration kWait = std::chrono::milliseconds(1500);
+constexpr Duration kWatchTimeout = std::chrono::milliseconds(1500);
 /** Between two answers at a gateway that may be given a job, or where readers wait for results to
  * be published.
  */
-constexpr Duration kChangesInterval = std::chrono::milliseconds(20);
+constexpr Duration kActiveCoalesceInterval = std::chrono::milliseconds(20);
 /** Between two answers at any other. */
-constexpr Duration kIdleChangesInterval = std::chrono::milliseconds(80);
+constexpr Duration kIdleCoalesceInterval = std::chrono::milliseconds(80);
 
 }  // namespace
 
 coordination_feed::coordination_feed(boost::asio::io_context& loop, table::AsyncTable& table,
-                                     readers readers, listener listener, std::uint64_t seed)
-    : readers_(readers),
+                                     row_handlers row_handlers, listener listener,
+                                     std::uint64_t seed)
+    : handlers_(row_handlers),
       listener_(std::move(listener)),
       watcher_(loop, table, table::kCoordinationTable, watcherOptions(*this, seed),
                watcherListener(*this)) {}
@@ -36,10 +37,10 @@
 table::WatcherOptions coordination_feed::watcherOptions(const coordination_feed& feed,
                                                         std::uint64_t seed) {
   table::WatcherOptions options;
-  options.wait = kWait;
+  options.wait = kWatchTimeout;
   options.coalesce = [&feed] {
-    const bool awaited = feed.listener_.owns_work() || feed.readers_.batches.hasWaitingReaders();
-    return awaited ? kChangesInterval : kIdleChangesInterval;
+    const bool awaited = feed.listener_.owns_work() || feed.handlers_.batches.hasWaitingReaders();
+    return awaited ? kActiveCoalesceInterval : kIdleCoalesceInterval;
   };
   options.seed = seed;
   return options;
@@ -54,24 +55,24 @@
       suspected.emplace(key.substr(table::kSuspectPrefix.size()));
     }
   }
-  this->readers_.orders.onTableRead();
-  this->readers_.usage.onTableRead();
-  this->readers_.scaling.onTableRead();
-  this->readers_.suspects.onTableRead(suspected, this->watcher_.revision());
+  this->handlers_.orders.onTableRead();
+  this->handlers_.usage.onTableRead();
+  this->handlers_.scaling.onTableRead();
+  this->handlers_.suspects.onTableRead(suspected, this->watcher_.revision());
 }
 
 void coordination_feed::onChange(const table::RowChange& change) {
   const std::string key = table::keyWithoutTable(change.row);
-  const auto tail = [&key](const std::string& prefix) { return key.substr(prefix.size()); };
-  auto& [batches, orders, usage, scaling, suspect_requests] = this->readers_;
+  const auto suffixAfter = [&key](const std::string& prefix) { return key.substr(prefix.size()); };
+  auto& [batches, orders, usage, scaling, suspect_requests] = this->handlers_;
   if (key.starts_with(table::kJobPrefix)) {
-    const JobId id(tail(table::kJobPrefix));
+    const JobId id(suffixAfter(table::kJobPrefix));
     change.gone ? batches.onRecordRemoved(id) : batches.onRecordRow(id, change.row);
   } else if (key.starts_with(table::kOrderPrefix)) {
-    const ServiceName service(tail(table::kOrderPrefix));
+    const ServiceName service(suffixAfter(table::kOrderPrefix));
     change.gone ? orders.onLockGone(service) : orders.onLockRow(service, change.row);
   } else if (key.starts_with(table::kSuspectPrefix)) {
-    const suspects::request_key suspect(tail(table::kSuspectPrefix));
+    const suspects::request_key suspect(suffixAfter(table::kSuspectPrefix));
     change.gone ? suspect_requests.onRowGone(suspect, change.row.revision)
                 : suspect_requests.onRow(suspect, change.row);
   } else if (key == table::kLockPrefix + "usage") {
--- a/src/gateway/service/coordination_feed.h
+++ b/src/gateway/service/coordination_feed.h
@@ -19,7 +19,7 @@
 /** Loop thread only. */
 class coordination_feed {
  public:
-  struct readers {
+  struct row_handlers {
     batch::batch_service& batches;
     versions::order_service& orders;
     usage::usage_service& usage;
@@ -32,8 +32,8 @@
     std::function<void(std::int64_t clock_ms)> on_store_clock;
   };
 
-  coordination_feed(boost::asio::io_context& loop, table::AsyncTable& table, readers readers,
-                    listener listener, std::uint64_t seed);
+  coordination_feed(boost::asio::io_context& loop, table::AsyncTable& table,
+                    row_handlers row_handlers, listener listener, std::uint64_t seed);
 
   void start() { this->watcher_.start(); }
   table::TableWatcher& watcher() { return this->watcher_; }
@@ -46,7 +46,7 @@
   void onSnapshot(const std::vector<table::Row>& rows);
   void onChange(const table::RowChange& change);
 
-  readers readers_;
+  row_handlers handlers_;
   listener listener_;
   table::TableWatcher watcher_;
 };
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -12,39 +12,39 @@
 namespace {
 
 /** Between two answers of the feed at a gateway that runs items or orders engines. */
-constexpr Duration kChangesInterval = std::chrono::milliseconds(150);
+constexpr Duration kActiveCoalesceInterval = std::chrono::milliseconds(150);
 /** The same at one that only forwards requests. It must know within two seconds which engines are
  * draining, not each change of weights.
  */
-constexpr Duration kIdleChangesInterval = std::chrono::milliseconds(500);
+constexpr Duration kIdleCoalesceInterval = std::chrono::milliseconds(500);
 /** Lines a second about single engines; a release of a large fleet changes a hundred each second.
  */
-constexpr std::uint32_t kLinesPerSecond = 10;
-constexpr std::uint32_t kSampleOneIn = 20;
+constexpr std::uint32_t kLogLinesPerSecond = 10;
+constexpr std::uint32_t kLogSampleInterval = 20;
 
 }  // namespace
 
 engine_feed::engine_feed(dependencies deps, std::uint64_t seed)
     : deps_(std::move(deps)),
-      line_sampler_(kLinesPerSecond, kSampleOneIn),
+      log_sampler_(kLogLinesPerSecond, kLogSampleInterval),
       watcher_(deps_.loop, deps_.platform.table(), deps_.platform.engineTable(),
                watcherOptions(*this, seed), listener(*this)) {}
 
 table::TableWatcher::Listener engine_feed::listener(engine_feed& feed) {
   table::TableWatcher::Listener listener;
   listener.on_page = [&feed](const std::vector<table::Row>& rows, bool first_page) {
-    if (first_page) feed.listed_.clear();
-    for (const table::Row& row : rows) feed.onListedRow(row);
+    if (first_page) feed.listed_ids_.clear();
+    for (const table::Row& row : rows) feed.onFullReadRow(row);
   };
   listener.on_snapshot = [&feed](const std::vector<table::Row>&) {
-    feed.onListed(feed.watcher_.revision());
+    feed.onFullReadEnd(feed.watcher_.revision());
   };
   listener.on_change = [&feed](const table::RowChange& change) { feed.onRow(change); };
   listener.on_health = [&feed](bool healthy) {
     if (!healthy) return;
     feed.deps_.registry.onStoreRegained(steadyNow(), feed.watcher_.lastOutage());
-    spawn(feed.deps_.loop, [&feed] { return feed.dropLapsed(); });
-    feed.deps_.on_store_answered();
+    spawn(feed.deps_.loop, [&feed] { return feed.removeLapsedEngines(); });
+    feed.deps_.on_store_reachable();
   };
   return listener;
 }
@@ -52,7 +52,7 @@
 table::WatcherOptions engine_feed::watcherOptions(const engine_feed& feed, std::uint64_t seed) {
   table::WatcherOptions options;
   options.coalesce = [&feed] {
-    return feed.deps_.owns_work() ? kChangesInterval : kIdleChangesInterval;
+    return feed.deps_.owns_work() ? kActiveCoalesceInterval : kIdleCoalesceInterval;
   };
   options.seed = seed;
   return options;
@@ -62,26 +62,26 @@
   return std::max(this->peer_revision_, this->watcher_.revision());
 }
 
-void engine_feed::onListedRow(const table::Row& row) {
-  const auto record = this->parse(row);
+void engine_feed::onFullReadRow(const table::Row& row) {
+  const auto record = this->parseRow(row);
   if (!record) return;
-  this->listed_.insert(record->id);
-  this->update(*record, row.revision);
+  this->listed_ids_.insert(record->id);
+  this->applyRecord(*record, row.revision);
 }
 
-void engine_feed::onListed(Revision revision) {
-  this->known_ = true;
+void engine_feed::onFullReadEnd(Revision revision) {
+  this->loaded_ = true;
   this->changes_.reset(revision);
   LogEvent("engines", "listed")
-      .number("count", static_cast<std::int64_t>(this->listed_.size()))
+      .number("count", static_cast<std::int64_t>(this->listed_ids_.size()))
       .number("revision", static_cast<std::int64_t>(revision));
-  for (const Address& gone : this->deps_.registry.keepOnly(steadyNow(), this->listed_)) {
+  for (const Address& gone : this->deps_.registry.keepOnly(steadyNow(), this->listed_ids_)) {
     this->deps_.connections.forget(gone);
   }
-  this->listed_.clear();
+  this->listed_ids_.clear();
 }
 
-std::optional<engines::engine_record> engine_feed::parse(const table::Row& row) {
+std::optional<engines::engine_record> engine_feed::parseRow(const table::Row& row) {
   const std::string key = table::keyWithoutTable(row);
   auto record = this->deps_.platform.parseEngine(key, row.value);
   if (record) return std::move(*record);
@@ -95,7 +95,7 @@
   return std::nullopt;
 }
 
-void engine_feed::update(const engines::engine_record& record, Revision revision) {
+void engine_feed::applyRecord(const engines::engine_record& record, Revision revision) {
   const engines::engine_state* known = this->deps_.registry.find(record.id);
   const bool was_draining = known != nullptr && known->record.draining;
   const std::optional<Address> before =
@@ -108,7 +108,7 @@
   // New engines and changes of weights have no line of their own: when a large fleet starts, each
   // gateway reads of thousands.
   const bool begins_draining = record.draining && !was_draining;
-  if (!begins_draining || !this->line_sampler_.admit(steadyNow())) {
+  if (!begins_draining || !this->log_sampler_.admit(steadyNow())) {
     ++this->unlogged_changes_;
     return;
   }
@@ -118,7 +118,7 @@
       .number("revision", static_cast<std::int64_t>(revision));
 }
 
-std::optional<Address> engine_feed::remove(const EngineId& id) {
+std::optional<Address> engine_feed::removeEngine(const EngineId& id) {
   const auto address = this->deps_.registry.onGone(steadyNow(), id);
   if (address) this->deps_.connections.forget(*address);
   return address;
@@ -128,11 +128,12 @@
   const EngineId id(table::keyWithoutTable(change.row));
   this->changes_.record(id, change.row.revision);
   if (!change.gone) {
-    if (const auto record = this->parse(change.row)) this->update(*record, change.row.revision);
+    if (const auto record = this->parseRow(change.row))
+      this->applyRecord(*record, change.row.revision);
     return;
   }
-  const auto address = this->remove(id);
-  if (this->line_sampler_.admit(steadyNow())) {
+  const auto address = this->removeEngine(id);
+  if (this->log_sampler_.admit(steadyNow())) {
     LogEvent("engines", address ? "gone" : "lapsed")
         .text("engine", id.str())
         .number("revision", static_cast<std::int64_t>(change.row.revision));
@@ -141,7 +142,7 @@
   }
 }
 
-Task<void> engine_feed::dropLapsed() {
+Task<void> engine_feed::removeLapsedEngines() {
   co_await sleepFor(this->deps_.loop, this->deps_.registry.options().lapse.lapse_grace);
   for (const engines::engine_record& record : this->deps_.registry.dropLapsed(steadyNow())) {
     this->deps_.connections.forget(record.address);
@@ -156,7 +157,7 @@
   this->unlogged_changes_ = 0;
 }
 
-void engine_feed::addTo(PeerSnapshot& snapshot, Revision known) const {
+void engine_feed::fillSnapshot(PeerSnapshot& snapshot, Revision known) const {
   snapshot.engines_revision = this->revision();
   const auto toRow = [&](const engines::engine_record& record) {
     return table::Row{this->deps_.platform.engineTable() + "/" + record.id.str(),
@@ -180,22 +181,22 @@
   }
 }
 
-void engine_feed::take(const PeerSnapshot& snapshot) {
+void engine_feed::applySnapshot(const PeerSnapshot& snapshot) {
   // Changes since a revision that this gateway does not have yet would leave a gap.
   if (snapshot.engines_since && *snapshot.engines_since > this->revision()) return;
-  if (!snapshot.engines_since) this->listed_.clear();
+  if (!snapshot.engines_since) this->listed_ids_.clear();
   for (const table::Row& row : snapshot.engines) {
-    this->onListedRow(row);
+    this->onFullReadRow(row);
     this->changes_.record(EngineId(table::keyWithoutTable(row)), snapshot.engines_revision);
   }
   if (!snapshot.engines_since) {
-    this->onListed(snapshot.engines_revision);
+    this->onFullReadEnd(snapshot.engines_revision);
   } else {
     for (const std::string& id : snapshot.removed_engines) {
       this->changes_.record(EngineId(id), snapshot.engines_revision);
-      this->remove(EngineId(id));
+      this->removeEngine(EngineId(id));
     }
-    this->listed_.clear();
+    this->listed_ids_.clear();
   }
   this->peer_revision_ = snapshot.engines_revision;
 }
--- a/src/gateway/service/engine_feed.h
+++ b/src/gateway/service/engine_feed.h
@@ -30,14 +30,14 @@
     engines::engine_registry& registry;
     http::ConnectionPool& connections;  ///< To engines.
     std::function<bool()> owns_work;    ///< Whether this gateway runs items or orders engines.
-    std::function<void()> on_store_answered;
+    std::function<void()> on_store_reachable;
   };
 
   engine_feed(dependencies deps, std::uint64_t seed);
 
   void start() { this->watcher_.start(); }
   /** @return whether the engines were read, from the store or from a peer. */
-  bool known() const { return this->known_; }
+  bool loaded() const { return this->loaded_; }
   /** @return the revision of the table up to which this gateway knows the engines. */
   Revision revision() const;
   table::TableWatcher& watcher() { return this->watcher_; }
@@ -46,9 +46,9 @@
   /** Adds the engines to a snapshot for a peer.
    * @param known the revision that the peer has; 0: none.
    */
-  void addTo(PeerSnapshot& snapshot, Revision known) const;
+  void fillSnapshot(PeerSnapshot& snapshot, Revision known) const;
   /** Takes over what a peer knows. */
-  void take(const PeerSnapshot& snapshot);
+  void applySnapshot(const PeerSnapshot& snapshot);
   /** Logs how many changes went without a line of their own since the last call. */
   void logSummary();
 
@@ -58,25 +58,25 @@
 
   void onRow(const table::RowChange& change);
   /** A row of the whole table, and its end. */
-  void onListedRow(const table::Row& row);
-  void onListed(Revision revision);
+  void onFullReadRow(const table::Row& row);
+  void onFullReadEnd(Revision revision);
   /** Entries may have expired with the store away: forgets, a moment after the store's return, the
    * engines whose entries did not come back.
    */
-  Task<void> dropLapsed();
+  Task<void> removeLapsedEngines();
   /** @return nothing if the row names no engine; an engine known under its key is dropped then. */
-  std::optional<engines::engine_record> parse(const table::Row& row);
-  void update(const engines::engine_record& record, Revision revision);
+  std::optional<engines::engine_record> parseRow(const table::Row& row);
+  void applyRecord(const engines::engine_record& record, Revision revision);
   /** The engine's entry was removed. @return its address, if it is out of use now. */
-  std::optional<Address> remove(const EngineId& id);
+  std::optional<Address> removeEngine(const EngineId& id);
 
   dependencies deps_;
   engine_change_log changes_;
-  std::set<EngineId> listed_;  ///< Of the read of the whole table that is under way.
+  std::set<EngineId> listed_ids_;  ///< Of the read of the whole table that is under way.
   std::uint64_t unlogged_changes_ = 0;
-  logging::SuccessSampler line_sampler_;
+  logging::SuccessSampler log_sampler_;
   Revision peer_revision_ = 0;  ///< Of the newest that a peer told.
-  bool known_ = false;
+  bool loaded_ = false;
   table::TableWatcher watcher_;
 };
 
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -16,17 +16,17 @@
 /** From the begin of a stop until the platform has seen that this gateway is not ready, and sends
  * no new clients.
  */
-constexpr Duration kLeaveNotice = std::chrono::milliseconds(3200);
+constexpr Duration kDeregistrationDelay = std::chrono::milliseconds(3200);
 /** Before the stop limit, for the end itself. */
-constexpr Duration kStopSlack = std::chrono::milliseconds(900);
-constexpr Duration kStopInterval = std::chrono::milliseconds(50);
+constexpr Duration kShutdownMargin = std::chrono::milliseconds(900);
+constexpr Duration kShutdownPollInterval = std::chrono::milliseconds(50);
 /** Bytes of a row that its key and encoding may take. */
-constexpr std::size_t kRowOverhead = 1024;
+constexpr std::size_t kRowOverheadBytes = 1024;
 constexpr unsigned kOk = 200;
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kUnavailable = 503;
 
-std::int64_t timeOfDayMs() {
+std::int64_t wallClockMs() {
   const auto since_1970 = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(since_1970).count();
 }
@@ -39,7 +39,7 @@
 }
 
 /** @return the seeds of the settings without this gateway. */
-std::vector<Address> otherSeeds(const GatewaySettings& settings) {
+std::vector<Address> seedPeersWithoutSelf(const GatewaySettings& settings) {
   std::vector<Address> others = settings.seed_peers;
   if (settings.peer_address) std::erase(others, *settings.peer_address);
   return others;
@@ -60,15 +60,16 @@
       owner_pool_(leases_, settings.machine, settings.zone),
       keeper_(loop, platform.table(), leases_, owner_pool_),
       lease_watch_(loop, platform.table(), leases_, keeper_, owner_pool_, {}, seed + 1),
-      job_store_(platform.table(), platform.objects(), settings.max_row_bytes - kRowOverhead),
+      job_store_(platform.table(), platform.objects(), settings.max_row_bytes - kRowOverheadBytes),
       usage_({{loop, platform.table(), leases_, keeper_, owner_pool_},
               platform.duties(),
               settings.id.str(),
-              timeOfDayMs,
-              [this](table::Write write) { return peers_.writeByPeer(std::move(write)); }},
+              wallClockMs,
+              [this](table::Write write) { return peer_exchange_.writeViaPeer(std::move(write)); }},
              settings.usage),
-      suspects_({loop, platform.table(), leases_, keeper_,
-                 [this](table::Write write) { return peers_.writeByPeer(std::move(write)); }}),
+      suspects_(
+          {loop, platform.table(), leases_, keeper_,
+           [this](table::Write write) { return peer_exchange_.writeViaPeer(std::move(write)); }}),
       forwarder_(loop, {engine_pool, registry_, platform.fieldNames()}, round_robin_, metrics,
                  usage_, suspects_),
       batches_({loop,
@@ -80,89 +81,93 @@
                 platform.batchCodec(),
                 forwarder_,
                 suspects_,
-                [this] { return operators_.routes(); }},
+                [this] { return operator_feed_.routes(); }},
                settings.batch),
       orders_({loop, registry_, platform.table(), leases_, keeper_, owner_pool_, platform.orders(),
-               [this] { return operators_.routes(); }, [this] { return batches_.openWork(); },
+               [this] { return operator_feed_.routes(); }, [this] { return batches_.openWork(); },
                settings.id.str(), [this](Instant now) { return leases_.awaited(now); }},
               orderOptions(settings)),
-      scaling_(
-          {{loop, platform.table(), leases_, keeper_, owner_pool_},
-           platform.scaling(),
-           settings.id.str(),
-           registry_,
-           [this] { return operators_.routes(); },
-           [this] { return batches_.openWork(); },
-           [this] { return engines_.known() && engines_.watcher().healthy(); },
-           [this](EngineId engine, Address address) { return loadOf(std::move(engine), address); }},
-          settings.scaling, settings.handover),
+      scaling_({{loop, platform.table(), leases_, keeper_, owner_pool_},
+                platform.scaling(),
+                settings.id.str(),
+                registry_,
+                [this] { return operator_feed_.routes(); },
+                [this] { return batches_.openWork(); },
+                [this] { return engine_feed_.loaded() && engine_feed_.watcher().healthy(); },
+                [this](EngineId engine, Address address) {
+                  return queryEngineLoad(std::move(engine), address);
+                }},
+               settings.scaling, settings.handover),
       closed_zones_(registry_, [this](const ZoneName& zone) { return batches_.runsIn(zone); }),
       cold_engines_(registry_, leases_),
-      operators_(
+      operator_feed_(
           loop, platform, closed_zones_,
           {[this](const routing::RouteTable& routes) { onConfiguration(routes); },
            [this](const PublishedVersion& named) { orders_.onNamed(named.model, named.version); },
-           [this] { store_.onStoreAnswered(); }},
+           [this] { store_monitor_.onStoreReachable(); }},
           hash64(settings.id.str(), 1)),
-      engines_({loop, platform, registry_, engine_pool, [this] { return ownsWork(); },
-                [this] { store_.onStoreAnswered(); }},
-               hash64(settings.id.str(), 2)),
-      coordination_(
+      engine_feed_({loop, platform, registry_, engine_pool, [this] { return ownsWork(); },
+                    [this] { store_monitor_.onStoreReachable(); }},
+                   hash64(settings.id.str(), 2)),
+      coordination_feed_(
           loop, platform.table(), {batches_, orders_, usage_, scaling_, suspects_},
           {[this] { return ownsWork(); },
-           [this](bool healthy) { store_.onCoordinationHealth(healthy); },
+           [this](bool healthy) { store_monitor_.onCoordinationHealth(healthy); },
            [this](std::int64_t clock_ms) { keeper_.onStoreClock(steadyNow(), clock_ms); }},
           hash64(settings.id.str(), 3)),
-      store_({loop,
-              platform.table(),
-              leases_,
-              lease_watch_,
-              coordination_.watcher(),
-              {&operators_.watcher(), &engines_.watcher(), &coordination_.watcher()},
-              [this] { return ownsWork() && !stopping_; }}),
-      peers_({loop, engine_pool, platform.table(), leases_, operators_, engines_, closed_zones_,
-              suspects_, coordination_.watcher(), [this] { return otherSeeds(settings_); },
-              [this] { return stopping_; }},
-             seed + 2),
-      entry_({platform, operators_, forwarder_, batches_, metrics}),
-      requests_(loop,
-                [this](http::Request& request, Instant received, http::ResponseWriter& writer) {
-                  return entry_.handle(request, received, writer);
-                }),
-      readiness_(loop,
-                 [this](http::Request& request, Instant, http::ResponseWriter& writer) {
-                   return handleReadiness(request, writer);
-                 }),
+      store_monitor_(
+          {loop,
+           platform.table(),
+           leases_,
+           lease_watch_,
+           coordination_feed_.watcher(),
+           {&operator_feed_.watcher(), &engine_feed_.watcher(), &coordination_feed_.watcher()},
+           [this] { return ownsWork() && !stopping_; }}),
+      peer_exchange_(
+          {loop, engine_pool, platform.table(), leases_, operator_feed_, engine_feed_,
+           closed_zones_, suspects_, coordination_feed_.watcher(),
+           [this] { return seedPeersWithoutSelf(settings_); }, [this] { return stopping_; }},
+          seed + 2),
+      dispatcher_({platform, operator_feed_, forwarder_, batches_, metrics}),
+      request_server_(
+          loop,
+          [this](http::Request& request, Instant received, http::ResponseWriter& writer) {
+            return dispatcher_.handle(request, received, writer);
+          }),
+      readiness_server_(loop,
+                        [this](http::Request& request, Instant, http::ResponseWriter& writer) {
+                          return handleReadiness(request, writer);
+                        }),
       metrics_server_(loop,
                       [this](http::Request&, Instant, http::ResponseWriter& writer) {
-                        return metrics_page_.handle(writer);
+                        return metrics_exporter_.handle(writer);
                       }),
       peer_server_(loop,
                    [this](http::Request& request, Instant, http::ResponseWriter& writer) {
-                     return peers_.handle(request, writer);
+                     return peer_exchange_.handle(request, writer);
                    }),
-      metrics_page_(metrics,
-                    {operators_, engines_, coordination_, registry_, cold_engines_, engine_pool,
-                     requests_, keeper_, batches_, orders_, scaling_, usage_, suspects_}) {
+      metrics_exporter_(metrics, {operator_feed_, engine_feed_, coordination_feed_, registry_,
+                                  cold_engines_, engine_pool, request_server_, keeper_, batches_,
+                                  orders_, scaling_, usage_, suspects_}) {
   registry_.cold().onStart(steadyNow());
   registry_.cold().setRules(settings.cold);
   registry_.setHeartbeat(settings.engine_heartbeat);
   registry_.setLayout(settings.layout);
-  forwarder_.followResidency([this] { return operators_.routes(); });
+  forwarder_.followResidency([this] { return operator_feed_.routes(); });
 }
 
 Findings Gateway::start() {
   Findings findings;
-  if (const auto finding = requests_.listen(settings_.request_address))
+  if (const auto finding = request_server_.listen(settings_.request_address))
     findings.push_back(*finding);
-  if (const auto finding = readiness_.listen(settings_.readiness_address))
+  if (const auto finding = readiness_server_.listen(settings_.readiness_address))
     findings.push_back(*finding);
   if (!findings.empty()) return findings;
   listenForMetricsAndPeers();
-  operators_.start();
-  engines_.start();
-  coordination_.start();
-  peers_.start();
+  operator_feed_.start();
+  engine_feed_.start();
+  coordination_feed_.start();
+  peer_exchange_.start();
   lease_watch_.start([this](bool answered) { onLeasesRead(answered); });
   keeper_.setAwaited([this] { return batches_.awaitedEngines(); });
   keeper_.start([this] { return ownsWork(); });
@@ -171,8 +176,8 @@
   usage_.start();
   scaling_.start();
   suspects_.start();
-  spawn(loop_, [this] { return sweepLoop(); });
-  store_.start();
+  spawn(loop_, [this] { return maintenanceLoop(); });
+  store_monitor_.start();
   LogEvent("gateway", "started")
       .text("zone", settings_.zone.str())
       .text("lease", leases_.own().str())
@@ -207,7 +212,8 @@
   registry_.setHeartbeat(changed.engine_heartbeat);
   settings_.layout = changed.layout;
   registry_.setLayout(changed.layout);
-  if (operators_.routes()) demand_ = computeOwnerDemand(*operators_.routes(), settings_.layout);
+  if (operator_feed_.routes())
+    owner_demand_ = computeOwnerDemand(*operator_feed_.routes(), settings_.layout);
   batches_.setOptions(changed.batch);
   orders_.setOptions(orderOptions(changed));
   LogEvent("settings", "applied")
@@ -219,36 +225,36 @@
 bool Gateway::ready() const {
   // The suspects: a gateway that does not know what earlier lives learned could crash engines with
   // its first requests.
-  return operators_.routes() && engines_.known() && suspects_.known() && !stopping_;
+  return operator_feed_.routes() && engine_feed_.loaded() && suspects_.known() && !stopping_;
 }
 
 Task<void> Gateway::handleReadiness(http::Request& request, http::ResponseWriter& writer) {
-  const bool known = platform_.isReadinessCall(request);
+  const bool known = platform_.isReadinessProbe(request);
   http::Response response;
   response.result(!known ? kNotFound : ready() ? kOk : kUnavailable);
   co_await writer.send(std::move(response));
 }
 
 void Gateway::onConfiguration(const routing::RouteTable& routes) {
-  demand_ = computeOwnerDemand(routes, settings_.layout);
-  requests_.setLimits(routes.limits);
+  owner_demand_ = computeOwnerDemand(routes, settings_.layout);
+  request_server_.setLimits(routes.limits);
   registry_.setServices(routes.services);
 }
 
 void Gateway::onLeasesRead(bool answered) {
-  store_.onLeasesRead(answered);
+  store_monitor_.onLeasesRead(answered);
   updateColdSenders();
   if (!answered || stopping_) return;
-  if (!owner_pool_.onLeasesRead(steadyNow(), demand_)) return;
+  if (!owner_pool_.onLeasesRead(steadyNow(), owner_demand_)) return;
   LogEvent("lease", owner_pool_.offers() ? "offers_to_own" : "offers_no_more")
       .real("capacity", owner_pool_.capacity())
-      .number("wanted", static_cast<std::int64_t>(demand_.owners))
-      .number("homes", static_cast<std::int64_t>(demand_.places.size()));
+      .number("wanted", static_cast<std::int64_t>(owner_demand_.owners))
+      .number("homes", static_cast<std::int64_t>(owner_demand_.places.size()));
   updateColdSenders();
 }
 
 void Gateway::updateColdSenders() {
-  cold_engines_.updateSenders(demand_.owners, ownsWork());
+  cold_engines_.updateSenders(owner_demand_.owners, ownsWork());
 }
 
 bool Gateway::ownsWork() const {
@@ -256,48 +262,49 @@
          scaling_.holdsLock();
 }
 
-Task<std::optional<std::uint32_t>> Gateway::loadOf(EngineId engine, Address address) {
+Task<std::optional<std::uint32_t>> Gateway::queryEngineLoad(EngineId engine, Address address) {
   const auto report = co_await platform_.orders().report(engine, address);
   if (!report) co_return std::nullopt;
   co_return report->load;
 }
 
-Task<void> Gateway::sweepLoop() {
+Task<void> Gateway::maintenanceLoop() {
   for (std::uint64_t sweeps = 1;; ++sweeps) {
     co_await sleepFor(loop_, kSweepInterval);
     const Instant now = steadyNow();
     engine_pool_.sweep(now);
-    cold_engines_.report(now, engines_.watcher());
+    cold_engines_.report(now, engine_feed_.watcher());
     registry_.sweep(now);
-    if (sweeps % kSweepsPerSummary == 0) engines_.logSummary();
+    if (sweeps % kSweepsPerSummary == 0) engine_feed_.logSummary();
   }
 }
 
 void Gateway::stop() {
   if (stopping_) return;
   stopping_ = true;
-  spawn(loop_, [this] { return stopInOrder(); });
+  spawn(loop_, [this] { return shutDown(); });
 }
 
-Task<void> Gateway::stopInOrder() {
+Task<void> Gateway::shutDown() {
   const Instant begun = steadyNow();
   LogEvent("gateway", "stopping")
-      .number("connections", static_cast<std::int64_t>(requests_.connections()));
-  requests_.beginDrain();
+      .number("connections", static_cast<std::int64_t>(request_server_.connections()));
+  request_server_.beginDrain();
   co_await batches_.handOver();
   co_await orders_.handOver();
   co_await usage_.handOver();
   co_await scaling_.handOver();
   co_await keeper_.stop();
-  while (steadyNow() < begun + kLeaveNotice) {
-    co_await sleepFor(loop_, kStopInterval);
+  while (steadyNow() < begun + kDeregistrationDelay) {
+    co_await sleepFor(loop_, kShutdownPollInterval);
   }
-  requests_.closeIdle();
-  while ((requests_.busy() > 0 || usage_.unsaved()) &&
-         steadyNow() < begun + settings_.shutdown_timeout - kStopSlack) {
-    co_await sleepFor(loop_, kStopInterval);
+  request_server_.closeIdle();
+  while ((request_server_.busy() > 0 || usage_.unsaved()) &&
+         steadyNow() < begun + settings_.shutdown_timeout - kShutdownMargin) {
+    co_await sleepFor(loop_, kShutdownPollInterval);
   }
-  LogEvent("gateway", "stopped").number("cut_off", static_cast<std::int64_t>(requests_.busy()));
+  LogEvent("gateway", "stopped")
+      .number("cut_off", static_cast<std::int64_t>(request_server_.busy()));
   loop_.stop();
 }
 
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -17,12 +17,12 @@
 #include "gateway/service/coordination_feed.h"
 #include "gateway/service/engine_feed.h"
 #include "gateway/service/gateway_settings.h"
-#include "gateway/service/metrics_page.h"
+#include "gateway/service/metrics_exporter.h"
 #include "gateway/service/operator_feed.h"
 #include "gateway/service/owner_demand.h"
 #include "gateway/service/peer_exchange.h"
 #include "gateway/service/platform_port.h"
-#include "gateway/service/request_entry.h"
+#include "gateway/service/request_dispatcher.h"
 #include "gateway/service/store_monitor.h"
 #include "gateway/suspects/suspect_service.h"
 #include "gateway/usage/usage_service.h"
@@ -50,7 +50,7 @@
   bool stopping() const { return this->stopping_; }
   /** @return whether the store's leases and the coordination feed are answered. */
   bool storeReachable() const { return this->leases_.storeHealthy(); }
-  Address requestAddress() const { return this->requests_.address(); }
+  Address requestAddress() const { return this->request_server_.address(); }
   Address peerAddress() const { return this->peer_server_.address(); }
   Address metricsAddress() const { return this->metrics_server_.address(); }
 
@@ -64,9 +64,9 @@
   bool ownsWork() const;
   Task<void> handleReadiness(http::Request& request, http::ResponseWriter& writer);
   /** @return how many requests the engine has, by its own account; nothing if it did not answer. */
-  Task<std::optional<std::uint32_t>> loadOf(EngineId engine, Address address);
-  Task<void> sweepLoop();
-  Task<void> stopInOrder();
+  Task<std::optional<std::uint32_t>> queryEngineLoad(EngineId engine, Address address);
+  Task<void> maintenanceLoop();
+  Task<void> shutDown();
 
   boost::asio::io_context& loop_;
   GatewaySettings settings_;
@@ -74,7 +74,8 @@
   http::ConnectionPool& engine_pool_;
   engines::engine_registry registry_;
   routing::weighted_round_robin round_robin_;
-  lease::pool_demand demand_ = defaultOwnerDemand();  ///< Gateways that are to offer to own work.
+  lease::pool_demand owner_demand_ =
+      defaultOwnerDemand();  ///< Gateways that are to offer to own work.
   lease::lease_table leases_;
   lease::owner_pool owner_pool_;
   lease::lease_keeper keeper_;
@@ -88,17 +89,17 @@
   scaling::scaling_service scaling_;
   closed_zones_monitor closed_zones_;
   cold_engines_monitor cold_engines_;
-  operator_feed operators_;
-  engine_feed engines_;
-  coordination_feed coordination_;
-  store_monitor store_;
-  peer_exchange peers_;
-  request_entry entry_;
-  http::Server requests_;
-  http::Server readiness_;
+  operator_feed operator_feed_;
+  engine_feed engine_feed_;
+  coordination_feed coordination_feed_;
+  store_monitor store_monitor_;
+  peer_exchange peer_exchange_;
+  request_dispatcher dispatcher_;
+  http::Server request_server_;
+  http::Server readiness_server_;
   http::Server metrics_server_;
   http::Server peer_server_;
-  metrics_page metrics_page_;
+  metrics_exporter metrics_exporter_;
   bool stopping_ = false;
 };
 
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 /// Between two holders, beyond what the platform asks for: clocks run at slightly different speeds.
-constexpr Duration kHandoverSlack = std::chrono::milliseconds(100);
+constexpr Duration kHandoverMargin = std::chrono::milliseconds(100);
 /// Readers' clocks and the hand-in lie a little before and behind the store's.
-constexpr Duration kRemovalSlack = std::chrono::seconds(30);
+constexpr Duration kJobRetentionMargin = std::chrono::seconds(30);
 
 /// The duty, in the list of the platform's, that allows to order a number of engines.
 constexpr char kAutoscaleDuty[] = "autoscale";
 
-bool lists(const std::string& text, const std::string& word) {
+bool containsEntry(const std::string& text, const std::string& word) {
   std::istringstream list(text);
   std::string entry;
   while (std::getline(list, entry, ',')) {
@@ -38,7 +38,7 @@
 }
 
 /// @param text addresses, separated by commas; may be empty.
-std::vector<Address> parseSeeds(const std::string& text, settings::TomlReader& reader) {
+std::vector<Address> parseAddressList(const std::string& text, settings::TomlReader& reader) {
   std::vector<Address> seeds;
   std::istringstream list(text);
   std::string entry;
@@ -73,7 +73,7 @@
   std::string output = "on";
   std::int64_t row_bytes = 65536;
   double stop_seconds = toSeconds(settings.shutdown_timeout);
-  double order_pause_ms = toSeconds(settings.handover.pause - kHandoverSlack) * 1000;
+  double order_pause_ms = toSeconds(settings.handover.pause - kHandoverMargin) * 1000;
   std::string tokens = "unchecked";
   reader.readString("daemon.id", id, true);
   reader.readString("daemon.zone", zone, true);
@@ -87,7 +87,7 @@
   if (peers.port != 0) settings.peer_address = peers;
   std::string seeds;
   reader.readString("peers.seeds", seeds, false);
-  settings.seed_peers = parseSeeds(seeds, reader);
+  settings.seed_peers = parseAddressList(seeds, reader);
   if (metrics.port != 0) settings.metrics_address = metrics;
   reader.readAddress("store.address", settings.store_address, true);
   reader.readInteger("store.row_bytes", row_bytes, 1024, 64 * 1024 * 1024);
@@ -133,15 +133,15 @@
   settings.machine.processors = processor_share * cores;
   settings.max_row_bytes = static_cast<std::size_t>(row_bytes);
   settings.shutdown_timeout = fromSeconds(stop_seconds);
-  settings.handover = {fromSeconds(order_pause_ms / 1000) + kHandoverSlack, tokens == "checked"};
+  settings.handover = {fromSeconds(order_pause_ms / 1000) + kHandoverMargin, tokens == "checked"};
   settings.usage.window = fromSeconds(window_seconds);
   settings.usage.handover = settings.handover;
-  const bool autoscales = settings.duties_address && lists(duty_names, kAutoscaleDuty);
+  const bool autoscales = settings.duties_address && containsEntry(duty_names, kAutoscaleDuty);
   if (autoscales) settings.scaling.mode = scalingModeFromName(scaling_mode);
   settings.rollout.busy_timeout = fromSeconds(patience_ms / 1000);
   settings.rollout.mode = loadModeFromName(mode);
   settings.engine_heartbeat = fromSeconds(heartbeat_ms / 1000);
-  settings.batch.keep_jobs = fromSeconds(keep_seconds) + kRemovalSlack;
+  settings.batch.keep_jobs = fromSeconds(keep_seconds) + kJobRetentionMargin;
   settings.batch.leaving.within = fromSeconds(leave_zone_ms / 1000);
   settings.log_as_text = format == "text";
   settings.log_enabled = output == "on";
--- a/src/gateway/service/metrics_page.cpp
+++ b/src/gateway/service/metrics_exporter.cpp
@@ -1,10 +1,10 @@
-#include "gateway/service/metrics_page.h"
+#include "gateway/service/metrics_exporter.h"
 
 #include "common/event_log.h"
 
 namespace linenpier::gateway {
 
-void metrics_page::addEngineCounts(metrics::GatewayState& state) const {
+void metrics_exporter::collectScaling(metrics::GatewayState& state) const {
   const routing::RouteTablePtr routes = this->sources_.operators.routes();
   for (const auto& [id, engine] : this->sources_.engines.all()) {
     const engines::engine_record& record = engine.record;
@@ -19,20 +19,20 @@
       state.engines_ordered[{service.str(), group.zone.str(), fleet::toText(group.kind)}] = count;
     }
   }
-  state.scaling_sent = this->sources_.scaling.totals().sent;
-  state.scaling_refused = this->sources_.scaling.totals().refused;
-  state.scaling_unanswered = this->sources_.scaling.totals().unanswered;
+  state.scaling_orders_sent = this->sources_.scaling.totals().sent;
+  state.scaling_orders_refused = this->sources_.scaling.totals().refused;
+  state.scaling_orders_unanswered = this->sources_.scaling.totals().unanswered;
 }
 
-void metrics_page::addSuspects(Instant now, metrics::GatewayState& state) const {
+void metrics_exporter::collectSuspects(Instant now, metrics::GatewayState& state) const {
   state.suspects_known = this->sources_.suspects.book().size();
-  state.suspects_barred = this->sources_.suspects.book().barred(now);
-  state.suspect_engines_ended = this->sources_.suspects.totals().engine_crashes;
+  state.suspects_blocked = this->sources_.suspects.book().barred(now);
+  state.suspect_engine_crashes = this->sources_.suspects.totals().engine_crashes;
   state.suspect_refusals = this->sources_.suspects.totals().refused;
   state.suspects_cleared = this->sources_.suspects.totals().cleared;
 }
 
-void metrics_page::addFeeds(Instant now, metrics::GatewayState& state) const {
+void metrics_exporter::collectFeeds(Instant now, metrics::GatewayState& state) const {
   state.config_version = this->sources_.operators.configurationVersion();
   const std::map<std::string, const table::TableWatcher*> watchers = {
       {"operator", &this->sources_.operators.watcher()},
@@ -40,11 +40,11 @@
       {"coordination", &this->sources_.coordination.watcher()}};
   for (const auto& [name, watcher] : watchers) {
     state.feeds_healthy[name] = watcher->healthy();
-    state.feed_ages[name] = watcher->read() ? toSeconds(now - watcher->lastAnswer()) : -1;
+    state.feed_age_seconds[name] = watcher->read() ? toSeconds(now - watcher->lastAnswer()) : -1;
   }
 }
 
-void metrics_page::addEngines(Instant now, metrics::GatewayState& state) const {
+void metrics_exporter::collectEngines(Instant now, metrics::GatewayState& state) const {
   const engines::engine_registry& engines = this->sources_.engines;
   for (const auto& [id, engine] : engines.all()) {
     auto& states = state.engines[engine.record.service.str()];
@@ -55,21 +55,21 @@
                                                       : "usable";
     ++states[name];
   }
-  this->sources_.cold_engines.addTo(state, now);
+  this->sources_.cold_engines.collectMetrics(state, now);
   state.zones_closed = engines.closedZones().all().size();
-  state.engine_looks = engines.examined();
+  state.engines_examined = engines.examined();
   state.engine_connections_opened = this->sources_.engine_connections.opened();
 }
 
-void metrics_page::addJobs(metrics::GatewayState& state) const {
+void metrics_exporter::collectJobs(metrics::GatewayState& state) const {
   const batch::batch_service::job_work work = this->sources_.batches.work();
   state.jobs_known = this->sources_.batches.jobCount();
   state.jobs_owned = work.jobs;
   state.items_waiting = work.waiting;
   state.items_running = work.running;
-  state.items_unscored = work.unscored;
-  state.runs_in_closed_zones = work.in_closed_zones;
-  state.jobs_waiting_for_home = work.awaiting_residency;
+  state.items_awaiting_score = work.unscored;
+  state.items_in_closed_zones = work.in_closed_zones;
+  state.jobs_awaiting_residency = work.awaiting_residency;
   const batch::batch_counts& counts = this->sources_.batches.counts();
   state.items_completed = counts.completed;
   state.items_terminated = counts.terminated;
@@ -79,13 +79,13 @@
   state.jobs_accepted = counts.accepted;
   state.jobs_refused = counts.refused;
   state.jobs_taken_over = counts.taken_over;
-  state.jobs_refused_for_home = counts.refused_for_residency;
-  state.jobs_given_to_home = counts.given_up_for_residency;
+  state.jobs_refused_for_residency = counts.refused_for_residency;
+  state.jobs_released_for_residency = counts.given_up_for_residency;
 }
 
-void metrics_page::addLeadership(Instant now, metrics::GatewayState& state) const {
+void metrics_exporter::collectLeadership(Instant now, metrics::GatewayState& state) const {
   state.lease_valid = this->sources_.keeper.valid(now);
-  state.order_rights_held = this->sources_.orders.locksHeld();
+  state.order_locks_held = this->sources_.orders.locksHeld();
   state.orders_sent = this->sources_.orders.counts().sent;
   state.orders_unanswered = this->sources_.orders.counts().unanswered;
   state.usage_requests_counted = this->sources_.usage.totals().counted;
@@ -93,25 +93,25 @@
   state.usage_windows_reported = this->sources_.usage.totals().reported;
 }
 
-metrics::GatewayState metrics_page::state() const {
+metrics::GatewayState metrics_exporter::collectState() const {
   metrics::GatewayState state;
   const Instant now = steadyNow();
-  this->addFeeds(now, state);
-  this->addEngines(now, state);
-  this->addEngineCounts(state);
-  this->addSuspects(now, state);
-  this->addJobs(state);
-  this->addLeadership(now, state);
+  this->collectFeeds(now, state);
+  this->collectEngines(now, state);
+  this->collectScaling(state);
+  this->collectSuspects(now, state);
+  this->collectJobs(state);
+  this->collectLeadership(now, state);
   state.client_connections = this->sources_.requests.connections();
   state.requests_in_progress = this->sources_.requests.busy();
   state.log_lines_dropped = logging::droppedLines();
   return state;
 }
 
-Task<void> metrics_page::handle(http::ResponseWriter& writer) {
+Task<void> metrics_exporter::handle(http::ResponseWriter& writer) {
   http::Response response;
   response.set(boost::beast::http::field::content_type, "text/plain; version=0.0.4");
-  response.body() = this->metrics_.render(this->state());
+  response.body() = this->metrics_.render(this->collectState());
   co_await writer.send(std::move(response));
 }
 
--- a/src/gateway/service/metrics_page.h
+++ b/src/gateway/service/metrics_exporter.h
@@ -22,7 +22,7 @@
 namespace linenpier::gateway {
 
 /** Loop thread only. */
-class metrics_page {
+class metrics_exporter {
  public:
   /** Whatever the page tells of. */
   struct sources {
@@ -41,21 +41,21 @@
     const suspects::suspect_service& suspects;
   };
 
-  metrics_page(metrics::GatewayMetrics& metrics, const sources& sources)
+  metrics_exporter(metrics::GatewayMetrics& metrics, const sources& sources)
       : metrics_(metrics), sources_(sources) {}
 
   Task<void> handle(http::ResponseWriter& writer);
 
  private:
-  metrics::GatewayState state() const;
-  void addFeeds(Instant now, metrics::GatewayState& state) const;
-  void addEngines(Instant now, metrics::GatewayState& state) const;
-  void addJobs(metrics::GatewayState& state) const;
+  metrics::GatewayState collectState() const;
+  void collectFeeds(Instant now, metrics::GatewayState& state) const;
+  void collectEngines(Instant now, metrics::GatewayState& state) const;
+  void collectJobs(metrics::GatewayState& state) const;
   /** What this gateway holds or does as a leader: its lease, orders to engines, usage. */
-  void addLeadership(Instant now, metrics::GatewayState& state) const;
+  void collectLeadership(Instant now, metrics::GatewayState& state) const;
   /** How many engines there are and were ordered, of services that are scaled. */
-  void addEngineCounts(metrics::GatewayState& state) const;
-  void addSuspects(Instant now, metrics::GatewayState& state) const;
+  void collectScaling(metrics::GatewayState& state) const;
+  void collectSuspects(Instant now, metrics::GatewayState& state) const;
 
   metrics::GatewayMetrics& metrics_;
   sources sources_;
--- a/src/gateway/service/operator_feed.cpp
+++ b/src/gateway/service/operator_feed.cpp
@@ -22,7 +22,7 @@
   listener.on_snapshot = [&feed](const std::vector<table::Row>& rows) { feed.onSnapshot(rows); };
   listener.on_change = [&feed](const table::RowChange& change) { feed.onChange(change); };
   listener.on_health = [&feed](bool healthy) {
-    if (healthy) feed.listener_.on_store_answered();
+    if (healthy) feed.listener_.on_store_reachable();
   };
   return listener;
 }
@@ -40,22 +40,22 @@
 void operator_feed::onSnapshot(const std::vector<table::Row>& rows) {
   std::map<ZoneName, Revision> closed;
   for (const table::Row& row : rows) {
-    const auto zone = this->platform_.parseZoneClosing(table::keyWithoutTable(row));
+    const auto zone = this->platform_.parseClosedZone(table::keyWithoutTable(row));
     if (zone) closed[*zone] = row.revision;
   }
-  this->zones_.onTable(this->watcher_.revision(), closed, "store");
+  this->zones_.onSnapshot(this->watcher_.revision(), closed, "store");
   for (const table::Row& row : rows) this->onRow(row);
 }
 
 void operator_feed::onChange(const table::RowChange& change) {
-  const auto zone = this->platform_.parseZoneClosing(table::keyWithoutTable(change.row));
+  const auto zone = this->platform_.parseClosedZone(table::keyWithoutTable(change.row));
   if (zone) {
     // A change is newer than all that the feed told before, also where it comes without a revision.
     const Revision revision = std::max(change.row.revision, this->watcher_.revision() + 1);
     if (change.gone) {
-      this->zones_.onOpened(*zone, revision);
+      this->zones_.onZoneOpened(*zone, revision);
     } else {
-      this->zones_.onClosed(*zone, revision);
+      this->zones_.onZoneClosed(*zone, revision);
     }
   }
   if (!change.gone) this->onRow(change.row);
--- a/src/gateway/service/operator_feed.h
+++ b/src/gateway/service/operator_feed.h
@@ -25,7 +25,7 @@
   struct listener {
     std::function<void(const routing::RouteTable&)> on_configuration;
     std::function<void(const PublishedVersion&)> on_published_version;
-    std::function<void()> on_store_answered;
+    std::function<void()> on_store_reachable;
   };
 
   operator_feed(boost::asio::io_context& loop, PlatformPort& platform, closed_zones_monitor& zones,
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -13,15 +13,15 @@
  */
 constexpr std::size_t kSpareOwners = 2;
 /** The same in each set of homes: one that can take over at once. */
-constexpr std::size_t kSpareWithinResidency = 1;
+constexpr std::size_t kSpareOwnersPerPlace = 1;
 
-std::size_t modelsOf(const routing::RouteTable& table, const routing::Route& route) {
+std::size_t modelCount(const routing::RouteTable& table, const routing::Route& route) {
   const auto service = table.services.find(route.services.front().service);
   return service == table.services.end() ? 0 : service->second.models.size();
 }
 
-std::set<ZoneName> zonesIn(const fleet::fleet_layout& layout,
-                           const fleet::data_residency& residency) {
+std::set<ZoneName> allowedZones(const fleet::fleet_layout& layout,
+                                const fleet::data_residency& residency) {
   std::set<ZoneName> zones;
   for (const auto& [zone, region] : layout.zones()) {
     if (residency.allows(region)) zones.insert(zone);
@@ -30,7 +30,7 @@
 }
 
 /** Adds what jobs under these homes need, unless another route's need as much there. */
-void addPlace(std::vector<place>& places, std::set<ZoneName> zones, std::size_t owners) {
+void mergePlace(std::vector<place>& places, std::set<ZoneName> zones, std::size_t owners) {
   if (zones.empty()) return;
   const auto known = std::find_if(places.begin(), places.end(),
                                   [&zones](const place& each) { return each.zones == zones; });
@@ -53,9 +53,9 @@
   for (const auto& [name, service] : table.services) demand.owners += service.models.size();
   for (const routing::Route& route : table.routes) {
     if (route.kind != routing::RequestKind::kBatch) continue;
-    const std::size_t owners = modelsOf(table, route) + kSpareWithinResidency;
+    const std::size_t owners = modelCount(table, route) + kSpareOwnersPerPlace;
     const auto add = [&](const fleet::data_residency& residency) {
-      if (residency.bound()) addPlace(demand.places, zonesIn(layout, residency), owners);
+      if (residency.bound()) mergePlace(demand.places, allowedZones(layout, residency), owners);
     };
     add(route.residency);
     for (const routing::tenant& each : table.tenants.all())
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -13,34 +13,34 @@
 
 namespace {
 
-constexpr Duration kAskInterval = std::chrono::milliseconds(300);
+constexpr Duration kFetchInterval = std::chrono::milliseconds(300);
 /** Peers asked in one interval: a pool of owners and the seeds are through within a second, of the
  * few that a change of keys may take to be in force everywhere.
  */
-constexpr std::size_t kPeersAtOnce = 3;
-constexpr Duration kAskTimeout = std::chrono::milliseconds(300);
+constexpr std::size_t kPeersPerInterval = 3;
+constexpr Duration kFetchTimeout = std::chrono::milliseconds(300);
 /** Of a call that brings a list of all engines, as after a start: 4 MB for ten thousand engines,
  * half a second over the link of a small machine that others ask, too.
  */
-constexpr Duration kListTimeout = std::chrono::milliseconds(1500);
+constexpr Duration kFullFetchTimeout = std::chrono::milliseconds(1500);
 constexpr Duration kWriteTimeout = std::chrono::milliseconds(400);
 /** A feed that was not answered for so long tells nothing, even if it counts as healthy: a feed
  * that works is answered within 2.7 s. A store that limits a gateway's calls refuses them without
  * being away.
  */
-constexpr Duration kFeedTimeout = std::chrono::milliseconds(2800);
-constexpr std::size_t kMaxWriters = 3;  ///< Peers that are asked to do one write.
+constexpr Duration kFeedStaleAfter = std::chrono::milliseconds(2800);
+constexpr std::size_t kMaxWriteAttempts = 3;  ///< Peers that are asked to do one write.
 constexpr char kWritePath[] = "/write";
 constexpr unsigned kOk = 200;
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kUnavailable = 503;
 
 bool isFresh(const table::TableWatcher& feed) {
-  return feed.healthy() && steadyNow() - feed.lastAnswer() < kFeedTimeout;
+  return feed.healthy() && steadyNow() - feed.lastAnswer() < kFeedStaleAfter;
 }
 
 /** Usage counts, clock samples and suspects only: neither a lock nor a lease stands on them. */
-bool maybeWrittenForPeers(const table::Put& put) {
+bool isForwardable(const table::Put& put) {
   return put.key.starts_with(table::kUsageTable + "/" + table::kUsageRows) ||
          put.key.starts_with(table::kClockTable + "/") ||
          put.key.starts_with(table::suspectKey({}));
@@ -49,23 +49,23 @@
 }  // namespace
 
 void peer_exchange::start() {
-  spawn(this->deps_.loop, [this] { return this->askLoop(); });
+  spawn(this->deps_.loop, [this] { return this->fetchLoop(); });
 }
 
 Task<void> peer_exchange::handle(http::Request& request, http::ResponseWriter& writer) {
   if (request.target() == kWritePath) {
-    co_await this->writeForPeer(request, writer);
+    co_await this->handlePeerWrite(request, writer);
   } else {
     co_await this->sendSnapshot(std::string(request.target()), writer);
   }
 }
 
-Task<void> peer_exchange::writeForPeer(http::Request& request, http::ResponseWriter& writer) {
+Task<void> peer_exchange::handlePeerWrite(http::Request& request, http::ResponseWriter& writer) {
   http::Response response;
   response.result(kUnavailable);
   auto write = decodeWrite(request.body());
   const bool allowed = write && std::all_of(write->transaction.puts.begin(),
-                                            write->transaction.puts.end(), maybeWrittenForPeers);
+                                            write->transaction.puts.end(), isForwardable);
   if (!allowed) {
     response.result(kBadRequest);
   } else if (this->deps_.leases.storeHealthy()) {
@@ -79,10 +79,10 @@
   co_await writer.send(std::move(response));
 }
 
-Task<std::optional<table::TransactionAnswer>> peer_exchange::writeByPeer(table::Write write) {
-  std::vector<Address> writers = this->peers();
+Task<std::optional<table::TransactionAnswer>> peer_exchange::writeViaPeer(table::Write write) {
+  std::vector<Address> writers = this->peerAddresses();
   std::shuffle(writers.begin(), writers.end(), this->random_.engine());
-  if (writers.size() > kMaxWriters) writers.resize(kMaxWriters);
+  if (writers.size() > kMaxWriteAttempts) writers.resize(kMaxWriteAttempts);
   for (const Address& peer : writers) {
     http::Request request(boost::beast::http::verb::post, kWritePath, 11);
     request.set(boost::beast::http::field::host, "peer");
@@ -106,7 +106,7 @@
 Task<void> peer_exchange::sendSnapshot(const std::string& target, http::ResponseWriter& writer) {
   http::Response response;
   const operator_feed& operators = this->deps_.operators;
-  if (operators.routes() && this->deps_.engines.known() && this->deps_.suspects.known()) {
+  if (operators.routes() && this->deps_.engines.loaded() && this->deps_.suspects.known()) {
     const KnownRevisions known = parseSnapshotTarget(target);
     PeerSnapshot snapshot;
     snapshot.config_version = operators.configurationVersion();
@@ -114,7 +114,7 @@
     if (newer) snapshot.configuration = operators.configurationWithHashedKeys();
     snapshot.zones_revision = operators.zonesRevision();
     snapshot.closed_zones = this->deps_.zones.closed().all();
-    this->deps_.engines.addTo(snapshot, known.engines_revision);
+    this->deps_.engines.fillSnapshot(snapshot, known.engines_revision);
     snapshot.suspects = this->deps_.suspects.rows();
     response.body() = encodeSnapshot(snapshot);
   } else {
@@ -123,25 +123,25 @@
   co_await writer.send(std::move(response));
 }
 
-Task<void> peer_exchange::askLoop() {
+Task<void> peer_exchange::fetchLoop() {
   std::size_t next = 0;
   for (;;) {
-    co_await sleepFor(this->deps_.loop, kAskInterval);
+    co_await sleepFor(this->deps_.loop, kFetchInterval);
     const bool all_known = isFresh(this->deps_.operators.watcher()) &&
                            isFresh(this->deps_.engines.watcher()) &&
                            isFresh(this->deps_.coordination) && this->deps_.suspects.known();
     if (all_known || this->deps_.stopping()) continue;
     // One list of all engines at a time.
-    if (!this->deps_.engines.known() && this->asks_under_way_ > 0) continue;
-    const std::vector<Address> peers = this->peers();
-    for (std::size_t i = 0; i < std::min(kPeersAtOnce, peers.size()); ++i) {
+    if (!this->deps_.engines.loaded() && this->pending_fetches_ > 0) continue;
+    const std::vector<Address> peers = this->peerAddresses();
+    for (std::size_t i = 0; i < std::min(kPeersPerInterval, peers.size()); ++i) {
       const Address peer = peers[next++ % peers.size()];
-      spawn(this->deps_.loop, [this, peer] { return this->ask(peer); });
+      spawn(this->deps_.loop, [this, peer] { return this->fetchSnapshot(peer); });
     }
   }
 }
 
-std::vector<Address> peer_exchange::peers() const {
+std::vector<Address> peer_exchange::peerAddresses() const {
   std::vector<Address> peers = this->deps_.leases.peers();
   for (const Address& seed : this->deps_.seeds()) {
     if (std::find(peers.begin(), peers.end(), seed) == peers.end()) peers.push_back(seed);
@@ -149,38 +149,39 @@
   return peers;
 }
 
-Task<void> peer_exchange::ask(Address peer) {
-  ++this->asks_under_way_;
-  const bool engines_known = this->deps_.engines.known();
+Task<void> peer_exchange::fetchSnapshot(Address peer) {
+  ++this->pending_fetches_;
+  const bool engines_known = this->deps_.engines.loaded();
   const KnownRevisions known{this->deps_.operators.configurationVersion(),
                              engines_known ? this->deps_.engines.revision() : 0};
   http::Request request(boost::beast::http::verb::get, snapshotTarget(known), 11);
   request.set(boost::beast::http::field::host, "peer");
-  const Instant deadline = steadyNow() + (engines_known ? kAskTimeout : kListTimeout);
+  const Instant deadline = steadyNow() + (engines_known ? kFetchTimeout : kFullFetchTimeout);
   const http::CallOutcome outcome =
       co_await http::call(this->deps_.connections, peer, std::move(request), deadline);
-  --this->asks_under_way_;
+  --this->pending_fetches_;
   const bool answered =
       outcome.status == http::ExchangeStatus::kOk && outcome.response.result_int() == kOk;
   if (!answered) co_return;
   const auto snapshot = decodeSnapshot(outcome.response.body());
-  if (snapshot) this->take(*snapshot, peer);
+  if (snapshot) this->applySnapshot(*snapshot, peer);
 }
 
-void peer_exchange::take(const PeerSnapshot& snapshot, const Address& peer) {
+void peer_exchange::applySnapshot(const PeerSnapshot& snapshot, const Address& peer) {
   operator_feed& operators = this->deps_.operators;
   engine_feed& engines = this->deps_.engines;
   const std::uint64_t version_before = operators.configurationVersion();
   // Zones first: once there are routes and engines, requests may be sent.
   if (snapshot.zones_revision > operators.zonesRevision()) {
-    this->deps_.zones.onTable(snapshot.zones_revision, snapshot.closed_zones, "peer");
+    this->deps_.zones.onSnapshot(snapshot.zones_revision, snapshot.closed_zones, "peer");
   }
   if (!isFresh(this->deps_.coordination)) this->deps_.suspects.onPeerRows(snapshot.suspects);
   if (!snapshot.configuration.empty() && !isFresh(operators.watcher())) {
     operators.onConfiguration(snapshot.configuration);
   }
   const bool engines_newer = snapshot.engines_revision > engines.revision();
-  if (!isFresh(engines.watcher()) && (engines_newer || !engines.known())) engines.take(snapshot);
+  if (!isFresh(engines.watcher()) && (engines_newer || !engines.loaded()))
+    engines.applySnapshot(snapshot);
   if (engines_newer || operators.configurationVersion() > version_before) {
     LogEvent("gateway", "told_by_peer")
         .text("peer", toString(peer))
--- a/src/gateway/service/peer_exchange.h
+++ b/src/gateway/service/peer_exchange.h
@@ -46,21 +46,21 @@
   /** Answers a call of a peer. */
   Task<void> handle(http::Request& request, http::ResponseWriter& writer);
   /** Has peers do a write, one after the other. @return nothing if none did. */
-  Task<std::optional<table::TransactionAnswer>> writeByPeer(table::Write write);
+  Task<std::optional<table::TransactionAnswer>> writeViaPeer(table::Write write);
 
  private:
   /** @param target of the call, which says what the asker knows. */
   Task<void> sendSnapshot(const std::string& target, http::ResponseWriter& writer);
-  Task<void> writeForPeer(http::Request& request, http::ResponseWriter& writer);
-  Task<void> askLoop();
-  Task<void> ask(Address peer);
-  void take(const PeerSnapshot& snapshot, const Address& peer);
+  Task<void> handlePeerWrite(http::Request& request, http::ResponseWriter& writer);
+  Task<void> fetchLoop();
+  Task<void> fetchSnapshot(Address peer);
+  void applySnapshot(const PeerSnapshot& snapshot, const Address& peer);
   /** @return gateways that may know what this one misses. */
-  std::vector<Address> peers() const;
+  std::vector<Address> peerAddresses() const;
 
   dependencies deps_;
   Random random_;
-  std::size_t asks_under_way_ = 0;
+  std::size_t pending_fetches_ = 0;
 };
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/peer_snapshot.cpp
+++ b/src/gateway/service/peer_snapshot.cpp
@@ -14,7 +14,7 @@
 constexpr char kConfigParameter[] = "config=";
 constexpr char kEnginesParameter[] = "engines=";
 
-std::uint64_t parameter(const std::string& target, const std::string& name) {
+std::uint64_t queryParameter(const std::string& target, const std::string& name) {
   const std::size_t at = target.find(name);
   if (at == std::string::npos) return 0;
   return std::strtoull(target.c_str() + at + name.size(), nullptr, 10);
@@ -29,7 +29,7 @@
 }
 
 KnownRevisions parseSnapshotTarget(const std::string& target) {
-  return {parameter(target, kConfigParameter), parameter(target, kEnginesParameter)};
+  return {queryParameter(target, kConfigParameter), queryParameter(target, kEnginesParameter)};
 }
 
 std::string encodeSnapshot(const PeerSnapshot& snapshot) {
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -26,8 +26,8 @@
   Kind kind = Kind::kReadResults;
   JobId job;
   ItemId item;
-  std::size_t position = 0;
-  Duration wait{};
+  std::size_t offset = 0;
+  Duration max_wait{};
 };
 
 /// The newest weights of a model, as its trainer names them.
@@ -63,7 +63,7 @@
                                                                 const std::string& value) const = 0;
   /// @return the zone whose engines are sent nothing while the operator's row is there; nothing if
   ///     the row is about something else.
-  virtual std::optional<ZoneName> parseZoneClosing(const std::string& key) const = 0;
+  virtual std::optional<ZoneName> parseClosedZone(const std::string& key) const = 0;
   /// @return why the row names no engine, if it does not.
   virtual tl::expected<engines::engine_record, Findings> parseEngine(
       const std::string& key, const std::string& value) const = 0;
@@ -71,7 +71,7 @@
   /// store.
   virtual std::string encodeEngine(const engines::engine_record& engine) const = 0;
 
-  virtual bool isReadinessCall(const http::Request& request) const = 0;
+  virtual bool isReadinessProbe(const http::Request& request) const = 0;
   /// @return nothing if the request is none of these calls.
   virtual std::optional<BatchCall> parseBatchCall(const http::Request& request) const = 0;
 };
--- a/src/gateway/service/request_entry.cpp
+++ b/src/gateway/service/request_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "gateway/service/request_entry.h"
+#include "gateway/service/request_dispatcher.h"
 
 #include "common/event_log.h"
 
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-Task<void> request_entry::handle(http::Request& request, Instant received,
-                                 http::ResponseWriter& writer) {
+Task<void> request_dispatcher::handle(http::Request& request, Instant received,
+                                      http::ResponseWriter& writer) {
   const auto call = this->deps_.platform.parseBatchCall(request);
   const routing::RouteTablePtr routes = this->deps_.operators.routes();
   const std::string id = http::fieldText(request, this->deps_.platform.fieldNames().request_id);
@@ -29,11 +29,11 @@
   const routing::Route* route =
       routes ? routes->find(http::fieldText(request, "Host"), path) : nullptr;
   if (route == nullptr) {
-    co_await this->refuseRoute(path, id, writer);
+    co_await this->rejectPath(path, id, writer);
     co_return;
   }
   if (!from.admitted() && !route->is_public) {
-    co_await this->refuseKey(from, id, writer);
+    co_await this->rejectCaller(from, id, writer);
     co_return;
   }
   if (route->kind == routing::RequestKind::kBatch) {
@@ -43,17 +43,18 @@
   }
 }
 
-Task<void> request_entry::handleBatchCall(const BatchCall& call, const tenants::caller& from,
-                                          const std::string& id, http::ResponseWriter& writer) {
+Task<void> request_dispatcher::handleBatchCall(const BatchCall& call, const tenants::caller& from,
+                                               const std::string& id,
+                                               http::ResponseWriter& writer) {
   batch::batch_service& batches = this->deps_.batches;
   if (!from.admitted() && !batches.isPublic(call.job)) {
     const std::string& name = id.empty() ? call.job.str() : id;
-    co_await this->refuseKey(from, name, writer);
+    co_await this->rejectCaller(from, name, writer);
     co_return;
   }
   switch (call.kind) {
     case BatchCall::Kind::kReadResults:
-      co_await batches.readResults(call.job, from, call.position, call.wait, writer);
+      co_await batches.readResults(call.job, from, call.offset, call.max_wait, writer);
       break;
     case BatchCall::Kind::kReadItem:
       co_await batches.readItem(call.job, from, call.item, writer);
@@ -64,8 +65,8 @@
   }
 }
 
-Task<void> request_entry::refuseKey(const tenants::caller& from, const std::string& id,
-                                    http::ResponseWriter& writer) {
+Task<void> request_dispatcher::rejectCaller(const tenants::caller& from, const std::string& id,
+                                            http::ResponseWriter& writer) {
   const operator_feed& operators = this->deps_.operators;
   const unsigned status = operators.authoritative() ? kUnauthorized : kUnavailable;
   this->deps_.metrics.onKeyRefused(tenants::toText(from.verdict));
@@ -79,8 +80,8 @@
   co_await writer.send(std::move(response));
 }
 
-Task<void> request_entry::refuseRoute(const std::string& path, const std::string& id,
-                                      http::ResponseWriter& writer) {
+Task<void> request_dispatcher::rejectPath(const std::string& path, const std::string& id,
+                                          http::ResponseWriter& writer) {
   const operator_feed& operators = this->deps_.operators;
   const unsigned status = operators.authoritative() ? kNotFound : kUnavailable;
   LogEvent("forward", "no_route")
--- a/src/gateway/service/request_entry.h
+++ b/src/gateway/service/request_dispatcher.h
@@ -17,7 +17,7 @@
 namespace linenpier::gateway {
 
 /** Loop thread only. */
-class request_entry {
+class request_dispatcher {
  public:
   struct dependencies {
     PlatformPort& platform;
@@ -27,7 +27,7 @@
     metrics::GatewayMetrics& metrics;
   };
 
-  explicit request_entry(const dependencies& deps) : deps_(deps) {}
+  explicit request_dispatcher(const dependencies& deps) : deps_(deps) {}
 
   /** Serves one request to its end.
    * @param received when its head was whole; its deadline counts from there.
@@ -40,11 +40,11 @@
   /** 401 to a caller without a known key; 503 while this gateway does not follow the operator's
    * changes, since the key may be newer than what it knows.
    */
-  Task<void> refuseKey(const tenants::caller& from, const std::string& id,
-                       http::ResponseWriter& writer);
+  Task<void> rejectCaller(const tenants::caller& from, const std::string& id,
+                          http::ResponseWriter& writer);
   /** 404, or 503 while this gateway does not follow the operator's changes. */
-  Task<void> refuseRoute(const std::string& path, const std::string& id,
-                         http::ResponseWriter& writer);
+  Task<void> rejectPath(const std::string& path, const std::string& id,
+                        http::ResponseWriter& writer);
 
   dependencies deps_;
 };
--- a/src/gateway/service/store_monitor.cpp
+++ b/src/gateway/service/store_monitor.cpp
@@ -15,12 +15,12 @@
  * were sent while it was away and are never answered. A store that is sixty times slower than usual
  * still answers within 0.25 s.
  */
-constexpr Duration kDefaultAnswer = std::chrono::milliseconds(300);
+constexpr Duration kMinStaleAge = std::chrono::milliseconds(300);
 /** A write takes longer than a question for one row. */
-constexpr int kAnswersAllowed = 3;
+constexpr int kProbeTimeFactor = 3;
 constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
 /** Between two looks whether probes are called for. */
-constexpr Duration kIdleInterval = std::chrono::milliseconds(500);
+constexpr Duration kIdleCheckInterval = std::chrono::milliseconds(500);
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -29,31 +29,31 @@
   spawn(this->deps_.loop, [this] { return this->probeLoop(); });
 }
 
-void store_monitor::onStoreAnswered() {
-  this->onStoreAnswered(kDefaultAnswer);
+void store_monitor::onStoreReachable() {
+  this->onStoreReachable(kMinStaleAge);
 }
 
-void store_monitor::onStoreAnswered(Duration usual_answer) {
-  this->deps_.table.giveUpOlderThan(usual_answer);
-  if (!this->leases_answered_) this->deps_.lease_watch.retryNow();
+void store_monitor::onStoreReachable(Duration stale_after) {
+  this->deps_.table.giveUpOlderThan(stale_after);
+  if (!this->leases_readable_) this->deps_.lease_watch.retryNow();
   for (table::TableWatcher* feed : this->deps_.feeds) {
     if (!feed->healthy()) feed->retryNow();
   }
 }
 
 void store_monitor::onLeasesRead(bool answered) {
-  if (answered && !this->leases_answered_) this->onStoreAnswered();
-  this->leases_answered_ = answered;
+  if (answered && !this->leases_readable_) this->onStoreReachable();
+  this->leases_readable_ = answered;
   this->updateLeaseHealth();
 }
 
 void store_monitor::onCoordinationHealth(bool healthy) {
-  if (healthy) this->onStoreAnswered();
+  if (healthy) this->onStoreReachable();
   this->updateLeaseHealth();
 }
 
 void store_monitor::updateLeaseHealth() {
-  const bool healthy = this->leases_answered_ && this->deps_.coordination.healthy();
+  const bool healthy = this->leases_readable_ && this->deps_.coordination.healthy();
   if (healthy == this->deps_.leases.storeHealthy()) return;
   if (healthy) {
     this->deps_.leases.onStoreRegained(steadyNow());
@@ -61,14 +61,14 @@
     this->deps_.leases.onStoreLost();
   }
   LogEvent("lease", healthy ? "store_regained" : "store_lost")
-      .text("leases", this->leases_answered_ ? "read" : "not_read")
+      .text("leases", this->leases_readable_ ? "read" : "not_read")
       .text("feed", this->deps_.coordination.healthy() ? "healthy" : "lost");
 }
 
 Task<void> store_monitor::probeLoop() {
   for (;;) {
-    const bool wanted = !this->deps_.leases.storeHealthy() && this->deps_.wants_probes();
-    co_await sleepFor(this->deps_.loop, wanted ? kProbeInterval : kIdleInterval);
+    const bool wanted = !this->deps_.leases.storeHealthy() && this->deps_.needs_probes();
+    co_await sleepFor(this->deps_.loop, wanted ? kProbeInterval : kIdleCheckInterval);
     if (!wanted) continue;
     // Several at a time: one that was sent while the store was away is not waited for.
     spawn(this->deps_.loop, [this] { return this->probe(); });
@@ -82,8 +82,8 @@
   const auto page = co_await this->deps_.table.read(range);
   if (!page || this->deps_.leases.storeHealthy()) co_return;
   // Calls to a store that is slow are given the time that it takes.
-  const Duration answer = kAnswersAllowed * (steadyNow() - begun);
-  this->onStoreAnswered(std::max(kDefaultAnswer, answer));
+  const Duration answer = kProbeTimeFactor * (steadyNow() - begun);
+  this->onStoreReachable(std::max(kMinStaleAge, answer));
 }
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/store_monitor.h
+++ b/src/gateway/service/store_monitor.h
@@ -29,7 +29,7 @@
     lease::lease_watch& lease_watch;
     table::TableWatcher& coordination;
     std::vector<table::TableWatcher*> feeds;  ///< All of them.
-    std::function<bool()> wants_probes;       ///< Whether work waits for the store's return.
+    std::function<bool()> needs_probes;       ///< Whether work waits for the store's return.
   };
 
   explicit store_monitor(dependencies deps) : deps_(std::move(deps)) {}
@@ -40,16 +40,16 @@
   /** The feed of the coordination table was lost or answers again. */
   void onCoordinationHealth(bool healthy);
   /** The store has answered somewhere: whatever waits asks it again. */
-  void onStoreAnswered();
+  void onStoreReachable();
 
  private:
-  void onStoreAnswered(Duration usual_answer);
+  void onStoreReachable(Duration stale_after);
   void updateLeaseHealth();
   Task<void> probeLoop();
   Task<void> probe();
 
   dependencies deps_;
-  bool leases_answered_ = false;  ///< Whether the last read of the leases was answered.
+  bool leases_readable_ = false;  ///< Whether the last read of the leases was answered.
 };
 
 }  // namespace linenpier::gateway
--- a/src/gateway/trace/trace_reader.cpp
+++ b/src/gateway/trace/trace_reader.cpp
@@ -10,14 +10,15 @@
 
 namespace {
 
-constexpr double kGapMs = 500;
+constexpr double kMinGapMs = 500;
 /// Events of a job that concern each of its items.
-const std::set<std::string> kJobEvents = {"submitted",   "job_active",  "job_stopped", "takeover",
-                                          "handed_over", "list_failed", "job_listed",  "end_asked"};
+const std::set<std::string> kJobWideEvents = {"submitted",  "job_active",  "job_stopped",
+                                              "takeover",   "handed_over", "list_failed",
+                                              "job_listed", "end_asked"};
 /// Fields that every line has; they stand apart from the event's own.
 const std::set<std::string> kCommonFields = {"wall_ms", "steady_ms", "node", "part", "event"};
 
-std::string textOf(const json& fields, const char* name) {
+std::string stringField(const json& fields, const char* name) {
   const auto at = fields.find(name);
   return at != fields.end() && at->is_string() ? at->get<std::string>() : std::string();
 }
@@ -35,36 +36,36 @@
                           ? json()
                           : json::parse(line.begin() + static_cast<std::ptrdiff_t>(brace),
                                         line.end(), nullptr, false);
-  const bool ours = fields.is_object() && fields.contains("wall_ms") &&
-                    fields["wall_ms"].is_number() && fields.contains("steady_ms") &&
-                    fields["steady_ms"].is_number() && fields.contains("event");
-  if (!ours) {
-    ++foreign_;
+  const bool valid = fields.is_object() && fields.contains("wall_ms") &&
+                     fields["wall_ms"].is_number() && fields.contains("steady_ms") &&
+                     fields["steady_ms"].is_number() && fields.contains("event");
+  if (!valid) {
+    ++skipped_lines_;
     return;
   }
-  const std::string node = textOf(fields, "node");
+  const std::string node = stringField(fields, "node");
   const double steady = fields["steady_ms"].get<double>();
-  const auto [life, fresh] = lives_.try_emplace(node);
-  const bool restarted =
-      steady < life->second.last_steady_ms - kGapMs || textOf(fields, "event") == "started";
-  if (fresh || restarted) life->second.offset_ms = fields["wall_ms"].get<double>() - steady;
-  life->second.last_steady_ms = steady;
-  lines_.push_back({steady + life->second.offset_ms, node, fields});
+  const auto [clock, added] = clocks_.try_emplace(node);
+  const bool restarted = steady < clock->second.last_steady_ms - kMinGapMs ||
+                         stringField(fields, "event") == "started";
+  if (added || restarted) clock->second.offset_ms = fields["wall_ms"].get<double>() - steady;
+  clock->second.last_steady_ms = steady;
+  lines_.push_back({steady + clock->second.offset_ms, node, fields});
 }
 
-Trace TraceReader::about(const std::string& id) const {
+Trace TraceReader::linesFor(const std::string& id) const {
   std::set<std::string> jobs;
   for (const TraceLine& line : lines_) {
-    if (textOf(line.fields, "item") == id) jobs.insert(textOf(line.fields, "batch"));
+    if (stringField(line.fields, "item") == id) jobs.insert(stringField(line.fields, "batch"));
   }
   Trace trace;
-  trace.foreign = foreign_;
+  trace.skipped_lines = skipped_lines_;
   for (const TraceLine& line : lines_) {
-    const std::string batch = textOf(line.fields, "batch");
-    const bool named =
-        textOf(line.fields, "request") == id || textOf(line.fields, "item") == id || batch == id;
+    const std::string batch = stringField(line.fields, "batch");
+    const bool named = stringField(line.fields, "request") == id ||
+                       stringField(line.fields, "item") == id || batch == id;
     const bool of_its_job =
-        jobs.contains(batch) && kJobEvents.contains(textOf(line.fields, "event"));
+        jobs.contains(batch) && kJobWideEvents.contains(stringField(line.fields, "event"));
     if (named || of_its_job) trace.lines.push_back(line);
   }
   std::stable_sort(
@@ -74,7 +75,7 @@
 }
 
 Trace TraceReader::all() const {
-  Trace trace{lines_, foreign_};
+  Trace trace{lines_, skipped_lines_};
   std::stable_sort(
       trace.lines.begin(), trace.lines.end(),
       [](const TraceLine& one, const TraceLine& other) { return one.time_ms < other.time_ms; });
@@ -87,14 +88,14 @@
   const double first = before;
   for (const TraceLine& line : trace.lines) {
     char stamp[48];
-    if (line.time_ms - before > kGapMs) {
+    if (line.time_ms - before > kMinGapMs) {
       std::snprintf(stamp, sizeof(stamp), "    ... %.0f ms without a line\n",
                     line.time_ms - before);
       text += stamp;
     }
     std::snprintf(stamp, sizeof(stamp), "%+10.0f ms  ", line.time_ms - first);
-    text +=
-        stamp + line.node + "  " + textOf(line.fields, "part") + "." + textOf(line.fields, "event");
+    text += stamp + line.node + "  " + stringField(line.fields, "part") + "." +
+            stringField(line.fields, "event");
     for (const auto& [name, value] : line.fields.items()) {
       if (kCommonFields.contains(name)) continue;
       text += " " + name + "=" + (value.is_string() ? value.get<std::string>() : value.dump());
@@ -102,8 +103,8 @@
     text += "\n";
     before = line.time_ms;
   }
-  if (trace.foreign > 0) {
-    text += "(" + std::to_string(trace.foreign) + " foreign or cut lines left out)\n";
+  if (trace.skipped_lines > 0) {
+    text += "(" + std::to_string(trace.skipped_lines) + " foreign or cut lines left out)\n";
   }
   return text;
 }
@@ -115,7 +116,7 @@
     fields["time_ms"] = line.time_ms;
     lines.push_back(std::move(fields));
   }
-  return json{{"lines", lines}, {"foreign", trace.foreign}}.dump(2);
+  return json{{"lines", lines}, {"foreign", trace.skipped_lines}}.dump(2);
 }
 
 }  // namespace linenpier::logging
--- a/src/gateway/trace/trace_reader.h
+++ b/src/gateway/trace/trace_reader.h
@@ -20,8 +20,8 @@
 };
 
 struct Trace {
-  std::vector<TraceLine> lines;  ///< In order of time.
-  std::size_t foreign = 0;       ///< Lines that are no log lines of this product, or are cut.
+  std::vector<TraceLine> lines;   ///< In order of time.
+  std::size_t skipped_lines = 0;  ///< Lines that are no log lines of this product, or are cut.
 };
 
 /// Collects lines, then picks those about one id.
@@ -30,7 +30,7 @@
   /// Reads lines; whatever stands before the first brace of a line is skipped.
   void read(std::istream& input);
   /// @param id of a request, an item or a batch job. For an item, what befell its job is included.
-  Trace about(const std::string& id) const;
+  Trace linesFor(const std::string& id) const;
   /// @return every line.
   Trace all() const;
 
@@ -38,13 +38,13 @@
   void readLine(const std::string& line);
 
   /// One life of a daemon, as its steady clock shows it.
-  struct Life {
+  struct NodeClock {
     double offset_ms = 0;  ///< Wall time less steady time at its first line.
     double last_steady_ms = 0;
   };
-  std::map<std::string, Life> lives_;
+  std::map<std::string, NodeClock> clocks_;
   std::vector<TraceLine> lines_;
-  std::size_t foreign_ = 0;
+  std::size_t skipped_lines_ = 0;
 };
 
 /// @return the trace as text, a line an event, with gaps marked.
--- a/tests/gateway/trace/step_table_test.cpp
+++ b/tests/gateway/trace/step_table_test.cpp
@@ -14,17 +14,17 @@
          "\",\"part\":\"batch\"," + more + "}\n";
 }
 
-std::vector<logging::step_times> stepsOf(const std::string& log) {
+std::vector<logging::step_timeline> collectSteps(const std::string& log) {
   std::istringstream input(log);
   logging::TraceReader reader;
   reader.read(input);
-  return logging::stepsOf(reader.all());
+  return logging::collectSteps(reader.all());
 }
 
 }  // namespace
 
 Test(step_table, a_step_is_followed_from_hand_in_to_the_next_version) {
-  const auto steps = stepsOf(
+  const auto steps = collectSteps(
       line("a", 1000, R"("event":"submitted","batch":"j","outcome":"accepted","took_ms":50)") +
       line("b", 1010, R"("event":"job_active","batch":"j","model":"m","step":4)") +
       line("b", 1100, R"("event":"first_event","batch":"j")") +
@@ -36,27 +36,27 @@
       line("a", 4600, R"("event":"named","model":"m","version":5)") +
       line("a", 5200, R"("event":"order_answered","model":"m","version":5,"outcome":"under_way")"));
   cr_assert_eq(steps.size(), 1U);
-  const logging::step_times& step = steps[0];
+  const logging::step_timeline& step = steps[0];
   cr_assert_eq(step.model, "m");
   cr_assert_eq(step.owner, "b");
   cr_assert_eq(*step.step, 4);
-  cr_assert_eq(*step.handed_in, 950);
+  cr_assert_eq(*step.submitted, 950);
   cr_assert_eq(*step.accepted, 1000);
   cr_assert_eq(*step.first_event, 1100);
-  cr_assert_eq(*step.whole, 4000);
-  cr_assert_eq(*step.listed, 4020);
-  cr_assert_eq(*step.read, 4030, "reads before the step was listed do not count");
+  cr_assert_eq(*step.complete, 4000);
+  cr_assert_eq(*step.published, 4020);
+  cr_assert_eq(*step.first_read, 4030, "reads before the step was listed do not count");
   cr_assert_eq(*step.ended, 4060);
-  cr_assert_eq(*step.next_named, 4600);
-  cr_assert_eq(*step.engines_ready, 5200);
+  cr_assert_eq(*step.next_version, 4600);
+  cr_assert_eq(*step.engines_updated, 5200);
 }
 
 Test(step_table, what_no_line_tells_is_left_open) {
-  const auto steps = stepsOf(
+  const auto steps = collectSteps(
       line("a", 1000, R"("event":"submitted","batch":"j","outcome":"store_away","took_ms":1)"));
   cr_assert_eq(steps.size(), 1U);
   cr_assert_not(steps[0].accepted.has_value());
-  cr_assert_not(steps[0].whole.has_value());
-  const std::string table = logging::toTable(steps, 0);
+  cr_assert_not(steps[0].complete.has_value());
+  const std::string table = logging::formatSteps(steps, 0);
   cr_assert(table.find(" - ") != std::string::npos);
 }
--- a/tests/gateway/trace/trace_reader_test.cpp
+++ b/tests/gateway/trace/trace_reader_test.cpp
@@ -19,7 +19,7 @@
   std::istringstream input(log);
   logging::TraceReader reader;
   reader.read(input);
-  return reader.about(id);
+  return reader.linesFor(id);
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
                                  line("a", 1, 1, R"("event":"x","request":"r")"),
                              "r");
   cr_assert_eq(trace.lines.size(), 1U);
-  cr_assert_eq(trace.foreign, 4U);
+  cr_assert_eq(trace.skipped_lines, 4U);
   cr_assert(logging::toText(trace).find("4 foreign") != std::string::npos);
 }
 
