--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// linenpier-gateway: the daemon on the users' platform, the same on every machine.
+/// linenpier-gateway: the gateway daemon for the users' platform.
 
 #include <docopt/docopt.h>
 
@@ -26,11 +26,10 @@
   linenpier-gateway --help
 
 Options:
-  --settings FILE  Settings file (TOML). Without it, LINENPIER_SETTINGS names the file.
+  --settings FILE  Settings file (TOML); if absent, the file named by LINENPIER_SETTINGS.
   --check          Check the settings and exit.
 
-Exit codes: 0 stopped as planned or settings are right, 2 settings are wrong, 3 an address could
-not be bound.
+Exit codes: 0 clean shutdown or valid settings, 2 invalid settings, 3 an address could not be bound.
 )";
 
 constexpr int kExitBadSettings = 2;
@@ -81,7 +80,7 @@
   awaitReload();
   loop.run();
   logging::stopEventLog();
-  // Tasks that are still waiting hold references to the parts above; the process just ends.
+  // Suspended tasks hold references to the objects above, so skip their destructors.
   std::_Exit(0);
 }
 
--- a/apps/linenpier_load.cpp
+++ b/apps/linenpier_load.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// linenpier-load: callers and trainers as a scenario file describes them, measured and checked.
+/// linenpier-load: runs the load of a scenario file and checks the responses.
 
 #include <docopt/docopt.h>
 #include <unistd.h>
@@ -17,7 +17,7 @@
 using namespace linenpier;
 
 constexpr char kUsage[] =
-    R"(linenpier-load: runs callers and trainers against daemons and checks what they saw.
+    R"(linenpier-load: runs callers and trainers against daemons and checks the responses.
 
 Usage:
   linenpier-load run SCENARIO [--json FILE] [--seed N] [--duration S]
@@ -28,7 +28,7 @@
   --seed N      Overrides the scenario's seed.
   --duration S  Overrides the scenario's duration in seconds.
 
-Exit codes: 0 no promise was seen broken, 1 one was, 2 the scenario is wrong.
+Exit codes: 0 no violation, 1 a violation was found, 2 the scenario is invalid.
 )";
 
 load::RunResult runScenario(const load::Scenario& scenario) {
--- a/apps/linenpier_platform.cpp
+++ b/apps/linenpier_platform.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// linenpier-platform: the stand-in for the platform, for demonstrations and tests.
+/// linenpier-platform: simulated platform for demonstrations and tests.
 
 #include <docopt/docopt.h>
 
@@ -15,18 +15,18 @@
 using namespace linenpier;
 
 constexpr char kUsage[] =
-    R"(linenpier-platform: a small stand-in for engines, stores and machine list.
+    R"(linenpier-platform: simulates engines, stores and the machine list of a platform.
 
 Usage:
   linenpier-platform --settings FILE [--seed N] [--log LEVEL]
   linenpier-platform --help
 
 Options:
-  --settings FILE  What to play (TOML).
-  --seed N         Seed of all randomness [default: 1].
+  --settings FILE  Simulated topology (TOML).
+  --seed N         Random seed [default: 1].
   --log LEVEL      trace, debug, info, warning or error [default: info].
 
-Exit codes: 0 stopped as planned, 2 settings are wrong, 3 an address could not be bound.
+Exit codes: 0 clean shutdown, 2 invalid settings, 3 an address could not be bound.
 )";
 
 volatile std::sig_atomic_t stop_signal = 0;
--- a/apps/linenpier_soak.cpp
+++ b/apps/linenpier_soak.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// linenpier-soak: the world around the gateways of a soak. `scripts/soak` starts it and them.
+/// linenpier-soak: simulated platform, fault proxies, load and checker of a soak test.
+/// `scripts/soak` starts it together with the gateways.
 
 #include <docopt/docopt.h>
 
@@ -10,19 +11,19 @@
 namespace {
 
 constexpr char kUsage[] =
-    R"(linenpier-soak: stand-ins, proxies, a caller, a trainer and the checker of a soak.
+    R"(linenpier-soak: runs the simulated platform, fault proxies, load and checker of a soak test.
 
 Usage:
   linenpier-soak --directory DIR [--seed N] [--seconds N] [--break PROMISE]
   linenpier-soak --help
 
 Options:
-  --directory DIR  Where the gateways' settings are written.
-  --seed N         Of the faults [default: 1].
-  --seconds N      With faults; some 15 more follow without [default: 20].
-  --break PROMISE  Breaks one on purpose: answer, refusal, text, job or ends.
+  --directory DIR  Output directory for the gateways' settings.
+  --seed N         Seed of the faults [default: 1].
+  --seconds N      Seconds with faults; about 15 without faults follow [default: 20].
+  --break PROMISE  Violate a guarantee to test the checker: answer, refusal, text, job or ends.
 
-Writes "signal NAME INDEX" for each signal that a gateway's process is to be sent.
+Prints "signal NAME INDEX" for each signal to send to a gateway process.
 Exit codes: 0 no violation, 1 a violation was found.
 )";
 
@@ -41,6 +42,6 @@
   soak::soak_run run(loop, options, std::cout);
   run.start();
   loop.run();
-  // Tasks that are still waiting hold references to the parts; the process just ends.
+  // Suspended tasks hold references to local objects, so skip their destructors.
   std::_Exit(run.violations() == 0 ? 0 : 1);
 }
--- a/apps/linenpierctl.cpp
+++ b/apps/linenpierctl.cpp
@@ -21,7 +21,7 @@
 using nlohmann::json;
 
 constexpr char kUsage[] =
-    R"(linenpierctl: edits templates and tenant parameters, and looks at daemons.
+    R"(linenpierctl: edits templates and tenant parameters, and inspects daemons.
 
 Usage:
   linenpierctl [options] (template|tenant) list
@@ -36,16 +36,17 @@
 
 Options:
   --daemon ADDRESS  Any daemon's HTTP address [default: 127.0.0.1:7100].
-  --key KEY         Operator key; otherwise the environment's LINENPIER_OPERATOR_KEY.
-  --from REVISION   The item's revision that the edit was made from; 0 for a new one [default: 0].
+  --key KEY         Operator key; if absent, LINENPIER_OPERATOR_KEY of the environment.
+  --from REVISION   Item revision that the edit is based on; 0 for a new item [default: 0].
   --json            Print JSON.
 
-trace reads log files (or standard input) of many daemons and prints the way of one request, item or
-batch job in time order. steps prints a line for each batch job: when it was handed in, accepted,
-begun, whole, listed, read and ended, in seconds. Neither asks a daemon.
+trace merges log files (or standard input) of many daemons and prints the events of one request,
+item or batch job in time order. steps prints one line per batch job with the times, in seconds, at
+which it was submitted, accepted, started, complete, listed, read and ended. Neither contacts a
+daemon.
 
-Exit codes: 0 done, 1 refused (the daemon says why), 2 the file or arguments are wrong, 3 the daemon
-does not answer, 4 the edit conflicts with another one, 5 the outcome is unknown.
+Exit codes: 0 success, 1 rejected by the daemon, 2 invalid file or arguments, 3 no response from the
+daemon, 4 conflict with another edit, 5 outcome unknown.
 )";
 
 constexpr int kExitRefused = 1;
@@ -57,7 +58,7 @@
 using Arguments = std::map<std::string, docopt::value>;
 
 struct Reply {
-  int status = 0;  ///< 0: no answer.
+  int status = 0;  ///< 0 if there was no response.
   json body;
 };
 
@@ -120,10 +121,12 @@
     return;
   }
   if (reply.status == 0) {
-    std::cerr << "The daemon does not answer.\n";
+    std::cerr << "No response from the daemon.\n";
   } else if (reply.status != 200) {
     const json error = reply.body.is_object() ? reply.body.value("error", json::object()) : json();
-    std::cerr << (error.is_object() ? error.value("message", "Refused.") : "Refused.") << "\n";
+    std::cerr << (error.is_object() ? error.value("message", "Request rejected.")
+                                    : "Request rejected.")
+              << "\n";
     if (reply.body.contains("current") && reply.body["current"].is_object()) {
       printItem(reply.body["current"]);
     }
@@ -142,7 +145,8 @@
   }
 }
 
-/// @return findings of a settings, template or tenant file, whichever it is.
+/// Validates a settings, template or tenant file.
+/// @return the exit code.
 int checkFile(const std::string& file) {
   const auto text = settings::readFile(file);
   if (!text) {
@@ -165,19 +169,19 @@
     }
   }
   std::cerr << describe(findings);
-  if (findings.empty()) std::cout << file << " is right.\n";
+  if (findings.empty()) std::cout << file << " is valid.\n";
   return findings.empty() ? 0 : kExitWrong;
 }
 
-/// Reads the log files that the command names, or standard input.
-/// @return whether all could be read.
+/// Reads the given log files, or standard input.
+/// @return whether all files could be read.
 bool readLogs(Arguments& arguments, logging::TraceReader& reader) {
   const std::vector<std::string> files = arguments["FILE"].asStringList();
   if (files.empty()) reader.read(std::cin);
   for (const std::string& file : files) {
     std::ifstream input(file);
     if (!input) {
-      std::cerr << file << " cannot be read.\n";
+      std::cerr << file << ": cannot open file\n";
       return false;
     }
     reader.read(input);
@@ -185,7 +189,7 @@
   return true;
 }
 
-/// Prints the way of a trainer's steps through the logs of many daemons.
+/// Prints the timeline of all training steps in the logs.
 int steps(Arguments& arguments) {
   logging::TraceReader reader;
   if (!readLogs(arguments, reader)) return kExitWrong;
@@ -195,7 +199,7 @@
   return 0;
 }
 
-/// Prints the way of one id through the logs of many daemons.
+/// Prints the trace of one id from the logs.
 int trace(Arguments& arguments) {
   logging::TraceReader reader;
   if (!readLogs(arguments, reader)) return kExitWrong;
@@ -204,7 +208,7 @@
   return found.lines.empty() ? kExitRefused : 0;
 }
 
-/// @return the one file that the command names; docopt gives a list since another command takes it.
+/// @return the FILE argument; docopt parses it as a list, since `trace` takes several.
 std::string fileArgument(Arguments& arguments) {
   return arguments["FILE"].asStringList().at(0);
 }
@@ -215,7 +219,7 @@
   if (arguments["check"].asBool()) return checkFile(fileArgument(arguments));
   const auto address = parseAddress(arguments["--daemon"].asString());
   if (!address) {
-    std::cerr << "--daemon must be an IP number and a port.\n";
+    std::cerr << "--daemon must be an IP address and port.\n";
     return kExitWrong;
   }
   const char* from_environment = std::getenv("LINENPIER_OPERATOR_KEY");
--- a/apps/linenpierd.cpp
+++ b/apps/linenpierd.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// linenpierd: the one daemon, the same on every machine.
+/// linenpierd: the daemon for the product's own platform.
 
 #include <docopt/docopt.h>
 
@@ -29,14 +29,13 @@
   --set KEY=VALUE  Override one setting, such as daemon.zone=hall-patan.
   --check          Check the settings and exit.
 
-Exit codes: 0 stopped as planned or settings are right, 2 settings are wrong, 3 an address could
-not be bound.
+Exit codes: 0 clean shutdown or valid settings, 2 invalid settings, 3 an address could not be bound.
 )";
 
 constexpr int kExitBadSettings = 2;
 constexpr int kExitCannotBind = 3;
 constexpr auto kPollInterval = std::chrono::milliseconds(200);
-/// Others are told before the last stream may end.
+/// Time for other daemons to learn of the shutdown before the last stream may end.
 constexpr auto kDeregistrationDelay = std::chrono::milliseconds(500);
 
 volatile std::sig_atomic_t stop_signal = 0;
@@ -75,7 +74,7 @@
           std::make_shared<platform::HttpPlatformDirectory>(service)};
 }
 
-/// Waits for a stop signal, then until open requests and samples have ended or the limit passes.
+/// Waits for a stop signal, then for open requests and samples up to the drain limit.
 void serveUntilStopped(daemon::Daemon& daemon, const settings::DaemonSettings& settings,
                        std::atomic<bool>& ready, std::atomic<bool>& stopping,
                        const std::atomic<std::uint32_t>& open_requests) {
@@ -87,7 +86,7 @@
     ready = now_ready;
     std::this_thread::sleep_for(kPollInterval);
   }
-  LINENPIER_LOG(info, "daemon") << "Stopping; open requests are finished first.";
+  LINENPIER_LOG(info, "daemon") << "Shutting down; waiting for open requests.";
   stopping = true;
   daemon.beginStop();
   std::this_thread::sleep_for(kDeregistrationDelay);
@@ -106,7 +105,7 @@
   const daemon::Services services = connect(settings);
   daemon::Daemon daemon(settings, services, [&metrics](wire::FrameError error) {
     metrics.countRefusedFrame(wire::frameErrorName(error));
-    LINENPIER_LOG(warning, "wire") << "Frame refused: " << wire::frameErrorName(error) << ".";
+    LINENPIER_LOG(warning, "wire") << "Rejected frame: " << wire::frameErrorName(error) << ".";
   });
   if (const auto started = daemon.start(); !started) {
     std::cerr << describe(started.error());
@@ -137,7 +136,7 @@
     return kExitBadSettings;
   }
   if (arguments["--check"].asBool()) {
-    std::cout << "Settings are right.\n";
+    std::cout << "Settings are valid.\n";
     return 0;
   }
   setUpLogging(settings->log_level);
--- a/src/gateway/metrics/gateway_metrics.h
+++ b/src/gateway/metrics/gateway_metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The gateway's metrics in Prometheus text. Names and meanings stand in docs/OPERATIONS.md.
+/// The gateway's metrics in the Prometheus text format, described in docs/OPERATIONS.md.
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -16,20 +16,20 @@
 
 namespace linenpier::metrics {
 
-/// Engines of a service that started lately.
+/// Recently started engines of one service.
 struct ColdEngines {
   std::size_t count = 0;
-  std::size_t sent = 0;      ///< Requests of this daemon to them within the last window.
-  std::size_t max_sent = 0;  ///< The most to one of them.
+  std::size_t sent = 0;      ///< Requests from this daemon to them in the last window.
+  std::size_t max_sent = 0;  ///< Maximum per engine.
 };
 
-/// State at the moment of a scrape.
+/// State at the time of a scrape.
 struct GatewayState {
   std::uint64_t config_version = 0;
   std::map<std::string, bool> feeds_healthy;       ///< By table.
   std::map<std::string, double> feed_age_seconds;  ///< Seconds since the store's last answer.
   std::map<std::string, std::map<std::string, int>> engines;  ///< By service, by state.
-  std::map<std::string, ColdEngines> cold_engines;  ///< By service; of those that are bounded.
+  std::map<std::string, ColdEngines> cold_engines;  ///< By service; only services with a limit.
   std::uint64_t cold_refusals = 0;
   std::size_t suspects_known = 0;
   std::size_t suspects_blocked = 0;
@@ -53,9 +53,10 @@
   std::uint64_t usage_requests_counted = 0;
   std::uint64_t usage_requests_late = 0;
   std::uint64_t usage_windows_reported = 0;
-  /// Engines of services whose number is ordered, listed and not draining: by service, zone, kind.
+  /// Active engines of scaled services, by service, zone and kind.
   std::map<std::array<std::string, 3>, std::size_t> engines_present;
-  /// The last orders for them, by the same; empty unless this daemon decides.
+  /// Last ordered number of engines, by the same keys; empty unless this daemon holds the scaling
+  /// lock.
   std::map<std::array<std::string, 3>, std::size_t> engines_ordered;
   std::uint64_t scaling_orders_sent = 0;
   std::uint64_t scaling_orders_refused = 0;
@@ -80,15 +81,15 @@
  public:
   GatewayMetrics();
 
-  /// @param kind of route, such as "idempotent".
+  /// @param kind kind of the route, such as "idempotent".
   void onRequestEnded(const std::string& kind, const std::string& service,
                       const std::string& outcome, int attempts, Duration took);
   void onAttemptEnded(const std::string& service, const std::string& verdict);
-  /// @param reason such as "unknown".
+  /// @param reason why the key was refused, such as "unknown".
   void onKeyRefused(const std::string& reason);
-  /// @param call such as "write", "read", "watch".
+  /// @param call kind of call, such as "write", "read" or "watch".
   void onStoreCall(const std::string& call, const std::string& result, Duration took);
-  /// @return the text of all metrics.
+  /// @return all metrics in text format.
   std::string render(const GatewayState& state);
 
  private:
--- a/src/gateway/service/closed_zones_monitor.h
+++ b/src/gateway/service/closed_zones_monitor.h
@@ -1,10 +1,9 @@
 #pragma once
 
 /** @file
- * Applies the operator's closings of zones: the engines of a closed zone are sent nothing new from
- * the moment at which the closing is known. Owns which zones are closed, and as of which revision
- * of the operator's table; relies on the registry of engines, which no longer admits requests
- * there. Told by the feed of the operator's table, or by a peer while that feed is lost.
+ * Applies the operator's zone closures: once a closure is known, engines in that zone get no new
+ * requests. Holds the set of closed zones and the revision of the operator table it reflects.
+ * Updated from the operator feed, or from a peer while that feed is down.
  */
 
 #include <functional>
@@ -18,12 +17,13 @@
 /** Loop thread only. */
 class closed_zones_monitor {
  public:
-  /** @param count_runs counts the runs of batch items in a zone, for the log. */
+  /** @param count_runs returns the number of batch items running in a zone; used for logging only.
+   */
   closed_zones_monitor(engines::engine_registry& registry,
                        std::function<std::size_t(const ZoneName&)> count_runs)
       : registry_(registry), count_runs_(std::move(count_runs)) {}
 
-  /** All closed zones as of a revision of the operator's table.
+  /** Replaces the set of closed zones by that of a table revision.
    * @param source "store" or "peer", for the log.
    */
   void onSnapshot(Revision revision, const std::map<ZoneName, Revision>& closed,
@@ -31,9 +31,9 @@
   void onZoneClosed(const ZoneName& zone, Revision revision);
   void onZoneOpened(const ZoneName& zone, Revision revision);
 
-  /** @return the revision of the operator's table that the closed zones are as of. */
+  /** @return the operator table revision that the set reflects. */
   Revision revision() const { return this->closings_.revision(); }
-  /** @return the closed zones, with the revision of the row that closed each. */
+  /** @return the closed zones, each with the revision of the row that closed it. */
   fleet::closed_zones closed() const { return this->closings_.zones(); }
 
  private:
--- a/src/gateway/service/cold_engines_monitor.cpp
+++ b/src/gateway/service/cold_engines_monitor.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Lines a second about engines that requests were kept from; the rest is only counted. */
+/** Log lines per report on engines with refused requests; each line gives the total. */
 constexpr std::size_t kMaxRefusalLines = 5;
 
 }  // namespace
@@ -18,8 +18,7 @@
 void cold_engines_monitor::updateSenders(std::size_t owners_wanted, bool owns_work) {
   const std::size_t others = this->leases_.candidates(steadyNow()).size();
   engines::cold_senders senders;
-  // The pool of owners fills up to what is wanted, and new owners send before their leases are
-  // read.
+  // New owners may send before their leases are read here, so the target size is a lower bound.
   senders.count = std::max(others + 1, owners_wanted);
   senders.self = owns_work;
   if (senders == this->registry_.cold().senders()) return;
--- a/src/gateway/service/cold_engines_monitor.h
+++ b/src/gateway/service/cold_engines_monitor.h
@@ -1,10 +1,9 @@
 #pragma once
 
 /** @file
- * Keeps the budget of cold engines informed and reports on it: how many gateways may send to them,
- * which engines turned cold or warm, and which requests they were kept from. Owns no state; relies
- * on the registry's budget, on the leases that tell which gateways live, and on the feed of
- * engines.
+ * Updates the cold-engine budget with the number of gateways that may send to recently started
+ * engines, logs which engines became cold or warm and which requests were kept from them, and
+ * exports metrics. Stateless: the state is in the registry's budget and in the lease table.
  */
 
 #include <cstddef>
@@ -23,13 +22,13 @@
   cold_engines_monitor(engines::engine_registry& registry, const lease::lease_table& leases)
       : registry_(registry), leases_(leases) {}
 
-  /** Tells the budget which gateways may send to cold engines.
-   * @param owners_wanted gateways that are to offer to own work.
-   * @param owns_work whether this gateway owns work or offers to.
+  /** Updates the number of gateways that share the cold-engine budget.
+   * @param owners_wanted target number of gateways that own work.
+   * @param owns_work whether this gateway owns work or is a candidate for it.
    */
   void updateSenders(std::size_t owners_wanted, bool owns_work);
-  /** Logs what changed since the last call.
-   * @param feed of the engines: what it last answered bounds how old a known start may be.
+  /** Logs changes since the last call.
+   * @param feed engine feed; the time of its last answer bounds the age of the known start times.
    */
   void report(Instant now, const table::TableWatcher& feed);
   void collectMetrics(metrics::GatewayState& state, Instant now) const;
--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/** Of one call of the feed. */
+/** Long-poll timeout of one watch call. */
 constexpr Duration kWatchTimeout = std::chrono::milliseconds(1500);
-/** Between two answers at a gateway that may be given a job, or where readers wait for results to
- * be published.
+/** Batching interval of changes at a gateway that may be assigned a job or has readers waiting for
+ * results.
  */
 constexpr Duration kActiveCoalesceInterval = std::chrono::milliseconds(20);
-/** Between two answers at any other. */
+/** Batching interval of changes at all other gateways. */
 constexpr Duration kIdleCoalesceInterval = std::chrono::milliseconds(80);
 
 }  // namespace
--- a/src/gateway/service/coordination_feed.h
+++ b/src/gateway/service/coordination_feed.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Follows the small table that all gateways watch whole: jobs, leader locks, suspect requests and
- * the clock of usage windows. Hands each row to the part whose row it is. Owns the feed alone.
+ * Watches the coordination table (jobs, leader locks, suspect requests and the clock of usage
+ * windows) and passes each row to the component that handles it.
  */
 
 #include <functional>
@@ -27,7 +27,7 @@
     suspects::suspect_service& suspects;
   };
   struct listener {
-    std::function<bool()> owns_work;  ///< Whether this gateway owns work or offers to.
+    std::function<bool()> owns_work;  ///< Whether this gateway owns work or is a candidate for it.
     std::function<void(bool healthy)> on_health;
     std::function<void(std::int64_t clock_ms)> on_store_clock;
   };
--- a/src/gateway/service/engine_change_log.h
+++ b/src/gateway/service/engine_change_log.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Which engines' entries changed lately, so that a daemon that does not reach the store is told
- * those alone and not a list of ten thousand each time that it asks. Pure.
+ * Bounded log of recently changed engine entries. A gateway that answers a peer without store
+ * access sends these instead of the full engine list.
  */
 
 #include <cstddef>
@@ -16,18 +16,20 @@
 
 class engine_change_log {
  public:
-  /** @param capacity changes that are kept: some ten seconds of a release that replaces a hundred
-   *     engines a second.
+  /** @param capacity number of changes kept; the default covers ten seconds of a rollout that
+   *     replaces a hundred engines per second.
    */
   explicit engine_change_log(std::size_t capacity = 2000) : capacity_(capacity) {}
 
-  /** All entries are known as of this revision; changes from there on are told here. */
+  /** Clears the log; it is complete for changes after this revision. */
   void reset(Revision revision);
-  /** An entry was written, removed or spoilt.
-   * @param revision 0: the feed did not say. It is told to whoever asks.
+  /** Records an entry that was written, removed or became unreadable.
+   * @param revision 0 if unknown; such a change is part of every answer.
    */
   void record(const EngineId& engine, Revision revision);
-  /** @return the engines whose entries changed after `since`; nothing if that is too long ago. */
+  /** @return the engines whose entries changed after `since`, or nothing if the log does not reach
+   *     back that far.
+   */
   std::optional<std::set<EngineId>> changedSince(Revision since) const;
 
  private:
@@ -37,7 +39,7 @@
   };
 
   std::size_t capacity_;
-  Revision complete_since_ = 0;  ///< All changes after this one are kept.
+  Revision complete_since_ = 0;  ///< The log holds all changes after this revision.
   std::deque<change> changes_;
 };
 
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -11,14 +11,13 @@
 
 namespace {
 
-/** Between two answers of the feed at a gateway that runs items or orders engines. */
+/** Batching interval of changes at a gateway that runs batch items or manages engine versions. */
 constexpr Duration kActiveCoalesceInterval = std::chrono::milliseconds(150);
-/** The same at one that only forwards requests. It must know within two seconds which engines are
- * draining, not each change of weights.
+/** Batching interval at a gateway that only forwards requests; short enough to learn of draining
+ * engines within two seconds.
  */
 constexpr Duration kIdleCoalesceInterval = std::chrono::milliseconds(500);
-/** Lines a second about single engines; a release of a large fleet changes a hundred each second.
- */
+/** Limits the log lines on single engines during large rollouts. */
 constexpr std::uint32_t kLogLinesPerSecond = 10;
 constexpr std::uint32_t kLogSampleInterval = 20;
 
@@ -105,8 +104,8 @@
     this->deps_.connections.forget(*before);
     LogEvent("engines", "restarted").text("engine", record.id.str()).number("start", record.start);
   }
-  // New engines and changes of weights have no line of their own: when a large fleet starts, each
-  // gateway reads of thousands.
+  // New engines and weight updates are only counted: a starting fleet produces thousands at every
+  // gateway.
   const bool begins_draining = record.draining && !was_draining;
   if (!begins_draining || !this->log_sampler_.admit(steadyNow())) {
     ++this->unlogged_changes_;
@@ -182,7 +181,7 @@
 }
 
 void engine_feed::applySnapshot(const PeerSnapshot& snapshot) {
-  // Changes since a revision that this gateway does not have yet would leave a gap.
+  // A delta that starts after the local revision would leave a gap.
   if (snapshot.engines_since && *snapshot.engines_since > this->revision()) return;
   if (!snapshot.engines_since) this->listed_ids_.clear();
   for (const table::Row& row : snapshot.engines) {
--- a/src/gateway/service/engine_feed.h
+++ b/src/gateway/service/engine_feed.h
@@ -1,10 +1,9 @@
 #pragma once
 
 /** @file
- * Follows the platform's table of engines and keeps the registry of engines as the table has it.
- * While the store is away the same rows come from peers, and peers are told from here. Owns the
- * feed of the table, and which entries changed lately; relies on the platform for the form of the
- * rows, on the registry, and on the pool of connections, which forgets engines that are gone.
+ * Watches the platform's engine table and applies it to the engine registry. While the store is
+ * unavailable, the rows come from peers; it also fills the snapshots for peers. Closes pooled
+ * connections to engines that are removed or restarted.
  */
 
 #include <functional>
@@ -28,28 +27,29 @@
     boost::asio::io_context& loop;
     PlatformPort& platform;
     engines::engine_registry& registry;
-    http::ConnectionPool& connections;  ///< To engines.
-    std::function<bool()> owns_work;    ///< Whether this gateway runs items or orders engines.
+    http::ConnectionPool& connections;  ///< Connections to engines.
+    /** Whether this gateway runs batch items or manages engine versions. */
+    std::function<bool()> owns_work;
     std::function<void()> on_store_reachable;
   };
 
   engine_feed(dependencies deps, std::uint64_t seed);
 
   void start() { this->watcher_.start(); }
-  /** @return whether the engines were read, from the store or from a peer. */
+  /** @return whether the engine list has been read from the store or a peer. */
   bool loaded() const { return this->loaded_; }
-  /** @return the revision of the table up to which this gateway knows the engines. */
+  /** @return the table revision that the registry reflects. */
   Revision revision() const;
   table::TableWatcher& watcher() { return this->watcher_; }
   const table::TableWatcher& watcher() const { return this->watcher_; }
 
   /** Adds the engines to a snapshot for a peer.
-   * @param known the revision that the peer has; 0: none.
+   * @param known the revision that the peer has; 0 if none.
    */
   void fillSnapshot(PeerSnapshot& snapshot, Revision known) const;
-  /** Takes over what a peer knows. */
+  /** Applies the engines of a peer's snapshot. */
   void applySnapshot(const PeerSnapshot& snapshot);
-  /** Logs how many changes went without a line of their own since the last call. */
+  /** Logs the number of changes since the last call that had no log line of their own. */
   void logSummary();
 
  private:
@@ -57,25 +57,29 @@
   static table::WatcherOptions watcherOptions(const engine_feed& feed, std::uint64_t seed);
 
   void onRow(const table::RowChange& change);
-  /** A row of the whole table, and its end. */
+  /** Handle one row and the end of a full read of the table. */
   void onFullReadRow(const table::Row& row);
   void onFullReadEnd(Revision revision);
-  /** Entries may have expired with the store away: forgets, a moment after the store's return, the
-   * engines whose entries did not come back.
+  /** Waits a grace period after a store outage, then removes the engines whose expired entries were
+   * not written again.
    */
   Task<void> removeLapsedEngines();
-  /** @return nothing if the row names no engine; an engine known under its key is dropped then. */
+  /** Parses a row. An engine whose row is invalid is taken out of use.
+   * @return nothing if the row is invalid.
+   */
   std::optional<engines::engine_record> parseRow(const table::Row& row);
   void applyRecord(const engines::engine_record& record, Revision revision);
-  /** The engine's entry was removed. @return its address, if it is out of use now. */
+  /** Handles the removal of an engine's entry.
+   * @return the engine's address if it is now out of use.
+   */
   std::optional<Address> removeEngine(const EngineId& id);
 
   dependencies deps_;
   engine_change_log changes_;
-  std::set<EngineId> listed_ids_;  ///< Of the read of the whole table that is under way.
+  std::set<EngineId> listed_ids_;  ///< Ids seen in the full read in progress.
   std::uint64_t unlogged_changes_ = 0;
   logging::SuccessSampler log_sampler_;
-  Revision peer_revision_ = 0;  ///< Of the newest that a peer told.
+  Revision peer_revision_ = 0;  ///< Of the last applied peer snapshot.
   bool loaded_ = false;
   table::TableWatcher watcher_;
 };
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -11,16 +11,13 @@
 namespace {
 
 constexpr Duration kSweepInterval = std::chrono::seconds(1);
-/** A line on changes of engines that have none of their own, each ten seconds. */
 constexpr std::uint64_t kSweepsPerSummary = 10;
-/** From the begin of a stop until the platform has seen that this gateway is not ready, and sends
- * no new clients.
- */
+/** Time for the platform's readiness probes to detect the shutdown and stop sending new clients. */
 constexpr Duration kDeregistrationDelay = std::chrono::milliseconds(3200);
-/** Before the stop limit, for the end itself. */
+/** Reserved for process exit within the shutdown timeout. */
 constexpr Duration kShutdownMargin = std::chrono::milliseconds(900);
 constexpr Duration kShutdownPollInterval = std::chrono::milliseconds(50);
-/** Bytes of a row that its key and encoding may take. */
+/** Reserved in a row for its key and encoding. */
 constexpr std::size_t kRowOverheadBytes = 1024;
 constexpr unsigned kOk = 200;
 constexpr unsigned kNotFound = 404;
@@ -38,7 +35,6 @@
   return options;
 }
 
-/** @return the seeds of the settings without this gateway. */
 std::vector<Address> seedPeersWithoutSelf(const GatewaySettings& settings) {
   std::vector<Address> others = settings.seed_peers;
   if (settings.peer_address) std::erase(others, *settings.peer_address);
@@ -223,8 +219,7 @@
 }
 
 bool Gateway::ready() const {
-  // The suspects: a gateway that does not know what earlier lives learned could crash engines with
-  // its first requests.
+  // Without the list of suspect requests, the first requests could crash engines again.
   return operator_feed_.routes() && engine_feed_.loaded() && suspects_.known() && !stopping_;
 }
 
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * One gateway process: puts the parts together, starts and stops them, and says when it is ready.
- * Owns the parts; what each of them decides stands in its own folder.
+ * Composition root of the gateway process: creates the components, starts and stops them, and
+ * reports readiness.
  */
 
 #include <memory>
@@ -32,38 +32,40 @@
 /** Loop thread only. */
 class Gateway {
  public:
-  /** @param engine_pool connections to engines, and to peers. */
+  /** @param engine_pool connection pool for engines and peers. */
   Gateway(boost::asio::io_context& loop, const GatewaySettings& settings, PlatformPort& platform,
           http::ConnectionPool& engine_pool, metrics::GatewayMetrics& metrics, std::uint64_t seed);
 
-  /** Listens and begins to follow the store. @return what is wrong, if anything. */
+  /** Opens the listening sockets and starts watching the store.
+   * @return findings if a required address cannot be bound.
+   */
   Findings start();
-  /** Takes over what may change while the process runs; the rest needs a restart and is logged. */
+  /** Applies the settings that can change at run time; logs whether others need a restart. */
   void applySettings(const GatewaySettings& changed);
-  /** Begins a planned stop; the loop ends when it is over. */
+  /** Starts a graceful shutdown; stops the event loop when done. */
   void stop();
 
-  /** @return whether requests may be sent here: the configuration, the engines and the suspect
-   *     requests are known, and no stop has begun.
+  /** @return whether the configuration, the engines and the suspect requests are loaded and no
+   *     shutdown has started.
    */
   bool ready() const;
   bool stopping() const { return this->stopping_; }
-  /** @return whether the store's leases and the coordination feed are answered. */
+  /** @return whether both the lease reads and the coordination feed succeed. */
   bool storeReachable() const { return this->leases_.storeHealthy(); }
   Address requestAddress() const { return this->request_server_.address(); }
   Address peerAddress() const { return this->peer_server_.address(); }
   Address metricsAddress() const { return this->metrics_server_.address(); }
 
  private:
-  /** Metrics and peers are worth less than service: without their addresses it goes on. */
+  /** Logs a failure to bind; the gateway serves requests without metrics or peers. */
   void listenForMetricsAndPeers();
   void onConfiguration(const routing::RouteTable& routes);
   void onLeasesRead(bool answered);
   void updateColdSenders();
-  /** @return whether this gateway owns jobs or a leader lock, or offers to. */
+  /** @return whether this gateway owns jobs or a leader lock, or is a candidate for them. */
   bool ownsWork() const;
   Task<void> handleReadiness(http::Request& request, http::ResponseWriter& writer);
-  /** @return how many requests the engine has, by its own account; nothing if it did not answer. */
+  /** @return the number of requests that the engine reports, or nothing if it does not answer. */
   Task<std::optional<std::uint32_t>> queryEngineLoad(EngineId engine, Address address);
   Task<void> maintenanceLoop();
   Task<void> shutDown();
@@ -74,8 +76,7 @@
   http::ConnectionPool& engine_pool_;
   engines::engine_registry registry_;
   routing::weighted_round_robin round_robin_;
-  lease::pool_demand owner_demand_ =
-      defaultOwnerDemand();  ///< Gateways that are to offer to own work.
+  lease::pool_demand owner_demand_ = defaultOwnerDemand();  ///< Target number of work owners.
   lease::lease_table leases_;
   lease::owner_pool owner_pool_;
   lease::lease_keeper keeper_;
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Between two holders, beyond what the platform asks for: clocks run at slightly different speeds.
+/// Added to the platform's lock handover pause for differences in clock rate.
 constexpr Duration kHandoverMargin = std::chrono::milliseconds(100);
-/// Readers' clocks and the hand-in lie a little before and behind the store's.
+/// Added to job retention for clock differences between readers, submitters and the store.
 constexpr Duration kJobRetentionMargin = std::chrono::seconds(30);
 
-/// The duty, in the list of the platform's, that allows to order a number of engines.
+/// Entry of `duties.names` that permits this gateway to order a number of engines.
 constexpr char kAutoscaleDuty[] = "autoscale";
 
 bool containsEntry(const std::string& text, const std::string& word) {
@@ -37,7 +37,7 @@
   return name == "retain" ? versions::LoadMode::kRetain : versions::LoadMode::kCancel;
 }
 
-/// @param text addresses, separated by commas; may be empty.
+/// @param text comma-separated addresses; may be empty.
 std::vector<Address> parseAddressList(const std::string& text, settings::TomlReader& reader) {
   std::vector<Address> seeds;
   std::istringstream list(text);
@@ -47,7 +47,7 @@
     if (address) {
       seeds.push_back(*address);
     } else {
-      reader.report("peers.seeds", "\"" + entry + "\" is no IP number and port");
+      reader.report("peers.seeds", "\"" + entry + "\" is not an IP address and port");
     }
   }
   return seeds;
--- a/src/gateway/service/metrics_exporter.h
+++ b/src/gateway/service/metrics_exporter.h
@@ -1,8 +1,7 @@
 #pragma once
 
 /** @file
- * The page of metrics: what the parts of the gateway count and hold at the moment of a scrape. Owns
- * nothing; reads the parts.
+ * Collects the state of the gateway's components at a scrape and renders it as metrics.
  */
 
 #include "gateway/batch/batch_service.h"
@@ -24,7 +23,6 @@
 /** Loop thread only. */
 class metrics_exporter {
  public:
-  /** Whatever the page tells of. */
   struct sources {
     const operator_feed& operators;
     const gateway::engine_feed& engine_feed;
@@ -51,9 +49,9 @@
   void collectFeeds(Instant now, metrics::GatewayState& state) const;
   void collectEngines(Instant now, metrics::GatewayState& state) const;
   void collectJobs(metrics::GatewayState& state) const;
-  /** What this gateway holds or does as a leader: its lease, orders to engines, usage. */
+  /** Lease, engine version orders and usage reporting. */
   void collectLeadership(Instant now, metrics::GatewayState& state) const;
-  /** How many engines there are and were ordered, of services that are scaled. */
+  /** Present and ordered engines of scaled services. */
   void collectScaling(metrics::GatewayState& state) const;
   void collectSuspects(Instant now, metrics::GatewayState& state) const;
 
--- a/src/gateway/service/operator_feed.h
+++ b/src/gateway/service/operator_feed.h
@@ -1,10 +1,8 @@
 #pragma once
 
 /** @file
- * Follows the operator's table: the configuration in force, the versions of weights that trainers
- * name, and the closed zones. While the store is away a peer tells the configuration and the zones.
- * Owns the feed of the table and the newest configuration; relies on the platform for the form of
- * the rows.
+ * Watches the operator's table: the configuration, the published weight versions and the closed
+ * zones. While the store is unavailable, configuration and closed zones come from a peer.
  */
 
 #include <functional>
@@ -18,7 +16,8 @@
 
 /** Loop thread only.
  *
- * Invariant: the configuration's version never goes back within a process's life, whoever told it.
+ * Invariant: the configuration version never decreases during the life of the process, whatever the
+ * source.
  */
 class operator_feed {
  public:
@@ -32,22 +31,22 @@
                 listener listener, std::uint64_t seed);
 
   void start() { this->watcher_.start(); }
-  /** @return the newest configuration seen in this life; empty before the first. */
+  /** @return the current configuration; null before the first. */
   const routing::RouteTablePtr& routes() const { return this->routes_; }
   /** @return 0 before the first configuration. */
   std::uint64_t configurationVersion() const { return this->routes_ ? this->routes_->version : 0; }
-  /** @return the configuration as the operator's row has it, with digests in place of keys. */
+  /** @return the text of the current configuration, with API keys replaced by their digests. */
   const std::string& configurationWithHashedKeys() const { return this->configuration_; }
-  /** @return whether this gateway follows the operator's changes, so that it may say that a route
-   * or a key does not exist.
+  /** @return whether the operator table is being watched successfully, so that an unknown route or
+   *     key can be reported as nonexistent.
    */
   bool authoritative() const { return this->routes_ && this->watcher_.healthy(); }
-  /** @return the revision of the operator's table that the closed zones are as of. */
+  /** @return the operator table revision that the closed zones reflect. */
   Revision zonesRevision() const;
   table::TableWatcher& watcher() { return this->watcher_; }
   const table::TableWatcher& watcher() const { return this->watcher_; }
 
-  /** Puts a configuration into force if it is newer than the one in force. */
+  /** Applies a configuration if its version is newer than the current one. */
   void onConfiguration(const std::string& value);
 
  private:
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -8,11 +8,9 @@
 
 using place = lease::pool_demand::place;
 
-/** Daemons that offer to own work beyond one a model: one for the right to order, one that can take
- * over at once.
- */
+/** Owners beyond one per model: one for the engine order lock, and one standby. */
 constexpr std::size_t kSpareOwners = 2;
-/** The same in each set of homes: one that can take over at once. */
+/** Standby owners per residency constraint. */
 constexpr std::size_t kSpareOwnersPerPlace = 1;
 
 std::size_t modelCount(const routing::RouteTable& table, const routing::Route& route) {
@@ -29,7 +27,7 @@
   return zones;
 }
 
-/** Adds what jobs under these homes need, unless another route's need as much there. */
+/** Adds a residency constraint, or raises the demand of an equal one. */
 void mergePlace(std::vector<place>& places, std::set<ZoneName> zones, std::size_t owners) {
   if (zones.empty()) return;
   const auto known = std::find_if(places.begin(), places.end(),
--- a/src/gateway/service/owner_demand.h
+++ b/src/gateway/service/owner_demand.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * How many daemons should offer to own work, and where, by what is configured. Pure.
+ * Computes from the configuration how many gateways should own work, and in which zones.
  */
 
 #include "gateway/fleet/fleet_layout.h"
@@ -10,13 +10,13 @@
 
 namespace linenpier::gateway {
 
-/** @return one daemon a model and some to spare; and for each set of homes that batch jobs are
- * bound to, one a model that is trained there and one that can take over.
+/** @return one owner per model plus spares and, for each data residency constraint on batch jobs,
+ *     one owner per model and one spare within the allowed zones.
  */
 lease::pool_demand computeOwnerDemand(const routing::RouteTable& table,
                                       const fleet::fleet_layout& layout);
 
-/** The same before there is a configuration. */
+/** @return the demand before a configuration is loaded. */
 lease::pool_demand defaultOwnerDemand();
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -14,22 +14,18 @@
 namespace {
 
 constexpr Duration kFetchInterval = std::chrono::milliseconds(300);
-/** Peers asked in one interval: a pool of owners and the seeds are through within a second, of the
- * few that a change of keys may take to be in force everywhere.
+/** Covers the owner pool and the seeds within a second, so that revoked keys are disabled in time.
  */
 constexpr std::size_t kPeersPerInterval = 3;
 constexpr Duration kFetchTimeout = std::chrono::milliseconds(300);
-/** Of a call that brings a list of all engines, as after a start: 4 MB for ten thousand engines,
- * half a second over the link of a small machine that others ask, too.
- */
+/** For a full engine list: 4 MB for ten thousand engines, fetched over a slow and shared link. */
 constexpr Duration kFullFetchTimeout = std::chrono::milliseconds(1500);
 constexpr Duration kWriteTimeout = std::chrono::milliseconds(400);
-/** A feed that was not answered for so long tells nothing, even if it counts as healthy: a feed
- * that works is answered within 2.7 s. A store that limits a gateway's calls refuses them without
- * being away.
+/** A feed without an answer for this long counts as down even if no call failed, as when the store
+ * rate-limits this gateway. A working feed is answered within 2.7 s.
  */
 constexpr Duration kFeedStaleAfter = std::chrono::milliseconds(2800);
-constexpr std::size_t kMaxWriteAttempts = 3;  ///< Peers that are asked to do one write.
+constexpr std::size_t kMaxWriteAttempts = 3;
 constexpr char kWritePath[] = "/write";
 constexpr unsigned kOk = 200;
 constexpr unsigned kBadRequest = 400;
@@ -39,7 +35,7 @@
   return feed.healthy() && steadyNow() - feed.lastAnswer() < kFeedStaleAfter;
 }
 
-/** Usage counts, clock samples and suspects only: neither a lock nor a lease stands on them. */
+/** Only usage counts, clock samples and suspects: no lock or lease depends on them. */
 bool isForwardable(const table::Put& put) {
   return put.key.starts_with(table::kUsageTable + "/" + table::kUsageRows) ||
          put.key.starts_with(table::kClockTable + "/") ||
@@ -131,7 +127,7 @@
                            isFresh(this->deps_.engines.watcher()) &&
                            isFresh(this->deps_.coordination) && this->deps_.suspects.known();
     if (all_known || this->deps_.stopping()) continue;
-    // One list of all engines at a time.
+    // Avoids fetching several full engine lists at once.
     if (!this->deps_.engines.loaded() && this->pending_fetches_ > 0) continue;
     const std::vector<Address> peers = this->peerAddresses();
     for (std::size_t i = 0; i < std::min(kPeersPerInterval, peers.size()); ++i) {
@@ -171,7 +167,7 @@
   operator_feed& operators = this->deps_.operators;
   engine_feed& engines = this->deps_.engines;
   const std::uint64_t version_before = operators.configurationVersion();
-  // Zones first: once there are routes and engines, requests may be sent.
+  // Zones first: requests may be sent as soon as routes and engines are known.
   if (snapshot.zones_revision > operators.zonesRevision()) {
     this->deps_.zones.onSnapshot(snapshot.zones_revision, snapshot.closed_zones, "peer");
   }
--- a/src/gateway/service/peer_exchange.h
+++ b/src/gateway/service/peer_exchange.h
@@ -1,11 +1,9 @@
 #pragma once
 
 /** @file
- * What gateways do for each other while one of them cannot reach the store. One that has lost a
- * feed asks a few peers for what is newer than what it acts on: configuration, closed zones,
- * engines and suspect requests. One that cannot write has a peer do it, for rows on which neither a
- * lease nor a leader lock stands. Owns which peers are asked; relies on the feeds, on the leases
- * (which name peers' addresses) and on the seeds of the settings.
+ * Peer-to-peer fallback during a store outage. A gateway whose feeds are down fetches newer state
+ * (configuration, closed zones, engines and suspect requests) from a few peers. A gateway that
+ * cannot write has a peer write rows that no lease or leader lock depends on.
  */
 
 #include <functional>
@@ -35,27 +33,29 @@
     closed_zones_monitor& zones;
     suspects::suspect_service& suspects;
     table::TableWatcher& coordination;
-    std::function<std::vector<Address>()> seeds;  ///< Of the settings, without this gateway.
+    std::function<std::vector<Address>()> seeds;  ///< Seed peers, without this gateway.
     std::function<bool()> stopping;
   };
 
   peer_exchange(dependencies deps, std::uint64_t seed) : deps_(std::move(deps)), random_(seed) {}
 
-  /** Begins to ask peers whenever a feed is lost. */
+  /** Starts fetching from peers whenever a feed is down. */
   void start();
-  /** Answers a call of a peer. */
+  /** Handles a request from a peer. */
   Task<void> handle(http::Request& request, http::ResponseWriter& writer);
-  /** Has peers do a write, one after the other. @return nothing if none did. */
+  /** Tries peers in turn until one performs the write.
+   * @return nothing if none did.
+   */
   Task<std::optional<table::TransactionAnswer>> writeViaPeer(table::Write write);
 
  private:
-  /** @param target of the call, which says what the asker knows. */
+  /** @param target request target with the revisions that the peer already has. */
   Task<void> sendSnapshot(const std::string& target, http::ResponseWriter& writer);
   Task<void> handlePeerWrite(http::Request& request, http::ResponseWriter& writer);
   Task<void> fetchLoop();
   Task<void> fetchSnapshot(Address peer);
   void applySnapshot(const PeerSnapshot& snapshot, const Address& peer);
-  /** @return gateways that may know what this one misses. */
+  /** @return peers from the leases and the seed list. */
   std::vector<Address> peerAddresses() const;
 
   dependencies deps_;
--- a/src/gateway/service/peer_rows.h
+++ b/src/gateway/service/peer_rows.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Rows of the store as daemons tell them to each other.
+ * JSON encoding of store rows in peer messages.
  */
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 namespace linenpier::gateway {
 
 nlohmann::json encodeRows(const std::vector<table::Row>& rows);
-/** Throws what the library throws if an entry is no row. */
+/** @throws nlohmann::json::exception if an entry is not a row. */
 std::vector<table::Row> decodeRows(const nlohmann::json& entries);
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/peer_snapshot.h
+++ b/src/gateway/service/peer_snapshot.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// What one daemon tells another that cannot reach the store: the configuration, the closed zones,
-/// the engines and the requests that end them, as the platform's rows have them.
+/// State that a gateway sends to a peer without store access: the configuration, the closed zones,
+/// the engines and the suspect requests, in the platform's row format.
 
 #include <map>
 #include <optional>
@@ -14,37 +14,37 @@
 
 namespace linenpier::gateway {
 
-/// Invariant: taken only by a daemon whose own feeds are lost, and only if it is newer than what
-/// that daemon acts on.
+/// Applied only by a gateway whose own feeds are down, and only where it is newer than the local
+/// state.
 struct PeerSnapshot {
   std::uint64_t config_version = 0;
-  /// As the operator's row has it, with digests in place of keys.
+  /// The operator's row, with API keys replaced by their digests.
   std::string configuration;
-  Revision zones_revision = 0;  ///< How much of the operator's table the closed zones are as of.
+  Revision zones_revision = 0;  ///< Operator table revision of `closed_zones`.
   std::map<ZoneName, Revision> closed_zones;
-  Revision engines_revision = 0;  ///< How much of the engine table it knows.
-  /// All engines; or, where `engines_since` is set, those whose entries were written after it.
+  Revision engines_revision = 0;  ///< Engine table revision of `engines`.
+  /// All engines or, if `engines_since` is set, those written after that revision.
   std::vector<table::Row> engines;
-  /// Not told: `engines` is the whole list.
+  /// Empty if `engines` is the full list.
   std::optional<Revision> engines_since;
-  std::vector<std::string> removed_engines;  ///< Ids of engines whose entries went after that.
-  std::vector<table::Row> suspects;          ///< Requests under which engines ended.
+  std::vector<std::string> removed_engines;  ///< Ids of engines removed after `engines_since`.
+  std::vector<table::Row> suspects;          ///< Requests suspected of crashing engines.
 };
 
-/// What an asker knows; 0: nothing.
+/// Revisions that the requesting peer already has; 0 if none.
 struct KnownRevisions {
   std::uint64_t config_version = 0;
   Revision engines_revision = 0;
 };
 
-/// @return the target of a call that asks for what is newer. Daemons that do not look for it answer
-///     with all they know.
+/// @return the request target that asks for newer state. Gateways of earlier versions ignore the
+///     parameters and send everything.
 std::string snapshotTarget(const KnownRevisions& known);
-/// @return nothing known, if the target does not tell.
+/// @return zero revisions if the target does not give them.
 KnownRevisions parseSnapshotTarget(const std::string& target);
 
 std::string encodeSnapshot(const PeerSnapshot& snapshot);
-/// @return nothing if the text is no snapshot.
+/// @return nothing if the text is not a valid snapshot.
 std::optional<PeerSnapshot> decodeSnapshot(const std::string& text);
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/peer_write.h
+++ b/src/gateway/service/peer_write.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * A write that one daemon does for another, which does not reach the store, as text.
+ * JSON encoding of store writes that a peer performs for a gateway without store access.
  */
 
 #include <optional>
@@ -12,11 +12,11 @@
 namespace linenpier::gateway {
 
 std::string encodeWrite(const table::Write& write);
-/** @return nothing if the text is no write. */
+/** @return nothing if the text is not a valid write. */
 std::optional<table::Write> decodeWrite(const std::string& text);
 
 std::string encodeAnswer(const table::TransactionAnswer& answer);
-/** @return nothing if the text is no answer. */
+/** @return nothing if the text is not a valid answer. */
 std::optional<table::TransactionAnswer> decodeAnswer(const std::string& text);
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// What the gateway needs of the platform it runs on: names, formats and calls. Implemented in
-/// `platform/`; nothing here decides anything.
+/// Interface to the platform that the gateway runs on: names, formats and calls. Implemented in
+/// `platform/`; contains no decision logic.
 
 #include <memory>
 #include <optional>
@@ -20,7 +20,7 @@
 
 namespace linenpier::gateway {
 
-/// A call of those who hand in, read or end batch jobs.
+/// A client request that reads the results of a batch job or ends it.
 struct BatchCall {
   enum class Kind { kReadResults, kReadItem, kEnd };
   Kind kind = Kind::kReadResults;
@@ -30,7 +30,7 @@
   Duration max_wait{};
 };
 
-/// The newest weights of a model, as its trainer names them.
+/// The latest weight version of a model, as published by its trainer.
 struct PublishedVersion {
   ModelName model;
   WeightVersion version = 0;
@@ -48,31 +48,29 @@
   virtual usage::duty_port& duties() = 0;
   virtual scaling::scaling_port& scaling() = 0;
 
-  /// Tables that the platform and its operators write.
+  /// Tables written by the platform and its operators.
   virtual std::string operatorTable() const = 0;
   virtual std::string engineTable() const = 0;
 
-  /// @return whether the operator's row holds the configuration; its key without the table.
+  /// @param key row key without the table name.
   virtual bool isConfiguration(const std::string& key) const = 0;
   virtual tl::expected<routing::RouteTable, Findings> parseConfiguration(
       const std::string& value) const = 0;
-  /// @return a configuration that is parsed the same, and gives no tenant's key away.
+  /// @return an equivalent configuration with API keys replaced by their digests.
   virtual std::string hashApiKeys(const std::string& configuration) const = 0;
-  /// @return nothing if the operator's row is about something else.
+  /// @return nothing if the operator's row is of another kind or invalid.
   virtual std::optional<PublishedVersion> parsePublishedVersion(const std::string& key,
                                                                 const std::string& value) const = 0;
-  /// @return the zone whose engines are sent nothing while the operator's row is there; nothing if
-  ///     the row is about something else.
+  /// @return the zone that the operator's row closes, or nothing if the row is of another kind.
   virtual std::optional<ZoneName> parseClosedZone(const std::string& key) const = 0;
-  /// @return why the row names no engine, if it does not.
+  /// @return the engine, or the reasons why the row is invalid.
   virtual tl::expected<engines::engine_record, Findings> parseEngine(
       const std::string& key, const std::string& value) const = 0;
-  /// @return the value of a row that names the same engine, for daemons that do not reach the
-  /// store.
+  /// @return a row value that parses to the same engine, for peers without store access.
   virtual std::string encodeEngine(const engines::engine_record& engine) const = 0;
 
   virtual bool isReadinessProbe(const http::Request& request) const = 0;
-  /// @return nothing if the request is none of these calls.
+  /// @return nothing if the request is not a batch call.
   virtual std::optional<BatchCall> parseBatchCall(const http::Request& request) const = 0;
 };
 
--- a/src/gateway/service/request_dispatcher.cpp
+++ b/src/gateway/service/request_dispatcher.cpp
@@ -20,7 +20,8 @@
   const routing::RouteTablePtr routes = this->deps_.operators.routes();
   const std::string id = http::fieldText(request, this->deps_.platform.fieldNames().request_id);
   const tenants::caller from = routes ? tenants::identify(*routes, request) : tenants::caller{};
-  // Without a configuration it isn't known whether a job needs a key: its calls are refused below.
+  // Without a configuration it is unknown whether the job needs a key, so the call is rejected
+  // below.
   if (call && (routes || this->deps_.batches.isPublic(call->job))) {
     co_await this->handleBatchCall(*call, from, id, writer);
     co_return;
--- a/src/gateway/service/request_dispatcher.h
+++ b/src/gateway/service/request_dispatcher.h
@@ -1,10 +1,9 @@
 #pragma once
 
 /** @file
- * The way in of requests: finds a request's route and its caller, turns away whom it can't serve,
- * and hands the rest to the forwarder or to the batch service. Owns no state. A caller's key is
- * checked here, once, when the request arrives; neither an open stream nor a job that was accepted
- * is looked at again when the key is taken away later.
+ * Entry point of client requests: finds the route, authenticates the caller, rejects invalid
+ * requests, and passes the others to the forwarder or the batch service. A key is checked once, on
+ * arrival; revoking it does not affect open streams or accepted jobs.
  */
 
 #include "gateway/batch/batch_service.h"
@@ -29,20 +28,20 @@
 
   explicit request_dispatcher(const dependencies& deps) : deps_(deps) {}
 
-  /** Serves one request to its end.
-   * @param received when its head was whole; its deadline counts from there.
+  /** Handles one request until its response is complete.
+   * @param received when its header was complete; the request deadline counts from there.
    */
   Task<void> handle(http::Request& request, Instant received, http::ResponseWriter& writer);
 
  private:
   Task<void> handleBatchCall(const BatchCall& call, const tenants::caller& from,
                              const std::string& id, http::ResponseWriter& writer);
-  /** 401 to a caller without a known key; 503 while this gateway does not follow the operator's
-   * changes, since the key may be newer than what it knows.
+  /** Responds 401 to a caller without a valid key, or 503 while the operator feed is down, since
+   * the key may be newer than the local configuration.
    */
   Task<void> rejectCaller(const tenants::caller& from, const std::string& id,
                           http::ResponseWriter& writer);
-  /** 404, or 503 while this gateway does not follow the operator's changes. */
+  /** Responds 404, or 503 while the operator feed is down. */
   Task<void> rejectPath(const std::string& path, const std::string& id,
                         http::ResponseWriter& writer);
 
--- a/src/gateway/service/settings_watcher.h
+++ b/src/gateway/service/settings_watcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Follows the settings file of a running daemon. The platform changes it with a signal or without.
+ * Reloads the settings file of a running daemon when it changes or on request.
  */
 
 #include <filesystem>
@@ -13,26 +13,25 @@
 
 namespace linenpier::gateway {
 
-/// @return the settings in the file, or every finding with file and key.
+/// @return the settings, or all findings, each with file and key.
 tl::expected<GatewaySettings, Findings> readGatewaySettings(const std::string& file);
 
 /// Loop thread only.
 class settings_watcher {
  public:
-  /// Called with each version of the file that is right as a whole.
+  /// Called with the new settings after each valid change.
   using settings_callback = std::function<void(const GatewaySettings&)>;
 
   settings_watcher(boost::asio::io_context& loop, std::string file, Duration period,
                    settings_callback callback);
 
   void start();
-  /** Reads the file now, as after a signal. A file with findings changes nothing: they are logged.
-   */
+  /** Reads the file now. An invalid file is logged and otherwise ignored. */
   void reload();
   std::uint64_t rejectedReloads() const { return rejected_reloads_; }
 
  private:
-  /// What tells one version of the file from another without reading it.
+  /// Detects changes of the file without reading it.
   struct file_stamp {
     std::filesystem::file_time_type written_at{};
     std::uintmax_t size = 0;
--- a/src/gateway/service/store_monitor.cpp
+++ b/src/gateway/service/store_monitor.cpp
@@ -11,15 +11,14 @@
 
 namespace {
 
-/** When the store answers again, calls that have waited for longer than this are given up: they
- * were sent while it was away and are never answered. A store that is sixty times slower than usual
- * still answers within 0.25 s.
+/** Calls older than this are aborted when the store recovers, since they were sent during the
+ * outage. Even a store sixty times slower than normal answers within 0.25 s.
  */
 constexpr Duration kMinStaleAge = std::chrono::milliseconds(300);
-/** A write takes longer than a question for one row. */
+/** A write takes longer than the single-row read of a probe. */
 constexpr int kProbeTimeFactor = 3;
 constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
-/** Between two looks whether probes are called for. */
+/** Interval of checks while no probes are needed. */
 constexpr Duration kIdleCheckInterval = std::chrono::milliseconds(500);
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
 
@@ -70,7 +69,7 @@
     const bool wanted = !this->deps_.leases.storeHealthy() && this->deps_.needs_probes();
     co_await sleepFor(this->deps_.loop, wanted ? kProbeInterval : kIdleCheckInterval);
     if (!wanted) continue;
-    // Several at a time: one that was sent while the store was away is not waited for.
+    // Probes overlap, since one sent during the outage may never be answered.
     spawn(this->deps_.loop, [this] { return this->probe(); });
   }
 }
@@ -81,7 +80,7 @@
   const Instant begun = steadyNow();
   const auto page = co_await this->deps_.table.read(range);
   if (!page || this->deps_.leases.storeHealthy()) co_return;
-  // Calls to a store that is slow are given the time that it takes.
+  // A slow store gets time in proportion to the probe's duration.
   const Duration answer = kProbeTimeFactor * (steadyNow() - begun);
   this->onStoreReachable(std::max(kMinStaleAge, answer));
 }
--- a/src/gateway/service/store_monitor.h
+++ b/src/gateway/service/store_monitor.h
@@ -1,14 +1,12 @@
 #pragma once
 
 /** @file
- * Whether the store answers this gateway, as far as owned work goes. When it answers again after an
- * outage, all that waits to ask it asks at once: the feeds, the read of the leases, and calls that
- * were sent while it was away are given up.
+ * Tracks whether the store is available for owned work, and speeds up recovery after an outage:
+ * calls sent during the outage are aborted, and the feeds and the lease read retry at once.
  *
- * Takeovers need both the leases and the feed of what is owned: the table of leases is told that
- * the store is there only while both are answered. A gateway that owns work asks the store again
- * and again while it is away, so that its return is noticed at once. Owns whether the leases are
- * answered; relies on the feeds and on the watch of the leases.
+ * Takeovers need both the leases and the coordination feed, so the lease table is marked healthy
+ * only while both succeed. A gateway that owns work probes the store during an outage to detect its
+ * return.
  */
 
 #include <functional>
@@ -28,18 +26,18 @@
     lease::lease_table& leases;
     lease::lease_watch& lease_watch;
     table::TableWatcher& coordination;
-    std::vector<table::TableWatcher*> feeds;  ///< All of them.
-    std::function<bool()> needs_probes;       ///< Whether work waits for the store's return.
+    std::vector<table::TableWatcher*> feeds;
+    std::function<bool()> needs_probes;  ///< Whether owned work waits for the store.
   };
 
   explicit store_monitor(dependencies deps) : deps_(std::move(deps)) {}
 
   void start();
-  /** The leases were read, or could not be. */
+  /** Handles the result of a lease read. */
   void onLeasesRead(bool answered);
-  /** The feed of the coordination table was lost or answers again. */
+  /** Handles a health change of the coordination feed. */
   void onCoordinationHealth(bool healthy);
-  /** The store has answered somewhere: whatever waits asks it again. */
+  /** Handles a successful store call: all failed readers retry. */
   void onStoreReachable();
 
  private:
@@ -49,7 +47,7 @@
   Task<void> probe();
 
   dependencies deps_;
-  bool leases_readable_ = false;  ///< Whether the last read of the leases was answered.
+  bool leases_readable_ = false;  ///< Whether the last lease read succeeded.
 };
 
 }  // namespace linenpier::gateway
--- a/src/gateway/trace/step_table.cpp
+++ b/src/gateway/trace/step_table.cpp
@@ -25,7 +25,7 @@
   if (!moment) moment = time_ms;
 }
 
-/** Collects the lines about one job. */
+/** Updates a job's timeline from one of its log lines. */
 void recordEvent(step_timeline& step, const TraceLine& line, const std::string& event) {
   if (event == "submitted") {
     setIfEmpty(step.submitted, line.time_ms - numberField(line, "took_ms").value_or(0));
@@ -41,15 +41,15 @@
   } else if (event == "step_whole") {
     setIfEmpty(step.complete, line.time_ms);
   } else if (event == "step_listed") {
-    setIfEmpty(step.published, line.time_ms);
+    setIfEmpty(step.results_published, line.time_ms);
   } else if (event == "page_read") {
-    if (step.published) setIfEmpty(step.first_read, line.time_ms);
+    if (step.results_published) setIfEmpty(step.first_read, line.time_ms);
   } else if (event == "end_asked") {
     setIfEmpty(step.ended, line.time_ms);
   }
 }
 
-/** When a version of a model was first heard of, and last applied by an engine. */
+/** When a model version was published, and last loaded by an engine. */
 struct version_timeline {
   std::string model;
   double published = 0;
@@ -120,8 +120,8 @@
     std::snprintf(head, sizeof(head), "%-16s %4.0f  ", step.batch.c_str(), step.step.value_or(-1));
     text += head;
     for (const auto* moment : {&step.submitted, &step.accepted, &step.active, &step.first_event,
-                               &step.complete, &step.published, &step.first_read, &step.ended,
-                               &step.next_version, &step.engines_updated}) {
+                               &step.complete, &step.results_published, &step.first_read,
+                               &step.ended, &step.next_version, &step.engines_updated}) {
       text += cell(*moment, begin_ms) + " ";
     }
     text += "     " + std::to_string(step.owners) + " " + step.model + "\n";
--- a/src/gateway/trace/step_table.h
+++ b/src/gateway/trace/step_table.h
@@ -1,9 +1,8 @@
 #pragma once
 
 /** @file
- * The way of a trainer's steps, from the logs of many daemons: when each was handed in, accepted,
- * begun, whole, listed, read and ended, and when the next version was named. Tells where the time
- * between two steps goes. Pure.
+ * Timeline of training steps from the merged logs of many daemons, to show where the time between
+ * two steps is spent.
  */
 
 #include <optional>
@@ -14,31 +13,31 @@
 
 namespace linenpier::logging {
 
-/** Moments of one batch job in milliseconds; absent where no line tells of them. */
+/** Times of one batch job in milliseconds; empty if no log line gives them. */
 struct step_timeline {
   std::string batch;
   std::string model;
-  std::string owner;  ///< Daemon that ran it last.
+  std::string owner;  ///< Last owner.
   std::optional<double> step;
-  std::optional<double> submitted;  ///< The first try.
+  std::optional<double> submitted;  ///< First attempt.
   std::optional<double> accepted;
-  std::optional<double> active;       ///< At its first owner.
-  std::optional<double> first_event;  ///< Of any of its items.
-  std::optional<double> complete;     ///< Every group that the trainer waits for.
-  std::optional<double> published;    ///< The same, in the store.
-  std::optional<double> first_read;   ///< The first read after that.
+  std::optional<double> active;             ///< On the first owner.
+  std::optional<double> first_event;        ///< First event of any item.
+  std::optional<double> complete;           ///< All groups that the trainer waits for are complete.
+  std::optional<double> results_published;  ///< Their results are in the store.
+  std::optional<double> first_read;         ///< First read after `results_published`.
   std::optional<double> ended;
-  std::optional<double> next_version;     ///< The next version of its model.
-  std::optional<double> engines_updated;  ///< The last engine took that version before the next.
+  std::optional<double> next_version;     ///< Next version of the model was published.
+  std::optional<double> engines_updated;  ///< Last engine loaded that version.
   int owners = 0;
 
   bool operator==(const step_timeline&) const = default;
 };
 
-/** @return the jobs in the order in which they were handed in. */
+/** @return the jobs in the order of submission. */
 std::vector<step_timeline> collectSteps(const Trace& trace);
 
-/** @return a table with a line a step, in seconds since the trace's first line. */
+/** @return a table with one line per step, in seconds since `begin_ms`. */
 std::string formatSteps(const std::vector<step_timeline>& steps, double begin_ms);
 
 }  // namespace linenpier::logging
--- a/src/gateway/trace/trace_reader.cpp
+++ b/src/gateway/trace/trace_reader.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr double kMinGapMs = 500;
-/// Events of a job that concern each of its items.
+/// Job events that apply to each of its items.
 const std::set<std::string> kJobWideEvents = {"submitted",  "job_active",  "job_stopped",
                                               "takeover",   "handed_over", "list_failed",
                                               "job_listed", "end_asked"};
-/// Fields that every line has; they stand apart from the event's own.
+/// Fields of every line; not repeated in the list of event fields.
 const std::set<std::string> kCommonFields = {"wall_ms", "steady_ms", "node", "part", "event"};
 
 std::string stringField(const json& fields, const char* name) {
@@ -89,7 +89,7 @@
   for (const TraceLine& line : trace.lines) {
     char stamp[48];
     if (line.time_ms - before > kMinGapMs) {
-      std::snprintf(stamp, sizeof(stamp), "    ... %.0f ms without a line\n",
+      std::snprintf(stamp, sizeof(stamp), "    ... %.0f ms without a log line\n",
                     line.time_ms - before);
       text += stamp;
     }
@@ -104,7 +104,8 @@
     before = line.time_ms;
   }
   if (trace.skipped_lines > 0) {
-    text += "(" + std::to_string(trace.skipped_lines) + " foreign or cut lines left out)\n";
+    text += "(" + std::to_string(trace.skipped_lines) +
+            " lines skipped: truncated or not from this product)\n";
   }
   return text;
 }
--- a/src/gateway/trace/trace_reader.h
+++ b/src/gateway/trace/trace_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Puts the lines that many daemons wrote about one request, item or batch job into one order.
+/// Merges the log lines of many daemons on one request, item or batch job in time order.
 
 #include <cstdint>
 #include <istream>
@@ -12,34 +12,33 @@
 
 namespace linenpier::logging {
 
-/// A line of one daemon's log.
 struct TraceLine {
-  double time_ms = 0;  ///< Wall time, free of jumps of the daemon's clock during its life.
+  double time_ms = 0;  ///< Wall-clock time, unaffected by clock jumps while the daemon runs.
   std::string node;
   nlohmann::json fields;
 };
 
 struct Trace {
-  std::vector<TraceLine> lines;   ///< In order of time.
-  std::size_t skipped_lines = 0;  ///< Lines that are no log lines of this product, or are cut.
+  std::vector<TraceLine> lines;
+  std::size_t skipped_lines = 0;  ///< Lines that are truncated or not from this product.
 };
 
-/// Collects lines, then picks those about one id.
+/// Collects log lines and selects those of one id.
 class TraceReader {
  public:
-  /// Reads lines; whatever stands before the first brace of a line is skipped.
+  /// Reads lines; text before the first brace of a line is skipped.
   void read(std::istream& input);
-  /// @param id of a request, an item or a batch job. For an item, what befell its job is included.
+  /// @param id id of a request, item or batch job. The trace of an item includes the events of its
+  ///     job.
   Trace linesFor(const std::string& id) const;
-  /// @return every line.
   Trace all() const;
 
  private:
   void readLine(const std::string& line);
 
-  /// One life of a daemon, as its steady clock shows it.
+  /// Clock of one run of a daemon process.
   struct NodeClock {
-    double offset_ms = 0;  ///< Wall time less steady time at its first line.
+    double offset_ms = 0;  ///< Wall-clock minus steady time at the first line of the run.
     double last_steady_ms = 0;
   };
   std::map<std::string, NodeClock> clocks_;
@@ -47,7 +46,7 @@
   std::size_t skipped_lines_ = 0;
 };
 
-/// @return the trace as text, a line an event, with gaps marked.
+/// @return the trace as text, one line per event, with gaps marked.
 std::string toText(const Trace& trace);
 std::string toJson(const Trace& trace);
 
--- a/tests/gateway/trace/step_table_test.cpp
+++ b/tests/gateway/trace/step_table_test.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Test(step_table, a_step_is_followed_from_hand_in_to_the_next_version) {
+Test(step_table, timeline_covers_submission_to_next_version) {
   const auto steps = collectSteps(
       line("a", 1000, R"("event":"submitted","batch":"j","outcome":"accepted","took_ms":50)") +
       line("b", 1010, R"("event":"job_active","batch":"j","model":"m","step":4)") +
@@ -44,14 +44,14 @@
   cr_assert_eq(*step.accepted, 1000);
   cr_assert_eq(*step.first_event, 1100);
   cr_assert_eq(*step.complete, 4000);
-  cr_assert_eq(*step.published, 4020);
-  cr_assert_eq(*step.first_read, 4030, "reads before the step was listed do not count");
+  cr_assert_eq(*step.results_published, 4020);
+  cr_assert_eq(*step.first_read, 4030, "reads before publication do not count");
   cr_assert_eq(*step.ended, 4060);
   cr_assert_eq(*step.next_version, 4600);
   cr_assert_eq(*step.engines_updated, 5200);
 }
 
-Test(step_table, what_no_line_tells_is_left_open) {
+Test(step_table, times_without_a_log_line_are_empty) {
   const auto steps = collectSteps(
       line("a", 1000, R"("event":"submitted","batch":"j","outcome":"store_away","took_ms":1)"));
   cr_assert_eq(steps.size(), 1U);
--- a/tests/gateway/trace/trace_reader_test.cpp
+++ b/tests/gateway/trace/trace_reader_test.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-Test(trace_reader, lines_of_many_daemons_come_in_order_of_time) {
+Test(trace_reader, lines_of_several_daemons_are_in_time_order) {
   const auto trace = traceOf(line("b", 2000, 70, R"("event":"request_ended","request":"r")") +
                                  line("a", 1000, 5, R"("event":"admitted","request":"r")") +
                                  line("a", 1500, 505, R"("event":"other","request":"x")"),
@@ -34,7 +34,7 @@
   cr_assert_eq(trace.lines[1].node, "b");
 }
 
-Test(trace_reader, a_jump_of_the_wall_clock_within_a_life_does_not_reorder) {
+Test(trace_reader, wall_clock_jump_does_not_reorder_lines) {
   const auto trace = traceOf(line("a", 1000, 100, R"("event":"one","request":"r")") +
                                  line("a", 90000, 200, R"("event":"two","request":"r")") +
                                  line("b", 1050, 7000, R"("event":"between","request":"r")"),
@@ -43,7 +43,7 @@
   cr_assert_float_eq(trace.lines[2].time_ms, 1100.0, 0.5);
 }
 
-Test(trace_reader, what_befell_its_job_belongs_to_an_item) {
+Test(trace_reader, item_trace_includes_job_events) {
   const auto trace =
       traceOf(line("a", 1, 1, R"("event":"attempt_ended","batch":"j","item":"i")") +
                   line("a", 2, 2, R"("event":"attempt_ended","batch":"j","item":"other")") +
@@ -55,24 +55,24 @@
                1U);
 }
 
-Test(trace_reader, foreign_and_cut_lines_are_counted_and_prefixes_skipped) {
+Test(trace_reader, invalid_lines_are_counted_and_prefixes_skipped) {
   const auto trace = traceOf("hello\n{\"wall_ms\":1,\"stea\n{\"a\":1}\n\n   0.12 node-1 " +
                                  line("a", 1, 1, R"("event":"x","request":"r")"),
                              "r");
   cr_assert_eq(trace.lines.size(), 1U);
   cr_assert_eq(trace.skipped_lines, 4U);
-  cr_assert(logging::toText(trace).find("4 foreign") != std::string::npos);
+  cr_assert(logging::toText(trace).find("4 lines skipped") != std::string::npos);
 }
 
 Test(trace_reader, gaps_are_marked) {
   const auto trace = traceOf(line("a", 1, 1, R"("event":"x","request":"r")") +
                                  line("a", 901, 901, R"("event":"y","request":"r")"),
                              "r");
-  cr_assert(logging::toText(trace).find("900 ms without a line") != std::string::npos);
+  cr_assert(logging::toText(trace).find("900 ms without a log line") != std::string::npos);
   cr_assert(logging::toJson(trace).find("time_ms") != std::string::npos);
 }
 
-Test(success_sampler, beyond_the_rate_one_in_many_is_written_and_the_rest_counted) {
+Test(success_sampler, lines_above_the_rate_are_sampled_and_counted) {
   logging::SuccessSampler sampler(10, 5);
   const Instant start{std::chrono::seconds(100)};
   int written = 0;
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-Test(documents, a_configuration_becomes_a_route_table) {
+Test(documents, configuration_is_parsed) {
   const auto table = parseConfiguration(kConfiguration);
   cr_assert(table.has_value());
   cr_assert_eq(table->version, 7U);
@@ -53,7 +53,7 @@
   cr_assert(service.cold_time == std::chrono::seconds(3));
 }
 
-Test(documents, every_fault_of_a_configuration_is_reported_with_its_place) {
+Test(documents, configuration_errors_are_reported_with_their_place) {
   const auto table = parseConfiguration(
       R"({"version":"x","routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"odd"}]})");
   cr_assert_not(table.has_value());
@@ -64,7 +64,7 @@
   cr_assert_not(parseConfiguration("[]").has_value());
 }
 
-Test(documents, a_discovery_entry_becomes_an_engine) {
+Test(documents, engine_entry_is_parsed) {
   const auto engine = parseEngine(
       "i-1",
       R"({"service":"s","address":"10.128.0.9:8080","zone":"z","version":"v1","slots":16,
@@ -79,12 +79,12 @@
   cr_assert_not(parseEngine("i-1", "nonsense").has_value());
 }
 
-Test(documents, an_entry_of_another_writer_names_no_engine) {
+Test(documents, malformed_engine_entries_are_rejected) {
   const std::string whole = R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,
       "state":"ready","born":1700000000123,"models":[{"name":"m","version":2}],"coldRemainingMs":0})";
   cr_assert(parseEngine("i-1", whole).has_value());
   cr_assert_eq(parseEngine("i-1", whole)->start, 1700000000123);
-  const std::vector<std::pair<std::string, std::string>> spoilt = {
+  const std::vector<std::pair<std::string, std::string>> malformed = {
       {R"("service":"s")", R"("service":7)"},
       {R"("service":"s")", R"("service":"")"},
       {R"("service":"s",)", ""},
@@ -104,7 +104,7 @@
       {R"("version":2)", R"("version":"two")"},
       {R"("coldRemainingMs":0)", R"("coldRemainingMs":"long")"},
   };
-  for (const auto& [part, other] : spoilt) {
+  for (const auto& [part, other] : malformed) {
     std::string text = whole;
     text.replace(text.find(part), part.size(), other);
     cr_assert_not(parseEngine("i-1", text).has_value(), "%s", text.c_str());
@@ -114,7 +114,7 @@
   }
 }
 
-Test(documents, an_engine_is_told_to_other_daemons_as_its_entry_named_it) {
+Test(documents, engine_entry_round_trips) {
   const auto read =
       parseEngine("i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,
       "state":"draining","born":1700000000123,"models":[{"name":"m","version":2}],
@@ -133,18 +133,17 @@
   cr_assert(again->leaves_in == read->leaves_in);
 }
 
-Test(documents, a_named_version_is_read_from_its_own_rows_only) {
-  const auto named = parsePublishedVersion("version/m", R"({"model":"m","version":8})");
-  cr_assert_eq(named->version, 8U);
+Test(documents, published_version_is_read_from_version_rows_only) {
+  const auto published = parsePublishedVersion("version/m", R"({"model":"m","version":8})");
+  cr_assert_eq(published->version, 8U);
   cr_assert_not(parsePublishedVersion("other/m", R"({"model":"m","version":8})").has_value());
   cr_assert_not(parsePublishedVersion("version/m", R"({"model":"m"})").has_value());
 }
 
-Test(documents, a_batch_job_is_read_with_its_items) {
-  const batch_json_codec documents;
-  const auto job =
-      documents.parseJob(JobId("j"),
-                         R"({"step":7,"model":"m","minVersion":6,"desired":12,"requests":[
+Test(documents, batch_job_is_parsed_with_items) {
+  const batch_json_codec codec;
+  const auto job = codec.parseJob(JobId("j"),
+                                  R"({"step":7,"model":"m","minVersion":6,"desired":12,"requests":[
           {"id":"i1","path":"/y/3","headers":{"Model":"m","Token-Usage":"540,400",
            "Length-Hint":"123"},"body":"q83vEjRWeJA=","tokens":940,"group":"g"}]})");
   cr_assert(job.has_value());
@@ -157,9 +156,9 @@
   cr_assert_eq(item.fields.size(), 3U);
 }
 
-Test(documents, every_fault_of_a_batch_job_is_reported_with_its_place) {
-  const batch_json_codec documents;
-  const auto job = documents.parseJob(
+Test(documents, batch_job_errors_are_reported_with_their_place) {
+  const batch_json_codec codec;
+  const auto job = codec.parseJob(
       JobId("j"),
       R"({"minVersion":"x","requests":[{"id":"i1","path":"/y/3","body":"!!"},{"path":7}]})");
   cr_assert_not(job.has_value());
@@ -167,13 +166,13 @@
   cr_assert(mentions(job.error(), "requests[0].body"));
   cr_assert(mentions(job.error(), "requests[1].id"));
   cr_assert(mentions(job.error(), "requests[1].path"));
-  cr_assert_not(documents.parseJob(JobId("j"), "{}").has_value());
-  cr_assert_not(documents.parseJob(JobId("j"), "\xff\xfe").has_value());
+  cr_assert_not(codec.parseJob(JobId("j"), "{}").has_value());
+  cr_assert_not(codec.parseJob(JobId("j"), "\xff\xfe").has_value());
 }
 
-Test(documents, the_request_that_scores_an_item_is_read_with_it) {
-  const batch_json_codec documents;
-  const auto job = documents.parseJob(JobId("j"), R"({"requests":[
+Test(documents, item_scorer_is_parsed) {
+  const batch_json_codec codec;
+  const auto job = codec.parseJob(JobId("j"), R"({"requests":[
       {"id":"a","path":"/x/1","scorer":{"id":"s","host":"h","path":"/y/2","body":"aGk="}},
       {"id":"b","path":"/x/2"}]})");
   cr_assert(job.has_value());
@@ -182,9 +181,9 @@
   cr_assert_not(job->items[1].scorer.has_value());
 }
 
-Test(documents, every_fault_of_a_scorer_is_reported_with_its_place) {
-  const batch_json_codec documents;
-  const auto job = documents.parseJob(JobId("j"), R"({"requests":[
+Test(documents, scorer_errors_are_reported_with_their_place) {
+  const batch_json_codec codec;
+  const auto job = codec.parseJob(JobId("j"), R"({"requests":[
       {"id":"a","path":"/x/1","scorer":"s"},
       {"id":"b","path":"/x/2","scorer":{"id":7,"host":"h","body":"?"}}]})");
   cr_assert_not(job.has_value());
@@ -194,19 +193,19 @@
   cr_assert(mentions(job.error(), "requests[1].scorer.body"));
 }
 
-Test(documents, results_are_written_as_readers_expect_them) {
-  const batch_json_codec documents;
+Test(documents, result_page_has_expected_format) {
+  const batch_json_codec codec;
   batch::batch_result result;
   result.item = ItemId("i");
   result.text = "a\nb";
   result.versions = {6, 7};
-  const std::string encoded = documents.encodeResult(result);
+  const std::string encoded = codec.encodeResult(result);
   cr_assert_eq(encoded, R"({"id":"i","state":"completed","text":"a\nb","versions":[6,7]})");
-  cr_assert_eq(documents.encodePage(40, 13, {encoded}),
+  cr_assert_eq(codec.encodePage(40, 13, {encoded}),
                R"({"total":40,"nextToken":13,"results":[)" + encoded + "]}");
 }
 
-Test(base64, what_is_encoded_is_decoded) {
+Test(base64, round_trip) {
   for (std::size_t length = 0; length < 20; ++length) {
     std::string bytes;
     for (std::size_t i = 0; i < length; ++i) bytes.push_back(static_cast<char>(i * 37));
@@ -216,7 +215,7 @@
   cr_assert_not(decodeBase64("ab!=").has_value());
 }
 
-Test(documents, a_service_tells_the_bounds_of_its_number_of_engines) {
+Test(documents, scaling_bounds_are_parsed) {
   const auto table = parseConfiguration(
       R"({"version":1,"services":[{"name":"s","scaling":{"min":1,"max":32,"bootTimeS":4.0,
           "spotPrice":0.22,"zonePrices":{"a":1.0,"b":0.8}}},{"name":"t"}]})");
@@ -232,7 +231,7 @@
   cr_assert_not(table->services.at(ServiceName("t")).scaling.has_value());
 }
 
-Test(documents, bounds_that_contradict_themselves_are_reported) {
+Test(documents, invalid_scaling_bounds_are_reported) {
   const auto table = parseConfiguration(
       R"({"version":1,"services":[{"name":"s","scaling":{"min":5,"max":3}},
           {"name":"t","scaling":{"min":1}}]})");
@@ -241,7 +240,7 @@
   cr_assert(mentions(table.error(), "services[1].scaling.max"));
 }
 
-Test(documents, an_engine_that_may_be_taken_away_says_so_and_when) {
+Test(documents, spot_engine_and_its_departure_are_parsed) {
   const auto spot =
       parseEngine("i-1", R"({"service":"s","address":"10.0.0.1:8080","zone":"a","state":"draining",
                  "slots":2,"spot":true,"leaves_ms":2500})");
@@ -255,7 +254,7 @@
   cr_assert_not(other->leaves_in.has_value());
 }
 
-Test(documents, homes_of_routes_and_tenants_are_read) {
+Test(documents, allowed_regions_are_parsed) {
   const auto table = parseConfiguration(
       R"({"version":1,"routes":[
         {"name":"bound","host":"h","pathPrefix":"/b/","kind":"idempotent","service":"s",
@@ -271,13 +270,13 @@
   const TenantId ada("ada");
   cr_assert(bound->residency == fleet::data_residency({RegionName("r1"), RegionName("r2")}));
   cr_assert_not(table->find("h", "/f/1")->residency.bound());
-  cr_assert_not(table->find("h", "/e/1")->residency.bound(), "no home is named");
+  cr_assert_not(table->find("h", "/e/1")->residency.bound(), "an empty list means no restriction");
   cr_assert(tenants::residencyOf(*table, bound, ada) == fleet::data_residency({RegionName("r2")}));
   cr_assert(tenants::residencyOf(*table, bound, TenantId("bob")) == bound->residency);
   cr_assert_not(tenants::residencyOf(*table, table->find("h", "/f/1"), TenantId()).bound());
 }
 
-Test(documents, homes_of_the_wrong_type_are_reported) {
+Test(documents, allowed_regions_of_wrong_type_are_reported) {
   const auto table = parseConfiguration(
       R"({"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"idempotent",
           "service":"s","allowedRegions":"r1"}]})");
