--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -38,8 +38,8 @@
 
 std::string settingsFile(std::map<std::string, docopt::value>& arguments) {
   if (arguments["--settings"]) return arguments["--settings"].asString();
-  const char* named = std::getenv("LINENPIER_SETTINGS");
-  return named == nullptr ? std::string() : std::string(named);
+  const char* path = std::getenv("LINENPIER_SETTINGS");
+  return path == nullptr ? std::string() : std::string(path);
 }
 
 int run(const std::string& file, const gateway::GatewaySettings& settings) {
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -74,8 +74,8 @@
   LogEvent("engines", "listed")
       .number("count", static_cast<std::int64_t>(this->listed_ids_.size()))
       .number("revision", static_cast<std::int64_t>(revision));
-  for (const Address& gone : this->deps_.registry.keepOnly(steadyNow(), this->listed_ids_)) {
-    this->deps_.connections.forget(gone);
+  for (const Address& address : this->deps_.registry.keepOnly(steadyNow(), this->listed_ids_)) {
+    this->deps_.connections.forget(address);
   }
   this->listed_ids_.clear();
 }
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -54,10 +54,10 @@
 }
 
 fleet::fleet_layout readLayout(settings::TomlReader& reader) {
-  std::map<std::string, std::string> named;
-  reader.readStrings("zones", named);
+  std::map<std::string, std::string> region_names;
+  reader.readStrings("zones", region_names);
   std::map<ZoneName, RegionName> regions;
-  for (const auto& [zone, region] : named) regions[ZoneName(zone)] = RegionName(region);
+  for (const auto& [zone, region] : region_names) regions[ZoneName(zone)] = RegionName(region);
   return fleet::fleet_layout(std::move(regions));
 }
 
--- a/src/gateway/service/operator_feed.cpp
+++ b/src/gateway/service/operator_feed.cpp
@@ -65,8 +65,8 @@
   const std::string key = table::keyWithoutTable(row);
   if (this->platform_.isConfiguration(key)) {
     this->onConfiguration(row.value);
-  } else if (const auto named = this->platform_.parsePublishedVersion(key, row.value)) {
-    this->listener_.on_published_version(*named);
+  } else if (const auto published = this->platform_.parsePublishedVersion(key, row.value)) {
+    this->listener_.on_published_version(*published);
   }
 }
 
--- a/src/gateway/trace/trace_reader.cpp
+++ b/src/gateway/trace/trace_reader.cpp
@@ -62,11 +62,11 @@
   trace.skipped_lines = skipped_lines_;
   for (const TraceLine& line : lines_) {
     const std::string batch = stringField(line.fields, "batch");
-    const bool named = stringField(line.fields, "request") == id ||
-                       stringField(line.fields, "item") == id || batch == id;
-    const bool of_its_job =
+    const bool has_id = stringField(line.fields, "request") == id ||
+                        stringField(line.fields, "item") == id || batch == id;
+    const bool is_job_event =
         jobs.contains(batch) && kJobWideEvents.contains(stringField(line.fields, "event"));
-    if (named || of_its_job) trace.lines.push_back(line);
+    if (has_id || is_job_event) trace.lines.push_back(line);
   }
   std::stable_sort(
       trace.lines.begin(), trace.lines.end(),
