--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// linenpier-gateway: the daemon on the users' platform, the same on every machine.
+/// linenpier-gateway: the gateway daemon for the users' platform.
 
 #include <docopt/docopt.h>
 
@@ -26,21 +26,20 @@
   linenpier-gateway --help
 
 Options:
-  --settings FILE  Settings file (TOML). Without it, LINENPIER_SETTINGS names the file.
+  --settings FILE  Settings file (TOML); if absent, the file named by LINENPIER_SETTINGS.
   --check          Check the settings and exit.
 
-Exit codes: 0 stopped as planned or settings are right, 2 settings are wrong, 3 an address could
-not be bound.
+Exit codes: 0 clean shutdown or valid settings, 2 invalid settings, 3 an address could not be bound.
 )";
 
 constexpr int kExitBadSettings = 2;
 constexpr int kExitCannotBind = 3;
-constexpr Duration kSettingsPeriod = std::chrono::milliseconds(1500);
+constexpr Duration kSettingsPollInterval = std::chrono::milliseconds(1500);
 
 std::string settingsFile(std::map<std::string, docopt::value>& arguments) {
   if (arguments["--settings"]) return arguments["--settings"].asString();
-  const char* named = std::getenv("LINENPIER_SETTINGS");
-  return named == nullptr ? std::string() : std::string(named);
+  const char* path = std::getenv("LINENPIER_SETTINGS");
+  return path == nullptr ? std::string() : std::string(path);
 }
 
 int run(const std::string& file, const gateway::GatewaySettings& settings) {
@@ -65,7 +64,7 @@
     if (!error) daemon.stop();
   });
   gateway::settings_watcher settings_watcher(
-      loop, file, kSettingsPeriod, [&](const gateway::GatewaySettings& changed) {
+      loop, file, kSettingsPollInterval, [&](const gateway::GatewaySettings& changed) {
         platform.setAddresses(changed.store_address, changed.duties_address);
         daemon.applySettings(changed);
       });
@@ -81,7 +80,7 @@
   awaitReload();
   loop.run();
   logging::stopEventLog();
-  // Tasks that are still waiting hold references to the parts above; the process just ends.
+  // Suspended tasks hold references to the objects above, so skip their destructors.
   std::_Exit(0);
 }
 
--- a/src/gateway/metrics/gateway_metrics.h
+++ b/src/gateway/metrics/gateway_metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The gateway's metrics in Prometheus text. Names and meanings stand in docs/OPERATIONS.md.
+/// The gateway's metrics in the Prometheus text format, described in docs/OPERATIONS.md.
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -16,50 +16,51 @@
 
 namespace linenpier::metrics {
 
-/// Engines of a service that started lately.
+/// Recently started engines of one service.
 struct ColdEngines {
   std::size_t count = 0;
-  std::size_t sent = 0;      ///< Requests of this daemon to them within the last window.
-  std::size_t max_sent = 0;  ///< The most to one of them.
+  std::size_t sent = 0;      ///< Requests from this daemon to them in the last window.
+  std::size_t max_sent = 0;  ///< Maximum per engine.
 };
 
-/// State at the moment of a scrape.
+/// State at the time of a scrape.
 struct GatewayState {
   std::uint64_t config_version = 0;
-  std::map<std::string, bool> feeds_healthy;  ///< By table.
-  std::map<std::string, double> feed_ages;    ///< Seconds since the store's last answer.
+  std::map<std::string, bool> feeds_healthy;       ///< By table.
+  std::map<std::string, double> feed_age_seconds;  ///< Seconds since the store's last answer.
   std::map<std::string, std::map<std::string, int>> engines;  ///< By service, by state.
-  std::map<std::string, ColdEngines> cold_engines;  ///< By service; of those that are bounded.
+  std::map<std::string, ColdEngines> cold_engines;  ///< By service; only services with a limit.
   std::uint64_t cold_refusals = 0;
   std::size_t suspects_known = 0;
-  std::size_t suspects_barred = 0;
-  std::uint64_t suspect_engines_ended = 0;
+  std::size_t suspects_blocked = 0;
+  std::uint64_t suspect_engine_crashes = 0;
   std::uint64_t suspect_refusals = 0;
   std::uint64_t suspects_cleared = 0;
   std::size_t jobs_known = 0;
   std::size_t jobs_owned = 0;
   std::size_t items_waiting = 0;
   std::size_t items_running = 0;
-  std::size_t items_unscored = 0;
+  std::size_t items_awaiting_score = 0;
   std::size_t zones_closed = 0;
-  std::size_t runs_in_closed_zones = 0;
+  std::size_t items_in_closed_zones = 0;
   std::size_t client_connections = 0;
   std::size_t requests_in_progress = 0;
   std::uint64_t engine_connections_opened = 0;
-  std::uint64_t engine_looks = 0;
+  std::uint64_t engines_examined = 0;
   std::uint64_t log_lines_dropped = 0;
   bool lease_valid = false;
-  std::size_t order_rights_held = 0;
+  std::size_t order_locks_held = 0;
   std::uint64_t usage_requests_counted = 0;
   std::uint64_t usage_requests_late = 0;
   std::uint64_t usage_windows_reported = 0;
-  /// Engines of services whose number is ordered, listed and not draining: by service, zone, kind.
+  /// Active engines of scaled services, by service, zone and kind.
   std::map<std::array<std::string, 3>, std::size_t> engines_present;
-  /// The last orders for them, by the same; empty unless this daemon decides.
+  /// Last ordered number of engines, by the same keys; empty unless this daemon holds the scaling
+  /// lock.
   std::map<std::array<std::string, 3>, std::size_t> engines_ordered;
-  std::uint64_t scaling_sent = 0;
-  std::uint64_t scaling_refused = 0;
-  std::uint64_t scaling_unanswered = 0;
+  std::uint64_t scaling_orders_sent = 0;
+  std::uint64_t scaling_orders_refused = 0;
+  std::uint64_t scaling_orders_unanswered = 0;
   std::uint64_t orders_sent = 0;
   std::uint64_t orders_unanswered = 0;
   std::uint64_t items_completed = 0;
@@ -67,9 +68,9 @@
   std::uint64_t jobs_accepted = 0;
   std::uint64_t jobs_refused = 0;
   std::uint64_t jobs_taken_over = 0;
-  std::size_t jobs_waiting_for_home = 0;
-  std::uint64_t jobs_refused_for_home = 0;
-  std::uint64_t jobs_given_to_home = 0;
+  std::size_t jobs_awaiting_residency = 0;
+  std::uint64_t jobs_refused_for_residency = 0;
+  std::uint64_t jobs_released_for_residency = 0;
   std::uint64_t item_attempts = 0;
   std::uint64_t items_scored = 0;
   std::uint64_t scorings_failed = 0;
@@ -80,20 +81,20 @@
  public:
   GatewayMetrics();
 
-  /// @param kind of route, such as "idempotent".
+  /// @param kind kind of the route, such as "idempotent".
   void onRequestEnded(const std::string& kind, const std::string& service,
                       const std::string& outcome, int attempts, Duration took);
   void onAttemptEnded(const std::string& service, const std::string& verdict);
-  /// @param reason such as "unknown".
+  /// @param reason why the key was refused, such as "unknown".
   void onKeyRefused(const std::string& reason);
-  /// @param call such as "write", "read", "watch".
+  /// @param call kind of call, such as "write", "read" or "watch".
   void onStoreCall(const std::string& call, const std::string& result, Duration took);
-  /// @return the text of all metrics.
+  /// @return all metrics in text format.
   std::string render(const GatewayState& state);
 
  private:
-  void set(const std::string& name, const std::string& help, double value,
-           const std::map<std::string, std::string>& labels = {});
+  void setGauge(const std::string& name, const std::string& help, double value,
+                const std::map<std::string, std::string>& labels = {});
   void setProcessMetrics();
 
   prometheus::Registry registry_;
--- a/src/gateway/service/coordination_feed.h
+++ b/src/gateway/service/coordination_feed.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Follows the small table that all gateways watch whole: jobs, leader locks, suspect requests and
- * the clock of usage windows. Hands each row to the part whose row it is. Owns the feed alone.
+ * Watches the coordination table (jobs, leader locks, suspect requests and the clock of usage
+ * windows) and passes each row to the component that handles it.
  */
 
 #include <functional>
@@ -19,7 +19,7 @@
 /** Loop thread only. */
 class coordination_feed {
  public:
-  struct readers {
+  struct row_handlers {
     batch::batch_service& batches;
     versions::rollout_service& orders;
     usage::usage_service& usage;
@@ -27,13 +27,13 @@
     suspects::suspect_service& suspects;
   };
   struct listener {
-    std::function<bool()> owns_work;  ///< Whether this gateway owns work or offers to.
+    std::function<bool()> owns_work;  ///< Whether this gateway owns work or is a candidate for it.
     std::function<void(bool healthy)> on_health;
     std::function<void(std::int64_t clock_ms)> on_store_clock;
   };
 
-  coordination_feed(boost::asio::io_context& loop, table::AsyncTable& table, readers readers,
-                    listener listener, std::uint64_t seed);
+  coordination_feed(boost::asio::io_context& loop, table::AsyncTable& table,
+                    row_handlers row_handlers, listener listener, std::uint64_t seed);
 
   void start() { this->watcher_.start(); }
   table::TableWatcher& watcher() { return this->watcher_; }
@@ -46,7 +46,7 @@
   void onSnapshot(const std::vector<table::Row>& rows);
   void onChange(const table::RowChange& change);
 
-  readers readers_;
+  row_handlers handlers_;
   listener listener_;
   table::TableWatcher watcher_;
 };
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -8,20 +8,18 @@
 
 using zone_requirement = lease::pool_requirements::zone_requirement;
 
-/** Daemons that offer to own work beyond one a model: one for the right to order, one that can take
- * over at once.
- */
+/** Owners beyond one per model: one for the engine order lock, and one standby. */
 constexpr std::size_t kSpareOwners = 2;
-/** The same in each set of homes: one that can take over at once. */
-constexpr std::size_t kSpareWithinResidency = 1;
+/** Standby owners per residency constraint. */
+constexpr std::size_t kSpareOwnersPerPlace = 1;
 
-std::size_t modelsOf(const routing::RouteTable& table, const routing::Route& route) {
+std::size_t modelCount(const routing::RouteTable& table, const routing::Route& route) {
   const auto service = table.services.find(route.services.front().service);
   return service == table.services.end() ? 0 : service->second.models.size();
 }
 
-std::set<ZoneName> zonesIn(const fleet::fleet_layout& layout,
-                           const fleet::data_residency& residency) {
+std::set<ZoneName> allowedZones(const fleet::fleet_layout& layout,
+                                const fleet::data_residency& residency) {
   std::set<ZoneName> zones;
   for (const auto& [zone, region] : layout.zones()) {
     if (residency.allows(region)) zones.insert(zone);
@@ -29,8 +27,9 @@
   return zones;
 }
 
-/** Adds what jobs under these homes need, unless another route's need as much there. */
-void addPlace(std::vector<zone_requirement>& places, std::set<ZoneName> zones, std::size_t owners) {
+/** Adds a residency constraint, or raises the demand of an equal one. */
+void mergePlace(std::vector<zone_requirement>& places, std::set<ZoneName> zones,
+                std::size_t owners) {
   if (zones.empty()) return;
   const auto known =
       std::find_if(places.begin(), places.end(),
@@ -54,10 +53,10 @@
   for (const auto& [name, service] : table.services) demand.owners += service.models.size();
   for (const routing::Route& route : table.routes) {
     if (route.kind != routing::RequestKind::kBatch) continue;
-    const std::size_t owners = modelsOf(table, route) + kSpareWithinResidency;
+    const std::size_t owners = modelCount(table, route) + kSpareOwnersPerPlace;
     const auto add = [&](const fleet::data_residency& residency) {
       if (residency.isRestricted())
-        addPlace(demand.zone_requirements, zonesIn(layout, residency), owners);
+        mergePlace(demand.zone_requirements, allowedZones(layout, residency), owners);
     };
     add(route.residency);
     for (const routing::tenant& each : table.tenants.all())
--- a/src/gateway/service/peer_snapshot.cpp
+++ b/src/gateway/service/peer_snapshot.cpp
@@ -14,7 +14,7 @@
 constexpr char kConfigParameter[] = "config=";
 constexpr char kEnginesParameter[] = "engines=";
 
-std::uint64_t parameter(const std::string& target, const std::string& name) {
+std::uint64_t queryParameter(const std::string& target, const std::string& name) {
   const std::size_t at = target.find(name);
   if (at == std::string::npos) return 0;
   return std::strtoull(target.c_str() + at + name.size(), nullptr, 10);
@@ -29,7 +29,7 @@
 }
 
 KnownRevisions parseSnapshotTarget(const std::string& target) {
-  return {parameter(target, kConfigParameter), parameter(target, kEnginesParameter)};
+  return {queryParameter(target, kConfigParameter), queryParameter(target, kEnginesParameter)};
 }
 
 std::string encodeSnapshot(const PeerSnapshot& snapshot) {
@@ -54,7 +54,7 @@
     PeerSnapshot snapshot;
     snapshot.config_version = document.at("config_version").get<std::uint64_t>();
     snapshot.configuration = document.at("configuration").get<std::string>();
-    // A daemon of before tells nothing of zones, which is never newer than what is known.
+    // Earlier versions send no zones; revision 0 is never applied.
     snapshot.zones_revision = document.value("zones_revision", Revision{0});
     const json closed = document.value("closed_zones", json::object());
     for (const auto& [zone, revision] : closed.items()) {
@@ -66,7 +66,7 @@
       snapshot.engines_since = document["engines_since"].get<Revision>();
       snapshot.removed_engines = document.at("engines_gone").get<std::vector<std::string>>();
     }
-    // A daemon of before knows of none.
+    // Earlier versions send no suspects.
     snapshot.suspects = decodeRows(document.value("suspects", json::array()));
     return snapshot;
   } catch (const json::exception&) {
