--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -76,7 +76,7 @@
   const auto self = this->shared_from_this();
   const http::PeerState state =
       co_await this->context_.pool.probe(this->address_, steadyNow() + kCrashCheckTimeout);
-  co_return state == http::PeerState::kRefuses;
+  co_return state == http::PeerState::kRefusing;
 }
 
 Task<AttemptOutcome> engine_call::start(attempt_limits limits) {
--- a/src/gateway/http/client_exchange.cpp
+++ b/src/gateway/http/client_exchange.cpp
@@ -14,20 +14,20 @@
 
 namespace {
 
-constexpr std::size_t kReadPiece = 16 * 1024;
-constexpr std::size_t kMaxBody = 64 * 1024 * 1024;
-constexpr int kMaxSurplusAnswers = 3;
+constexpr std::size_t kReadChunkBytes = 16 * 1024;
+constexpr std::size_t kMaxBodyBytes = 64 * 1024 * 1024;
+constexpr int kMaxStaleResponses = 3;
 /// The two clocks are read one after the other; a shorter suspension is as a busy moment.
-constexpr Duration kUnnoticedSuspension = std::chrono::milliseconds(50);
-constexpr Duration kIdleSlack = std::chrono::milliseconds(600);
+constexpr Duration kSuspensionTolerance = std::chrono::milliseconds(50);
+constexpr Duration kIdleTimeoutMargin = std::chrono::milliseconds(600);
 
 /// @return how long the peer keeps the idle connection, by its Keep-Alive field.
-Duration idleTime(const Fields& fields, Duration usual) {
+Duration idleTimeout(const Fields& fields, Duration default_timeout) {
   const auto value = std::string(fields[beast_http::field::keep_alive]);
   const auto at = value.find("timeout=");
-  if (at == std::string::npos) return usual;
+  if (at == std::string::npos) return default_timeout;
   const auto seconds = std::chrono::seconds(std::atoi(value.c_str() + at + 8));
-  return std::max<Duration>(seconds - kIdleSlack, Duration::zero());
+  return std::max<Duration>(seconds - kIdleTimeoutMargin, Duration::zero());
 }
 
 /// Closes at once, also under a write that is still going on.
@@ -60,9 +60,10 @@
     : pool_(pool), peer_(peer), request_(std::move(request)) {}
 
 Task<ExchangeStatus> ClientExchange::start(Instant connect_deadline, Instant deadline,
-                                           std::optional<ExpectedEcho> echo, bool fresh) {
+                                           std::optional<ExpectedEcho> echo,
+                                           bool force_new_connection) {
   const auto self = shared_from_this();
-  if (!fresh) connection_ = pool_.takeIdle(steadyNow(), peer_);
+  if (!force_new_connection) connection_ = pool_.acquireIdle(steadyNow(), peer_);
   if (!connection_) {
     connection_ = co_await pool_.connect(peer_, std::min(connect_deadline, deadline));
   }
@@ -77,14 +78,14 @@
   }
   connection_->expireAt(deadline);
   beginWrite();
-  for (int surplus = 0; surplus <= kMaxSurplusAnswers; ++surplus) {
+  for (int stale_responses = 0; stale_responses <= kMaxStaleResponses; ++stale_responses) {
     const ExchangeStatus status = co_await readHead(deadline);
     if (status != ExchangeStatus::kOk) co_return status;
     if (!echo || fieldText(head(), echo->field) == echo->value) {
       if (parser_->is_done()) finish();
       co_return ExchangeStatus::kOk;
     }
-    surplus_seen_ = true;
+    stale_response_seen_ = true;
     const ExchangeStatus skipped = co_await skipBody(deadline);
     if (skipped != ExchangeStatus::kOk) co_return skipped;
   }
@@ -103,7 +104,7 @@
 Task<ExchangeStatus> ClientExchange::readHead(Instant deadline) {
   do {
     parser_.emplace();
-    parser_->body_limit(kMaxBody);
+    parser_->body_limit(kMaxBodyBytes);
     if (request_.method() == beast_http::verb::head) parser_->skip(true);
     const auto connection = connection_;
     connection->expireAt(deadline);
@@ -118,7 +119,7 @@
 Task<ExchangeStatus> ClientExchange::skipBody(Instant deadline) {
   std::string ignored;
   while (!parser_->is_done()) {
-    const ExchangeStatus status = co_await readPiece(ignored, deadline);
+    const ExchangeStatus status = co_await readBodyChunk(ignored, deadline);
     if (status != ExchangeStatus::kOk) co_return status;
     ignored.clear();
   }
@@ -126,19 +127,19 @@
   co_return parser_->need_eof() ? ExchangeStatus::kBroken : ExchangeStatus::kOk;
 }
 
-Task<ExchangeStatus> ClientExchange::readPiece(std::string& out, Instant deadline) {
+Task<ExchangeStatus> ClientExchange::readBodyChunk(std::string& out, Instant deadline) {
   const auto connection = connection_;
   if (!connection) co_return ExchangeStatus::kAborted;
   const std::size_t before = out.size();
-  out.resize(before + kReadPiece);
+  out.resize(before + kReadChunkBytes);
   parser_->get().body().data = out.data() + before;
-  parser_->get().body().size = kReadPiece;
+  parser_->get().body().size = kReadChunkBytes;
   parser_->get().body().more = true;
   connection->expireAt(deadline);
   boost::system::error_code error;
   co_await beast_http::async_read_some(connection->stream, connection->buffer, *parser_,
                                        asio::redirect_error(asio::use_awaitable, error));
-  out.resize(before + kReadPiece - parser_->get().body().size);
+  out.resize(before + kReadChunkBytes - parser_->get().body().size);
   if (error == beast_http::error::need_buffer) error = {};
   co_return error ? toStatus(error) : ExchangeStatus::kOk;
 }
@@ -147,7 +148,7 @@
   const auto self = shared_from_this();
   if (complete_) co_return ExchangeStatus::kOk;
   if (!parser_->is_done()) {
-    const ExchangeStatus status = co_await readPiece(out, deadline);
+    const ExchangeStatus status = co_await readBodyChunk(out, deadline);
     if (status != ExchangeStatus::kOk) co_return status;
   }
   if (parser_->is_done()) finish();
@@ -178,10 +179,10 @@
   complete_ = true;
   const ClientConnectionPtr connection = std::move(connection_);
   if (!connection) return;
-  const bool reusable = write_done_ && !surplus_seen_ && parser_->keep_alive() &&
+  const bool reusable = write_done_ && !stale_response_seen_ && parser_->keep_alive() &&
                         !parser_->need_eof() && connection->buffer.size() == 0;
   if (reusable) {
-    pool_.giveBack(steadyNow(), connection, idleTime(head(), pool_.usualIdleTime()));
+    pool_.release(steadyNow(), connection, idleTimeout(head(), pool_.defaultIdleTimeout()));
   } else {
     close(*connection);
   }
@@ -195,19 +196,19 @@
 
 namespace {
 
-Task<CallOutcome> readWhole(std::shared_ptr<ClientExchange> exchange, Instant connect_deadline,
-                            Instant deadline) {
+Task<CallOutcome> readResponse(std::shared_ptr<ClientExchange> exchange, Instant connect_deadline,
+                               Instant deadline) {
   CallOutcome outcome;
   const Duration suspended = machine_clock::suspended();
   outcome.status = co_await exchange->start(connect_deadline, deadline, std::nullopt, false);
   outcome.sent = exchange->sent();
   if (outcome.status != ExchangeStatus::kOk) co_return outcome;
-  outcome.status = co_await exchange->readAll(outcome.response.body(), kMaxBody, deadline);
+  outcome.status = co_await exchange->readAll(outcome.response.body(), kMaxBodyBytes, deadline);
   outcome.response.base() = exchange->head();
   // An answer that lay here while the machine was suspended says nothing of now: whoever takes it
   // for a sign of being in touch would act on what others have long changed.
-  const bool slept = machine_clock::suspended() - suspended > kUnnoticedSuspension;
-  if (slept) outcome.status = ExchangeStatus::kTimedOut;
+  const bool was_suspended = machine_clock::suspended() - suspended > kSuspensionTolerance;
+  if (was_suspended) outcome.status = ExchangeStatus::kTimedOut;
   co_return outcome;
 }
 
@@ -220,11 +221,11 @@
 Task<CallOutcome> call(ConnectionPool& pool, Address peer, Request request,
                        Instant connect_deadline, Instant deadline) {
   auto exchange = std::make_shared<ClientExchange>(pool, peer, std::move(request));
-  co_return co_await readWhole(std::move(exchange), connect_deadline, deadline);
+  co_return co_await readResponse(std::move(exchange), connect_deadline, deadline);
 }
 
 Task<CallOutcome> call(std::shared_ptr<ClientExchange> exchange, Instant deadline) {
-  co_return co_await readWhole(std::move(exchange), deadline, deadline);
+  co_return co_await readResponse(std::move(exchange), deadline, deadline);
 }
 
 }  // namespace linenpier::http
--- a/src/gateway/http/client_exchange.h
+++ b/src/gateway/http/client_exchange.h
@@ -43,9 +43,9 @@
   /// Asked when a connection is there: what was right to send when it was begun may not be now.
   void sendOnlyIf(std::function<bool()> condition) { may_send_ = std::move(condition); }
   /// Connects, sends and reads the head.
-  /// @param fresh whether to open a new connection even if one is idle.
+  /// @param force_new_connection whether to open a new connection even if one is idle.
   Task<ExchangeStatus> start(Instant connect_deadline, Instant deadline,
-                             std::optional<ExpectedEcho> echo, bool fresh);
+                             std::optional<ExpectedEcho> echo, bool force_new_connection);
   /// Reads some of the body into `out`, appending.
   /// @return kOk; `complete` tells whether the answer is whole.
   Task<ExchangeStatus> readSome(std::string& out, Instant deadline);
@@ -67,7 +67,7 @@
   void beginWrite();
   Task<ExchangeStatus> readHead(Instant deadline);
   Task<ExchangeStatus> skipBody(Instant deadline);
-  Task<ExchangeStatus> readPiece(std::string& out, Instant deadline);
+  Task<ExchangeStatus> readBodyChunk(std::string& out, Instant deadline);
   ExchangeStatus toStatus(const boost::system::error_code& error) const;
   void finish();
 
@@ -81,7 +81,7 @@
   bool write_done_ = false;
   bool complete_ = false;
   bool aborted_ = false;
-  bool surplus_seen_ = false;  ///< An answer to something else came first: do not keep.
+  bool stale_response_seen_ = false;  ///< An answer to something else came first: do not keep.
 };
 
 /// Sends a request and reads the whole answer.
--- a/src/gateway/http/connection_pool.cpp
+++ b/src/gateway/http/connection_pool.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// @return whether the peer neither closed the connection nor sent anything on it.
-bool isQuiet(ClientConnection& connection) {
+bool isUsable(ClientConnection& connection) {
   char byte = 0;
   const int descriptor = connection.stream.socket().native_handle();
   const ssize_t received = ::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-ClientConnectionPtr ConnectionPool::takeIdle(Instant now, const Address& peer) {
+ClientConnectionPtr ConnectionPool::acquireIdle(Instant now, const Address& peer) {
   const auto at = idle_.find(peer);
   if (at == idle_.end()) return nullptr;
   while (!at->second.empty()) {
     ClientConnectionPtr connection = std::move(at->second.back());
     at->second.pop_back();
-    if (now < connection->usable_until && isQuiet(*connection)) return connection;
+    if (now < connection->usable_until && isUsable(*connection)) return connection;
   }
   idle_.erase(at);
   return nullptr;
@@ -62,7 +62,7 @@
     while (!shared->state && steadyNow() < deadline) {
       co_await shared->done.waitFor(deadline - steadyNow());
     }
-    co_return shared->state.value_or(PeerState::kSilent);
+    co_return shared->state.value_or(PeerState::kUnresponsive);
   }
   const auto own = std::make_shared<Probe>(loop_);
   probes_[peer] = own;
@@ -77,18 +77,18 @@
   auto connection = std::make_shared<ClientConnection>(loop_);
   connection->peer = peer;
   const boost::system::error_code error = co_await open(connection, deadline);
-  if (error == asio::error::connection_refused) co_return PeerState::kRefuses;
-  if (error) co_return PeerState::kSilent;
-  giveBack(steadyNow(), connection, options_.idle_time);
-  co_return PeerState::kAccepts;
+  if (error == asio::error::connection_refused) co_return PeerState::kRefusing;
+  if (error) co_return PeerState::kUnresponsive;
+  release(steadyNow(), connection, options_.idle_timeout);
+  co_return PeerState::kAccepting;
 }
 
-void ConnectionPool::giveBack(Instant now, ClientConnectionPtr connection, Duration idle_time) {
-  connection->usable_until = now + idle_time;
+void ConnectionPool::release(Instant now, ClientConnectionPtr connection, Duration idle_timeout) {
+  connection->usable_until = now + idle_timeout;
   connection->reused = true;
   connection->stream.expires_never();
   auto& idle = idle_[connection->peer];
-  if (idle.size() < options_.idle_per_peer) idle.push_back(std::move(connection));
+  if (idle.size() < options_.max_idle_per_peer) idle.push_back(std::move(connection));
 }
 
 void ConnectionPool::sweep(Instant now) {
--- a/src/gateway/http/connection_pool.h
+++ b/src/gateway/http/connection_pool.h
@@ -34,14 +34,14 @@
 
 /// What becomes of a connection that is opened to a peer.
 enum class PeerState {
-  kAccepts,
-  kRefuses,  ///< The host answers; no process listens there.
-  kSilent,   ///< No answer in time: the host is away, cut off or stands still.
+  kAccepting,
+  kRefusing,      ///< The host answers; no process listens there.
+  kUnresponsive,  ///< No answer in time: the host is away, cut off or stands still.
 };
 
 struct ConnectionPoolOptions {
-  std::size_t idle_per_peer = 32;
-  Duration idle_time = std::chrono::seconds(4);  ///< Where the peer names no time.
+  std::size_t max_idle_per_peer = 32;
+  Duration idle_timeout = std::chrono::seconds(4);  ///< Where the peer names no time.
 };
 
 /// Idle connections by peer. Loop thread only.
@@ -51,7 +51,7 @@
       : loop_(loop), options_(options) {}
 
   /// @return an idle connection on which nothing unasked has arrived, or nullptr.
-  ClientConnectionPtr takeIdle(Instant now, const Address& peer);
+  ClientConnectionPtr acquireIdle(Instant now, const Address& peer);
   /// Opens a connection. @return nullptr if none came up before `deadline`.
   Task<ClientConnectionPtr> connect(Address peer, Instant deadline);
   /// Opens a connection to see whether the peer takes it; one that it takes is kept. Those who ask
@@ -59,13 +59,13 @@
   /// them ask.
   Task<PeerState> probe(Address peer, Instant deadline);
   /// Keeps a connection that is at rest between two exchanges.
-  void giveBack(Instant now, ClientConnectionPtr connection, Duration idle_time);
+  void release(Instant now, ClientConnectionPtr connection, Duration idle_timeout);
   /// Closes the idle connections to a peer that is gone.
   void closeIdle(const Address& peer) { idle_.erase(peer); }
   /// Closes what has rested too long.
   void sweep(Instant now);
 
-  Duration usualIdleTime() const { return options_.idle_time; }
+  Duration defaultIdleTimeout() const { return options_.idle_timeout; }
   boost::asio::io_context& loop() { return loop_; }
   std::uint64_t opened() const { return opened_; }
 
--- a/src/gateway/http/server.cpp
+++ b/src/gateway/http/server.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr int kBacklog = 1024;
-constexpr Duration kAcceptPause = std::chrono::milliseconds(50);
+constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
 }  // namespace
 
 std::optional<Finding> Server::listen(const Address& address) {
@@ -30,7 +30,7 @@
     co_await acceptor_.async_accept(socket, asio::redirect_error(asio::use_awaitable, error));
     if (error == asio::error::operation_aborted) co_return;
     if (error) {
-      co_await sleepFor(loop_, kAcceptPause);
+      co_await sleepFor(loop_, kAcceptRetryDelay);
       continue;
     }
     const auto session = std::make_shared<ServerSession>(*this, std::move(socket));
--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -42,7 +42,7 @@
   Task<bool> endStream();
   /// Closes the connection so that what was sent does not look complete.
   void abortConnection();
-  bool begun() const { return begun_; }
+  bool started() const { return started_; }
   bool ended() const { return ended_; }
 
   /// Requested when the client closes its connection before the answer's end.
@@ -52,7 +52,7 @@
   friend class ServerSession;
   ServerSession& session_;
   Cancellation cancellation_;
-  bool begun_ = false;
+  bool started_ = false;
   bool ended_ = false;
 };
 
--- a/src/gateway/http/server_session.cpp
+++ b/src/gateway/http/server_session.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr Duration kWriteTime = std::chrono::seconds(10);
+constexpr Duration kWriteTimeout = std::chrono::seconds(10);
 
-beast_http::status refusalFor(const boost::system::error_code& error) {
+beast_http::status statusFor(const boost::system::error_code& error) {
   if (error == beast_http::error::header_limit) {
     return beast_http::status::request_header_fields_too_large;
   }
@@ -69,23 +69,23 @@
 
 /// Cancels what a connection reads when time is up. Unlike the stream's own limit it leaves the
 /// connection open, so that the client can be told.
-class ServerSession::ReadLimit {
+class ServerSession::ReadTimeout {
  public:
-  ReadLimit(boost::beast::tcp_stream& stream, Duration limit)
+  ReadTimeout(boost::beast::tcp_stream& stream, Duration limit)
       : state_(std::make_shared<State>(stream)) {
     state_->timer.expires_after(limit);
     state_->timer.async_wait([state = state_](const boost::system::error_code& error) {
       if (error || state->done) return;
-      state->passed = true;
+      state->expired = true;
       boost::system::error_code ignored;
       state->stream.socket().cancel(ignored);
     });
   }
-  ~ReadLimit() {
+  ~ReadTimeout() {
     state_->done = true;
     state_->timer.cancel();
   }
-  bool passed() const { return state_->passed; }
+  bool expired() const { return state_->expired; }
 
  private:
   struct State {
@@ -93,7 +93,7 @@
         : stream(limited), timer(limited.get_executor()) {}
     boost::beast::tcp_stream& stream;  ///< Not used once `done`.
     machine_timer timer;
-    bool passed = false;
+    bool expired = false;
     bool done = false;
   };
   std::shared_ptr<State> state_;
@@ -104,12 +104,12 @@
   parser.body_limit(server_.limits_.max_body_bytes);
   stream_.expires_never();
   boost::system::error_code error;
-  bool late = false;
+  bool timed_out = false;
   {
-    const ReadLimit limit(stream_, server_.limits_.header_timeout);
+    const ReadTimeout limit(stream_, server_.limits_.header_timeout);
     co_await beast_http::async_read_header(stream_, buffer_, parser,
                                            asio::redirect_error(asio::use_awaitable, error));
-    late = limit.passed();
+    timed_out = limit.expired();
   }
   if (!error && parser.get().count(beast_http::field::expect) > 0 && !parser.is_done()) {
     static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -117,24 +117,24 @@
                                asio::redirect_error(asio::use_awaitable, error));
   }
   if (!error && !parser.is_done()) {
-    const ReadLimit limit(stream_, server_.limits_.body_timeout);
+    const ReadTimeout limit(stream_, server_.limits_.body_timeout);
     co_await beast_http::async_read(stream_, buffer_, parser,
                                     asio::redirect_error(asio::use_awaitable, error));
-    late = limit.passed();
+    timed_out = limit.expired();
   }
   if (!error) co_return true;
-  if (late) {
-    co_await refuse(beast_http::status::request_timeout);
+  if (timed_out) {
+    co_await reject(beast_http::status::request_timeout);
   } else if (isProtocolError(error)) {
-    co_await refuse(refusalFor(error));
+    co_await reject(statusFor(error));
   }
   co_return false;
 }
 
-Task<void> ServerSession::refuse(beast_http::status status) {
+Task<void> ServerSession::reject(beast_http::status status) {
   Response response(status, 11);
   keep_alive_ = false;
-  co_await writeAll(std::move(response));
+  co_await writeResponse(std::move(response));
   // What the client still sends is read for a moment, or closing would reset the refusal away.
   boost::system::error_code error;
   stream_.socket().shutdown(asio::ip::tcp::socket::shutdown_send, error);
@@ -193,16 +193,16 @@
   writer_->cancellation_.request();
 }
 
-void ServerSession::closeAfterAnswerIfDraining() {
+void ServerSession::disableKeepAliveIfDraining() {
   if (server_.draining_) keep_alive_ = false;
 }
 
-Task<bool> ServerSession::writeAll(Response response) {
+Task<bool> ServerSession::writeResponse(Response response) {
   if (closed_) co_return false;
-  closeAfterAnswerIfDraining();
+  disableKeepAliveIfDraining();
   response.keep_alive(keep_alive_);
   response.prepare_payload();
-  stream_.expires_after(kWriteTime);
+  stream_.expires_after(kWriteTimeout);
   boost::system::error_code error;
   co_await beast_http::async_write(stream_, response,
                                    asio::redirect_error(asio::use_awaitable, error));
@@ -211,19 +211,19 @@
 }
 
 Task<bool> ResponseWriter::send(Response response) {
-  begun_ = true;
-  ended_ = co_await session_.writeAll(std::move(response));
+  started_ = true;
+  ended_ = co_await session_.writeResponse(std::move(response));
   co_return ended_;
 }
 
 Task<bool> ResponseWriter::beginStream(ResponseHead head) {
-  begun_ = true;
+  started_ = true;
   beast_http::response<beast_http::empty_body> message(std::move(head));
-  session_.closeAfterAnswerIfDraining();
+  session_.disableKeepAliveIfDraining();
   message.keep_alive(session_.keep_alive_);
   message.chunked(true);
   beast_http::response_serializer<beast_http::empty_body> serializer(message);
-  session_.stream_.expires_after(kWriteTime);
+  session_.stream_.expires_after(kWriteTimeout);
   boost::system::error_code error;
   co_await beast_http::async_write_header(session_.stream_, serializer,
                                           asio::redirect_error(asio::use_awaitable, error));
@@ -232,7 +232,7 @@
 
 Task<bool> ResponseWriter::writeChunk(std::string bytes) {
   if (session_.closed_) co_return false;
-  session_.stream_.expires_after(kWriteTime);
+  session_.stream_.expires_after(kWriteTimeout);
   boost::system::error_code error;
   co_await asio::async_write(session_.stream_, beast_http::make_chunk(asio::buffer(bytes)),
                              asio::redirect_error(asio::use_awaitable, error));
@@ -241,7 +241,7 @@
 
 Task<bool> ResponseWriter::endStream() {
   if (session_.closed_) co_return false;
-  session_.stream_.expires_after(kWriteTime);
+  session_.stream_.expires_after(kWriteTimeout);
   boost::system::error_code error;
   co_await asio::async_write(session_.stream_, beast_http::make_chunk_last(),
                              asio::redirect_error(asio::use_awaitable, error));
--- a/src/gateway/http/server_session.h
+++ b/src/gateway/http/server_session.h
@@ -20,19 +20,19 @@
 
  private:
   friend class ResponseWriter;
-  class ReadLimit;
+  class ReadTimeout;
   using Parser = beast_http::request_parser<beast_http::string_body>;
 
   /// Waits for the first byte of a request. @return false if none came.
   Task<bool> waitForRequest();
   /// Reads a whole request. @return false if the connection must end.
   Task<bool> readRequest(Parser& parser);
-  Task<void> refuse(beast_http::status status);
-  Task<bool> writeAll(Response response);
+  Task<void> reject(beast_http::status status);
+  Task<bool> writeResponse(Response response);
   /// Tells the writer when the client leaves while its request is worked on.
   void watchForClose(ResponseWriter& writer);
   void onReadable(std::uint64_t request_number);
-  void closeAfterAnswerIfDraining();
+  void disableKeepAliveIfDraining();
   void close();
 
   Server& server_;
