--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -3,7 +3,7 @@
 namespace linenpier::forward {
 
 Task<std::optional<suspects::sent_attempt>> attempt_admission::admit(forwarded_request& forwarded,
-                                                                     bool alone) {
+                                                                     bool exclusive) {
   suspects::sent_attempt attempt;
   forwarded.admission = {};
   if (!this->suspects_.hasSuspects()) co_return attempt;
@@ -11,7 +11,7 @@
   forwarded.admission = this->suspects_.admissionOf(key, suspects::RequestSource::kCaller);
   if (forwarded.admission.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
   // A second engine beside the first could crash with it.
-  if (!alone) co_return std::nullopt;
+  if (!exclusive) co_return std::nullopt;
   forwarded.admission = co_await this->suspects_.beginIsolatedRun(
       key, suspects::RequestSource::kCaller, forwarded.id);
   attempt.crashes = forwarded.admission.crashes;
@@ -27,13 +27,13 @@
 }
 
 void attempt_admission::onEnded(forwarded_request& forwarded, const engine_call& call,
-                                AttemptOutcome verdict, const suspects::sent_attempt& attempt,
+                                AttemptOutcome outcome, const suspects::sent_attempt& attempt,
                                 bool engine_crashed) {
   if (engine_crashed) {
     this->suspects_.onEngineCrashed(attempt, keyOf(forwarded, call.request()), call.engine(),
                                     call.startedAt(), suspects::RequestSource::kCaller,
                                     forwarded.id);
-  } else if (verdict != AttemptOutcome::kAnswered) {
+  } else if (outcome != AttemptOutcome::kAnswered) {
     if (attempt.isolated) this->suspects_.onInconclusive(keyOf(forwarded, call.request()));
   } else if (this->suspects_.hasSuspects()) {
     this->suspects_.onAnswered(keyOf(forwarded, call.request()));
--- a/src/gateway/forward/attempt_race.cpp
+++ b/src/gateway/forward/attempt_group.cpp
@@ -1,31 +1,31 @@
-#include "gateway/forward/attempt_race.h"
+#include "gateway/forward/attempt_group.h"
 
 namespace linenpier::forward {
 
-bool attempt_race::start(const suspects::sent_attempt& attempt) {
-  const engines::engine_state* engine = this->context_.choice.pick(*this->forwarded_, this->tried_);
+bool attempt_group::start(const suspects::sent_attempt& attempt) {
+  const engines::engine_state* engine = this->context_.picker.pick(*this->forwarded_, this->tried_);
   if (engine == nullptr) return false;
   this->tried_.insert(engine->record.id);
   const engine_call_context& engines = this->context_.engines;
   const auto call = std::make_shared<engine_call>(
-      engines, *engine, engineMessage(engines.names, *this->forwarded_, steadyNow()));
+      engines, *engine, makeEngineRequest(engines.names, *this->forwarded_, steadyNow()));
   this->running_.push_back(call);
   spawn(this->context_.loop,
         [self = this->shared_from_this(), call, attempt] { return self->run(call, attempt); });
   return true;
 }
 
-Task<void> attempt_race::run(std::shared_ptr<engine_call> call, suspects::sent_attempt attempt) {
+Task<void> attempt_group::run(std::shared_ptr<engine_call> call, suspects::sent_attempt attempt) {
   const auto self = this->shared_from_this();
   result ended;
-  ended.verdict = co_await this->readAnswer(*call, ended.response);
-  this->context_.runs.onAttemptEnded(*this->forwarded_, *call, ended.verdict);
+  ended.outcome = co_await this->readResponse(*call, ended.response);
+  this->context_.runs.onAttemptEnded(*this->forwarded_, *call, ended.outcome);
   bool engine_crashed = false;
-  if (ended.verdict == AttemptOutcome::kBroken) {
+  if (ended.outcome == AttemptOutcome::kBroken) {
     engine_crashed = co_await call->engineHasCrashed();
   }
-  this->context_.log.onAttemptEnded(*this->forwarded_, *call, ended.verdict, engine_crashed);
-  this->context_.admission.onEnded(*this->forwarded_, *call, ended.verdict, attempt,
+  this->context_.log.onAttemptEnded(*this->forwarded_, *call, ended.outcome, engine_crashed);
+  this->context_.admission.onEnded(*this->forwarded_, *call, ended.outcome, attempt,
                                    engine_crashed);
   // The other engines that run the request could crash as well.
   if (engine_crashed) this->abortAll();
@@ -34,7 +34,7 @@
   this->changed_.notifyAll();
 }
 
-Task<AttemptOutcome> attempt_race::readAnswer(engine_call& call, http::Response& response) {
+Task<AttemptOutcome> attempt_group::readResponse(engine_call& call, http::Response& response) {
   const Instant deadline = this->forwarded_->deadline;
   attempt_limits limits{steadyNow() + this->context_.timeouts.connect, deadline};
   const AttemptOutcome started = co_await call.start(limits);
@@ -49,19 +49,19 @@
   co_return read;
 }
 
-std::vector<attempt_race::result> attempt_race::takeResults() {
+std::vector<attempt_group::result> attempt_group::takeResults() {
   std::vector<result> taken = std::move(this->results_);
   this->results_.clear();
   return taken;
 }
 
-Task<void> attempt_race::waitForChange(Duration limit) {
+Task<void> attempt_group::waitForChange(Duration limit) {
   if (this->results_.empty()) {
     co_await this->changed_.waitFor(limit);
   }
 }
 
-void attempt_race::abortAll() {
+void attempt_group::abortAll() {
   for (const auto& call : this->running_) call->abort();
 }
 
--- a/src/gateway/forward/attempt_race.h
+++ b/src/gateway/forward/attempt_group.h
@@ -15,14 +15,14 @@
 namespace linenpier::forward {
 
 /** Held by a shared pointer: attempts that were aborted end after the request has its reply. */
-class attempt_race : public std::enable_shared_from_this<attempt_race> {
+class attempt_group : public std::enable_shared_from_this<attempt_group> {
  public:
   struct result {
-    AttemptOutcome verdict = AttemptOutcome::kBroken;
-    http::Response response;  ///< Complete if `verdict` is kAnswered.
+    AttemptOutcome outcome = AttemptOutcome::kBroken;
+    http::Response response;  ///< Complete if `outcome` is kAnswered.
   };
 
-  attempt_race(const forwarding_context& context, std::shared_ptr<forwarded_request> forwarded)
+  attempt_group(const forwarding_context& context, std::shared_ptr<forwarded_request> forwarded)
       : context_(context), forwarded_(std::move(forwarded)), changed_(context.loop) {}
 
   /** Starts an attempt at an engine that has none of this request yet.
@@ -31,15 +31,15 @@
   bool start(const suspects::sent_attempt& attempt);
   /** @return the attempts that ended since the last call, in their order. */
   std::vector<result> takeResults();
-  /** Returns once an attempt has ended, after `wake`, or after `limit`. */
+  /** Returns once an attempt has ended, after `notify`, or after `limit`. */
   Task<void> waitForChange(Duration limit);
-  void wake() { this->changed_.notifyAll(); }
+  void notify() { this->changed_.notifyAll(); }
   void abortAll();
 
  private:
   Task<void> run(std::shared_ptr<engine_call> call, suspects::sent_attempt attempt);
   /** Reads a complete answer into `response`. */
-  Task<AttemptOutcome> readAnswer(engine_call& call, http::Response& response);
+  Task<AttemptOutcome> readResponse(engine_call& call, http::Response& response);
 
   forwarding_context context_;
   std::shared_ptr<forwarded_request> forwarded_;
--- a/src/gateway/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -8,7 +8,7 @@
 /** Unreachable engines after which a request is given up. */
 constexpr int kMaxUnreachable = 4;
 /** With less time left than this, an attempt has no chance. */
-constexpr Duration kMinAttempt = std::chrono::milliseconds(10);
+constexpr Duration kMinAttemptTime = std::chrono::milliseconds(10);
 }  // namespace
 
 void attempt_policy::onStarted(Instant now) {
@@ -17,38 +17,38 @@
   this->last_start_ = now;
 }
 
-void attempt_policy::onEnded(AttemptOutcome verdict) {
+void attempt_policy::onEnded(AttemptOutcome outcome) {
   --this->running_;
-  if (verdict == AttemptOutcome::kUnreachable) {
+  if (outcome == AttemptOutcome::kUnreachable) {
     --this->started_;
     ++this->unreachable_;
   }
-  if (mayHaveRun(verdict)) this->may_have_run_ = true;
+  if (mayHaveRun(outcome)) this->may_have_run_ = true;
 }
 
-bool attempt_policy::attemptsLeft() const {
+bool attempt_policy::hasAttemptsLeft() const {
   return this->started_ < this->max_attempts_ && this->unreachable_ < kMaxUnreachable;
 }
 
-bool attempt_policy::mayStart(Instant now) const {
-  if (!this->attemptsLeft() || now + kMinAttempt >= this->deadline_) return false;
+bool attempt_policy::canStart(Instant now) const {
+  if (!this->hasAttemptsLeft() || now + kMinAttemptTime >= this->deadline_) return false;
   if (this->running_ == 0) return !this->may_have_run_ || this->repeatable_;
   return this->idempotent_ && now >= this->last_start_ + this->hedge_delay_;
 }
 
-Instant attempt_policy::nextLook() const {
-  if (!this->idempotent_ || !this->attemptsLeft() || this->running_ == 0) return this->deadline_;
+Instant attempt_policy::nextCheck() const {
+  if (!this->idempotent_ || !this->hasAttemptsLeft() || this->running_ == 0) return this->deadline_;
   return std::min(this->deadline_, this->last_start_ + this->hedge_delay_);
 }
 
-bool attempt_policy::retriesFailures(Instant now) const {
-  return this->repeatable_ &&
-         (this->running_ > 0 || (this->attemptsLeft() && now + kMinAttempt < this->deadline_));
+bool attempt_policy::retriesServerErrors(Instant now) const {
+  return this->repeatable_ && (this->running_ > 0 || (this->hasAttemptsLeft() &&
+                                                      now + kMinAttemptTime < this->deadline_));
 }
 
 LocalReply attempt_policy::localReply(Instant now) const {
   if (!this->may_have_run_ && this->running_ == 0) return LocalReply::kNotRun;
-  return now >= this->deadline_ ? LocalReply::kOutOfTime : LocalReply::kMayHaveRun;
+  return now >= this->deadline_ ? LocalReply::kDeadlineExceeded : LocalReply::kMayHaveRun;
 }
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/attempt_policy.h
+++ b/src/gateway/forward/attempt_policy.h
@@ -14,9 +14,9 @@
 
 /** The gateway's own reply when no engine's answer is passed on. */
 enum class LocalReply {
-  kNotRun,      ///< 503: it has not run and will not; the caller may retry.
-  kMayHaveRun,  ///< 502.
-  kOutOfTime,   ///< 504: it may have run, and its deadline has passed.
+  kNotRun,            ///< 503: it has not run and will not; the caller may retry.
+  kMayHaveRun,        ///< 502.
+  kDeadlineExceeded,  ///< 504: it may have run, and its deadline has passed.
 };
 
 /** The attempts of one request so far.
@@ -39,14 +39,14 @@
         deadline_(deadline) {}
 
   void onStarted(Instant now);
-  void onEnded(AttemptOutcome verdict);
+  void onEnded(AttemptOutcome outcome);
 
   /** @return whether another attempt may start now, beside those that run. */
-  bool mayStart(Instant now) const;
-  /** @return when to ask `mayStart` again, the deadline at the latest. */
-  Instant nextLook() const;
+  bool canStart(Instant now) const;
+  /** @return when to ask `canStart` again, the deadline at the latest. */
+  Instant nextCheck() const;
   /** @return whether an engine's failure (5xx) is tried elsewhere instead of passed on. */
-  bool retriesFailures(Instant now) const;
+  bool retriesServerErrors(Instant now) const;
   /** @return the reply if the request ends now without an engine's answer. */
   LocalReply localReply(Instant now) const;
   /** @return attempts that were sent, those that run included. */
@@ -54,7 +54,7 @@
   int running() const { return this->running_; }
 
  private:
-  bool attemptsLeft() const;
+  bool hasAttemptsLeft() const;
 
   bool repeatable_;
   bool idempotent_;
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 /** Largest body of an answer, in bytes. */
-constexpr std::size_t kMaxAnswer = 64 * 1024 * 1024;
+constexpr std::size_t kMaxResponseBytes = 64 * 1024 * 1024;
 /** The engine is not the one that the request names. */
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
@@ -18,8 +18,8 @@
 constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(100);
 }  // namespace
 
-const char* toText(AttemptOutcome verdict) {
-  switch (verdict) {
+const char* toText(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::kAnswered:
       return "answered";
     case AttemptOutcome::kNotExecuted:
@@ -36,8 +36,8 @@
   return "unknown";
 }
 
-bool mayHaveRun(AttemptOutcome verdict) {
-  return verdict != AttemptOutcome::kNotExecuted && verdict != AttemptOutcome::kUnreachable;
+bool mayHaveRun(AttemptOutcome outcome) {
+  return outcome != AttemptOutcome::kNotExecuted && outcome != AttemptOutcome::kUnreachable;
 }
 
 engine_call::engine_call(engine_call_context context, const engines::engine_state& engine,
@@ -59,10 +59,10 @@
 
 engine_call::~engine_call() {
   this->exchange_->abort();
-  this->end(AttemptEnd::kServed);
+  this->reportEnd(AttemptEnd::kServed);
 }
 
-void engine_call::end(AttemptEnd end) {
+void engine_call::reportEnd(AttemptEnd end) {
   if (this->ended_) return;
   this->ended_ = true;
   this->context_.registry.onAttemptEnded(steadyNow(), this->engine_, end);
@@ -81,38 +81,38 @@
 
 Task<AttemptOutcome> engine_call::start(attempt_limits limits) {
   const auto self = this->shared_from_this();
-  this->when_late_ = limits.when_late;
+  this->end_on_timeout_ = limits.end_on_timeout;
   http::ExpectedEcho echo{this->context_.names.request_id, this->request_id_};
   const ExchangeStatus status = co_await this->exchange_->start(
       limits.connect_deadline, limits.deadline, echo, limits.fresh_connection);
-  if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  const AttemptOutcome verdict = this->judgeHead();
-  if (verdict != AttemptOutcome::kNotExecuted) co_return verdict;
+  if (status != ExchangeStatus::kOk) co_return this->reportExchangeEnd(status);
+  const AttemptOutcome outcome = this->checkHeader();
+  if (outcome != AttemptOutcome::kNotExecuted) co_return outcome;
   // A connection whose answer was read to its end can be used again.
   std::string ignored;
-  co_await this->exchange_->readAll(ignored, kMaxAnswer, limits.deadline);
-  co_return verdict;
+  co_await this->exchange_->readAll(ignored, kMaxResponseBytes, limits.deadline);
+  co_return outcome;
 }
 
-AttemptOutcome engine_call::judgeHead() {
-  this->readLoad();
+AttemptOutcome engine_call::checkHeader() {
+  this->reportLoad();
   if (this->exchange_->status() == kMisdirected) {
-    this->end(AttemptEnd::kMisdirected);
+    this->reportEnd(AttemptEnd::kMisdirected);
     return AttemptOutcome::kNotExecuted;
   }
   if (this->head().count(this->context_.names.not_executed) > 0) {
-    this->end(AttemptEnd::kRefused);
+    this->reportEnd(AttemptEnd::kRefused);
     return AttemptOutcome::kNotExecuted;
   }
   if (this->head().count(this->context_.names.signature) == 0) {
     this->exchange_->abort();
-    this->end(AttemptEnd::kBroke);
+    this->reportEnd(AttemptEnd::kBroke);
     return AttemptOutcome::kBroken;
   }
   return AttemptOutcome::kAnswered;
 }
 
-void engine_call::readLoad() {
+void engine_call::reportLoad() {
   const std::string text = http::fieldText(this->head(), this->context_.names.load);
   engines::load_report load;
   if (std::sscanf(text.c_str(), "%u,%u,%u", &load.running, &load.waiting, &load.slots) == 3) {
@@ -120,26 +120,26 @@
   }
 }
 
-AttemptOutcome engine_call::settle(ExchangeStatus status) {
+AttemptOutcome engine_call::reportExchangeEnd(ExchangeStatus status) {
   switch (status) {
     case ExchangeStatus::kOk:
       return AttemptOutcome::kAnswered;
     case ExchangeStatus::kNotConnected:
-      this->end(AttemptEnd::kUnreachable);
+      this->reportEnd(AttemptEnd::kUnreachable);
       return AttemptOutcome::kUnreachable;
     case ExchangeStatus::kWithheld:
-      this->end(AttemptEnd::kRefused);
+      this->reportEnd(AttemptEnd::kRefused);
       return AttemptOutcome::kUnreachable;
     case ExchangeStatus::kBroken:
-      this->end(AttemptEnd::kBroke);
+      this->reportEnd(AttemptEnd::kBroke);
       this->exchange_->abort();
       return AttemptOutcome::kBroken;
     case ExchangeStatus::kTimedOut:
-      this->end(this->when_late_);
+      this->reportEnd(this->end_on_timeout_);
       this->exchange_->abort();
       return AttemptOutcome::kTimedOut;
     case ExchangeStatus::kAborted:
-      this->end(AttemptEnd::kServed);
+      this->reportEnd(AttemptEnd::kServed);
       return AttemptOutcome::kAborted;
   }
   return AttemptOutcome::kBroken;
@@ -147,9 +147,11 @@
 
 Task<AttemptOutcome> engine_call::readWhole(std::string& body, Instant deadline) {
   const auto self = this->shared_from_this();
-  const ExchangeStatus status = co_await this->exchange_->readAll(body, kMaxAnswer, deadline);
-  if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  this->end(this->exchange_->status() >= kServerError ? AttemptEnd::kBroke : AttemptEnd::kServed);
+  const ExchangeStatus status =
+      co_await this->exchange_->readAll(body, kMaxResponseBytes, deadline);
+  if (status != ExchangeStatus::kOk) co_return this->reportExchangeEnd(status);
+  this->reportEnd(this->exchange_->status() >= kServerError ? AttemptEnd::kBroke
+                                                            : AttemptEnd::kServed);
   co_return AttemptOutcome::kAnswered;
 }
 
@@ -159,8 +161,8 @@
   std::string bytes;
   const ExchangeStatus status = co_await this->exchange_->readSome(bytes, deadline);
   events = parser.feed(bytes);
-  if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  if (this->exchange_->complete()) this->end(AttemptEnd::kServed);
+  if (status != ExchangeStatus::kOk) co_return this->reportExchangeEnd(status);
+  if (this->exchange_->complete()) this->reportEnd(AttemptEnd::kServed);
   co_return AttemptOutcome::kAnswered;
 }
 
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -29,10 +29,10 @@
 };
 
 /** @return the end as log lines and metrics name it. */
-const char* toText(AttemptOutcome verdict);
+const char* toText(AttemptOutcome outcome);
 
 /** @return whether an attempt that ended so may have run the request. */
-bool mayHaveRun(AttemptOutcome verdict);
+bool mayHaveRun(AttemptOutcome outcome);
 
 struct engine_call_context {
   http::ConnectionPool& pool;
@@ -47,7 +47,7 @@
   /** What it says of the engine if nothing comes in time. A sender that waits for less than any
    * healthy engine may take must not count that as a failure.
    */
-  engines::AttemptEnd when_late = engines::AttemptEnd::kSilent;
+  engines::AttemptEnd end_on_timeout = engines::AttemptEnd::kSilent;
 };
 
 /** Loop thread only; held by a shared pointer. Counts as in flight at its engine until its end. */
@@ -88,12 +88,12 @@
   Instant startedAt() const { return this->started_at_; }
 
  private:
-  AttemptOutcome judgeHead();
+  AttemptOutcome checkHeader();
   /** Reports an end that is no answer. */
-  AttemptOutcome settle(http::ExchangeStatus status);
+  AttemptOutcome reportExchangeEnd(http::ExchangeStatus status);
   /** Reports the attempt's end to the registry, once. */
-  void end(engines::AttemptEnd end);
-  void readLoad();
+  void reportEnd(engines::AttemptEnd end);
+  void reportLoad();
 
   engine_call_context context_;
   EngineId engine_;
@@ -101,7 +101,7 @@
   std::string request_id_;
   std::shared_ptr<http::ClientExchange> exchange_;
   Instant started_at_{};
-  engines::AttemptEnd when_late_ = engines::AttemptEnd::kSilent;
+  engines::AttemptEnd end_on_timeout_ = engines::AttemptEnd::kSilent;
   bool ended_ = false;
 };
 
--- a/src/gateway/forward/engine_picker.h
+++ b/src/gateway/forward/engine_picker.h
@@ -26,7 +26,7 @@
    * older one.
    */
   void setResidencySource(std::function<routing::RouteTablePtr()> newest) {
-    this->newest_ = std::move(newest);
+    this->residency_source_ = std::move(newest);
   }
 
   /** Asks the service whose turn it is, then the route's other services, then, for a request that
@@ -37,16 +37,16 @@
   const engines::engine_state* pick(forwarded_request& forwarded, const std::set<EngineId>& tried);
 
  private:
-  const engines::engine_state* pickFrom(const routing::Route& route,
-                                        engines::engine_request& wanted);
-  const engines::engine_state* pickFromAny(Instant now, const routing::Route& route,
-                                           engines::engine_request& wanted);
+  const engines::engine_state* pickFromRoute(const routing::Route& route,
+                                             engines::engine_request& criteria);
+  const engines::engine_state* pickFromAnyService(Instant now, const routing::Route& route,
+                                                  engines::engine_request& criteria);
   fleet::data_residency residencyOf(const forwarded_request& forwarded) const;
 
   engines::engine_registry& registry_;
   const field_names& names_;
   routing::weighted_round_robin& round_robin_;
-  std::function<routing::RouteTablePtr()> newest_;
+  std::function<routing::RouteTablePtr()> residency_source_;
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/forwarded_request.cpp
+++ b/src/gateway/forward/forwarded_request.cpp
@@ -26,17 +26,17 @@
   return received + limit;
 }
 
-http::Request engineMessage(const field_names& names, const forwarded_request& forwarded,
-                            Instant now) {
+http::Request makeEngineRequest(const field_names& names, const forwarded_request& forwarded,
+                                Instant now) {
   const http::Request& request = *forwarded.request;
   http::Request copy(request.method(), request.target(), kHttp11);
   copy.method_string(request.method_string());
   http::copyEndToEndFields(request, copy);
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(forwarded.deadline - now);
   copy.set(names.deadline_ms, std::to_string(std::max(kMinDeadlineMs, left.count())));
-  tenants::nameTenant(*forwarded.table, names.tenant, forwarded.from.tenant, copy);
-  if (forwarded.from.priority) {
-    copy.set(names.priority, std::to_string(*forwarded.from.priority));
+  tenants::nameTenant(*forwarded.table, names.tenant, forwarded.caller.tenant, copy);
+  if (forwarded.caller.priority) {
+    copy.set(names.priority, std::to_string(*forwarded.caller.priority));
   }
   copy.body() = request.body();
   copy.prepare_payload();
@@ -44,7 +44,7 @@
 }
 
 const suspects::request_key& keyOf(forwarded_request& forwarded, const http::Request& message) {
-  if (!forwarded.key) forwarded.key = suspects::keyOf(forwarded.from.tenant, message);
+  if (!forwarded.key) forwarded.key = suspects::keyOf(forwarded.caller.tenant, message);
   return *forwarded.key;
 }
 
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -25,13 +25,13 @@
   routing::RouteTablePtr table;            ///< Keeps `route` alive.
   const routing::Route* route = nullptr;   ///< Of `table`.
   const http::Request* request = nullptr;  ///< Valid until the caller has its reply.
-  tenants::caller from;
+  tenants::caller caller;
   std::string id;
   Instant received{};
   Instant deadline{};
-  double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0: no limit.
-  bool internal = false;    ///< Sent by the system itself, not by a client.
-  bool recorded = false;    ///< Its run has been reported to the usage recorder.
+  double max_per_slot = 0;    ///< Engines with more requests per slot are skipped; 0: no limit.
+  bool internal = false;      ///< Sent by the system itself, not by a client.
+  bool run_reported = false;  ///< Its run has been reported to the usage recorder.
   /** Why no engine was found at the last choice that found none. */
   engines::refusal_tally refusals;
   std::optional<suspects::request_key> key;  ///< Computed when first needed.
@@ -45,8 +45,8 @@
                    const http::Request& request, Instant received);
 
 /** @return a copy for an engine, with the time that is left and the tenant in place of its key. */
-http::Request engineMessage(const field_names& names, const forwarded_request& forwarded,
-                            Instant now);
+http::Request makeEngineRequest(const field_names& names, const forwarded_request& forwarded,
+                                Instant now);
 
 /** @return the request's key, computed once.
  * @param message the request, or the copy that an attempt sent.
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -7,23 +7,23 @@
 forwarder::forwarder(boost::asio::io_context& loop, engine_call_context engines,
                      routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
                      usage::run_recorder& recorder, suspects::suspect_tracker& suspects)
-    : choice_(engines.registry, engines.names, round_robin),
+    : picker_(engines.registry, engines.names, round_robin),
       admission_(suspects),
       replies_(engines.names, suspects, {}),
       log_(engines.registry, metrics),
       runs_(engines.registry, recorder),
-      context_{loop, engines, choice_, admission_, replies_, log_, runs_, {}},
-      plain_(context_) {}
+      context_{loop, engines, picker_, admission_, replies_, log_, runs_, {}},
+      unary_(context_) {}
 
 Task<void> forwarder::serve(routing::RouteTablePtr table, const routing::Route& route,
-                            tenants::caller from, const http::Request& request, Instant received,
+                            tenants::caller caller, const http::Request& request, Instant received,
                             http::ResponseWriter& writer) {
   const field_names& names = this->context_.engines.names;
   const auto forwarded = std::make_shared<forwarded_request>();
   forwarded->table = std::move(table);
   forwarded->route = &route;
   forwarded->request = &request;
-  forwarded->from = std::move(from);
+  forwarded->caller = std::move(caller);
   forwarded->id = http::fieldText(request, names.request_id);
   forwarded->received = received;
   forwarded->deadline = deadlineOf(names, route, request, received);
@@ -31,12 +31,12 @@
     stream_session session(this->context_, *forwarded, writer);
     co_await session.run();
   } else {
-    co_await this->plain_.serve(forwarded, writer);
+    co_await this->unary_.serve(forwarded, writer);
   }
 }
 
 Task<internal_outcome> forwarder::send(internal_request request) {
-  return this->plain_.send(std::move(request));
+  return this->unary_.send(std::move(request));
 }
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -5,7 +5,7 @@
  * directions.
  *
  * Owns the parts that do so: the choice of an engine, the admission of suspects, local replies, log
- * lines and metrics, reports of runs. Requests with one answer are served by `plain_requests`,
+ * lines and metrics, reports of runs. Requests with one answer are served by `unary_forwarder`,
  * streams by `stream_session`; both retry by the one rule in `attempt_policy`.
  */
 
@@ -13,7 +13,7 @@
 
 #include "gateway/forward/forwarding_context.h"
 #include "gateway/forward/internal_requests.h"
-#include "gateway/forward/plain_requests.h"
+#include "gateway/forward/unary_forwarder.h"
 #include "gateway/http/server.h"
 
 namespace linenpier::forward {
@@ -30,15 +30,16 @@
 
   /** See `engine_picker::setResidencySource`. */
   void setResidencySource(std::function<routing::RouteTablePtr()> newest) {
-    this->choice_.setResidencySource(std::move(newest));
+    this->picker_.setResidencySource(std::move(newest));
   }
 
   /** Answers the request in every case, unless the client is gone.
    * @param from who sends it; its key was checked and is not checked again, however long a stream
    *     stays open.
    */
-  Task<void> serve(routing::RouteTablePtr table, const routing::Route& route, tenants::caller from,
-                   const http::Request& request, Instant received, http::ResponseWriter& writer);
+  Task<void> serve(routing::RouteTablePtr table, const routing::Route& route,
+                   tenants::caller caller, const http::Request& request, Instant received,
+                   http::ResponseWriter& writer);
 
   Task<internal_outcome> send(internal_request request) override;
 
@@ -48,13 +49,13 @@
   }
 
  private:
-  engine_picker choice_;
+  engine_picker picker_;
   attempt_admission admission_;
   local_replies replies_;
   request_log log_;
-  run_reports runs_;
+  run_reporter runs_;
   forwarding_context context_;  ///< Refers to the parts above.
-  plain_requests plain_;
+  unary_forwarder unary_;
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/forwarding_context.h
+++ b/src/gateway/forward/forwarding_context.h
@@ -8,24 +8,24 @@
 #include "gateway/forward/engine_picker.h"
 #include "gateway/forward/local_replies.h"
 #include "gateway/forward/request_log.h"
-#include "gateway/forward/run_reports.h"
+#include "gateway/forward/run_reporter.h"
 
 namespace linenpier::forward {
 
 struct attempt_timeouts {
   Duration connect = std::chrono::milliseconds(200);
   /** A resumable stream without an event for this long goes on at another engine. */
-  Duration stream_silence = std::chrono::milliseconds(1500);
+  Duration stream_idle = std::chrono::milliseconds(1500);
 };
 
 struct forwarding_context {
   boost::asio::io_context& loop;
   engine_call_context engines;
-  engine_picker& choice;
+  engine_picker& picker;
   attempt_admission& admission;
   local_replies& replies;
   request_log& log;
-  run_reports& runs;
+  run_reporter& runs;
   attempt_timeouts timeouts;
 };
 
--- a/src/gateway/forward/local_replies.cpp
+++ b/src/gateway/forward/local_replies.cpp
@@ -11,7 +11,7 @@
 constexpr unsigned kTooManyRequestsStatus = 429;
 constexpr unsigned kNotRunStatus = 503;
 constexpr unsigned kMayHaveRunStatus = 502;
-constexpr unsigned kOutOfTimeStatus = 504;
+constexpr unsigned kDeadlineExceededStatus = 504;
 
 /** @return the value of Retry-After: seconds with their fraction. */
 std::string secondsText(Duration duration) {
@@ -28,8 +28,8 @@
       return kNotRunStatus;
     case LocalReply::kMayHaveRun:
       return kMayHaveRunStatus;
-    case LocalReply::kOutOfTime:
-      return kOutOfTimeStatus;
+    case LocalReply::kDeadlineExceeded:
+      return kDeadlineExceededStatus;
   }
   return kMayHaveRunStatus;
 }
--- a/src/gateway/forward/request_log.cpp
+++ b/src/gateway/forward/request_log.cpp
@@ -10,18 +10,18 @@
 }  // namespace
 
 void request_log::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
-                                 AttemptOutcome verdict, bool engine_crashed) {
+                                 AttemptOutcome outcome, bool engine_crashed) {
   const engines::engine_state* engine = this->registry_.find(call.engine());
   const std::string service = engine == nullptr ? "gone" : engine->record.service.str();
-  this->metrics_.onAttemptEnded(service, toText(verdict));
-  if (verdict == AttemptOutcome::kAnswered) return;
+  this->metrics_.onAttemptEnded(service, toText(outcome));
+  if (outcome == AttemptOutcome::kAnswered) return;
   logging::LogEvent event("forward", "attempt_ended");
   event.text("request", forwarded.id)
       .text("engine", call.engine().str())
       .text("service", service)
-      .text("verdict", toText(verdict))
+      .text("verdict", toText(outcome))
       .milliseconds("took_ms", steadyNow() - call.startedAt());
-  if (verdict == AttemptOutcome::kBroken) {
+  if (outcome == AttemptOutcome::kBroken) {
     event.text("key", keyOf(forwarded, call.request()).str())
         .text("engine_ended", engine_crashed ? "yes" : "no");
   }
@@ -69,7 +69,7 @@
   event.text("request", forwarded.id)
       .text("route", forwarded.route->name.str())
       .text("kind", kind)
-      .text("tenant", forwarded.from.tenant.str())
+      .text("tenant", forwarded.caller.tenant.str())
       .number("config", static_cast<std::int64_t>(forwarded.table->version))
       .text("outcome", outcome)
       .number("status", status)
--- a/src/gateway/forward/request_log.h
+++ b/src/gateway/forward/request_log.h
@@ -13,9 +13,9 @@
 
 namespace linenpier::forward {
 
-/** Lines about successes that are all written each second; of more, one in `kSampleOneIn` is. */
-inline constexpr std::uint32_t kFullLinesPerSecond = 50;
-inline constexpr std::uint32_t kSampleOneIn = 20;
+/** Lines about successes that are all written each second; of more, one in `kSampleInterval` is. */
+inline constexpr std::uint32_t kUnsampledLinesPerSecond = 50;
+inline constexpr std::uint32_t kSampleInterval = 20;
 
 class request_log {
  public:
@@ -25,7 +25,7 @@
   /** Writes a line unless the attempt went well: the request's own line tells that.
    * @param engine_crashed whether the engine's process crashed under the attempt.
    */
-  void onAttemptEnded(forwarded_request& forwarded, const engine_call& call, AttemptOutcome verdict,
+  void onAttemptEnded(forwarded_request& forwarded, const engine_call& call, AttemptOutcome outcome,
                       bool engine_crashed);
 
   /** Writes a line; of many successes, a sample.
@@ -41,7 +41,7 @@
 
   const engines::engine_registry& registry_;
   metrics::GatewayMetrics& metrics_;
-  logging::SuccessSampler successes_{kFullLinesPerSecond, kSampleOneIn};
+  logging::SuccessSampler successes_{kUnsampledLinesPerSecond, kSampleInterval};
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/run_reports.cpp
+++ b/src/gateway/forward/run_reporter.cpp
@@ -1,20 +1,20 @@
-#include "gateway/forward/run_reports.h"
+#include "gateway/forward/run_reporter.h"
 
 namespace linenpier::forward {
 
-void run_reports::onRun(forwarded_request& forwarded, Instant at) {
-  if (forwarded.recorded || forwarded.internal || forwarded.from.tenant.empty()) return;
-  forwarded.recorded = true;
-  this->recorder_.onBegun(forwarded.from.tenant, at);
+void run_reporter::onRun(forwarded_request& forwarded, Instant at) {
+  if (forwarded.run_reported || forwarded.internal || forwarded.caller.tenant.empty()) return;
+  forwarded.run_reported = true;
+  this->recorder_.onBegun(forwarded.caller.tenant, at);
 }
 
-void run_reports::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
-                                 AttemptOutcome verdict) {
-  if (this->hasRun(call, verdict)) this->onRun(forwarded, call.startedAt());
+void run_reporter::onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
+                                  AttemptOutcome outcome) {
+  if (this->hasRun(call, outcome)) this->onRun(forwarded, call.startedAt());
 }
 
-bool run_reports::hasRun(const engine_call& call, AttemptOutcome verdict) const {
-  switch (verdict) {
+bool run_reporter::hasRun(const engine_call& call, AttemptOutcome outcome) const {
+  switch (outcome) {
     case AttemptOutcome::kAnswered:
     case AttemptOutcome::kBroken:
       return true;
--- a/src/gateway/forward/run_reports.h
+++ b/src/gateway/forward/run_reporter.h
@@ -12,9 +12,9 @@
 
 namespace linenpier::forward {
 
-class run_reports {
+class run_reporter {
  public:
-  run_reports(const engines::engine_registry& registry, usage::run_recorder& recorder)
+  run_reporter(const engines::engine_registry& registry, usage::run_recorder& recorder)
       : registry_(registry), recorder_(recorder) {}
 
   /** An engine began to run the request. Internal requests and those without a tenant are not
@@ -24,10 +24,10 @@
 
   /** Reports a run if this end of an attempt shows one. */
   void onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
-                      AttemptOutcome verdict);
+                      AttemptOutcome outcome);
 
  private:
-  bool hasRun(const engine_call& call, AttemptOutcome verdict) const;
+  bool hasRun(const engine_call& call, AttemptOutcome outcome) const;
 
   const engines::engine_registry& registry_;
   usage::run_recorder& recorder_;
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -21,7 +21,7 @@
       resumable_(forwarded.route->resumable) {
   const std::string resumed_at =
       http::fieldText(*forwarded.request, context.engines.names.last_event_id);
-  if (!resumed_at.empty()) this->last_event_ = std::strtoull(resumed_at.c_str(), nullptr, 10);
+  if (!resumed_at.empty()) this->last_event_id_ = std::strtoull(resumed_at.c_str(), nullptr, 10);
 }
 
 Task<void> stream_session::run() {
@@ -36,14 +36,14 @@
     co_return;
   }
   this->running_.reset();
-  co_await this->endWithoutAnswer();
+  co_await this->endWithoutResponse();
 }
 
 Task<bool> stream_session::runAttempts() {
   while (!this->cancelled()) {
     const Instant now = steadyNow();
-    if (!this->policy_.mayStart(now)) break;
-    const engines::engine_state* engine = this->chooseEngine();
+    if (!this->policy_.canStart(now)) break;
+    const engines::engine_state* engine = this->pickEngine();
     if (engine == nullptr) break;
     const EngineId chosen = engine->record.id;
     const auto attempt = co_await this->context_.admission.admit(this->forwarded_, true);
@@ -55,61 +55,61 @@
       continue;
     }
     this->startCall(now, *engine);
-    const AttemptOutcome verdict = co_await this->finishCall(*attempt);
-    if (verdict == AttemptOutcome::kAnswered) co_return true;
+    const AttemptOutcome outcome = co_await this->runCall(*attempt);
+    if (outcome == AttemptOutcome::kAnswered) co_return true;
     // A stream that the client has a part of can only be continued where the route allows it.
     if (this->head_sent_ && !this->resumable_) break;
   }
   co_return false;
 }
 
-const engines::engine_state* stream_session::chooseEngine() {
-  const engines::engine_state* engine = this->context_.choice.pick(this->forwarded_, this->tried_);
+const engines::engine_state* stream_session::pickEngine() {
+  const engines::engine_state* engine = this->context_.picker.pick(this->forwarded_, this->tried_);
   if (engine != nullptr || this->tried_.size() <= 1) return engine;
   // Every engine was tried. One that broke off may serve again by now, but not the last one.
   this->tried_ = {this->running_->engine()};
-  return this->context_.choice.pick(this->forwarded_, this->tried_);
+  return this->context_.picker.pick(this->forwarded_, this->tried_);
 }
 
 void stream_session::startCall(Instant now, const engines::engine_state& engine) {
   this->tried_.insert(engine.record.id);
   const field_names& names = this->context_.engines.names;
-  http::Request request = engineMessage(names, this->forwarded_, now);
-  if (this->last_event_) request.set(names.last_event_id, std::to_string(*this->last_event_));
+  http::Request request = makeEngineRequest(names, this->forwarded_, now);
+  if (this->last_event_id_) request.set(names.last_event_id, std::to_string(*this->last_event_id_));
   this->running_ =
       std::make_shared<engine_call>(this->context_.engines, engine, std::move(request));
   this->policy_.onStarted(now);
 }
 
-Task<AttemptOutcome> stream_session::finishCall(suspects::sent_attempt attempt) {
-  const AttemptOutcome verdict = co_await this->relay();
+Task<AttemptOutcome> stream_session::runCall(suspects::sent_attempt attempt) {
+  const AttemptOutcome outcome = co_await this->relay();
   bool engine_crashed = false;
-  if (verdict == AttemptOutcome::kBroken) {
+  if (outcome == AttemptOutcome::kBroken) {
     engine_crashed = co_await this->running_->engineHasCrashed();
   }
   const engine_call& call = *this->running_;
-  this->context_.log.onAttemptEnded(this->forwarded_, call, verdict, engine_crashed);
-  this->context_.admission.onEnded(this->forwarded_, call, verdict, attempt, engine_crashed);
-  this->policy_.onEnded(verdict);
-  co_return verdict;
+  this->context_.log.onAttemptEnded(this->forwarded_, call, outcome, engine_crashed);
+  this->context_.admission.onEnded(this->forwarded_, call, outcome, attempt, engine_crashed);
+  this->policy_.onEnded(outcome);
+  co_return outcome;
 }
 
 Task<AttemptOutcome> stream_session::relay() {
   engine_call& call = *this->running_;
-  attempt_limits limits{steadyNow() + this->context_.timeouts.connect, this->stepDeadline()};
+  attempt_limits limits{steadyNow() + this->context_.timeouts.connect, this->readDeadline()};
   const AttemptOutcome started = co_await call.start(limits);
   if (started != AttemptOutcome::kAnswered) co_return started;
   if (call.status() >= kFirstRedirection) {
-    const AttemptOutcome passed = co_await this->relayPlain(call);
-    co_return passed;
+    const AttemptOutcome outcome = co_await this->relayUnary(call);
+    co_return outcome;
   }
   // An engine sends the head of a stream with its first token: by then it runs the request.
   this->context_.runs.onRun(this->forwarded_, steadyNow());
-  const AttemptOutcome passed = co_await this->relayEvents(call);
-  co_return passed;
+  const AttemptOutcome outcome = co_await this->relayEvents(call);
+  co_return outcome;
 }
 
-Task<AttemptOutcome> stream_session::relayPlain(engine_call& call) {
+Task<AttemptOutcome> stream_session::relayUnary(engine_call& call) {
   if (this->head_sent_) co_return AttemptOutcome::kBroken;
   http::Response response;
   const AttemptOutcome read = co_await call.readWhole(response.body(), this->forwarded_.deadline);
@@ -124,36 +124,36 @@
   event_parser parser(this->context_.engines.names.weight_versions);
   std::vector<stream_event> events;
   while (!call.finished()) {
-    const AttemptOutcome verdict = co_await call.readEvents(parser, events, this->stepDeadline());
+    const AttemptOutcome outcome = co_await call.readEvents(parser, events, this->readDeadline());
     std::string bytes;
-    if (!this->takeEvents(events, bytes)) co_return AttemptOutcome::kBroken;
+    if (!this->appendEvents(events, bytes)) co_return AttemptOutcome::kBroken;
     if (!bytes.empty()) {
-      const bool begun = co_await this->beginStreamOnce(call);
+      const bool begun = co_await this->ensureStreamBegun(call);
       if (!begun) co_return AttemptOutcome::kAborted;
       const bool written = co_await this->writer_.writeChunk(std::move(bytes));
       if (!written) co_return AttemptOutcome::kAborted;
     }
-    if (verdict != AttemptOutcome::kAnswered) co_return verdict;
+    if (outcome != AttemptOutcome::kAnswered) co_return outcome;
   }
   if (!parser.incompleteEvent().empty()) co_return AttemptOutcome::kBroken;
-  const bool begun = co_await this->beginStreamOnce(call);
+  const bool begun = co_await this->ensureStreamBegun(call);
   if (!begun) co_return AttemptOutcome::kAborted;
   co_await this->writer_.endStream();
   co_return AttemptOutcome::kAnswered;
 }
 
-bool stream_session::takeEvents(const std::vector<stream_event>& events, std::string& bytes) {
+bool stream_session::appendEvents(const std::vector<stream_event>& events, std::string& bytes) {
   for (const stream_event& event : events) {
-    const bool out_of_order =
-        this->resumable_ && event.id && this->last_event_ && *event.id != *this->last_event_ + 1;
+    const bool out_of_order = this->resumable_ && event.id && this->last_event_id_ &&
+                              *event.id != *this->last_event_id_ + 1;
     if (out_of_order) return false;
-    if (event.id) this->last_event_ = event.id;
+    if (event.id) this->last_event_id_ = event.id;
     bytes += event.raw;
   }
   return true;
 }
 
-Task<bool> stream_session::beginStreamOnce(engine_call& call) {
+Task<bool> stream_session::ensureStreamBegun(engine_call& call) {
   if (this->head_sent_) co_return true;
   this->head_sent_ = true;
   http::ResponseHead head;
@@ -163,7 +163,7 @@
   co_return begun;
 }
 
-Task<void> stream_session::endWithoutAnswer() {
+Task<void> stream_session::endWithoutResponse() {
   if (this->cancelled()) {
     this->context_.log.onRequestEnded(this->forwarded_, "client_gone", 0, this->policy_);
     co_return;
@@ -180,10 +180,10 @@
   co_await this->writer_.send(std::move(response));
 }
 
-Instant stream_session::stepDeadline() const {
+Instant stream_session::readDeadline() const {
   const Instant deadline = this->forwarded_.deadline;
   if (!this->resumable_) return deadline;
-  return std::min<Instant>(steadyNow() + this->context_.timeouts.stream_silence, deadline);
+  return std::min<Instant>(steadyNow() + this->context_.timeouts.stream_idle, deadline);
 }
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/stream_session.h
+++ b/src/gateway/forward/stream_session.h
@@ -33,25 +33,25 @@
   /** @return whether an engine's answer was passed on to its end. */
   Task<bool> runAttempts();
   /** @return nullptr if no engine is admitted. */
-  const engines::engine_state* chooseEngine();
+  const engines::engine_state* pickEngine();
   void startCall(Instant now, const engines::engine_state& engine);
   /** Reads the call to its end and reports it. */
-  Task<AttemptOutcome> finishCall(suspects::sent_attempt attempt);
+  Task<AttemptOutcome> runCall(suspects::sent_attempt attempt);
   /** Passes on what the running call answers. */
   Task<AttemptOutcome> relay();
   Task<AttemptOutcome> relayEvents(engine_call& call);
   /** Passes on an answer that is no stream, such as an error. */
-  Task<AttemptOutcome> relayPlain(engine_call& call);
+  Task<AttemptOutcome> relayUnary(engine_call& call);
   /** Appends events to `bytes`. @return whether they continue what the client has. */
-  bool takeEvents(const std::vector<stream_event>& events, std::string& bytes);
+  bool appendEvents(const std::vector<stream_event>& events, std::string& bytes);
   /** Sends the head of the engine's stream unless the client has one already.
    * @return whether the client is still there.
    */
-  Task<bool> beginStreamOnce(engine_call& call);
+  Task<bool> ensureStreamBegun(engine_call& call);
   /** Ends a request that no engine's answer was passed on to its end for. */
-  Task<void> endWithoutAnswer();
+  Task<void> endWithoutResponse();
   /** @return until when the engine must say something. */
-  Instant stepDeadline() const;
+  Instant readDeadline() const;
   bool cancelled() const { return this->writer_.cancellation().requested(); }
 
   forwarding_context context_;
@@ -60,7 +60,8 @@
   attempt_policy policy_;
   const bool resumable_;
   bool head_sent_ = false;
-  std::optional<std::uint64_t> last_event_;  ///< Id that the client has, by us or by its own word.
+  std::optional<std::uint64_t>
+      last_event_id_;  ///< Id that the client has, by us or by its own word.
   std::set<EngineId> tried_;
   std::shared_ptr<engine_call> running_;  ///< The newest attempt, also after its end.
 };
--- a/src/gateway/forward/plain_requests.h
+++ b/src/gateway/forward/unary_forwarder.h
@@ -8,19 +8,19 @@
 #include <memory>
 #include <optional>
 
+#include "gateway/forward/attempt_group.h"
 #include "gateway/forward/attempt_policy.h"
-#include "gateway/forward/attempt_race.h"
 #include "gateway/forward/forwarding_context.h"
 #include "gateway/forward/internal_requests.h"
 #include "gateway/http/server.h"
 
 namespace linenpier::forward {
 
-class plain_requests {
+class unary_forwarder {
  public:
-  explicit plain_requests(const forwarding_context& context) : context_(context) {}
+  explicit unary_forwarder(const forwarding_context& context) : context_(context) {}
 
-  /** Sends the client an engine's answer or a local reply, unless the client is gone. */
+  /** Sends the client an engine's response or a local reply, unless the client is gone. */
   Task<void> serve(std::shared_ptr<forwarded_request> forwarded, http::ResponseWriter& writer);
   /** Serves an internal request by the same rules of attempts. */
   Task<internal_outcome> send(internal_request request);
@@ -28,18 +28,20 @@
  private:
   /** What the attempts of one request came to. */
   struct attempts_outcome {
-    std::optional<http::Response> answer;  ///< Complete and signed.
-    int failures = 0;                      ///< Attempts that engines answered with 500.
+    std::optional<http::Response> response;  ///< Complete and signed.
+    int failures = 0;                        ///< Attempts that engines answered with 500.
   };
 
   std::shared_ptr<forwarded_request> makeInternal(const internal_request& request) const;
-  /** Runs attempts until there is an answer to pass on, or no attempt runs and none may start. */
+  /** Runs attempts until there is an response to pass on, or no attempt runs and none may start. */
   Task<attempts_outcome> runAttempts(std::shared_ptr<forwarded_request> forwarded,
                                      attempt_policy& policy, http::Cancellation& cancellation);
-  /** Takes in the attempts that ended; the last answer that is not tried elsewhere is passed on. */
-  void judgeResults(attempt_race& race, attempt_policy& policy, attempts_outcome& outcome) const;
+  /** Takes in the attempts that ended; the last response that is not tried elsewhere is passed on.
+   */
+  void processResults(attempt_group& group, attempt_policy& policy,
+                      attempts_outcome& outcome) const;
   /** @return whether an attempt was started; it may not be admitted, or no engine be found. */
-  Task<bool> startAttempt(std::shared_ptr<forwarded_request> forwarded, attempt_race& race,
+  Task<bool> startAttempt(std::shared_ptr<forwarded_request> forwarded, attempt_group& group,
                           attempt_policy& policy, http::Cancellation& cancellation);
 
   forwarding_context context_;
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -24,9 +24,9 @@
 
 namespace linenpier::suspects {
 
-/** Lines about refusals that are all written each second; of more, one in `kSampleOneIn` is. */
+/** Lines about refusals that are all written each second; of more, one in `kSampleInterval` is. */
 inline constexpr std::uint32_t kRefusalLinesPerSecond = 20;
-inline constexpr std::uint32_t kSampleOneIn = 50;
+inline constexpr std::uint32_t kSampleInterval = 50;
 
 struct suspect_totals {
   std::uint64_t engine_crashes = 0;  ///< Under attempts of this daemon; those that count.
@@ -99,7 +99,7 @@
   suspect_totals totals_;
   Signal changed_;  ///< There may be a row to write.
   bool loaded_ = false;
-  logging::SuccessSampler refusal_lines_{kRefusalLinesPerSecond, kSampleOneIn};
+  logging::SuccessSampler refusal_lines_{kRefusalLinesPerSecond, kSampleInterval};
 };
 
 }  // namespace linenpier::suspects
