--- a/src/gateway/suspects/request_key.cpp
+++ b/src/gateway/suspects/request_key.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 /** Prefixes a part with its length, so that the host's end can't be moved into the target. */
-std::string withLength(std::string_view part) {
+std::string lengthPrefixed(std::string_view part) {
   return std::to_string(part.size()) + ":" + std::string(part);
 }
 }  // namespace
 
 request_key keyOf(const TenantId& tenant, std::string_view host, std::string_view target,
                   std::string_view body) {
-  const hash128 of_place = hashTo128(withLength(host) + withLength(target));
-  const hash128 all = hashTo128(body, of_place.low ^ of_place.high);
+  const hash128 target_hash = hashTo128(lengthPrefixed(host) + lengthPrefixed(target));
+  const hash128 combined = hashTo128(body, target_hash.low ^ target_hash.high);
   char digits[49];
   std::snprintf(digits, sizeof(digits), "%016llx%016llx%016llx",
                 static_cast<unsigned long long>(hash64(tenant.str())),
-                static_cast<unsigned long long>(all.high),
-                static_cast<unsigned long long>(all.low));
+                static_cast<unsigned long long>(combined.high),
+                static_cast<unsigned long long>(combined.low));
   return request_key(digits);
 }
 
--- a/src/gateway/suspects/suspect_admission.cpp
+++ b/src/gateway/suspects/suspect_admission.cpp
@@ -10,7 +10,7 @@
       return "may_try";
     case AdmissionState::kRunning:
       return "tried_now";
-    case AdmissionState::kMustWait:
+    case AdmissionState::kBackingOff:
       return "must_wait";
     case AdmissionState::kBarred:
       return "barred";
--- a/src/gateway/suspects/suspect_admission.h
+++ b/src/gateway/suspects/suspect_admission.h
@@ -39,8 +39,8 @@
   /** How long a request is barred, counted from its last crash; doubled with each crash beyond
    * `crash_threshold`.
    */
-  Duration first_bar = std::chrono::minutes(10);
-  int max_doublings = 6;
+  Duration initial_bar = std::chrono::minutes(10);
+  int max_bar_doublings = 6;
   /** Suspects that are remembered, of some 0.5 KB each. Those with the fewest crashes go first. */
   std::size_t max_entries = 4096;
 };
@@ -49,7 +49,7 @@
   kNotSuspect,
   kMayRunAlone,  ///< On one engine at a time.
   kRunning,      ///< It runs alone somewhere; it may run again when that run has ended.
-  kMustWait,     ///< It crashed engines lately, fewer than its threshold.
+  kBackingOff,   ///< It crashed engines lately, fewer than its threshold.
   kBarred,       ///< It crashed as many engines as its threshold.
 };
 
@@ -59,8 +59,8 @@
 struct suspect_admission {
   AdmissionState state = AdmissionState::kNotSuspect;
   int crashes = 0;
-  Duration retry_after{};   ///< Until asking again may help; zero if it may run.
-  Duration evidence_age{};  ///< Since the last crash.
+  Duration retry_after{};       ///< Until asking again may help; zero if it may run.
+  Duration since_last_crash{};  ///< Since the last crash.
 };
 
 /** Who sends a request. A batch job's owner sends an item again until its result is stored; a
--- a/src/gateway/suspects/suspect_registry.cpp
+++ b/src/gateway/suspects/suspect_registry.cpp
@@ -23,28 +23,28 @@
   return crashes >= (item ? this->rules_.item_crash_threshold : this->rules_.crash_threshold);
 }
 
-Duration suspect_registry::pauseAfter(int crashes, RequestSource source) const {
-  if (this->isBarred(crashes, source)) return this->barFor(crashes);
+Duration suspect_registry::retryDelay(int crashes, RequestSource source) const {
+  if (this->isBarred(crashes, source)) return this->barDuration(crashes);
   if (crashes <= 1) return Duration::zero();
   const bool item = source == RequestSource::kItem;
   return item ? this->rules_.item_retry_interval : this->rules_.retry_backoff;
 }
 
-Duration suspect_registry::barFor(int crashes) const {
+Duration suspect_registry::barDuration(int crashes) const {
   if (crashes < this->rules_.crash_threshold) return Duration::zero();
   const int doublings =
-      std::min(crashes - this->rules_.crash_threshold, this->rules_.max_doublings);
-  return this->rules_.first_bar * (1 << doublings);
+      std::min(crashes - this->rules_.crash_threshold, this->rules_.max_bar_doublings);
+  return this->rules_.initial_bar * (1 << doublings);
 }
 
-Instant suspect_registry::forgottenAt(const entry& each) const {
-  return each.last_at + this->barFor(each.crashes) + this->rules_.retention;
+Instant suspect_registry::expiresAt(const entry& each) const {
+  return each.last_at + this->barDuration(each.crashes) + this->rules_.retention;
 }
 
 std::size_t suspect_registry::barredCount(Instant now) const {
   return static_cast<std::size_t>(
       std::count_if(this->entries_.begin(), this->entries_.end(), [&](const auto& each) {
-        return now < each.second.last_at + this->barFor(each.second.crashes);
+        return now < each.second.last_at + this->barDuration(each.second.crashes);
       }));
 }
 
@@ -59,14 +59,14 @@
   const auto at = this->entries_.find(key);
   if (at == this->entries_.end() || at->second.crashes == 0) return admission;
   const entry& known = at->second;
-  if (now >= this->forgottenAt(known)) return admission;
+  if (now >= this->expiresAt(known)) return admission;
   admission.crashes = known.crashes;
-  admission.evidence_age = now - known.last_at;
-  const Instant free_at = known.last_at + this->pauseAfter(known.crashes, source);
-  if (now < free_at) {
+  admission.since_last_crash = now - known.last_at;
+  const Instant allowed_at = known.last_at + this->retryDelay(known.crashes, source);
+  if (now < allowed_at) {
     const bool barred = this->isBarred(known.crashes, source);
-    admission.state = barred ? AdmissionState::kBarred : AdmissionState::kMustWait;
-    admission.retry_after = free_at - now;
+    admission.state = barred ? AdmissionState::kBarred : AdmissionState::kBackingOff;
+    admission.retry_after = allowed_at - now;
     return admission;
   }
   const bool running = !known.isolated_by.empty() && now < known.isolated_until;
@@ -84,7 +84,7 @@
   }
 }
 
-void suspect_registry::dropOne() {
+void suspect_registry::evictOne() {
   const auto least = std::min_element(
       this->entries_.begin(), this->entries_.end(), [](const auto& one, const auto& other) {
         return std::pair(one.second.crashes, one.second.last_at) <
@@ -96,7 +96,7 @@
 bool suspect_registry::onEngineCrashed(Instant now, const request_key& key, const EngineId& engine,
                                        int known) {
   const bool is_new = !this->entries_.contains(key);
-  if (is_new && this->entries_.size() >= this->rules_.max_entries) this->dropOne();
+  if (is_new && this->entries_.size() >= this->rules_.max_entries) this->evictOne();
   entry& each = this->entries_[key];
   // Crashes that an answer cleared since the attempt was sent do not count any more.
   const int counted = std::min(known, each.crashes) + 1;
@@ -219,22 +219,24 @@
   return at == this->entries_.end() ? 0 : at->second.revision;
 }
 
-template <typename Fits>
-std::vector<request_key> suspect_registry::worst(std::size_t most, Fits fits) const {
+template <typename Predicate>
+std::vector<request_key> suspect_registry::withMostCrashes(std::size_t max_count,
+                                                           Predicate matches) const {
   std::vector<std::pair<int, request_key>> found;
   for (const auto& [key, each] : this->entries_) {
-    if (fits(each)) found.emplace_back(-each.crashes, key);
+    if (matches(each)) found.emplace_back(-each.crashes, key);
   }
   std::sort(found.begin(), found.end());
-  if (found.size() > most) found.resize(most);
+  if (found.size() > max_count) found.resize(max_count);
   std::vector<request_key> keys;
   keys.reserve(found.size());
   for (auto& [crashes, key] : found) keys.push_back(std::move(key));
   return keys;
 }
 
-std::vector<request_key> suspect_registry::unwritten(std::size_t most) const {
-  return this->worst(most, [](const entry& each) { return each.shared && !each.written; });
+std::vector<request_key> suspect_registry::unwritten(std::size_t max_count) const {
+  return this->withMostCrashes(max_count,
+                               [](const entry& each) { return each.shared && !each.written; });
 }
 
 void suspect_registry::setShared(const request_key& key) {
@@ -243,8 +245,10 @@
 }
 
 std::vector<table::Row> suspect_registry::rows(Instant now, std::int64_t clock_ms,
-                                               const std::string& prefix, std::size_t most) const {
-  const auto keys = this->worst(most, [](const entry& each) { return each.revision != 0; });
+                                               const std::string& prefix,
+                                               std::size_t max_count) const {
+  const auto keys =
+      this->withMostCrashes(max_count, [](const entry& each) { return each.revision != 0; });
   std::vector<table::Row> rows;
   rows.reserve(keys.size());
   for (const request_key& key : keys) {
@@ -256,17 +260,17 @@
 
 std::vector<std::pair<request_key, Revision>> suspect_registry::sweep(Instant now,
                                                                       Duration removal_delay,
-                                                                      std::size_t most) {
+                                                                      std::size_t max_count) {
   std::vector<std::pair<request_key, Revision>> removable;
   for (auto at = this->entries_.begin(); at != this->entries_.end();) {
     const entry& each = at->second;
-    const bool old = now >= this->forgottenAt(each);
+    const bool old = now >= this->expiresAt(each);
     if (old && each.revision == 0) {
       at = this->entries_.erase(at);
       continue;
     }
-    const bool due = old && now >= this->forgottenAt(each) + removal_delay;
-    if (due && removable.size() < most) removable.emplace_back(at->first, each.revision);
+    const bool due = old && now >= this->expiresAt(each) + removal_delay;
+    if (due && removable.size() < max_count) removable.emplace_back(at->first, each.revision);
     ++at;
   }
   return removable;
--- a/src/gateway/suspects/suspect_registry.h
+++ b/src/gateway/suspects/suspect_registry.h
@@ -67,20 +67,20 @@
   Revision revisionOf(const request_key& key) const;
   /** @return the daemon's life that runs it alone; empty: none. */
   std::string isolatedBy(const request_key& key) const;
-  /** @return requests whose rows must be written, those with most crashes first. */
-  std::vector<request_key> unwritten(std::size_t most) const;
+  /** @return requests whose rows must be written, those with max_count crashes first. */
+  std::vector<request_key> unwritten(std::size_t max_count) const;
   /** From now on the store must have its row, for the other daemons. */
   void setShared(const request_key& key);
-  /** @return rows for a daemon that does not reach the store, those with most crashes first.
+  /** @return rows for a daemon that does not reach the store, those with max_count crashes first.
    * @param prefix of their keys.
    */
   std::vector<table::Row> rows(Instant now, std::int64_t clock_ms, const std::string& prefix,
-                               std::size_t most) const;
-  /** Forgets what is too old. @return rows that may be removed now, at most `most`.
+                               std::size_t max_count) const;
+  /** Forgets what is too old. @return rows that may be removed now, at max_count `max_count`.
    * @param removal_delay how much longer this daemon leaves that to others.
    */
   std::vector<std::pair<request_key, Revision>> sweep(Instant now, Duration removal_delay,
-                                                      std::size_t most);
+                                                      std::size_t max_count);
 
  private:
   struct entry {
@@ -96,15 +96,15 @@
 
   bool isBarred(int crashes, RequestSource source) const;
   /** @return how long after its last crash a request may not run. */
-  Duration pauseAfter(int crashes, RequestSource source) const;
-  Duration barFor(int crashes) const;
-  Instant forgottenAt(const entry& each) const;
+  Duration retryDelay(int crashes, RequestSource source) const;
+  Duration barDuration(int crashes) const;
+  Instant expiresAt(const entry& each) const;
   void addEngines(entry& into, const std::vector<EngineId>& engines) const;
   /** Makes room for one more. */
-  void dropOne();
-  /** @return the requests that fit, those with most crashes first. */
-  template <typename Fits>
-  std::vector<request_key> worst(std::size_t most, Fits fits) const;
+  void evictOne();
+  /** @return the requests that fit, those with max_count crashes first. */
+  template <typename Predicate>
+  std::vector<request_key> withMostCrashes(std::size_t max_count, Predicate matches) const;
 
   suspect_rules rules_;
   std::map<request_key, entry> entries_;
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -14,23 +14,23 @@
  * must not hold innocent requests up.
  */
 constexpr Duration kClaimTimeout = std::chrono::milliseconds(100);
-constexpr int kMaxClaimTries = 3;
+constexpr int kMaxClaimAttempts = 3;
 /** Between two looks for rows to write where nothing changes. */
-constexpr Duration kWriteIdle = std::chrono::seconds(1);
+constexpr Duration kWritePollInterval = std::chrono::seconds(1);
 /** Between two writes of rows: bounds what all daemons together send a small store. */
 constexpr Duration kWriteInterval = std::chrono::milliseconds(25);
 constexpr Duration kRetryBackoff = std::chrono::milliseconds(200);
-constexpr int kMaxRemoveTries = 3;
+constexpr int kMaxRemoveAttempts = 3;
 /** Rows that are written before the worst suspects are chosen anew. */
-constexpr std::size_t kMaxRowsAtOnce = 32;
+constexpr std::size_t kWriteBatchSize = 32;
 /** In an answer to a daemon without the store: bounds its size, some 80 KB. */
-constexpr std::size_t kMaxRowsSent = 256;
+constexpr std::size_t kMaxPeerRows = 256;
 constexpr Duration kSweepInterval = std::chrono::seconds(10);
 constexpr std::size_t kMaxRemovedPerSweep = 20;
 /** Each daemon leaves old rows to others for a time of its own, up to this, so that one of them
  * removes a row.
  */
-constexpr std::uint64_t kRemovalSpreadSeconds = 60;
+constexpr std::uint64_t kRemovalJitterSeconds = 60;
 
 }  // namespace
 
@@ -61,7 +61,7 @@
 Task<suspect_admission> suspect_service::beginIsolatedRun(request_key key, RequestSource source,
                                                           std::string id) {
   suspect_admission admission;
-  for (int tries = 0; tries < kMaxClaimTries; ++tries) {
+  for (int attempt = 0; attempt < kMaxClaimAttempts; ++attempt) {
     admission = this->beginLocalIsolatedRun(key, source, id);
     // Without the store each daemon goes by what it knows.
     if (admission.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
@@ -69,7 +69,7 @@
     this->registry_.setShared(key);
     const WriteOutcome outcome = co_await this->claim(key);
     const bool own = this->registry_.isolatedBy(key) == this->self();
-    if (outcome != WriteOutcome::kOvertaken || own) co_return admission;
+    if (outcome != WriteOutcome::kConflict || own) co_return admission;
   }
   admission = this->admissionOf(key, source);
   if (admission.state == AdmissionState::kMayRunAlone) admission.state = AdmissionState::kRunning;
@@ -91,21 +91,21 @@
   if (!pending->outcome) {
     co_await pending->settled.waitFor(kClaimTimeout);
   }
-  co_return pending->outcome.value_or(WriteOutcome::kNoAnswer);
+  co_return pending->outcome.value_or(WriteOutcome::kNoResponse);
 }
 
 void suspect_service::onRefused(const suspect_admission& admission, const request_key& key,
                                 const std::string& id) {
   ++this->totals_.refused;
-  if (!this->refusal_lines_.admit(steadyNow())) return;
+  if (!this->refusal_sampler_.admit(steadyNow())) return;
   LogEvent event("suspects", "refused");
   event.text("request", id)
       .text("key", key.str())
       .text("standing", toText(admission.state))
       .number("ends", admission.crashes)
-      .milliseconds("evidence_age_ms", admission.evidence_age)
+      .milliseconds("evidence_age_ms", admission.since_last_crash)
       .milliseconds("wait_ms", admission.retry_after);
-  if (const auto skipped = this->refusal_lines_.takeSkipped()) {
+  if (const auto skipped = this->refusal_sampler_.takeSkipped()) {
     event.number("refusals_not_written", static_cast<std::int64_t>(skipped));
   }
 }
@@ -191,7 +191,7 @@
 }
 
 std::vector<table::Row> suspect_service::rows() const {
-  return this->registry_.rows(steadyNow(), this->clock(), table::suspectKey({}), kMaxRowsSent);
+  return this->registry_.rows(steadyNow(), this->clock(), table::suspectKey({}), kMaxPeerRows);
 }
 
 // --- Writes --------------------------------------------------------------------------------------
@@ -228,20 +228,20 @@
     record = this->registry_.record(steadyNow(), this->clock(), key);
     answer = co_await this->deps_.write_by_peer(this->writeOf(key, record));
   }
-  if (!answer) co_return WriteOutcome::kNoAnswer;
+  if (!answer) co_return WriteOutcome::kNoResponse;
   if (!answer->committed) {
     this->onConflict(key, answer->conflicts);
-    co_return WriteOutcome::kOvertaken;
+    co_return WriteOutcome::kConflict;
   }
   this->registry_.onWritten(key, answer->revision, record);
-  co_return WriteOutcome::kDone;
+  co_return WriteOutcome::kCommitted;
 }
 
 Task<void> suspect_service::writeLoop() {
   for (;;) {
-    const std::vector<request_key> keys = this->registry_.unwritten(kMaxRowsAtOnce);
+    const std::vector<request_key> keys = this->registry_.unwritten(kWriteBatchSize);
     if (keys.empty()) {
-      co_await this->changed_.waitFor(kWriteIdle);
+      co_await this->changed_.waitFor(kWritePollInterval);
       continue;
     }
     // Rows hold times of the store's clock: without it none can be written.
@@ -249,7 +249,7 @@
     for (const request_key& key : keys) {
       if (!answered) break;
       const WriteOutcome outcome = co_await this->writeRow(key);
-      answered = outcome != WriteOutcome::kNoAnswer;
+      answered = outcome != WriteOutcome::kNoResponse;
       co_await sleepFor(this->deps_.loop, kWriteInterval);
     }
     if (answered) continue;
@@ -260,7 +260,7 @@
 
 Task<void> suspect_service::removeRow(request_key key, Revision revision) {
   const std::string name = table::suspectKey(key.str());
-  for (int tries = 0; tries < kMaxRemoveTries && revision != 0; ++tries) {
+  for (int attempt = 0; attempt < kMaxRemoveAttempts && revision != 0; ++attempt) {
     table::Write write;
     write.transaction.checks.push_back({name, revision});
     write.removes.push_back(name);
@@ -276,7 +276,7 @@
 }
 
 Task<void> suspect_service::sweepLoop() {
-  const Duration removal_delay = std::chrono::seconds(hash64(this->self()) % kRemovalSpreadSeconds);
+  const Duration removal_delay = std::chrono::seconds(hash64(this->self()) % kRemovalJitterSeconds);
   for (;;) {
     co_await sleepFor(this->deps_.loop, kSweepInterval);
     const auto removable = this->registry_.sweep(steadyNow(), removal_delay, kMaxRemovedPerSweep);
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -25,7 +25,7 @@
 namespace linenpier::suspects {
 
 /** Lines about refusals that are all written each second; of more, one in `kSampleInterval` is. */
-inline constexpr std::uint32_t kRefusalLinesPerSecond = 20;
+inline constexpr std::uint32_t kUnsampledRefusalsPerSecond = 20;
 inline constexpr std::uint32_t kSampleInterval = 50;
 
 struct suspect_totals {
@@ -78,7 +78,7 @@
   const suspect_totals& totals() const { return this->totals_; }
 
  private:
-  enum class WriteOutcome { kDone, kOvertaken, kNoAnswer };
+  enum class WriteOutcome { kCommitted, kConflict, kNoResponse };
 
   Task<void> writeLoop();
   Task<void> sweepLoop();
@@ -99,7 +99,7 @@
   suspect_totals totals_;
   Signal changed_;  ///< There may be a row to write.
   bool loaded_ = false;
-  logging::SuccessSampler refusal_lines_{kRefusalLinesPerSecond, kSampleInterval};
+  logging::SuccessSampler refusal_sampler_{kUnsampledRefusalsPerSecond, kSampleInterval};
 };
 
 }  // namespace linenpier::suspects
--- a/tests/gateway/suspects/suspect_registry_test.cpp
+++ b/tests/gateway/suspects/suspect_registry_test.cpp
@@ -35,9 +35,9 @@
   return registry;
 }
 
-AdmissionState standingAt(const suspect_registry& registry, double seconds,
-                          RequestSource who = RequestSource::kCaller) {
-  return registry.admissionOf(at(seconds), kKey, who).state;
+AdmissionState stateAt(const suspect_registry& registry, double seconds,
+                       RequestSource source = RequestSource::kCaller) {
+  return registry.admissionOf(at(seconds), kKey, source).state;
 }
 
 }  // namespace
@@ -45,55 +45,55 @@
 Test(suspect_registry, a_request_under_which_no_engine_ended_is_clear) {
   const suspect_registry registry;
   cr_assert(registry.empty());
-  cr_assert(standingAt(registry, 0) == AdmissionState::kNotSuspect);
+  cr_assert(stateAt(registry, 0) == AdmissionState::kNotSuspect);
 }
 
 Test(suspect_registry, the_first_end_makes_it_run_alone) {
   suspect_registry registry = registryAfter(1);
-  cr_assert(standingAt(registry, 0.01) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registry, 0.01) == AdmissionState::kMayRunAlone);
   registry.onIsolatedRun(at(0.01), kKey, "a");
-  cr_assert(standingAt(registry, 0.02) == AdmissionState::kRunning);
-  cr_assert(standingAt(registry, 3.02) == AdmissionState::kMayRunAlone,
+  cr_assert(stateAt(registry, 0.02) == AdmissionState::kRunning);
+  cr_assert(stateAt(registry, 3.02) == AdmissionState::kMayRunAlone,
             "a trial that takes long keeps nobody");
   registry.onIsolatedRunEnded(kKey, "b");
-  cr_assert(standingAt(registry, 0.02) == AdmissionState::kRunning, "another daemon's trial");
+  cr_assert(stateAt(registry, 0.02) == AdmissionState::kRunning, "another daemon's trial");
   registry.onIsolatedRunEnded(kKey, "a");
-  cr_assert(standingAt(registry, 0.02) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registry, 0.02) == AdmissionState::kMayRunAlone);
 }
 
 Test(suspect_registry, after_the_second_end_it_waits_until_engines_are_back) {
   const suspect_registry registry = registryAfter(2);
-  cr_assert(standingAt(registry, 1.1) == AdmissionState::kMustWait);
-  cr_assert(standingAt(registry, 5.9) == AdmissionState::kMustWait);
-  cr_assert(standingAt(registry, 6.0) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registry, 1.1) == AdmissionState::kBackingOff);
+  cr_assert(stateAt(registry, 5.9) == AdmissionState::kBackingOff);
+  cr_assert(stateAt(registry, 6.0) == AdmissionState::kMayRunAlone);
 }
 
 Test(suspect_registry, the_third_bars_it_and_each_further_one_doubles_that) {
   suspect_registry registry = registryAfter(3);
-  const auto told = registry.admissionOf(at(2.5), kKey, RequestSource::kCaller);
-  cr_assert(told.state == AdmissionState::kBarred);
-  cr_assert_eq(told.crashes, 3);
-  cr_assert(told.evidence_age == fromSeconds(0.5));
-  cr_assert(told.retry_after == 10 * kMinute - fromSeconds(0.5));
-  cr_assert(standingAt(registry, 2 + 599) == AdmissionState::kBarred);
-  cr_assert(standingAt(registry, 2 + 600) == AdmissionState::kMayRunAlone);
+  const auto admission = registry.admissionOf(at(2.5), kKey, RequestSource::kCaller);
+  cr_assert(admission.state == AdmissionState::kBarred);
+  cr_assert_eq(admission.crashes, 3);
+  cr_assert(admission.since_last_crash == fromSeconds(0.5));
+  cr_assert(admission.retry_after == 10 * kMinute - fromSeconds(0.5));
+  cr_assert(stateAt(registry, 2 + 599) == AdmissionState::kBarred);
+  cr_assert(stateAt(registry, 2 + 600) == AdmissionState::kMayRunAlone);
   registry.onEngineCrashed(at(602), kKey, engine(9), 3);
-  cr_assert(standingAt(registry, 602 + 1199) == AdmissionState::kBarred);
-  cr_assert(standingAt(registry, 602 + 1200) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registry, 602 + 1199) == AdmissionState::kBarred);
+  cr_assert(stateAt(registry, 602 + 1200) == AdmissionState::kMayRunAlone);
 }
 
 Test(suspect_registry, suspicion_is_forgotten) {
-  cr_assert(standingAt(registryAfter(1), 599) == AdmissionState::kMayRunAlone);
-  cr_assert(standingAt(registryAfter(1), 600) == AdmissionState::kNotSuspect);
-  cr_assert(standingAt(registryAfter(3), 2 + 1199) == AdmissionState::kMayRunAlone);
-  cr_assert(standingAt(registryAfter(3), 2 + 1200) == AdmissionState::kNotSuspect);
+  cr_assert(stateAt(registryAfter(1), 599) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registryAfter(1), 600) == AdmissionState::kNotSuspect);
+  cr_assert(stateAt(registryAfter(3), 2 + 1199) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registryAfter(3), 2 + 1200) == AdmissionState::kNotSuspect);
 }
 
 Test(suspect_registry, attempts_that_ran_side_by_side_count_once) {
   suspect_registry registry;
   for (int i = 0; i < 8; ++i) registry.onEngineCrashed(at(0), kKey, engine(i), 0);
   cr_assert_eq(registry.crashesOf(kKey), 1, "a zone that loses power ends all its engines at once");
-  cr_assert(standingAt(registry, 0.1) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registry, 0.1) == AdmissionState::kMayRunAlone);
 }
 
 Test(suspect_registry, an_answer_clears_whoever_stood_beside_and_what_was_sent_before_counts_anew) {
@@ -106,12 +106,12 @@
 
 Test(suspect_registry, an_item_is_tried_twice_more_within_what_a_job_bears) {
   suspect_registry registry = registryAfter(3);
-  cr_assert(standingAt(registry, 5.9, RequestSource::kItem) == AdmissionState::kMustWait);
-  cr_assert(standingAt(registry, 6, RequestSource::kItem) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registry, 5.9, RequestSource::kItem) == AdmissionState::kBackingOff);
+  cr_assert(stateAt(registry, 6, RequestSource::kItem) == AdmissionState::kMayRunAlone);
   registry.onEngineCrashed(at(6), kKey, engine(3), 3);
-  cr_assert(standingAt(registry, 10, RequestSource::kItem) == AdmissionState::kMayRunAlone);
+  cr_assert(stateAt(registry, 10, RequestSource::kItem) == AdmissionState::kMayRunAlone);
   registry.onEngineCrashed(at(10), kKey, engine(4), 4);
-  cr_assert(standingAt(registry, 60, RequestSource::kItem) == AdmissionState::kBarred);
+  cr_assert(stateAt(registry, 60, RequestSource::kItem) == AdmissionState::kBarred);
 }
 
 Test(suspect_registry, rows_of_others_are_joined_with_what_was_seen_here) {
@@ -123,7 +123,7 @@
   registry.onRow(at(1), 10000, kKey, 5, row);
   cr_assert_eq(registry.crashesOf(kKey), 2);
   cr_assert_eq(registry.revisionOf(kKey), Revision{5});
-  cr_assert(registry.admissionOf(at(1), kKey, RequestSource::kCaller).evidence_age ==
+  cr_assert(registry.admissionOf(at(1), kKey, RequestSource::kCaller).since_last_crash ==
             fromSeconds(1));
   const suspect_record joined = registry.record(at(1), 10000, kKey);
   cr_assert_eq(joined.engines.size(), 2U);
@@ -180,7 +180,7 @@
   registry.onRow(at(0), 10000, kKey, 5, row);
   row.crashes = 3;
   registry.onPeerRow(at(0), 10000, kKey, 5, row);
-  cr_assert(standingAt(registry, 1) == AdmissionState::kBarred);
+  cr_assert(stateAt(registry, 1) == AdmissionState::kBarred);
 }
 
 Test(suspect_registry, a_flood_of_ever_new_requests_drops_those_with_least_against_them) {
