--- a/src/gateway/http/client_exchange.cpp
+++ b/src/gateway/http/client_exchange.cpp
@@ -17,11 +17,11 @@
 constexpr std::size_t kReadChunkBytes = 16 * 1024;
 constexpr std::size_t kMaxBodyBytes = 64 * 1024 * 1024;
 constexpr int kMaxStaleResponses = 3;
-/// The two clocks are read one after the other; a shorter suspension is as a busy moment.
+/// Shorter differences between the two clocks are not counted as a suspension of the machine.
 constexpr Duration kSuspensionTolerance = std::chrono::milliseconds(50);
 constexpr Duration kIdleTimeoutMargin = std::chrono::milliseconds(600);
 
-/// @return how long the peer keeps the idle connection, by its Keep-Alive field.
+/// @return the idle timeout from the Keep-Alive field, less a margin.
 Duration idleTimeout(const Fields& fields, Duration default_timeout) {
   const auto value = std::string(fields[beast_http::field::keep_alive]);
   const auto at = value.find("timeout=");
@@ -30,7 +30,7 @@
   return std::max<Duration>(seconds - kIdleTimeoutMargin, Duration::zero());
 }
 
-/// Closes at once, also under a write that is still going on.
+/// Closes immediately, even during a write.
 void close(ClientConnection& connection) {
   boost::system::error_code ignored;
   connection.stream.socket().close(ignored);
@@ -123,7 +123,7 @@
     if (status != ExchangeStatus::kOk) co_return status;
     ignored.clear();
   }
-  // An answer that ends with its connection leaves none for the right one.
+  // If the end of the connection delimits the body, no further response can follow.
   co_return parser_->need_eof() ? ExchangeStatus::kBroken : ExchangeStatus::kOk;
 }
 
@@ -205,8 +205,8 @@
   if (outcome.status != ExchangeStatus::kOk) co_return outcome;
   outcome.status = co_await exchange->readAll(outcome.response.body(), kMaxBodyBytes, deadline);
   outcome.response.base() = exchange->head();
-  // An answer that lay here while the machine was suspended says nothing of now: whoever takes it
-  // for a sign of being in touch would act on what others have long changed.
+  // A response that was read after the machine was suspended may be out of date and does not show
+  // that the peer is reachable now.
   const bool was_suspended = machine_clock::suspended() - suspended > kSuspensionTolerance;
   if (was_suspended) outcome.status = ExchangeStatus::kTimedOut;
   co_return outcome;
--- a/src/gateway/http/client_exchange.h
+++ b/src/gateway/http/client_exchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One request and its answer on an outgoing connection, read piece by piece.
+/// HTTP client: one request and its incrementally read response.
 
 #include <boost/beast/http/buffer_body.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -13,41 +13,42 @@
 
 namespace linenpier::http {
 
-/// How an exchange, or one step of it, ended.
+/// Result of an exchange or of one of its steps.
 enum class ExchangeStatus {
   kOk,
-  kNotConnected,  ///< No connection: nothing was sent.
-  kWithheld,      ///< It must not be sent any more: nothing was.
-  kBroken,        ///< Closed, reset, or bytes that are no answer; the request may have run.
-  kTimedOut,      ///< No progress before the deadline; the request may have run.
+  kNotConnected,  ///< Connection failed; nothing was sent.
+  kWithheld,      ///< The `sendOnlyIf` condition was false; nothing was sent.
+  kBroken,        ///< Closed, reset or malformed; the request may have been processed.
+  kTimedOut,      ///< Deadline passed; the request may have been processed.
   kAborted,       ///< `abort` was called.
 };
 
 const char* toText(ExchangeStatus status);
 
-/// A field that the answer must echo, so that a surplus answer to another request is known as one.
+/// Header field that the response must echo, to detect stale responses to other requests.
 struct ExpectedEcho {
   std::string field;
   std::string value;
 };
 
-/// Sends while it receives: peers may answer before they have read a long body. Loop thread only;
-/// must be held by a shared pointer.
+/// Writes and reads concurrently, since peers may respond before they have read the whole body.
+/// Event loop thread only; must be owned by a shared_ptr.
 ///
-/// Invariant: the connection goes back to the pool only after a whole answer, with the request
-/// written whole, nothing left in the buffer and both sides willing to go on.
+/// Invariant: the connection returns to the
+/// pool only if the request was written and the response read completely, the buffer is empty and
+/// both sides allow keep-alive.
 class ClientExchange : public std::enable_shared_from_this<ClientExchange> {
  public:
   ClientExchange(ConnectionPool& pool, Address peer, Request request);
 
-  /// Asked when a connection is there: what was right to send when it was begun may not be now.
+  /// Sets a condition that is checked once connected, since it may have changed while connecting.
   void sendOnlyIf(std::function<bool()> condition) { may_send_ = std::move(condition); }
-  /// Connects, sends and reads the head.
-  /// @param force_new_connection whether to open a new connection even if one is idle.
+  /// Connects, sends the request and reads the response header.
+  /// @param force_new_connection ignore idle connections.
   Task<ExchangeStatus> start(Instant connect_deadline, Instant deadline,
                              std::optional<ExpectedEcho> echo, bool force_new_connection);
-  /// Reads some of the body into `out`, appending.
-  /// @return kOk; `complete` tells whether the answer is whole.
+  /// Appends a part of the body to `out`.
+  /// @return kOk on success; `complete` then tells whether the response is complete.
   Task<ExchangeStatus> readSome(std::string& out, Instant deadline);
   /// Reads the rest of the body, at most `limit` bytes.
   Task<ExchangeStatus> readAll(std::string& out, std::size_t limit, Instant deadline);
@@ -56,9 +57,9 @@
   const ResponseHead& head() const { return parser_->get().base(); }
   unsigned status() const { return parser_->get().result_int(); }
   bool complete() const { return complete_; }
-  /// @return whether any byte of the request may have reached the peer.
+  /// @return whether any part of the request may have reached the peer.
   bool sent() const { return sent_; }
-  /// Ends the exchange by closing its connection; pending calls return kAborted.
+  /// Closes the connection; pending calls return kAborted.
   void abort();
 
  private:
@@ -74,27 +75,27 @@
   ConnectionPool& pool_;
   Address peer_;
   Request request_;
-  std::function<bool()> may_send_;  ///< Empty: always.
-  ClientConnectionPtr connection_;  ///< Empty before the connection and after the end.
+  std::function<bool()> may_send_;  ///< Empty: unconditional.
+  ClientConnectionPtr connection_;  ///< Null before connecting and after the end.
   std::optional<Parser> parser_;
   bool sent_ = false;
   bool write_done_ = false;
   bool complete_ = false;
   bool aborted_ = false;
-  bool stale_response_seen_ = false;  ///< An answer to something else came first: do not keep.
+  bool stale_response_seen_ = false;  ///< The connection must not be reused.
 };
 
-/// Sends a request and reads the whole answer.
-/// @return the answer, or how the exchange ended; `sent` tells whether it may have been processed.
+/// Result of `call`. `sent` tells whether the request may have been processed.
 struct CallOutcome {
   ExchangeStatus status = ExchangeStatus::kNotConnected;
   bool sent = false;
   Response response;
 };
+/// Sends a request and reads the complete response.
 Task<CallOutcome> call(ConnectionPool& pool, Address peer, Request request, Instant deadline);
-/// The same for an exchange that the caller may abort.
+/// The same for an exchange that the caller can abort.
 Task<CallOutcome> call(std::shared_ptr<ClientExchange> exchange, Instant deadline);
-/// The same, with a time of its own until which the connection must be there.
+/// The same with a separate deadline for connecting.
 Task<CallOutcome> call(ConnectionPool& pool, Address peer, Request request,
                        Instant connect_deadline, Instant deadline);
 
--- a/src/gateway/http/connection_pool.cpp
+++ b/src/gateway/http/connection_pool.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// @return whether the peer neither closed the connection nor sent anything on it.
+/// @return whether the connection is open and has no pending input.
 bool isUsable(ClientConnection& connection) {
   char byte = 0;
   const int descriptor = connection.stream.socket().native_handle();
--- a/src/gateway/http/connection_pool.h
+++ b/src/gateway/http/connection_pool.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Kept connections to engines and to the platform.
+/// Pool of keep-alive connections to engines and to the platform.
 
 #include <cstddef>
 #include <map>
@@ -15,54 +15,53 @@
 
 namespace linenpier::http {
 
-/// One outgoing connection. Closed when the last owner lets go of it.
+/// One outgoing connection; closed by its destructor.
 struct ClientConnection {
   explicit ClientConnection(boost::asio::io_context& loop) : stream(loop) {}
 
   boost::beast::tcp_stream stream;
-  boost::beast::flat_buffer buffer;  ///< Bytes received and not parsed yet.
+  boost::beast::flat_buffer buffer;  ///< Received, not yet parsed.
   Address peer;
-  Instant usable_until{};  ///< The peer closes it some time after this.
-  bool reused = false;     ///< Whether it carried an exchange before.
+  Instant usable_until{};  ///< End of the idle timeout.
+  bool reused = false;     ///< It was in the pool before.
 
-  /// Ends what is read or written after `deadline`. The stream's own timer runs on the steady
-  /// clock.
+  /// Sets the deadline of reads and writes. The stream's timer uses the steady clock.
   void expireAt(Instant deadline) { stream.expires_after(deadline - steadyNow()); }
 };
 
 using ClientConnectionPtr = std::shared_ptr<ClientConnection>;
 
-/// What becomes of a connection that is opened to a peer.
+/// Result of connecting to a peer.
 enum class PeerState {
   kAccepting,
-  kRefusing,      ///< The host answers; no process listens there.
-  kUnresponsive,  ///< No answer in time: the host is away, cut off or stands still.
+  kRefusing,      ///< Connection refused: the host is up, no process is listening.
+  kUnresponsive,  ///< No response: the host is down, unreachable or hanging.
 };
 
 struct ConnectionPoolOptions {
   std::size_t max_idle_per_peer = 32;
-  Duration idle_timeout = std::chrono::seconds(4);  ///< Where the peer names no time.
+  Duration idle_timeout = std::chrono::seconds(4);  ///< If the peer sends no Keep-Alive timeout.
 };
 
-/// Idle connections by peer. Loop thread only.
+/// Idle connections by peer. Event loop thread only.
 class ConnectionPool {
  public:
   ConnectionPool(boost::asio::io_context& loop, ConnectionPoolOptions options)
       : loop_(loop), options_(options) {}
 
-  /// @return an idle connection on which nothing unasked has arrived, or nullptr.
+  /// @return an idle connection without pending input, or nullptr.
   ClientConnectionPtr acquireIdle(Instant now, const Address& peer);
-  /// Opens a connection. @return nullptr if none came up before `deadline`.
+  /// Opens a connection. @return nullptr on failure.
   Task<ClientConnectionPtr> connect(Address peer, Instant deadline);
-  /// Opens a connection to see whether the peer takes it; one that it takes is kept. Those who ask
-  /// of one peer at the same time share one: when an engine resets its runs to load weights, all of
-  /// them ask.
+  /// Tests whether the peer accepts connections; a new connection is kept in the pool. Concurrent
+  /// probes of one peer share a connection, since all requests of an engine probe it at the same
+  /// time when it resets them to load weights.
   Task<PeerState> probe(Address peer, Instant deadline);
-  /// Keeps a connection that is at rest between two exchanges.
+  /// Adds a connection that has no exchange in progress.
   void release(Instant now, ClientConnectionPtr connection, Duration idle_timeout);
-  /// Closes the idle connections to a peer that is gone.
+  /// Closes the idle connections to a peer.
   void closeIdle(const Address& peer) { idle_.erase(peer); }
-  /// Closes what has rested too long.
+  /// Closes connections whose idle timeout has passed.
   void sweep(Instant now);
 
   Duration defaultIdleTimeout() const { return options_.idle_timeout; }
@@ -70,7 +69,7 @@
   std::uint64_t opened() const { return opened_; }
 
  private:
-  /// One that is under way, for all who ask.
+  /// A probe in progress, shared by its callers.
   struct Probe {
     explicit Probe(boost::asio::io_context& loop) : done(loop) {}
     Signal done;
@@ -84,7 +83,7 @@
   ConnectionPoolOptions options_;
   std::map<Address, std::vector<ClientConnectionPtr>> idle_;  ///< Newest last.
   std::map<Address, std::shared_ptr<Probe>> probes_;
-  std::uint64_t opened_ = 0;  ///< Connections ever opened, for the metrics.
+  std::uint64_t opened_ = 0;  ///< Total, for metrics.
 };
 
 }  // namespace linenpier::http
--- a/src/gateway/http/http_types.h
+++ b/src/gateway/http/http_types.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The event loop's HTTP messages: Beast's, under short names.
+/// Short names for Boost.Beast's HTTP types.
 
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/core/tcp_stream.hpp>
@@ -18,17 +18,16 @@
 using ResponseHead = beast_http::response_header<>;
 using Fields = beast_http::fields;
 
-/// @return the field's value, or the empty text.
+/// @return the field's value, or an empty string if absent.
 inline std::string fieldText(const Fields& fields, const std::string& name) {
   const auto at = fields.find(name);
   return at == fields.end() ? std::string() : std::string(at->value());
 }
 
-/// Copies the fields that concern the whole way, leaving out those of one connection only and
-/// those that describe the body's framing.
+/// Copies the end-to-end fields. Omits hop-by-hop fields and those that frame the body.
 void copyEndToEndFields(const Fields& from, Fields& to);
 
-/// Lets whoever waits for an answer stop the work for it. One owner; loop thread only.
+/// Cancels a request in progress. Has one observer; event loop thread only.
 class Cancellation {
  public:
   bool requested() const { return requested_; }
@@ -37,7 +36,7 @@
     requested_ = true;
     if (on_request_) on_request_();
   }
-  /// @param on_request called once when cancellation is requested; replaces the one before.
+  /// @param on_request called once when cancellation is requested; replaces the previous callback.
   void onRequest(std::function<void()> on_request) { on_request_ = std::move(on_request); }
 
  private:
--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// HTTP server on the event loop: one task a connection, requests read whole, answers written
-/// whole or piece by piece. Loop thread only.
+/// Asynchronous HTTP server with one coroutine per connection. Requests are read completely before
+/// they are handled; responses are sent complete or chunked. Event loop thread only.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -20,32 +20,31 @@
 struct ServerLimits {
   std::uint32_t max_header_bytes = 16 * 1024;
   std::uint64_t max_body_bytes = 32ULL * 1024 * 1024;
-  Duration header_timeout = std::chrono::seconds(3);  ///< From a head's first byte to its end.
-  Duration body_timeout = std::chrono::seconds(10);   ///< From a head's end to the body's.
-  Duration idle_timeout = std::chrono::seconds(15);   ///< Between two requests.
+  Duration header_timeout = std::chrono::seconds(3);  ///< Starts at the first byte.
+  Duration body_timeout = std::chrono::seconds(10);   ///< Starts at the end of the header.
+  Duration idle_timeout = std::chrono::seconds(15);   ///< Between requests.
 };
 
 class ServerSession;
 
-/// Where a handler puts its answer. Exactly one of `send`, `beginStream` … `endStream` or
-/// `abortConnection` must end every request; a handler that returns without any breaks the
-/// connection off.
+/// Sends the response of a request. A handler must call `send`, or `beginStream` and `endStream`,
+/// or `abortConnection`. If it returns without any of them, the connection is closed.
 class ResponseWriter {
  public:
   explicit ResponseWriter(ServerSession& session) : session_(session) {}
 
-  /// Sends a whole answer with its length.
+  /// Sends a complete response with Content-Length.
   Task<bool> send(Response response);
-  /// Sends the head of an answer in chunks. @return false if the client is gone.
+  /// Sends the header of a chunked response. @return false if the client disconnected.
   Task<bool> beginStream(ResponseHead head);
   Task<bool> writeChunk(std::string bytes);
   Task<bool> endStream();
-  /// Closes the connection so that what was sent does not look complete.
+  /// Resets the connection, so that the client detects an incomplete response.
   void abortConnection();
   bool started() const { return started_; }
   bool ended() const { return ended_; }
 
-  /// Requested when the client closes its connection before the answer's end.
+  /// Requested when the client disconnects before the end of the response.
   Cancellation& cancellation() { return cancellation_; }
 
  private:
@@ -58,20 +57,20 @@
 
 using Handler = std::function<Task<void>(Request&, Instant received, ResponseWriter&)>;
 
-/// Listens on one address until `stop`.
+/// Listens on one address until `closeIdle`.
 class Server {
  public:
   Server(boost::asio::io_context& loop, Handler handler)
       : loop_(loop), acceptor_(loop), handler_(std::move(handler)) {}
 
-  /// @return nothing, or what is wrong with the address.
+  /// @return nullopt, or the error.
   std::optional<Finding> listen(const Address& address);
-  /// @return the address in use, with the port that the system chose where port 0 was asked for.
+  /// @return the bound address, with the port assigned by the system if port 0 was requested.
   Address address() const;
   void setLimits(const ServerLimits& limits) { limits_ = limits; }
-  /// From now on every answer closes its connection.
+  /// Disables keep-alive, so that each connection closes after its next response.
   void beginDrain();
-  /// Stops accepting and closes connections that are between two requests.
+  /// Stops accepting connections and closes those without a request in progress.
   void closeIdle();
   std::size_t activeRequests() const { return active_requests_; }
   std::size_t connections() const { return sessions_.size(); }
@@ -84,8 +83,9 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   Handler handler_;
   ServerLimits limits_;
-  std::set<ServerSession*> sessions_;  ///< Every open connection.
-  std::size_t active_requests_ = 0;  ///< Requests between their first byte and their answer's end.
+  std::set<ServerSession*> sessions_;  ///< All open connections.
+  std::size_t active_requests_ =
+      0;  ///< From the first byte of a request to the end of its response.
   bool draining_ = false;
 };
 
--- a/src/gateway/http/server_session.cpp
+++ b/src/gateway/http/server_session.cpp
@@ -67,8 +67,8 @@
   co_return true;
 }
 
-/// Cancels what a connection reads when time is up. Unlike the stream's own limit it leaves the
-/// connection open, so that the client can be told.
+/// Cancels reads after a timeout. Unlike the stream's own timeout it keeps the connection open, so
+/// that an error response can be sent.
 class ServerSession::ReadTimeout {
  public:
   ReadTimeout(boost::beast::tcp_stream& stream, Duration limit)
@@ -91,7 +91,7 @@
   struct State {
     explicit State(boost::beast::tcp_stream& limited)
         : stream(limited), timer(limited.get_executor()) {}
-    boost::beast::tcp_stream& stream;  ///< Not used once `done`.
+    boost::beast::tcp_stream& stream;  ///< Must not be used once `done`.
     machine_timer timer;
     bool expired = false;
     bool done = false;
@@ -135,7 +135,7 @@
   Response response(status, 11);
   keep_alive_ = false;
   co_await writeResponse(std::move(response));
-  // What the client still sends is read for a moment, or closing would reset the refusal away.
+  // Drain input before closing, or a TCP reset could discard the error response.
   boost::system::error_code error;
   stream_.socket().shutdown(asio::ip::tcp::socket::shutdown_send, error);
   stream_.expires_after(std::chrono::milliseconds(500));
@@ -189,7 +189,7 @@
   const ssize_t received =
       ::recv(stream_.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   const bool gone = received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
-  if (!gone) return;  // The next request came early; it is read after this one.
+  if (!gone) return;  // The client pipelined its next request.
   writer_->cancellation_.request();
 }
 
--- a/src/gateway/http/server_session.h
+++ b/src/gateway/http/server_session.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One connection of a client. Used by the server only.
+/// One client connection. Used by the server only.
 
 #include <boost/beast/http/parser.hpp>
 
@@ -15,7 +15,7 @@
   ~ServerSession();
 
   Task<void> run();
-  /// Closes the connection if no request is under way.
+  /// Closes the connection if no request is in progress.
   void closeIfIdle();
 
  private:
@@ -23,13 +23,13 @@
   class ReadTimeout;
   using Parser = beast_http::request_parser<beast_http::string_body>;
 
-  /// Waits for the first byte of a request. @return false if none came.
+  /// Waits for the first byte of a request. @return false if none arrived.
   Task<bool> waitForRequest();
-  /// Reads a whole request. @return false if the connection must end.
+  /// Reads a complete request. @return false if the connection must be closed.
   Task<bool> readRequest(Parser& parser);
   Task<void> reject(beast_http::status status);
   Task<bool> writeResponse(Response response);
-  /// Tells the writer when the client leaves while its request is worked on.
+  /// Requests cancellation if the client disconnects while its request is handled.
   void watchForClose(ResponseWriter& writer);
   void onReadable(std::uint64_t request_number);
   void disableKeepAliveIfDraining();
@@ -38,8 +38,8 @@
   Server& server_;
   boost::beast::tcp_stream stream_;
   boost::beast::flat_buffer buffer_;
-  ResponseWriter* writer_ = nullptr;  ///< Of the request under way.
-  std::uint64_t request_number_ = 0;  ///< Tells a late wake-up from one for this request.
+  ResponseWriter* writer_ = nullptr;  ///< Of the request in progress.
+  std::uint64_t request_number_ = 0;  ///< Detects notifications for earlier requests.
   bool in_request_ = false;
   bool closed_ = false;
   bool keep_alive_ = true;
