--- a/src/gateway/forward/attempt_admission.h
+++ b/src/gateway/forward/attempt_admission.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Admits attempts of requests under which engines crashed (suspects), and reports how attempts
- * ended to those who keep count. Loop thread only.
+ * Admission of attempts for suspect requests, which are requests that may crash engines, and
+ * reports of attempt outcomes to the suspect tracker. Event loop thread only.
  */
 
 #include <optional>
@@ -16,18 +16,18 @@
  public:
   explicit attempt_admission(suspects::suspect_tracker& suspects) : suspects_(suspects) {}
 
-  /** Asks whether an attempt may be sent. Waits only if the request is a suspect.
-   * @param exclusive whether no other attempt of the request runs: a suspect runs on one engine at
-   * a time.
-   * @return nothing if not; `forwarded.admission` has the reason. An attempt that is admitted must
-   * be reported by `onEnded`, or by `onNotSent`.
+  /** Decides whether an attempt may be sent. Suspends only if the request is a suspect.
+   * @param exclusive true if no other attempt of the request is in flight. A suspect runs on one
+   *     engine at a time.
+   * @return nullopt if the attempt must not be sent; `forwarded.admission` holds the reason. For an
+   *     admitted attempt the caller must call `onEnded` or `onNotSent`.
    */
   Task<std::optional<suspects::sent_attempt>> admit(forwarded_request& forwarded, bool exclusive);
 
-  /** An attempt was admitted, but not sent after all. */
+  /** Called for an admitted attempt that was not sent. */
   void onNotSent(const forwarded_request& forwarded, const suspects::sent_attempt& attempt);
 
-  /** @param engine_crashed whether the engine's process crashed under the attempt. */
+  /** @param engine_crashed whether the engine process crashed during the attempt. */
   void onEnded(forwarded_request& forwarded, const engine_call& call, AttemptOutcome outcome,
                const suspects::sent_attempt& attempt, bool engine_crashed);
 
--- a/src/gateway/forward/attempt_group.cpp
+++ b/src/gateway/forward/attempt_group.cpp
@@ -27,7 +27,7 @@
   this->context_.log.onAttemptEnded(*this->forwarded_, *call, ended.outcome, engine_crashed);
   this->context_.admission.onEnded(*this->forwarded_, *call, ended.outcome, attempt,
                                    engine_crashed);
-  // The other engines that run the request could crash as well.
+  // The request could crash the engines of the other attempts, too.
   if (engine_crashed) this->abortAll();
   std::erase(this->running_, call);
   this->results_.push_back(std::move(ended));
--- a/src/gateway/forward/attempt_group.h
+++ b/src/gateway/forward/attempt_group.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Attempts of one plain request, which may run beside each other (hedging). Loop thread only.
+ * Concurrent (hedged) attempts of one unary request. Event loop thread only.
  */
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace linenpier::forward {
 
-/** Held by a shared pointer: attempts that were aborted end after the request has its reply. */
+/** Must be owned by a shared_ptr: aborted attempts may finish after the reply was sent. */
 class attempt_group : public std::enable_shared_from_this<attempt_group> {
  public:
   struct result {
@@ -25,26 +25,26 @@
   attempt_group(const forwarding_context& context, std::shared_ptr<forwarded_request> forwarded)
       : context_(context), forwarded_(std::move(forwarded)), changed_(context.loop) {}
 
-  /** Starts an attempt at an engine that has none of this request yet.
+  /** Starts an attempt on an engine that this request has not used yet.
    * @return whether an engine was found.
    */
   bool start(const suspects::sent_attempt& attempt);
-  /** @return the attempts that ended since the last call, in their order. */
+  /** @return the attempts that finished since the last call, in order of completion. */
   std::vector<result> takeResults();
-  /** Returns once an attempt has ended, after `notify`, or after `limit`. */
+  /** Returns when an attempt finishes, when `notify` is called, or after `limit`. */
   Task<void> waitForChange(Duration limit);
   void notify() { this->changed_.notifyAll(); }
   void abortAll();
 
  private:
   Task<void> run(std::shared_ptr<engine_call> call, suspects::sent_attempt attempt);
-  /** Reads a complete answer into `response`. */
+  /** Reads the complete engine response into `response`. */
   Task<AttemptOutcome> readResponse(engine_call& call, http::Response& response);
 
   forwarding_context context_;
   std::shared_ptr<forwarded_request> forwarded_;
   Signal changed_;
-  std::vector<result> results_;  ///< Not taken yet.
+  std::vector<result> results_;  ///< Not yet returned by `takeResults`.
   std::vector<std::shared_ptr<engine_call>> running_;
   std::set<EngineId> tried_;
 };
--- a/src/gateway/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -5,9 +5,9 @@
 namespace linenpier::forward {
 
 namespace {
-/** Unreachable engines after which a request is given up. */
+/** Connection failures after which a request is not retried. */
 constexpr int kMaxUnreachable = 4;
-/** With less time left than this, an attempt has no chance. */
+/** No attempt starts with less than this time left before the deadline. */
 constexpr Duration kMinAttemptTime = std::chrono::milliseconds(10);
 }  // namespace
 
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -9,12 +9,12 @@
 using http::ExchangeStatus;
 
 namespace {
-/** Largest body of an answer, in bytes. */
+/** Maximum size of a response body. */
 constexpr std::size_t kMaxResponseBytes = 64 * 1024 * 1024;
-/** The engine is not the one that the request names. */
+/** Misdirected Request: the request names another engine. */
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
-/** For a connection to be taken or refused: many times what a reachable host needs. */
+/** Many times the round trip to a reachable host. */
 constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(100);
 }  // namespace
 
@@ -50,7 +50,7 @@
   this->request_id_ = http::fieldText(request, this->context_.names.request_id);
   this->exchange_ = std::make_shared<http::ClientExchange>(
       this->context_.pool, engine.record.address, std::move(request));
-  // The operator may close the zone while the connection is set up.
+  // The operator may close the zone while the connection is being established.
   this->exchange_->sendOnlyIf([&registry = this->context_.registry, zone = engine.record.zone] {
     return !registry.closedZones().contains(zone);
   });
@@ -88,7 +88,7 @@
   if (status != ExchangeStatus::kOk) co_return this->reportExchangeEnd(status);
   const AttemptOutcome outcome = this->checkHeader();
   if (outcome != AttemptOutcome::kNotExecuted) co_return outcome;
-  // A connection whose answer was read to its end can be used again.
+  // The connection can be reused only if the response was read to its end.
   std::string ignored;
   co_await this->exchange_->readAll(ignored, kMaxResponseBytes, limits.deadline);
   co_return outcome;
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * One attempt at one engine: sends a request, checks the head of the answer, reads the rest, and
- * reports to the registry how the engine did.
+ * One attempt on one engine: sends the request, validates the response header, reads the body and
+ * reports the outcome to the engine registry.
  */
 
 #include <memory>
@@ -16,22 +16,22 @@
 
 namespace linenpier::forward {
 
-/** How an attempt ended. Of all ends, only kNotExecuted and kUnreachable show that it did not run
- * the request.
+/** Outcome of an attempt. Only kNotExecuted and kUnreachable guarantee that the engine did not
+ * execute the request.
  */
 enum class AttemptOutcome {
-  kAnswered,     ///< The engine answered; completely if the answer was read completely.
-  kNotExecuted,  ///< The engine rejected the request: it says that it did not run it.
-  kUnreachable,  ///< Nothing was sent.
-  kBroken,       ///< Broken off, malformed or unsigned; it may have run.
-  kTimedOut,     ///< Nothing in time; it may have run, or still run.
-  kAborted,      ///< Stopped by the gateway; it may have run.
+  kAnswered,     ///< The engine responded; complete if the body was read to its end.
+  kNotExecuted,  ///< The engine rejected the request without executing it.
+  kUnreachable,  ///< Not connected, or not sent.
+  kBroken,       ///< Connection lost, or response malformed or unsigned; may have run.
+  kTimedOut,     ///< No data before the deadline; may have run or still be running.
+  kAborted,      ///< Aborted by the gateway; may have run.
 };
 
-/** @return the end as log lines and metrics name it. */
+/** @return the outcome's name in log lines and metrics. */
 const char* toText(AttemptOutcome outcome);
 
-/** @return whether an attempt that ended so may have run the request. */
+/** @return whether an attempt with this outcome may have executed the request. */
 bool mayHaveRun(AttemptOutcome outcome);
 
 struct engine_call_context {
@@ -42,56 +42,58 @@
 
 struct attempt_limits {
   Instant connect_deadline;
-  Instant deadline;  ///< Until the head of the answer is read.
+  Instant deadline;  ///< For reading the response header.
   bool fresh_connection = false;
-  /** What it says of the engine if nothing comes in time. A sender that waits for less than any
-   * healthy engine may take must not count that as a failure.
+  /** Reported to the registry when the deadline passes. A sender whose deadline is shorter than the
+   * response time of a healthy engine must not report a failure.
    */
   engines::AttemptEnd end_on_timeout = engines::AttemptEnd::kSilent;
 };
 
-/** Loop thread only; held by a shared pointer. Counts as in flight at its engine until its end. */
+/** Event loop thread only; must be owned by a shared_ptr. Counts as in flight on its engine until
+ * it ends.
+ */
 class engine_call : public std::enable_shared_from_this<engine_call> {
  public:
-  /** @param request complete but for the engine's id, which is set here. */
+  /** @param request complete except for the target engine field, which is set here. */
   engine_call(engine_call_context context, const engines::engine_state& engine,
               http::Request request);
   ~engine_call();
   engine_call(const engine_call&) = delete;
   engine_call& operator=(const engine_call&) = delete;
 
-  /** Sends the request and reads the head of the answer. */
+  /** Sends the request and reads the response header. */
   Task<AttemptOutcome> start(attempt_limits limits);
-  /** Reads the rest of the answer's body. */
+  /** Reads the rest of the response body. */
   Task<AttemptOutcome> readWhole(std::string& body, Instant deadline);
-  /** Waits for more of an event stream.
-   * @return kAnswered with the events that are complete now, perhaps none; `finished` tells the
-   * end.
+  /** Reads more of an event stream.
+   * @return kAnswered with the newly completed events, possibly none; `finished` tells whether the
+   *     stream has ended.
    */
   Task<AttemptOutcome> readEvents(event_parser& parser, std::vector<stream_event>& events,
                                   Instant deadline);
   void abort();
-  /** Asked after the attempt broke off.
-   * @return whether the engine's process has crashed, which is so if its address refuses
-   *     connections. An engine that does not answer may be cut off or hang, and has not.
+  /** To be called after the connection was lost.
+   * @return true if the engine's address refuses connections, that is, if its process has exited.
+   *     False if it does not respond: it may be partitioned or hanging.
    */
   Task<bool> engineHasCrashed();
 
   const EngineId& engine() const { return this->engine_; }
-  /** The copy that was sent. */
+  /** @return the request as sent to the engine. */
   const http::Request& request() const { return this->exchange_->request(); }
   unsigned status() const { return this->exchange_->status(); }
   const http::ResponseHead& head() const { return this->exchange_->head(); }
   bool finished() const { return this->exchange_->complete(); }
-  /** @return the version of weights in the answer's head, 0 if there is none. */
+  /** @return the weight version in the response header, 0 if absent. */
   WeightVersion weightVersion() const;
   Instant startedAt() const { return this->started_at_; }
 
  private:
   AttemptOutcome checkHeader();
-  /** Reports an end that is no answer. */
+  /** Maps the exchange status to an outcome and reports it to the registry. */
   AttemptOutcome reportExchangeEnd(http::ExchangeStatus status);
-  /** Reports the attempt's end to the registry, once. */
+  /** Reports the end of the attempt to the registry, at most once. */
   void reportEnd(engines::AttemptEnd end);
   void reportLoad();
 
--- a/src/gateway/forward/engine_picker.cpp
+++ b/src/gateway/forward/engine_picker.cpp
@@ -22,7 +22,7 @@
   criteria.service = this->round_robin_.next(route);
   if (const auto* engine = this->registry_.pick(now, criteria)) return engine;
   if (const auto* engine = this->pickFromAnyService(now, route, criteria)) return engine;
-  // A first attempt goes to an ejected engine rather than to none.
+  // Only the first attempt may fall back to an ejected engine.
   if (!criteria.excluded.empty()) return nullptr;
   criteria.last_resort = true;
   return this->pickFromAnyService(now, route, criteria);
--- a/src/gateway/forward/engine_picker.h
+++ b/src/gateway/forward/engine_picker.h
@@ -1,10 +1,8 @@
 #pragma once
 
 /** @file
- * Chooses the engine for an attempt of a client's or an internal request.
- *
- * Decides only over the services of the route; which engine of a service is admitted, and which of
- * those is best, is the registry's job. Loop thread only.
+ * Selects the engine for an attempt. Iterates over the services of the route; the engine registry
+ * admits and ranks the engines of a service. Event loop thread only.
  */
 
 #include <functional>
@@ -22,17 +20,17 @@
                 routing::weighted_round_robin& round_robin)
       : registry_(registry), names_(names), round_robin_(round_robin) {}
 
-  /** From now on the residency of the newest table binds, also for requests that came under an
-   * older one.
+  /** Sets the source of the newest route table. Its data residency rules also apply to requests
+   * that arrived under an older table.
    */
   void setResidencySource(std::function<routing::RouteTablePtr()> newest) {
     this->residency_source_ = std::move(newest);
   }
 
-  /** Asks the service whose turn it is, then the route's other services, then, for a request that
-   * has tried no engine yet, all of them again with ejected engines admitted.
-   * @param tried engines that are not asked again.
-   * @return nullptr if no engine is admitted; `forwarded.refusals` has the reasons.
+  /** Tries the next service by weighted round robin, then the route's other services. For the first
+   * attempt of a request, tries all services again with ejected engines admitted.
+   * @param tried engines to exclude.
+   * @return nullptr if no engine is admitted; `forwarded.refusals` holds the reasons.
    */
   const engines::engine_state* pick(forwarded_request& forwarded, const std::set<EngineId>& tried);
 
--- a/src/gateway/forward/event_parser.h
+++ b/src/gateway/forward/event_parser.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Cuts a server-sent event stream into complete events. Pure.
+ * Incremental parser for server-sent event streams.
  */
 
 #include <cstdint>
@@ -15,21 +15,21 @@
 namespace linenpier::forward {
 
 struct stream_event {
-  std::string raw;  ///< All bytes, the closing empty line included.
+  std::string raw;  ///< All bytes, including the terminating empty line.
   std::optional<std::uint64_t> id;
-  std::string data;                      ///< Data lines, joined by line feeds.
-  std::optional<WeightVersion> version;  ///< Of weights; set where it changes.
+  std::string data;                      ///< Data lines joined by line feeds.
+  std::optional<WeightVersion> version;  ///< Weight version, if the event changes it.
 };
 
-/** Holds at most one incomplete event. */
+/** Buffers at most one incomplete event. */
 class event_parser {
  public:
-  /** @param version_field name of the line that holds a new version of weights; any case. */
+  /** @param version_field name of the field that carries a new weight version; case-insensitive. */
   explicit event_parser(const std::string& version_field);
 
-  /** @return the events that are complete with `bytes`. */
+  /** @return the events completed by `bytes`. */
   std::vector<stream_event> feed(std::string_view bytes);
-  /** @return bytes of an event that is not complete. */
+  /** @return the buffered bytes of an incomplete event. */
   const std::string& incompleteEvent() const { return this->pending_; }
 
  private:
@@ -38,7 +38,7 @@
 
   std::string version_field_;  ///< Lower case.
   std::string pending_;
-  std::size_t line_start_ = 0;  ///< In `pending_`: where the unfinished line begins.
+  std::size_t line_start_ = 0;  ///< Offset of the unfinished line in `pending_`.
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/field_names.h
+++ b/src/gateway/forward/field_names.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Names of the HTTP header fields between callers, gateways and engines. The platform port sets
- * them.
+ * Names of the HTTP header fields exchanged by callers, gateways and engines. Set by the platform
+ * port.
  */
 
 #include <string>
@@ -11,19 +11,19 @@
 
 struct field_names {
   std::string request_id;
-  std::string deadline_ms;      ///< How long the sender waits.
-  std::string target_engine;    ///< Engines with another id reject the request.
-  std::string signature;        ///< Proof of an engine's answer.
-  std::string not_executed;     ///< Present: the engine did not run the request.
-  std::string retry_after;      ///< Seconds, fractions included.
-  std::string load;             ///< Requests of an engine: "running,waiting,slots".
-  std::string weight_versions;  ///< Version of weights, in the head or at an event.
+  std::string deadline_ms;      ///< The sender's timeout.
+  std::string target_engine;    ///< Engines with a different id reject the request.
+  std::string signature;        ///< Signature of an engine's response; required.
+  std::string not_executed;     ///< Present if the engine did not execute the request.
+  std::string retry_after;      ///< Seconds, may be fractional.
+  std::string load;             ///< Engine load as "running,waiting,slots".
+  std::string weight_versions;  ///< Weight version, in the response header or in an event.
   std::string last_event_id;
-  std::string length_hint;  ///< Expected output tokens.
+  std::string length_hint;  ///< Expected number of output tokens.
   std::string priority;
   std::string model;
-  std::string tenant;   ///< On whose behalf an engine works.
-  std::string wait_ms;  ///< How long a read may wait for results.
+  std::string tenant;   ///< Tenant that the engine works for.
+  std::string wait_ms;  ///< Long-poll timeout of a read of results.
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/forwarded_request.cpp
+++ b/src/gateway/forward/forwarded_request.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr unsigned kHttp11 = 11;
-/** The least time that an engine is given, in ms: fields hold no zero. */
+/** Minimum value of the deadline field; 0 is not a valid deadline. */
 constexpr std::int64_t kMinDeadlineMs = 1;
 
 }  // namespace
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * One request on its way through the gateway, and the message that an engine receives for it.
+ * State of a request that is being forwarded, and the message sent to engines for it.
  */
 
 #include <optional>
@@ -18,37 +18,39 @@
 
 /** State of one request, shared by its attempts.
  *
- * An attempt that was aborted may end after the caller has its reply. It must not read `request`
- * then, but the copy that it sent.
+ * An aborted attempt may finish after the reply was sent. It must use the message that it sent
+ * instead of `request`.
  */
 struct forwarded_request {
   routing::RouteTablePtr table;            ///< Keeps `route` alive.
   const routing::Route* route = nullptr;   ///< Of `table`.
-  const http::Request* request = nullptr;  ///< Valid until the caller has its reply.
+  const http::Request* request = nullptr;  ///< Valid until the reply was sent.
   tenants::caller caller;
   std::string id;
   Instant received{};
   Instant deadline{};
-  double max_per_slot = 0;    ///< Engines with more requests per slot are skipped; 0: no limit.
-  bool internal = false;      ///< Sent by the system itself, not by a client.
-  bool run_reported = false;  ///< Its run has been reported to the usage recorder.
-  /** Why no engine was found at the last choice that found none. */
+  double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0 means unlimited.
+  bool internal = false;    ///< Sent by the gateway itself, not by a client.
+  bool run_reported = false;  ///< The usage recorder was notified of its execution.
+  /** Reasons of the last engine selection that found none. */
   engines::refusal_tally refusals;
-  std::optional<suspects::request_key> key;  ///< Computed when first needed.
-  suspects::suspect_admission admission;     ///< As a suspect; as last asked for.
+  std::optional<suspects::request_key> key;  ///< Computed on first use.
+  suspects::suspect_admission admission;     ///< Result of the last suspect check.
 };
 
-/** @return when the gateway gives up: the shorter of the route's timeout and the time that the
- *     sender says it waits, counted from `received`.
+/** @return the deadline: `received` plus the shorter of the route's timeout and the sender's
+ * timeout.
  */
 Instant deadlineOf(const field_names& names, const routing::Route& route,
                    const http::Request& request, Instant received);
 
-/** @return a copy for an engine, with the time that is left and the tenant in place of its key. */
+/** @return a copy of the request for an engine, with the remaining time and with the tenant's name
+ * instead of its API key.
+ */
 http::Request makeEngineRequest(const field_names& names, const forwarded_request& forwarded,
                                 Instant now);
 
-/** @return the request's key, computed once.
+/** @return the request's key; computed on the first call.
  * @param message the request, or the copy that an attempt sent.
  */
 const suspects::request_key& keyOf(forwarded_request& forwarded, const http::Request& message);
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -1,12 +1,11 @@
 #pragma once
 
 /** @file
- * Serves requests by attempts at engines. Bytes of bodies and events pass unchanged in both
- * directions.
+ * Forwards requests to engines. Bodies and events pass unmodified in both directions.
  *
- * Owns the parts that do so: the choice of an engine, the admission of suspects, local replies, log
- * lines and metrics, reports of runs. Requests with one answer are served by `unary_forwarder`,
- * streams by `stream_session`; both retry by the one rule in `attempt_policy`.
+ * Owns the components shared by all requests: engine selection, suspect admission, local replies,
+ * logs and metrics, usage reports. `unary_forwarder` handles requests with a single response,
+ * `stream_session` handles streams; both retry according to `attempt_policy`.
  */
 
 #include <functional>
@@ -18,13 +17,13 @@
 
 namespace linenpier::forward {
 
-/** Loop thread only. */
+/** Event loop thread only. */
 class forwarder : public internal_requests {
  public:
   forwarder(boost::asio::io_context& loop, engine_call_context engines,
             routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
             usage::run_recorder& recorder, suspects::suspect_tracker& suspects);
-  /** The parts refer to each other. */
+  /** Not copyable: the context refers to other members. */
   forwarder(const forwarder&) = delete;
   forwarder& operator=(const forwarder&) = delete;
 
@@ -33,9 +32,8 @@
     this->picker_.setResidencySource(std::move(newest));
   }
 
-  /** Answers the request in every case, unless the client is gone.
-   * @param from who sends it; its key was checked and is not checked again, however long a stream
-   *     stays open.
+  /** Sends exactly one response, unless the client disconnects.
+   * @param caller the authenticated sender; it is not authenticated again while a stream is open.
    */
   Task<void> serve(routing::RouteTablePtr table, const routing::Route& route,
                    tenants::caller caller, const http::Request& request, Instant received,
@@ -54,7 +52,7 @@
   local_replies replies_;
   request_log log_;
   run_reporter runs_;
-  forwarding_context context_;  ///< Refers to the parts above.
+  forwarding_context context_;  ///< Refers to the members above.
   unary_forwarder unary_;
 };
 
--- a/src/gateway/forward/forwarding_context.h
+++ b/src/gateway/forward/forwarding_context.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * What requests are served with. The forwarder owns it; it outlives every attempt.
+ * Components and settings shared by all requests. Owned by the forwarder; outlives all attempts.
  */
 
 #include "gateway/forward/attempt_admission.h"
@@ -14,7 +14,7 @@
 
 struct attempt_timeouts {
   Duration connect = std::chrono::milliseconds(200);
-  /** A resumable stream without an event for this long goes on at another engine. */
+  /** A resumable stream that receives no event for this long is resumed on another engine. */
   Duration stream_idle = std::chrono::milliseconds(1500);
 };
 
--- a/src/gateway/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Requests that the system itself sends to services, such as reward calls: by the same choice of
- * engines, the same retry rule and the same checks of answers as a client's.
+ * Requests that the gateway itself sends to services, such as reward requests. They use the same
+ * engine selection, retry policy and response checks as client requests.
  */
 
 #include <memory>
@@ -16,20 +16,20 @@
 
 struct internal_request {
   routing::RouteTablePtr table;
-  const routing::Route* route = nullptr;  ///< Of that table.
+  const routing::Route* route = nullptr;  ///< Points into `table`.
   http::Request message;
-  TenantId tenant;          ///< On whose behalf; empty: no tenant's.
-  Duration timeout{};       ///< Time until it is given up; the route may set a shorter one.
-  double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0: no timeout.
-  std::shared_ptr<http::Cancellation> cancellation;  ///< Ends the request.
+  TenantId tenant;          ///< Tenant that the request is sent for; may be empty.
+  Duration timeout{};       ///< Upper limit; the route may set a shorter timeout.
+  double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0 means unlimited.
+  std::shared_ptr<http::Cancellation> cancellation;  ///< Aborts the request.
 };
 
 struct internal_outcome {
-  unsigned status = 0;    ///< Of a complete, signed answer; 0: there was none.
-  std::string signature;  ///< Of that answer.
-  int failures = 0;       ///< Attempts that engines answered with 500.
+  unsigned status = 0;    ///< Of a complete, signed response; 0 if there was none.
+  std::string signature;  ///< Of that response.
+  int failures = 0;       ///< Attempts that engines answered with status 500.
   int attempts = 0;
-  Duration retry_after{};  ///< It may not run for so long: it is a suspect.
+  Duration retry_after{};  ///< If suspect: the time until it may run.
 
   bool operator==(const internal_outcome&) const = default;
 };
--- a/src/gateway/forward/local_replies.cpp
+++ b/src/gateway/forward/local_replies.cpp
@@ -13,7 +13,7 @@
 constexpr unsigned kMayHaveRunStatus = 502;
 constexpr unsigned kDeadlineExceededStatus = 504;
 
-/** @return the value of Retry-After: seconds with their fraction. */
+/** @return the value of Retry-After, in fractional seconds. */
 std::string secondsText(Duration duration) {
   char seconds[16];
   std::snprintf(seconds, sizeof(seconds), "%.2f", toSeconds(duration));
@@ -53,8 +53,8 @@
     forwarded.admission =
         this->suspects_.admissionOf(*forwarded.key, suspects::RequestSource::kCaller);
   }
-  // Also set on 502 and 504: an earlier retry could not run. A suspect that runs just now is
-  // cleared soon if it is innocent, so its caller may retry as usual.
+  // Also set on 502 and 504, since an earlier retry would be rejected. A suspect that is running
+  // now may be cleared soon, so its caller may retry after the usual delay.
   const bool running = forwarded.admission.state == suspects::AdmissionState::kRunning;
   if (!running && forwarded.admission.retry_after > this->options_.retry_after) {
     response.set(this->names_.retry_after, secondsText(forwarded.admission.retry_after));
--- a/src/gateway/forward/request_log.h
+++ b/src/gateway/forward/request_log.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Log lines and metrics of requests and of their attempts. Loop thread only.
+ * Log events and metrics of requests and their attempts. Event loop thread only.
  */
 
 #include "common/event_log.h"
@@ -13,7 +13,9 @@
 
 namespace linenpier::forward {
 
-/** Lines about successes that are all written each second; of more, one in `kSampleInterval` is. */
+/** Log events for successes written per second before sampling; beyond that, one in
+ * `kSampleInterval` is written.
+ */
 inline constexpr std::uint32_t kUnsampledLinesPerSecond = 50;
 inline constexpr std::uint32_t kSampleInterval = 20;
 
@@ -22,21 +24,21 @@
   request_log(const engines::engine_registry& registry, metrics::GatewayMetrics& metrics)
       : registry_(registry), metrics_(metrics) {}
 
-  /** Writes a line unless the attempt went well: the request's own line tells that.
-   * @param engine_crashed whether the engine's process crashed under the attempt.
+  /** Logs an attempt that got no response; the event of the request covers the others.
+   * @param engine_crashed whether the engine process crashed during the attempt.
    */
   void onAttemptEnded(forwarded_request& forwarded, const engine_call& call, AttemptOutcome outcome,
                       bool engine_crashed);
 
-  /** Writes a line; of many successes, a sample.
-   * @param outcome such as "answered", "client_gone".
-   * @param status that the caller gets; 0: none.
+  /** Logs a finished request; successes are sampled.
+   * @param outcome such as "answered" or "client_gone".
+   * @param status sent to the caller; 0 if none was sent.
    */
   void onRequestEnded(const forwarded_request& forwarded, const char* outcome, unsigned status,
                       const attempt_policy& policy);
 
  private:
-  /** Adds how many engines the route has, and how many of them are sent nothing or little. */
+  /** Adds the number of engines of the route, and how many are draining, ejected or cold. */
   void addEngineCounts(const routing::Route& route, Instant now, logging::LogEvent& event) const;
 
   const engines::engine_registry& registry_;
--- a/src/gateway/forward/run_reporter.h
+++ b/src/gateway/forward/run_reporter.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Reports to the usage recorder that an engine began to run a tenant's request: once a request,
- * however many engines ran it. Loop thread only.
+ * Notifies the usage recorder when an engine starts to execute a tenant's request. Each request is
+ * reported at most once, even if several engines execute it. Event loop thread only.
  */
 
 #include "gateway/engines/engine_registry.h"
@@ -17,12 +17,12 @@
   run_reporter(const engines::engine_registry& registry, usage::run_recorder& recorder)
       : registry_(registry), recorder_(recorder) {}
 
-  /** An engine began to run the request. Internal requests and those without a tenant are not
-   * reported.
+  /** Called when an engine starts to execute the request. Internal requests and those without a
+   * tenant are not reported.
    */
   void onRun(forwarded_request& forwarded, Instant at);
 
-  /** Reports a run if this end of an attempt shows one. */
+  /** Reports the request if the outcome implies that the engine executed it. */
   void onAttemptEnded(forwarded_request& forwarded, const engine_call& call,
                       AttemptOutcome outcome);
 
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -48,7 +48,7 @@
     const EngineId chosen = engine->record.id;
     const auto attempt = co_await this->context_.admission.admit(this->forwarded_, true);
     if (!attempt) break;
-    // The admission may have taken a moment, in which engines come and go.
+    // The engine may have been removed while waiting for admission.
     engine = this->context_.engines.registry.find(chosen);
     if (engine == nullptr || this->cancelled()) {
       this->context_.admission.onNotSent(this->forwarded_, *attempt);
@@ -57,7 +57,7 @@
     this->startCall(now, *engine);
     const AttemptOutcome outcome = co_await this->runCall(*attempt);
     if (outcome == AttemptOutcome::kAnswered) co_return true;
-    // A stream that the client has a part of can only be continued where the route allows it.
+    // A partially relayed stream can be continued only if the route is resumable.
     if (this->head_sent_ && !this->resumable_) break;
   }
   co_return false;
@@ -66,7 +66,7 @@
 const engines::engine_state* stream_session::pickEngine() {
   const engines::engine_state* engine = this->context_.picker.pick(this->forwarded_, this->tried_);
   if (engine != nullptr || this->tried_.size() <= 1) return engine;
-  // Every engine was tried. One that broke off may serve again by now, but not the last one.
+  // All engines were tried. Allow all but the last one again, since they may have recovered.
   this->tried_ = {this->running_->engine()};
   return this->context_.picker.pick(this->forwarded_, this->tried_);
 }
@@ -103,7 +103,7 @@
     const AttemptOutcome outcome = co_await this->relayUnary(call);
     co_return outcome;
   }
-  // An engine sends the head of a stream with its first token: by then it runs the request.
+  // An engine sends the header with the first token, so it is executing the request.
   this->context_.runs.onRun(this->forwarded_, steadyNow());
   const AttemptOutcome outcome = co_await this->relayEvents(call);
   co_return outcome;
--- a/src/gateway/forward/stream_session.h
+++ b/src/gateway/forward/stream_session.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * One stream of a client: passes an engine's events on as they come, and goes on at another engine
- * where the route allows it. Loop thread only.
+ * One client stream: relays an engine's events as they arrive, and resumes on another engine if the
+ * route allows it. Event loop thread only.
  */
 
 #include <cstdint>
@@ -19,38 +19,38 @@
 
 namespace linenpier::forward {
 
-/** Lives until `run` has returned; one attempt runs at a time. */
+/** Must outlive `run`. Runs one attempt at a time. */
 class stream_session {
  public:
-  /** Reads where the client wants to go on from the request's field of the last event. */
+  /** Resumes after the event that the request's Last-Event-ID field names, if any. */
   stream_session(const forwarding_context& context, forwarded_request& forwarded,
                  http::ResponseWriter& writer);
 
-  /** Serves the request: with a stream, an engine's error, a local reply, or by breaking off. */
+  /** Serves the request with a stream, an engine's error response or a local reply, or aborts the
+   * connection.
+   */
   Task<void> run();
 
  private:
-  /** @return whether an engine's answer was passed on to its end. */
+  /** @return whether an engine response was relayed to its end. */
   Task<bool> runAttempts();
   /** @return nullptr if no engine is admitted. */
   const engines::engine_state* pickEngine();
   void startCall(Instant now, const engines::engine_state& engine);
-  /** Reads the call to its end and reports it. */
+  /** Relays the response of the current call and reports the outcome. */
   Task<AttemptOutcome> runCall(suspects::sent_attempt attempt);
-  /** Passes on what the running call answers. */
+  /** Relays the response of the current call. */
   Task<AttemptOutcome> relay();
   Task<AttemptOutcome> relayEvents(engine_call& call);
-  /** Passes on an answer that is no stream, such as an error. */
+  /** Relays a response that is not a stream, such as an error. */
   Task<AttemptOutcome> relayUnary(engine_call& call);
-  /** Appends events to `bytes`. @return whether they continue what the client has. */
+  /** Appends events to `bytes`. @return false if the event ids are not consecutive. */
   bool appendEvents(const std::vector<stream_event>& events, std::string& bytes);
-  /** Sends the head of the engine's stream unless the client has one already.
-   * @return whether the client is still there.
-   */
+  /** Sends the response header unless already sent. @return false if the client disconnected. */
   Task<bool> ensureStreamBegun(engine_call& call);
-  /** Ends a request that no engine's answer was passed on to its end for. */
+  /** Ends a request whose response was not relayed to its end. */
   Task<void> endWithoutResponse();
-  /** @return until when the engine must say something. */
+  /** @return the deadline for the next data from the engine. */
   Instant readDeadline() const;
   bool cancelled() const { return this->writer_.cancellation().requested(); }
 
@@ -60,10 +60,9 @@
   attempt_policy policy_;
   const bool resumable_;
   bool head_sent_ = false;
-  std::optional<std::uint64_t>
-      last_event_id_;  ///< Id that the client has, by us or by its own word.
+  std::optional<std::uint64_t> last_event_id_;  ///< Last one sent, or the client's.
   std::set<EngineId> tried_;
-  std::shared_ptr<engine_call> running_;  ///< The newest attempt, also after its end.
+  std::shared_ptr<engine_call> running_;  ///< The latest attempt, even after its end.
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/unary_forwarder.cpp
+++ b/src/gateway/forward/unary_forwarder.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr unsigned kServerError = 500;
-/** The shortest wait between two looks at the attempts: lets the loop run what is due. */
+/** Minimum wait between two checks of the attempts, so that pending handlers can run. */
 constexpr Duration kMinWait = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -80,7 +80,7 @@
     Instant next_check = policy.nextCheck();
     if (policy.canStart(now)) {
       const bool started = co_await this->startAttempt(forwarded, *group, policy, cancellation);
-      // Without an engine now, only the end of a running attempt changes anything.
+      // With no engine available, only the end of an attempt in flight can change that.
       next_check = started ? policy.nextCheck() : forwarded->deadline;
     }
     if (policy.running() == 0) break;
@@ -108,7 +108,7 @@
                                          http::Cancellation& cancellation) {
   const auto attempt = co_await this->context_.admission.admit(*forwarded, policy.running() == 0);
   if (!attempt) co_return false;
-  // The admission may have taken a moment.
+  // Time may have passed while waiting for admission.
   const bool over = cancellation.requested() || steadyNow() >= forwarded->deadline;
   if (over || !group.start(*attempt)) {
     this->context_.admission.onNotSent(*forwarded, *attempt);
--- a/src/gateway/forward/unary_forwarder.h
+++ b/src/gateway/forward/unary_forwarder.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Requests that are answered with one complete response, for clients and for the system itself.
- * Loop thread only.
+ * Forwards requests with a single response, for clients and for the gateway itself. Event loop
+ * thread only.
  */
 
 #include <memory>
@@ -20,27 +20,27 @@
  public:
   explicit unary_forwarder(const forwarding_context& context) : context_(context) {}
 
-  /** Sends the client an engine's response or a local reply, unless the client is gone. */
+  /** Sends the client an engine response or a local reply, unless the client disconnects. */
   Task<void> serve(std::shared_ptr<forwarded_request> forwarded, http::ResponseWriter& writer);
-  /** Serves an internal request by the same rules of attempts. */
+  /** Sends an internal request with the same retry policy. */
   Task<internal_outcome> send(internal_request request);
 
  private:
-  /** What the attempts of one request came to. */
+  /** Result of all attempts of one request. */
   struct attempts_outcome {
     std::optional<http::Response> response;  ///< Complete and signed.
-    int failures = 0;                        ///< Attempts that engines answered with 500.
+    int failures = 0;                        ///< Attempts that engines answered with status 500.
   };
 
   std::shared_ptr<forwarded_request> makeInternal(const internal_request& request) const;
-  /** Runs attempts until there is an response to pass on, or no attempt runs and none may start. */
+  /** Runs attempts until there is a response to forward, or none is in flight and none may start.
+   */
   Task<attempts_outcome> runAttempts(std::shared_ptr<forwarded_request> forwarded,
                                      attempt_policy& policy, http::Cancellation& cancellation);
-  /** Takes in the attempts that ended; the last response that is not tried elsewhere is passed on.
-   */
+  /** Processes finished attempts and stores the last response that is not to be retried. */
   void processResults(attempt_group& group, attempt_policy& policy,
                       attempts_outcome& outcome) const;
-  /** @return whether an attempt was started; it may not be admitted, or no engine be found. */
+  /** @return false if the attempt was not admitted or no engine was found. */
   Task<bool> startAttempt(std::shared_ptr<forwarded_request> forwarded, attempt_group& group,
                           attempt_policy& policy, http::Cancellation& cancellation);
 
