--- a/tests/gateway/forward/attempt_policy_test.cpp
+++ b/tests/gateway/forward/attempt_policy_test.cpp
@@ -22,15 +22,16 @@
 
 }  // namespace
 
-Test(attempt_policy, a_request_that_may_run_once_is_not_repeated_after_it_may_have_run) {
+Test(attempt_policy, non_idempotent_request_is_not_retried_if_it_may_have_run) {
   attempt_policy policy(route(routing::RequestKind::kNonIdempotent, 3), kDeadline);
   policy.onStarted(kStart);
   policy.onEnded(AttemptOutcome::kBroken);
   cr_assert_not(policy.canStart(kStart));
-  cr_assert_eq(policy.localReply(kStart), LocalReply::kMayHaveRun, "never a promise");
+  cr_assert_eq(policy.localReply(kStart), LocalReply::kMayHaveRun,
+               "must not claim that it did not run");
 }
 
-Test(attempt_policy, it_is_repeated_after_proof_that_it_did_not_run) {
+Test(attempt_policy, non_idempotent_request_is_retried_if_it_did_not_run) {
   attempt_policy policy(route(routing::RequestKind::kNonIdempotent, 3), kDeadline);
   policy.onStarted(kStart);
   policy.onEnded(AttemptOutcome::kNotExecuted);
@@ -41,7 +42,7 @@
   cr_assert_eq(policy.localReply(kStart), LocalReply::kNotRun);
 }
 
-Test(attempt_policy, no_more_engines_than_the_route_allows) {
+Test(attempt_policy, max_attempts_limits_retries) {
   attempt_policy policy(route(routing::RequestKind::kIdempotent, 2), kDeadline);
   for (int i = 0; i < 2; ++i) {
     cr_assert(policy.canStart(kStart));
@@ -51,7 +52,7 @@
   cr_assert_not(policy.canStart(kStart));
 }
 
-Test(attempt_policy, engines_that_cannot_be_reached_do_not_use_up_attempts_but_end) {
+Test(attempt_policy, unreachable_engines_do_not_count_as_attempts_but_are_limited) {
   attempt_policy policy(route(routing::RequestKind::kIdempotent, 1), kDeadline);
   int tries = 0;
   while (policy.canStart(kStart) && tries < 100) {
@@ -62,7 +63,7 @@
   cr_assert(tries > 1 && tries < 10, "%d tries", tries);
 }
 
-Test(attempt_policy, a_second_engine_is_asked_while_there_is_still_time_for_it) {
+Test(attempt_policy, idempotent_request_is_hedged_after_half_the_target_latency) {
   attempt_policy policy(route(routing::RequestKind::kIdempotent, 2), kDeadline);
   policy.onStarted(kStart);
   cr_assert_not(policy.canStart(kStart + std::chrono::milliseconds(49)));
@@ -70,13 +71,13 @@
   cr_assert(policy.nextCheck() == kStart + std::chrono::milliseconds(50));
 }
 
-Test(attempt_policy, a_running_request_that_may_run_once_is_never_doubled) {
+Test(attempt_policy, non_idempotent_request_is_not_hedged) {
   attempt_policy policy(route(routing::RequestKind::kNonIdempotent, 2), kDeadline);
   policy.onStarted(kStart);
   cr_assert_not(policy.canStart(kStart + std::chrono::milliseconds(500)));
 }
 
-Test(attempt_policy, out_of_time_is_told_as_such_only_if_it_may_have_run) {
+Test(attempt_policy, deadline_exceeded_is_reported_only_if_the_request_may_have_run) {
   attempt_policy sent(route(routing::RequestKind::kIdempotent, 1), kDeadline);
   sent.onStarted(kStart);
   cr_assert_eq(sent.localReply(kDeadline), LocalReply::kDeadlineExceeded);
--- a/tests/gateway/forward/event_parser_test.cpp
+++ b/tests/gateway/forward/event_parser_test.cpp
@@ -5,7 +5,7 @@
 using namespace linenpier;
 using forward::event_parser;
 
-Test(event_parser, events_are_cut_wherever_the_bytes_were_split) {
+Test(event_parser, events_are_parsed_for_every_split_of_the_input) {
   const std::string stream =
       "weight-versions: 7\nid: 1\ndata: one\ndata: two\n\nid: 2\r\ndata: three\r\n\r\n";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -19,17 +19,17 @@
     cr_assert_eq(events[1].data, "three");
     cr_assert_not(events[1].version.has_value());
     cr_assert(parser.incompleteEvent().empty());
-    cr_assert_eq(events[0].raw + events[1].raw, stream, "bytes pass unchanged");
+    cr_assert_eq(events[0].raw + events[1].raw, stream, "raw bytes must be unmodified");
   }
 }
 
-Test(event_parser, an_unfinished_event_is_kept_back) {
+Test(event_parser, incomplete_event_is_buffered) {
   event_parser parser("v");
   cr_assert(parser.feed("id: 1\ndata: on").empty());
   cr_assert_eq(parser.incompleteEvent(), "id: 1\ndata: on");
 }
 
-Test(event_parser, a_number_that_is_none_is_no_id) {
+Test(event_parser, malformed_id_is_ignored) {
   event_parser parser("v");
   const auto events = parser.feed("id: 1x\ndata: a\n\n");
   cr_assert_eq(events.size(), 1U);
