--- a/src/gateway/suspects/request_key.cpp
+++ b/src/gateway/suspects/request_key.cpp
@@ -7,7 +7,7 @@
 namespace linenpier::suspects {
 
 namespace {
-/** Prefixes a part with its length, so that the host's end can't be moved into the target. */
+/** Prefixes the length, so that different splits into host and target get different hashes. */
 std::string lengthPrefixed(std::string_view part) {
   return std::to_string(part.size()) + ":" + std::string(part);
 }
--- a/src/gateway/suspects/request_key.h
+++ b/src/gateway/suspects/request_key.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Identity of a request over all its tries, at whichever daemon they arrive.
+ * Key that identifies a request across retries and daemons.
  */
 
 #include <string_view>
@@ -11,13 +11,13 @@
 
 namespace linenpier::suspects {
 
-/** Stands for all requests of one tenant with the same host, path, query and body. Ids, deadlines
- * and other header fields differ between tries and are left out.
+/** Identifies all requests of one tenant with the same host, path, query and body. Header fields,
+ * such as id and deadline, differ between retries and are ignored.
  */
 using request_key = Id<struct request_key_tag>;
 
-/** @return 48 hexadecimal digits: 16 of the tenant alone, so that no tenant can craft a body that
- * is taken for another tenant's, and 32 of the rest.
+/** @return 48 hexadecimal digits: a 16-digit hash of the tenant, so that a tenant cannot craft a
+ * collision with another tenant's request, and a 32-digit hash of the rest.
  */
 request_key keyOf(const TenantId& tenant, std::string_view host, std::string_view target,
                   std::string_view body);
--- a/src/gateway/suspects/suspect_admission.h
+++ b/src/gateway/suspects/suspect_admission.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Admission of suspects, which are requests under which engines crashed: the rules, and what a
- * request that wants to run is answered. Values only.
+ * Admission rules and results for suspects, which are requests that were running on an engine when
+ * it crashed.
  */
 
 #include <cstddef>
@@ -11,60 +11,60 @@
 
 namespace linenpier::suspects {
 
-/** Crashes are counted one after the other: those under attempts that ran side by side count once.
- */
+/** Limits for suspects. Crashes during concurrent attempts count once. */
 struct suspect_rules {
-  /** Crashes after which a caller's request is barred. */
+  /** Number of crashes after which a caller's request is barred. */
   int crash_threshold = 3;
-  /** Crashes after which an item of a batch job is barred: not fewer than for a
-   * caller's, since its job waits for it.
+  /** The same for an item of a batch job; not lower, since the job cannot finish without the item.
    */
   int item_crash_threshold = 5;
-  /** A crash later than this after the attempt was sent does not count: a request that crashes
-   * engines does so when they begin to run it.
+  /** A crash longer than this after the attempt was sent does not count: requests that crash
+   * engines do so when execution starts.
    */
   Duration max_run_before_crash = std::chrono::seconds(3);
-  /** From the second crash to the next run of a caller's request: until crashed engines are back,
-   * so that one request does not keep more than two out of use.
+  /** Delay before a caller's request may run again after its second crash. Long enough for crashed
+   * engines to restart, so that one request takes down at most two of them.
    */
   Duration retry_backoff = std::chrono::seconds(5);
-  /** From the second crash on, between two runs of an item: shorter than the 5 s without an engine
+  /** Delay between runs of an item from the second crash on. Shorter than the 5 s without an engine
    * after which an item counts as lost.
    */
   Duration item_retry_interval = std::chrono::seconds(4);
-  /** An isolated run that takes longer does not keep others from running the request. */
+  /** Duration after which an isolated run no longer blocks other runs of the request. */
   Duration isolated_run_timeout = std::chrono::seconds(3);
-  /** A suspect is forgotten this long after its last crash, or after its bar is over. */
+  /** Time after the last crash, or after the end of the bar, until a suspect is removed. */
   Duration retention = std::chrono::minutes(10);
-  /** How long a request is barred, counted from its last crash; doubled with each crash beyond
+  /** Duration of the bar, counted from the last crash; doubled for each crash beyond
    * `crash_threshold`.
    */
   Duration initial_bar = std::chrono::minutes(10);
   int max_bar_doublings = 6;
-  /** Suspects that are remembered, of some 0.5 KB each. Those with the fewest crashes go first. */
+  /** Maximum number of suspects, of about 0.5 KB each. Those with the fewest crashes are evicted
+   * first.
+   */
   std::size_t max_entries = 4096;
 };
 
 enum class AdmissionState {
   kNotSuspect,
-  kMayRunAlone,  ///< On one engine at a time.
-  kRunning,      ///< It runs alone somewhere; it may run again when that run has ended.
-  kBackingOff,   ///< It crashed engines lately, fewer than its threshold.
-  kBarred,       ///< It crashed as many engines as its threshold.
+  kMayRunAlone,  ///< May run on one engine at a time.
+  kRunning,      ///< An isolated run is in progress on some daemon.
+  kBackingOff,   ///< Waiting after a recent crash; below the threshold.
+  kBarred,       ///< Reached the threshold.
 };
 
-/** @return the state as log lines name it. */
+/** @return the state's name in log events. */
 const char* toText(AdmissionState value);
 
 struct suspect_admission {
   AdmissionState state = AdmissionState::kNotSuspect;
   int crashes = 0;
-  Duration retry_after{};       ///< Until asking again may help; zero if it may run.
-  Duration since_last_crash{};  ///< Since the last crash.
+  Duration retry_after{};       ///< Time until the request may be admitted; zero if it may run.
+  Duration since_last_crash{};  ///< Time since the last crash.
 };
 
-/** Who sends a request. A batch job's owner sends an item again until its result is stored; a
- * caller's request is sent again only by the caller.
+/** Origin of a request. The owner of a batch job retries an item until its result is stored; only
+ * the caller retries a caller's request.
  */
 enum class RequestSource { kCaller, kItem };
 
--- a/src/gateway/suspects/suspect_registry.cpp
+++ b/src/gateway/suspects/suspect_registry.cpp
@@ -10,7 +10,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/** @return when something was that the store's clock says was at `at_ms`; not after now. */
+/** @return the local time of the store's time `at_ms`; not later than `now`. */
 Instant pastInstant(Instant now, std::int64_t clock_ms, std::int64_t at_ms) {
   if (clock_ms == 0 || at_ms == 0) return now;
   return now - std::chrono::milliseconds(std::max<std::int64_t>(0, clock_ms - at_ms));
@@ -98,7 +98,7 @@
   const bool is_new = !this->entries_.contains(key);
   if (is_new && this->entries_.size() >= this->rules_.max_entries) this->evictOne();
   entry& each = this->entries_[key];
-  // Crashes that an answer cleared since the attempt was sent do not count any more.
+  // Crashes that were cleared after the attempt was sent no longer count.
   const int counted = std::min(known, each.crashes) + 1;
   const bool grew = counted > each.crashes;
   each.crashes = std::max(each.crashes, counted);
@@ -179,7 +179,7 @@
     this->entries_.erase(at);
     return;
   }
-  // An answer at another daemon cleared it, but it crashed an engine here since: that one counts.
+  // Another daemon cleared the request, but a later crash here is not stored yet; it counts.
   at->second.crashes = 1;
   at->second.revision = 0;
 }
--- a/src/gateway/suspects/suspect_registry.h
+++ b/src/gateway/suspects/suspect_registry.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /** @file
- * The suspects that one daemon knows of, and what each of them is allowed. Pure.
+ * The suspects known to one daemon, and their admission. Performs no I/O.
  *
- * An engine that crashes takes everything with it that it ran: the request that made it crash and
- * up to all its slots of innocent ones. All of them become suspects. A suspect runs alone, on one
- * engine at a time in the whole fleet; the first complete answer of an engine clears it, and
- * crashes in a row bar it. An innocent request pays one write to the store, once.
+ * When an engine crashes, all requests that it was running become suspects, since the one that
+ * caused the crash is unknown. A suspect runs isolated: on one engine at a time in the whole fleet.
+ * The first complete response clears it; consecutive crashes bar it. An innocent request costs a
+ * single write to the store.
  */
 
 #include <map>
@@ -21,63 +21,63 @@
 
 namespace linenpier::suspects {
 
-/** Loop thread only; times are passed in. */
+/** Event loop thread only. The caller supplies the time. */
 class suspect_registry {
  public:
   explicit suspect_registry(suspect_rules rules = {}) : rules_(rules) {}
 
   bool empty() const { return this->entries_.empty(); }
   std::size_t size() const { return this->entries_.size(); }
-  /** @return how many callers' requests are barred now. */
+  /** @return the number of callers' requests that are barred. */
   std::size_t barredCount(Instant now) const;
   const suspect_rules& rules() const { return this->rules_; }
 
   suspect_admission admissionOf(Instant now, const request_key& key, RequestSource source) const;
-  /** @return the crashes known of the request. A sender notes them with its attempt. */
+  /** @return the number of crashes of the request. A sender records it with its attempt. */
   int crashesOf(const request_key& key) const;
 
-  /** An engine crashed under an attempt.
-   * @param known crashes known when the attempt was sent. Attempts that knew of the same crashes
-   * ran side by side, on whichever daemons, and count once.
-   * @return whether the count of crashes grew.
+  /** An engine crashed during an attempt.
+   * @param known number of crashes known when the attempt was sent. Attempts with the same number
+   * ran concurrently, possibly on several daemons, and count once.
+   * @return whether the number of crashes increased.
    */
   bool onEngineCrashed(Instant now, const request_key& key, const EngineId& engine, int known);
-  /** An engine answered it completely. @return the revision of its row, 0 if it has none. */
+  /** An engine completed the request. @return the revision of its row, 0 if it has none. */
   Revision onCleared(const request_key& key);
-  /** The daemon `self` begins to run it alone, or has ended doing so. */
+  /** The daemon `self` starts or ends an isolated run of the request. */
   void onIsolatedRun(Instant now, const request_key& key, const std::string& self);
   void onIsolatedRunEnded(const request_key& key, const std::string& self);
 
-  /** A row as the store has it.
-   * @param clock_ms the store's clock now; 0: not known.
+  /** Merges a row read from the store.
+   * @param clock_ms the store's current time; 0 if unknown.
    */
   void onRow(Instant now, std::int64_t clock_ms, const request_key& key, Revision revision,
              const suspect_record& record);
   void onRowGone(const request_key& key, Revision revision);
-  /** The whole table was read: what is not `present` was removed before `as_of`. */
+  /** The whole table was read: rows not in `present` were removed before `as_of`. */
   void onTableRead(const std::set<request_key>& present, Revision as_of);
-  /** What another daemon knows, which may be more than the row has. */
+  /** Merges a peer's record, which may be newer than the row. */
   void onPeerRow(Instant now, std::int64_t clock_ms, const request_key& key, Revision revision,
                  const suspect_record& record);
-  /** A write of the record was committed. @param written what was written. */
+  /** The store committed the record `written`. */
   void onWritten(const request_key& key, Revision revision, const suspect_record& written);
 
-  /** @return the record as it should stand in the store. */
+  /** @return the record to be stored. */
   suspect_record record(Instant now, std::int64_t clock_ms, const request_key& key) const;
   Revision revisionOf(const request_key& key) const;
-  /** @return the daemon's life that runs it alone; empty: none. */
+  /** @return the daemon incarnation that runs it isolated; empty if none. */
   std::string isolatedBy(const request_key& key) const;
-  /** @return requests whose rows must be written, those with max_count crashes first. */
+  /** @return up to `max_count` requests whose rows must be written, most crashes first. */
   std::vector<request_key> unwritten(std::size_t max_count) const;
-  /** From now on the store must have its row, for the other daemons. */
+  /** Requires the row to be stored, for the other daemons. */
   void setShared(const request_key& key);
-  /** @return rows for a daemon that does not reach the store, those with max_count crashes first.
-   * @param prefix of their keys.
+  /** @return up to `max_count` rows for a daemon that cannot reach the store, most crashes first.
+   * @param prefix prefix of the row keys.
    */
   std::vector<table::Row> rows(Instant now, std::int64_t clock_ms, const std::string& prefix,
                                std::size_t max_count) const;
-  /** Forgets what is too old. @return rows that may be removed now, at max_count `max_count`.
-   * @param removal_delay how much longer this daemon leaves that to others.
+  /** Removes expired suspects. @return up to `max_count` rows that may be deleted from the store.
+   * @param removal_delay time after expiry during which this daemon leaves deletion to others.
    */
   std::vector<std::pair<request_key, Revision>> sweep(Instant now, Duration removal_delay,
                                                       std::size_t max_count);
@@ -87,22 +87,22 @@
     int crashes = 0;
     std::vector<EngineId> engines;
     Instant last_at{};
-    std::string isolated_by;  ///< Daemon's life that runs it alone; empty: none.
+    std::string isolated_by;  ///< Daemon incarnation that runs it isolated; empty if none.
     Instant isolated_until{};
-    Revision revision = 0;  ///< Of its row; 0: none is known.
-    bool shared = false;    ///< The store must have its row.
-    bool written = false;   ///< The row has all of the above.
+    Revision revision = 0;  ///< Revision of its row; 0 if unknown.
+    bool shared = false;    ///< The row must be stored.
+    bool written = false;   ///< The stored row is up to date.
   };
 
   bool isBarred(int crashes, RequestSource source) const;
-  /** @return how long after its last crash a request may not run. */
+  /** @return how long after its last crash a request must not run. */
   Duration retryDelay(int crashes, RequestSource source) const;
   Duration barDuration(int crashes) const;
   Instant expiresAt(const entry& each) const;
   void addEngines(entry& into, const std::vector<EngineId>& engines) const;
-  /** Makes room for one more. */
+  /** Evicts the suspect with the fewest crashes. */
   void evictOne();
-  /** @return the requests that fit, those with max_count crashes first. */
+  /** @return up to `max_count` matching requests, most crashes first. */
   template <typename Predicate>
   std::vector<request_key> withMostCrashes(std::size_t max_count, Predicate matches) const;
 
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -10,24 +10,22 @@
 
 namespace {
 
-/** How long a request waits for the store's answer that no other daemon runs it. A slower store
- * must not hold innocent requests up.
- */
+/** Maximum wait for a claim. A slow store must not delay innocent requests. */
 constexpr Duration kClaimTimeout = std::chrono::milliseconds(100);
 constexpr int kMaxClaimAttempts = 3;
-/** Between two looks for rows to write where nothing changes. */
+/** Interval of checks for rows to write if no change was notified. */
 constexpr Duration kWritePollInterval = std::chrono::seconds(1);
-/** Between two writes of rows: bounds what all daemons together send a small store. */
+/** Delay between writes; limits the load of all daemons on a small store. */
 constexpr Duration kWriteInterval = std::chrono::milliseconds(25);
 constexpr Duration kRetryBackoff = std::chrono::milliseconds(200);
 constexpr int kMaxRemoveAttempts = 3;
-/** Rows that are written before the worst suspects are chosen anew. */
+/** Rows written before they are ordered by crashes again. */
 constexpr std::size_t kWriteBatchSize = 32;
-/** In an answer to a daemon without the store: bounds its size, some 80 KB. */
+/** Limits a response to a peer to about 80 KB. */
 constexpr std::size_t kMaxPeerRows = 256;
 constexpr Duration kSweepInterval = std::chrono::seconds(10);
 constexpr std::size_t kMaxRemovedPerSweep = 20;
-/** Each daemon leaves old rows to others for a time of its own, up to this, so that one of them
+/** Upper bound of the per-daemon delay before expired rows are removed, so that usually one daemon
  * removes a row.
  */
 constexpr std::uint64_t kRemovalJitterSeconds = 60;
@@ -63,7 +61,7 @@
   suspect_admission admission;
   for (int attempt = 0; attempt < kMaxClaimAttempts; ++attempt) {
     admission = this->beginLocalIsolatedRun(key, source, id);
-    // Without the store each daemon goes by what it knows.
+    // Without the store, the decision of this daemon is final.
     if (admission.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
       co_return admission;
     this->registry_.setShared(key);
@@ -79,17 +77,17 @@
 
 Task<suspect_service::WriteOutcome> suspect_service::claim(request_key key) {
   struct pending_claim {
-    explicit pending_claim(boost::asio::io_context& loop) : settled(loop) {}
-    Signal settled;
+    explicit pending_claim(boost::asio::io_context& loop) : completed(loop) {}
+    Signal completed;
     std::optional<WriteOutcome> outcome;
   };
   const auto pending = std::make_shared<pending_claim>(this->deps_.loop);
   spawn(this->deps_.loop, [this, key, pending]() -> Task<void> {
     pending->outcome = co_await this->writeRow(key);
-    pending->settled.notifyAll();
+    pending->completed.notifyAll();
   });
   if (!pending->outcome) {
-    co_await pending->settled.waitFor(kClaimTimeout);
+    co_await pending->completed.waitFor(kClaimTimeout);
   }
   co_return pending->outcome.value_or(WriteOutcome::kNoResponse);
 }
@@ -110,7 +108,7 @@
   }
 }
 
-// --- Ends of attempts ----------------------------------------------------------------------------
+// --- Attempt outcomes ----------------------------------------------------------------------------
 
 void suspect_service::onEngineCrashed(const sent_attempt& attempt, const request_key& key,
                                       const EngineId& engine, Instant sent_at, RequestSource source,
@@ -122,7 +120,7 @@
   if (counts) {
     ++this->totals_.engine_crashes;
     this->registry_.onEngineCrashed(now, key, engine, attempt.crashes);
-    // An item is run by its owner alone: other daemons need not know of its first crash.
+    // Only its owner runs an item, so other daemons need not know of its first crash.
     if (source == RequestSource::kCaller || this->registry_.crashesOf(key) > 1)
       this->registry_.setShared(key);
   }
@@ -203,7 +201,7 @@
     this->onRow(key, row);
     return;
   }
-  // The row was removed. What this daemon knows beyond it is written as a new row.
+  // The row was removed. Crashes that it did not contain are written as a new row.
   this->registry_.onRowGone(key, this->registry_.revisionOf(key) + 1);
 }
 
@@ -223,8 +221,8 @@
     if (direct) answer = std::move(*direct);
   }
   if (!answer) {
-    // Goes by a peer as soon as one write got no answer, seconds before the store counts as lost:
-    // until then others could send the request on. Reads the record anew, with crashes since.
+    // Writes by way of a peer after the first failure, before the store counts as lost, since other
+    // daemons could send the request until then. Reads the record again to include newer crashes.
     record = this->registry_.record(steadyNow(), this->clock(), key);
     answer = co_await this->deps_.write_by_peer(this->writeOf(key, record));
   }
@@ -244,7 +242,7 @@
       co_await this->changed_.waitFor(kWritePollInterval);
       continue;
     }
-    // Rows hold times of the store's clock: without it none can be written.
+    // Rows contain the store's time and cannot be written while it is unknown.
     bool answered = this->clock() != 0;
     for (const request_key& key : keys) {
       if (!answered) break;
@@ -270,7 +268,7 @@
       co_await sleepFor(this->deps_.loop, kRetryBackoff);
       continue;
     }
-    // An answer of an engine outweighs whatever was written meanwhile.
+    // A response of an engine overrides concurrent writes.
     revision = answer->conflicts.empty() ? 0 : answer->conflicts.front().revision;
   }
 }
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -1,14 +1,14 @@
 #pragma once
 
 /** @file
- * Suspects as the whole fleet knows them: one row each in the store, which every daemon follows,
- * and the right to run a suspect, which one daemon has at a time.
+ * Shares suspects across the fleet: one row per suspect in the store, which all daemons watch. One
+ * daemon at a time holds the right to run a suspect.
  *
  * Guarantees:
- * - A daemon that reaches the store knows of a crash within a write and an answer of the feed, also
- *   after all daemons were restarted.
- * - A daemon that does not reach the store exchanges suspects with its peers.
- * - A daemon that reaches nobody keeps to the rules by what it saw itself.
+ * - A daemon that reaches the store learns of a crash after one write and one update of the watch,
+ * even if all daemons were restarted.
+ * - A daemon that cannot reach the store exchanges suspects with its peers.
+ * - A daemon that reaches neither applies the rules to its own observations.
  */
 
 #include <functional>
@@ -24,17 +24,19 @@
 
 namespace linenpier::suspects {
 
-/** Lines about refusals that are all written each second; of more, one in `kSampleInterval` is. */
+/** Log events for refusals written per second before sampling; beyond that, one in
+ * `kSampleInterval` is written.
+ */
 inline constexpr std::uint32_t kUnsampledRefusalsPerSecond = 20;
 inline constexpr std::uint32_t kSampleInterval = 50;
 
 struct suspect_totals {
-  std::uint64_t engine_crashes = 0;  ///< Under attempts of this daemon; those that count.
-  std::uint64_t refused = 0;         ///< Times a request was not let run.
-  std::uint64_t cleared = 0;         ///< Suspects that an engine answered here.
+  std::uint64_t engine_crashes = 0;  ///< Counted crashes during attempts of this daemon.
+  std::uint64_t refused = 0;         ///< Refused admissions.
+  std::uint64_t cleared = 0;         ///< Suspects cleared by a response received here.
 };
 
-/** Loop thread only. */
+/** Event loop thread only. */
 class suspect_service : public suspect_tracker {
  public:
   struct dependencies {
@@ -42,7 +44,7 @@
     table::AsyncTable& table;
     lease::lease_table& leases;
     lease::lease_keeper& keeper;
-    /** Has a peer do a write. */
+    /** Performs a write by way of a peer. */
     std::function<Task<std::optional<table::TransactionAnswer>>(table::Write)> write_by_peer;
   };
 
@@ -61,17 +63,17 @@
   void onAnswered(const request_key& key) override;
   void onInconclusive(const request_key& key) override;
 
-  /** Rows as the feed of the store has them. */
+  /** Changes read from the store. */
   void onRow(const request_key& key, const table::Row& row);
   void onRowGone(const request_key& key, Revision revision);
   void onTableRead(const std::set<request_key>& present, Revision as_of);
-  /** What a peer knows, while this daemon does not reach the store. */
+  /** Rows received from a peer while the store is unreachable. */
   void onPeerRows(const std::vector<table::Row>& rows);
-  /** @return whether the suspects of earlier lives were read, from the store or a peer. The daemon
-   * is not ready before: its first requests could crash engines that are known to crash.
+  /** @return whether existing suspects were read from the store or a peer. The daemon is not ready
+   * before: it could send known suspects without isolation.
    */
   bool loaded() const { return this->loaded_; }
-  /** @return the worst suspects, for a peer that does not reach the store. */
+  /** @return the suspects with the most crashes, for a peer that cannot reach the store. */
   std::vector<table::Row> rows() const;
 
   const suspect_registry& registry() const { return this->registry_; }
@@ -83,12 +85,12 @@
   Task<void> writeLoop();
   Task<void> sweepLoop();
   table::Write writeOf(const request_key& key, const suspect_record& record) const;
-  /** Writes one row as the book has it; by a peer if the store does not answer this daemon. */
+  /** Writes one row from the registry; by way of a peer if the store does not respond. */
   Task<WriteOutcome> writeRow(request_key key);
-  /** The same, waiting for at most `kClaimTimeout`; the write goes on. */
+  /** Starts `writeRow` and waits for at most `kClaimTimeout`; the write continues after that. */
   Task<WriteOutcome> claim(request_key key);
   Task<void> removeRow(request_key key, Revision revision);
-  /** Takes over what the store has, after it rejected a write. */
+  /** Merges the store's row after a write conflict. */
   void onConflict(const request_key& key, const std::vector<table::Row>& rows);
   std::int64_t clock() const { return this->deps_.keeper.storeClock(steadyNow()); }
   std::string self() const { return this->deps_.leases.own().str(); }
@@ -97,7 +99,7 @@
   dependencies deps_;
   suspect_registry registry_;
   suspect_totals totals_;
-  Signal changed_;  ///< There may be a row to write.
+  Signal changed_;  ///< Notified when a row may need to be written.
   bool loaded_ = false;
   logging::SuccessSampler refusal_sampler_{kUnsampledRefusalsPerSecond, kSampleInterval};
 };
--- a/src/gateway/suspects/suspect_tracker.h
+++ b/src/gateway/suspects/suspect_tracker.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Admission of suspects, as every sender asks for it before it sends and reports to it afterwards:
- * requests of clients, streams, items, runs that go on elsewhere, reward calls.
+ * Interface for admission of suspects. All senders (unary requests, streams, batch items, reward
+ * requests) ask for admission before each attempt and report its outcome.
  */
 
 #include <string>
@@ -12,44 +12,44 @@
 
 namespace linenpier::suspects {
 
-/** What the sender knew of the request when it sent the attempt. */
+/** State of the request when the attempt was sent. */
 struct sent_attempt {
-  int crashes = 0;        ///< Of engines under the request.
-  bool isolated = false;  ///< It runs alone; its end must be reported.
+  int crashes = 0;        ///< Engine crashes known for the request.
+  bool isolated = false;  ///< This is an isolated run; its end must be reported.
 };
 
-/** Loop thread only. */
+/** Event loop thread only. */
 class suspect_tracker {
  public:
   virtual ~suspect_tracker() = default;
 
-  /** @return whether there is any suspect. If not, no key need be computed. */
+  /** @return whether there are any suspects. If not, callers can skip computing the request key. */
   virtual bool hasSuspects() const = 0;
-  /** @return what a request is allowed by what this daemon knows; kNotSuspect for nearly all. */
+  /** @return the admission by this daemon's state; kNotSuspect in the common case. */
   virtual suspect_admission admissionOf(const request_key& key, RequestSource source) const = 0;
-  /** Claims the right to run a suspect alone, for this daemon of all. Writes to the store, unless
-   * it is away.
-   * @param id of the request, for the log.
-   * @return kMayRunAlone if it was given: the end of the run must be reported then. kNotSuspect if
-   *     it is no suspect any more.
+  /** Claims the fleet-wide right to run a suspect. Writes the claim to the store if it is
+   * reachable.
+   * @param id request id for the log.
+   * @return kMayRunAlone if the claim was granted; the end of the run must then be reported.
+   *     kNotSuspect if the request is no longer a suspect.
    */
   virtual Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource source,
                                                    std::string id) = 0;
-  /** The same by what this daemon knows, for what no other daemon sends meanwhile: an item is sent
-   * by its job's owner alone.
+  /** The same by this daemon's state alone, for requests that no other daemon sends: only the owner
+   * of a job sends its items.
    */
   virtual suspect_admission beginLocalIsolatedRun(const request_key& key, RequestSource source,
                                                   const std::string& id) = 0;
 
-  /** An engine's process crashed under an attempt.
-   * @param id of the request, for the log.
+  /** The engine process crashed during an attempt.
+   * @param id request id for the log.
    */
   virtual void onEngineCrashed(const sent_attempt& attempt, const request_key& key,
                                const EngineId& engine, Instant sent_at, RequestSource source,
                                const std::string& id) = 0;
-  /** An engine answered it completely, whatever the status: it does not crash engines. */
+  /** An engine completed the request, with any status: it does not crash engines. */
   virtual void onAnswered(const request_key& key) = 0;
-  /** An isolated run ended without showing anything: rejected, stopped, or not answered. */
+  /** An isolated run ended without a result: rejected, aborted or timed out. */
   virtual void onInconclusive(const request_key& key) = 0;
 };
 
