--- a/tests/gateway/suspects/request_key_test.cpp
+++ b/tests/gateway/suspects/request_key_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which requests count as the same.
+/// Which parts of a request determine its key.
 
 #include "gateway/suspects/request_key.h"
 
@@ -17,7 +17,7 @@
 }
 }  // namespace
 
-Test(request_key, ids_and_deadlines_make_no_difference) {
+Test(request_key, request_id_and_deadline_do_not_change_the_key) {
   http::Request one = makeRequest("/look/1", "a");
   http::Request other = one;
   one.set("Request-Id", "r1");
@@ -26,7 +26,7 @@
   cr_assert(keyOf(TenantId("t"), one) == keyOf(TenantId("t"), other));
 }
 
-Test(request_key, path_query_body_host_and_tenant_do) {
+Test(request_key, path_query_body_host_and_tenant_change_the_key) {
   const http::Request request = makeRequest("/look/1", "a");
   const suspects::request_key key = keyOf(TenantId("t"), request);
   cr_assert(key != keyOf(TenantId("u"), request));
@@ -37,7 +37,7 @@
   cr_assert(keyOf(TenantId("t"), "ab", "c", "") != keyOf(TenantId("t"), "a", "bc", ""));
 }
 
-Test(request_key, a_tenants_requests_begin_with_digits_of_its_own) {
+Test(request_key, key_prefix_depends_on_the_tenant_only) {
   const auto tenantDigits = [](const char* tenant, const char* body) {
     return keyOf(TenantId(tenant), "h", "/", body).str().substr(0, 16);
   };
--- a/tests/gateway/suspects/suspect_registry_test.cpp
+++ b/tests/gateway/suspects/suspect_registry_test.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// What requests under which engines ended are allowed, as one daemon sees it.
+/// Admission of suspects by one daemon, and merging of stored records.
 
 #include "gateway/suspects/suspect_registry.h"
 
-// Criterion's macros clash with Boost's headers that come after it.
+// Criterion's macros conflict with Boost headers that are included after it.
 // clang-format off
 #include <criterion/criterion.h>
 // clang-format on
@@ -28,7 +28,7 @@
   return EngineId("e" + std::to_string(number));
 }
 
-/// Ends so many engines under the request, one after the other, a second apart from 0 s on.
+/// Records consecutive crashes of the request, one per second from 0 s on.
 suspect_registry registryAfter(int crashes) {
   suspect_registry registry;
   for (int i = 0; i < crashes; ++i) registry.onEngineCrashed(at(i), kKey, engine(i), i);
@@ -42,33 +42,34 @@
 
 }  // namespace
 
-Test(suspect_registry, a_request_under_which_no_engine_ended_is_clear) {
+Test(suspect_registry, request_without_crashes_is_not_a_suspect) {
   const suspect_registry registry;
   cr_assert(registry.empty());
   cr_assert(stateAt(registry, 0) == AdmissionState::kNotSuspect);
 }
 
-Test(suspect_registry, the_first_end_makes_it_run_alone) {
+Test(suspect_registry, first_crash_restricts_it_to_isolated_runs) {
   suspect_registry registry = registryAfter(1);
   cr_assert(stateAt(registry, 0.01) == AdmissionState::kMayRunAlone);
   registry.onIsolatedRun(at(0.01), kKey, "a");
   cr_assert(stateAt(registry, 0.02) == AdmissionState::kRunning);
   cr_assert(stateAt(registry, 3.02) == AdmissionState::kMayRunAlone,
-            "a trial that takes long keeps nobody");
+            "an isolated run blocks others only until its timeout");
   registry.onIsolatedRunEnded(kKey, "b");
-  cr_assert(stateAt(registry, 0.02) == AdmissionState::kRunning, "another daemon's trial");
+  cr_assert(stateAt(registry, 0.02) == AdmissionState::kRunning,
+            "the isolated run of another daemon");
   registry.onIsolatedRunEnded(kKey, "a");
   cr_assert(stateAt(registry, 0.02) == AdmissionState::kMayRunAlone);
 }
 
-Test(suspect_registry, after_the_second_end_it_waits_until_engines_are_back) {
+Test(suspect_registry, second_crash_delays_the_next_run) {
   const suspect_registry registry = registryAfter(2);
   cr_assert(stateAt(registry, 1.1) == AdmissionState::kBackingOff);
   cr_assert(stateAt(registry, 5.9) == AdmissionState::kBackingOff);
   cr_assert(stateAt(registry, 6.0) == AdmissionState::kMayRunAlone);
 }
 
-Test(suspect_registry, the_third_bars_it_and_each_further_one_doubles_that) {
+Test(suspect_registry, third_crash_bars_it_and_each_further_crash_doubles_the_bar) {
   suspect_registry registry = registryAfter(3);
   const auto admission = registry.admissionOf(at(2.5), kKey, RequestSource::kCaller);
   cr_assert(admission.state == AdmissionState::kBarred);
@@ -82,21 +83,22 @@
   cr_assert(stateAt(registry, 602 + 1200) == AdmissionState::kMayRunAlone);
 }
 
-Test(suspect_registry, suspicion_is_forgotten) {
+Test(suspect_registry, suspect_expires_after_the_retention) {
   cr_assert(stateAt(registryAfter(1), 599) == AdmissionState::kMayRunAlone);
   cr_assert(stateAt(registryAfter(1), 600) == AdmissionState::kNotSuspect);
   cr_assert(stateAt(registryAfter(3), 2 + 1199) == AdmissionState::kMayRunAlone);
   cr_assert(stateAt(registryAfter(3), 2 + 1200) == AdmissionState::kNotSuspect);
 }
 
-Test(suspect_registry, attempts_that_ran_side_by_side_count_once) {
+Test(suspect_registry, crashes_of_concurrent_attempts_count_once) {
   suspect_registry registry;
   for (int i = 0; i < 8; ++i) registry.onEngineCrashed(at(0), kKey, engine(i), 0);
-  cr_assert_eq(registry.crashesOf(kKey), 1, "a zone that loses power ends all its engines at once");
+  cr_assert_eq(registry.crashesOf(kKey), 1,
+               "a zone that loses power stops all its engines at once");
   cr_assert(stateAt(registry, 0.1) == AdmissionState::kMayRunAlone);
 }
 
-Test(suspect_registry, an_answer_clears_whoever_stood_beside_and_what_was_sent_before_counts_anew) {
+Test(suspect_registry, response_clears_it_and_earlier_attempts_count_from_zero) {
   suspect_registry registry = registryAfter(2);
   cr_assert_eq(registry.onCleared(kKey), Revision{0}, "no row yet");
   cr_assert(registry.empty());
@@ -104,7 +106,7 @@
   cr_assert_eq(registry.crashesOf(kKey), 1);
 }
 
-Test(suspect_registry, an_item_is_tried_twice_more_within_what_a_job_bears) {
+Test(suspect_registry, batch_item_is_barred_after_its_own_threshold) {
   suspect_registry registry = registryAfter(3);
   cr_assert(stateAt(registry, 5.9, RequestSource::kItem) == AdmissionState::kBackingOff);
   cr_assert(stateAt(registry, 6, RequestSource::kItem) == AdmissionState::kMayRunAlone);
@@ -114,7 +116,7 @@
   cr_assert(stateAt(registry, 60, RequestSource::kItem) == AdmissionState::kBarred);
 }
 
-Test(suspect_registry, rows_of_others_are_joined_with_what_was_seen_here) {
+Test(suspect_registry, stored_row_is_merged_with_local_state) {
   suspect_registry registry = registryAfter(1);
   suspect_record row;
   row.crashes = 2;
@@ -125,15 +127,15 @@
   cr_assert_eq(registry.revisionOf(kKey), Revision{5});
   cr_assert(registry.admissionOf(at(1), kKey, RequestSource::kCaller).since_last_crash ==
             fromSeconds(1));
-  const suspect_record joined = registry.record(at(1), 10000, kKey);
-  cr_assert_eq(joined.engines.size(), 2U);
-  cr_assert_eq(joined.last_crash_ms, 9000);
+  const suspect_record merged = registry.record(at(1), 10000, kKey);
+  cr_assert_eq(merged.engines.size(), 2U);
+  cr_assert_eq(merged.last_crash_ms, 9000);
   row.crashes = 1;
   registry.onRow(at(2), 11000, kKey, 4, row);
-  cr_assert_eq(registry.crashesOf(kKey), 2, "older than what is known");
+  cr_assert_eq(registry.crashesOf(kKey), 2, "older revision");
 }
 
-Test(suspect_registry, a_row_that_says_less_than_is_known_here_is_written_anew) {
+Test(suspect_registry, row_with_fewer_crashes_than_known_is_rewritten) {
   suspect_registry registry = registryAfter(2);
   registry.setShared(kKey);
   cr_assert_eq(registry.unwritten(9).size(), 1U);
@@ -145,22 +147,22 @@
   cr_assert(registry.unwritten(9).empty());
 }
 
-Test(suspect_registry, what_only_its_owner_runs_is_not_written) {
+Test(suspect_registry, request_that_is_not_shared_is_not_written) {
   cr_assert(registryAfter(1).unwritten(9).empty());
 }
 
-Test(suspect_registry, a_row_that_is_gone_was_cleared_elsewhere) {
+Test(suspect_registry, removed_row_clears_the_suspect) {
   suspect_registry registry;
   suspect_record row;
   row.crashes = 2;
   registry.onRow(at(0), 10000, kKey, 5, row);
   registry.onRowGone(kKey, 4);
-  cr_assert_eq(registry.crashesOf(kKey), 2, "an older removal");
+  cr_assert_eq(registry.crashesOf(kKey), 2, "removal of an older revision");
   registry.onRowGone(kKey, 6);
   cr_assert(registry.empty());
 }
 
-Test(suspect_registry, a_table_read_whole_clears_what_is_not_in_it) {
+Test(suspect_registry, full_table_read_clears_absent_rows) {
   suspect_registry registry;
   suspect_record row;
   row.crashes = 2;
@@ -173,7 +175,7 @@
   cr_assert_eq(registry.crashesOf(request_key("own")), 1, "never written");
 }
 
-Test(suspect_registry, what_a_peer_tells_may_be_more_than_the_row) {
+Test(suspect_registry, record_of_a_peer_is_merged_at_the_same_revision) {
   suspect_registry registry;
   suspect_record row;
   row.crashes = 1;
@@ -183,7 +185,7 @@
   cr_assert(stateAt(registry, 1) == AdmissionState::kBarred);
 }
 
-Test(suspect_registry, a_flood_of_ever_new_requests_drops_those_with_least_against_them) {
+Test(suspect_registry, eviction_keeps_suspects_with_most_crashes) {
   suspects::suspect_rules rules;
   rules.max_entries = 10;
   suspect_registry registry(rules);
@@ -195,7 +197,7 @@
   cr_assert_eq(registry.crashesOf(kKey), 3);
 }
 
-Test(suspect_registry, old_rows_are_left_to_others_for_a_while_and_then_removed) {
+Test(suspect_registry, expired_rows_are_removed_after_the_removal_delay) {
   suspect_registry registry;
   suspect_record row;
   row.crashes = 1;
@@ -208,7 +210,7 @@
   cr_assert_eq(removable.front().second, Revision{5});
 }
 
-Test(suspect_registry, a_record_survives_its_row) {
+Test(suspect_registry, record_round_trips_through_its_encoding) {
   suspect_record record;
   record.crashes = 3;
   record.engines = {engine(1), engine(2)};
