--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -9,17 +9,17 @@
 using http::ExchangeStatus;
 
 namespace {
-/** Largest body of an answer, in bytes. */
-constexpr std::size_t kMaxAnswer = 64 * 1024 * 1024;
-/** The engine is not the one that the request names. */
+/** Maximum size of a response body. */
+constexpr std::size_t kMaxResponseBytes = 64 * 1024 * 1024;
+/** Misdirected Request: the request names another engine. */
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
-/** For a connection to be taken or refused: many times what a reachable host needs. */
+/** Many times the round trip to a reachable host. */
 constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(100);
 }  // namespace
 
-const char* toText(AttemptOutcome verdict) {
-  switch (verdict) {
+const char* toText(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::kAnswered:
       return "answered";
     case AttemptOutcome::kNotExecuted:
@@ -36,8 +36,8 @@
   return "unknown";
 }
 
-bool mayHaveRun(AttemptOutcome verdict) {
-  return verdict != AttemptOutcome::kNotExecuted && verdict != AttemptOutcome::kUnreachable;
+bool mayHaveRun(AttemptOutcome outcome) {
+  return outcome != AttemptOutcome::kNotExecuted && outcome != AttemptOutcome::kUnreachable;
 }
 
 engine_call::engine_call(engine_call_context context, const engines::engine_state& engine,
@@ -50,7 +50,7 @@
   this->request_id_ = http::fieldText(request, this->context_.names.request_id);
   this->exchange_ = std::make_shared<http::ClientExchange>(
       this->context_.pool, engine.record.address, std::move(request));
-  // The operator may close the zone while the connection is set up.
+  // The operator may close the zone while the connection is being established.
   this->exchange_->sendOnlyIf([&registry = this->context_.registry, zone = engine.record.zone] {
     return !registry.closedZones().contains(zone);
   });
@@ -59,10 +59,10 @@
 
 engine_call::~engine_call() {
   this->exchange_->abort();
-  this->end(HealthOutcome::kSuccess);
+  this->reportEnd(HealthOutcome::kSuccess);
 }
 
-void engine_call::end(HealthOutcome end) {
+void engine_call::reportEnd(HealthOutcome end) {
   if (this->ended_) return;
   this->ended_ = true;
   this->context_.registry.onAttemptEnded(steadyNow(), this->engine_, end);
@@ -76,43 +76,43 @@
   const auto self = this->shared_from_this();
   const http::PeerState state =
       co_await this->context_.pool.probe(this->address_, steadyNow() + kCrashCheckTimeout);
-  co_return state == http::PeerState::kRefuses;
+  co_return state == http::PeerState::kRefusing;
 }
 
 Task<AttemptOutcome> engine_call::start(attempt_limits limits) {
   const auto self = this->shared_from_this();
-  this->when_late_ = limits.when_late;
+  this->end_on_timeout_ = limits.end_on_timeout;
   http::ExpectedEcho echo{this->context_.names.request_id, this->request_id_};
   const ExchangeStatus status = co_await this->exchange_->start(
       limits.connect_deadline, limits.deadline, echo, limits.fresh_connection);
-  if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  const AttemptOutcome verdict = this->judgeHead();
-  if (verdict != AttemptOutcome::kNotExecuted) co_return verdict;
-  // A connection whose answer was read to its end can be used again.
+  if (status != ExchangeStatus::kOk) co_return this->reportExchangeEnd(status);
+  const AttemptOutcome outcome = this->checkHeader();
+  if (outcome != AttemptOutcome::kNotExecuted) co_return outcome;
+  // The connection can be reused only if the response was read to its end.
   std::string ignored;
-  co_await this->exchange_->readAll(ignored, kMaxAnswer, limits.deadline);
-  co_return verdict;
+  co_await this->exchange_->readAll(ignored, kMaxResponseBytes, limits.deadline);
+  co_return outcome;
 }
 
-AttemptOutcome engine_call::judgeHead() {
-  this->readLoad();
+AttemptOutcome engine_call::checkHeader() {
+  this->reportLoad();
   if (this->exchange_->status() == kMisdirected) {
-    this->end(HealthOutcome::kWrongEngine);
+    this->reportEnd(HealthOutcome::kWrongEngine);
     return AttemptOutcome::kNotExecuted;
   }
   if (this->head().count(this->context_.names.not_executed) > 0) {
-    this->end(HealthOutcome::kRejected);
+    this->reportEnd(HealthOutcome::kRejected);
     return AttemptOutcome::kNotExecuted;
   }
   if (this->head().count(this->context_.names.signature) == 0) {
     this->exchange_->abort();
-    this->end(HealthOutcome::kBroken);
+    this->reportEnd(HealthOutcome::kBroken);
     return AttemptOutcome::kBroken;
   }
   return AttemptOutcome::kAnswered;
 }
 
-void engine_call::readLoad() {
+void engine_call::reportLoad() {
   const std::string text = http::fieldText(this->head(), this->context_.names.load);
   engines::load_report load;
   if (std::sscanf(text.c_str(), "%u,%u,%u", &load.running, &load.waiting, &load.slots) == 3) {
@@ -120,26 +120,26 @@
   }
 }
 
-AttemptOutcome engine_call::settle(ExchangeStatus status) {
+AttemptOutcome engine_call::reportExchangeEnd(ExchangeStatus status) {
   switch (status) {
     case ExchangeStatus::kOk:
       return AttemptOutcome::kAnswered;
     case ExchangeStatus::kNotConnected:
-      this->end(HealthOutcome::kUnreachable);
+      this->reportEnd(HealthOutcome::kUnreachable);
       return AttemptOutcome::kUnreachable;
     case ExchangeStatus::kWithheld:
-      this->end(HealthOutcome::kRejected);
+      this->reportEnd(HealthOutcome::kRejected);
       return AttemptOutcome::kUnreachable;
     case ExchangeStatus::kBroken:
-      this->end(HealthOutcome::kBroken);
+      this->reportEnd(HealthOutcome::kBroken);
       this->exchange_->abort();
       return AttemptOutcome::kBroken;
     case ExchangeStatus::kTimedOut:
-      this->end(this->when_late_);
+      this->reportEnd(this->end_on_timeout_);
       this->exchange_->abort();
       return AttemptOutcome::kTimedOut;
     case ExchangeStatus::kAborted:
-      this->end(HealthOutcome::kSuccess);
+      this->reportEnd(HealthOutcome::kSuccess);
       return AttemptOutcome::kAborted;
   }
   return AttemptOutcome::kBroken;
@@ -147,10 +147,11 @@
 
 Task<AttemptOutcome> engine_call::readWhole(std::string& body, Instant deadline) {
   const auto self = this->shared_from_this();
-  const ExchangeStatus status = co_await this->exchange_->readAll(body, kMaxAnswer, deadline);
-  if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  this->end(this->exchange_->status() >= kServerError ? HealthOutcome::kBroken
-                                                      : HealthOutcome::kSuccess);
+  const ExchangeStatus status =
+      co_await this->exchange_->readAll(body, kMaxResponseBytes, deadline);
+  if (status != ExchangeStatus::kOk) co_return this->reportExchangeEnd(status);
+  this->reportEnd(this->exchange_->status() >= kServerError ? HealthOutcome::kBroken
+                                                            : HealthOutcome::kSuccess);
   co_return AttemptOutcome::kAnswered;
 }
 
@@ -160,8 +161,8 @@
   std::string bytes;
   const ExchangeStatus status = co_await this->exchange_->readSome(bytes, deadline);
   events = parser.feed(bytes);
-  if (status != ExchangeStatus::kOk) co_return this->settle(status);
-  if (this->exchange_->complete()) this->end(HealthOutcome::kSuccess);
+  if (status != ExchangeStatus::kOk) co_return this->reportExchangeEnd(status);
+  if (this->exchange_->complete()) this->reportEnd(HealthOutcome::kSuccess);
   co_return AttemptOutcome::kAnswered;
 }
 
--- /dev/null
+++ b/src/gateway/forward/unary_forwarder.h
@@ -0,0 +1,50 @@
+#pragma once
+
+/** @file
+ * Forwards requests with a single response, for clients and for the gateway itself. Event loop
+ * thread only.
+ */
+
+#include <memory>
+#include <optional>
+
+#include "gateway/forward/attempt_group.h"
+#include "gateway/forward/attempt_policy.h"
+#include "gateway/forward/forwarding_context.h"
+#include "gateway/forward/internal_requests.h"
+#include "gateway/http/server.h"
+
+namespace linenpier::forward {
+
+class unary_forwarder {
+ public:
+  explicit unary_forwarder(const forwarding_context& context) : context_(context) {}
+
+  /** Sends the client an engine response or a local reply, unless the client disconnects. */
+  Task<void> serve(std::shared_ptr<forwarded_request> forwarded, http::ResponseWriter& writer);
+  /** Sends an internal request with the same retry policy. */
+  Task<internal_outcome> send(internal_request request);
+
+ private:
+  /** Result of all attempts of one request. */
+  struct attempts_outcome {
+    std::optional<http::Response> response;  ///< Complete and signed.
+    int failures = 0;                        ///< Attempts that engines answered with status 500.
+  };
+
+  std::shared_ptr<forwarded_request> makeInternal(const internal_request& request) const;
+  /** Runs attempts until there is a response to forward, or none is in flight and none may start.
+   */
+  Task<attempts_outcome> runAttempts(std::shared_ptr<forwarded_request> forwarded,
+                                     attempt_policy& policy, http::Cancellation& cancellation);
+  /** Processes finished attempts and stores the last response that is not to be retried. */
+  void processResults(attempt_group& group, attempt_policy& policy,
+                      attempts_outcome& outcome) const;
+  /** @return false if the attempt was not admitted or no engine was found. */
+  Task<bool> startAttempt(std::shared_ptr<forwarded_request> forwarded, attempt_group& group,
+                          attempt_policy& policy, http::Cancellation& cancellation);
+
+  forwarding_context context_;
+};
+
+}  // namespace linenpier::forward
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -10,27 +10,25 @@
 
 namespace {
 
-/** How long a request waits for the store's answer that no other daemon runs it. A slower store
- * must not hold innocent requests up.
- */
+/** Maximum wait for a claim. A slow store must not delay innocent requests. */
 constexpr Duration kClaimTimeout = std::chrono::milliseconds(100);
-constexpr int kMaxClaimTries = 3;
-/** Between two looks for rows to write where nothing changes. */
-constexpr Duration kWriteIdle = std::chrono::seconds(1);
-/** Between two writes of rows: bounds what all daemons together send a small store. */
+constexpr int kMaxClaimAttempts = 3;
+/** Interval of checks for rows to write if no change was notified. */
+constexpr Duration kWritePollInterval = std::chrono::seconds(1);
+/** Delay between writes; limits the load of all daemons on a small store. */
 constexpr Duration kWriteInterval = std::chrono::milliseconds(25);
 constexpr Duration kRetryBackoff = std::chrono::milliseconds(200);
-constexpr int kMaxRemoveTries = 3;
-/** Rows that are written before the worst suspects are chosen anew. */
-constexpr std::size_t kMaxRowsAtOnce = 32;
-/** In an answer to a daemon without the store: bounds its size, some 80 KB. */
-constexpr std::size_t kMaxRowsSent = 256;
+constexpr int kMaxRemoveAttempts = 3;
+/** Rows written before they are ordered by crashes again. */
+constexpr std::size_t kWriteBatchSize = 32;
+/** Limits a response to a peer to about 80 KB. */
+constexpr std::size_t kMaxPeerRows = 256;
 constexpr Duration kSweepInterval = std::chrono::seconds(10);
 constexpr std::size_t kMaxRemovedPerSweep = 20;
-/** Each daemon leaves old rows to others for a time of its own, up to this, so that one of them
+/** Upper bound of the per-daemon delay before expired rows are removed, so that usually one daemon
  * removes a row.
  */
-constexpr std::uint64_t kRemovalSpreadSeconds = 60;
+constexpr std::uint64_t kRemovalJitterSeconds = 60;
 
 }  // namespace
 
@@ -61,15 +59,15 @@
 Task<suspect_admission> suspect_service::beginIsolatedRun(request_key key, RequestSource source,
                                                           std::string id) {
   suspect_admission admission;
-  for (int tries = 0; tries < kMaxClaimTries; ++tries) {
+  for (int attempt = 0; attempt < kMaxClaimAttempts; ++attempt) {
     admission = this->beginLocalIsolatedRun(key, source, id);
-    // Without the store each daemon goes by what it knows.
+    // Without the store, the decision of this daemon is final.
     if (admission.state != AdmissionState::kMayRunAlone || !this->deps_.leases.storeHealthy())
       co_return admission;
     this->registry_.setShared(key);
     const WriteOutcome outcome = co_await this->claim(key);
     const bool own = this->registry_.isolatedBy(key) == this->self();
-    if (outcome != WriteOutcome::kOvertaken || own) co_return admission;
+    if (outcome != WriteOutcome::kConflict || own) co_return admission;
   }
   admission = this->admissionOf(key, source);
   if (admission.state == AdmissionState::kMayRunAlone) admission.state = AdmissionState::kRunning;
@@ -79,38 +77,38 @@
 
 Task<suspect_service::WriteOutcome> suspect_service::claim(request_key key) {
   struct pending_claim {
-    explicit pending_claim(boost::asio::io_context& loop) : settled(loop) {}
-    Signal settled;
+    explicit pending_claim(boost::asio::io_context& loop) : completed(loop) {}
+    Signal completed;
     std::optional<WriteOutcome> outcome;
   };
   const auto pending = std::make_shared<pending_claim>(this->deps_.loop);
   spawn(this->deps_.loop, [this, key, pending]() -> Task<void> {
     pending->outcome = co_await this->writeRow(key);
-    pending->settled.notifyAll();
+    pending->completed.notifyAll();
   });
   if (!pending->outcome) {
-    co_await pending->settled.waitFor(kClaimTimeout);
+    co_await pending->completed.waitFor(kClaimTimeout);
   }
-  co_return pending->outcome.value_or(WriteOutcome::kNoAnswer);
+  co_return pending->outcome.value_or(WriteOutcome::kNoResponse);
 }
 
 void suspect_service::onRefused(const suspect_admission& admission, const request_key& key,
                                 const std::string& id) {
   ++this->totals_.refused;
-  if (!this->refusal_lines_.admit(steadyNow())) return;
+  if (!this->refusal_sampler_.admit(steadyNow())) return;
   LogEvent event("suspects", "refused");
   event.text("request", id)
       .text("key", key.str())
       .text("standing", toText(admission.state))
       .number("ends", admission.crashes)
-      .milliseconds("evidence_age_ms", admission.evidence_age)
+      .milliseconds("evidence_age_ms", admission.since_last_crash)
       .milliseconds("wait_ms", admission.retry_after);
-  if (const auto skipped = this->refusal_lines_.takeSkipped()) {
+  if (const auto skipped = this->refusal_sampler_.takeSkipped()) {
     event.number("refusals_not_written", static_cast<std::int64_t>(skipped));
   }
 }
 
-// --- Ends of attempts ----------------------------------------------------------------------------
+// --- Attempt outcomes ----------------------------------------------------------------------------
 
 void suspect_service::onEngineCrashed(const sent_attempt& attempt, const request_key& key,
                                       const EngineId& engine, Instant sent_at, RequestSource source,
@@ -122,7 +120,7 @@
   if (counts) {
     ++this->totals_.engine_crashes;
     this->registry_.onEngineCrashed(now, key, engine, attempt.crashes);
-    // An item is run by its owner alone: other daemons need not know of its first crash.
+    // Only its owner runs an item, so other daemons need not know of its first crash.
     if (source == RequestSource::kCaller || this->registry_.crashesOf(key) > 1)
       this->registry_.setShared(key);
   }
@@ -191,7 +189,7 @@
 }
 
 std::vector<table::Row> suspect_service::rows() const {
-  return this->registry_.rows(steadyNow(), this->clock(), table::suspectKey({}), kMaxRowsSent);
+  return this->registry_.rows(steadyNow(), this->clock(), table::suspectKey({}), kMaxPeerRows);
 }
 
 // --- Writes --------------------------------------------------------------------------------------
@@ -203,7 +201,7 @@
     this->onRow(key, row);
     return;
   }
-  // The row was removed. What this daemon knows beyond it is written as a new row.
+  // The row was removed. Crashes that it did not contain are written as a new row.
   this->registry_.onRowGone(key, this->registry_.revisionOf(key) + 1);
 }
 
@@ -223,33 +221,33 @@
     if (direct) answer = std::move(*direct);
   }
   if (!answer) {
-    // Goes by a peer as soon as one write got no answer, seconds before the store counts as lost:
-    // until then others could send the request on. Reads the record anew, with crashes since.
+    // Writes by way of a peer after the first failure, before the store counts as lost, since other
+    // daemons could send the request until then. Reads the record again to include newer crashes.
     record = this->registry_.record(steadyNow(), this->clock(), key);
     answer = co_await this->deps_.write_by_peer(this->writeOf(key, record));
   }
-  if (!answer) co_return WriteOutcome::kNoAnswer;
+  if (!answer) co_return WriteOutcome::kNoResponse;
   if (!answer->committed) {
     this->onConflict(key, answer->conflicts);
-    co_return WriteOutcome::kOvertaken;
+    co_return WriteOutcome::kConflict;
   }
   this->registry_.onWritten(key, answer->revision, record);
-  co_return WriteOutcome::kDone;
+  co_return WriteOutcome::kCommitted;
 }
 
 Task<void> suspect_service::writeLoop() {
   for (;;) {
-    const std::vector<request_key> keys = this->registry_.unwritten(kMaxRowsAtOnce);
+    const std::vector<request_key> keys = this->registry_.unwritten(kWriteBatchSize);
     if (keys.empty()) {
-      co_await this->changed_.waitFor(kWriteIdle);
+      co_await this->changed_.waitFor(kWritePollInterval);
       continue;
     }
-    // Rows hold times of the store's clock: without it none can be written.
+    // Rows contain the store's time and cannot be written while it is unknown.
     bool answered = this->clock() != 0;
     for (const request_key& key : keys) {
       if (!answered) break;
       const WriteOutcome outcome = co_await this->writeRow(key);
-      answered = outcome != WriteOutcome::kNoAnswer;
+      answered = outcome != WriteOutcome::kNoResponse;
       co_await sleepFor(this->deps_.loop, kWriteInterval);
     }
     if (answered) continue;
@@ -260,7 +258,7 @@
 
 Task<void> suspect_service::removeRow(request_key key, Revision revision) {
   const std::string name = table::suspectKey(key.str());
-  for (int tries = 0; tries < kMaxRemoveTries && revision != 0; ++tries) {
+  for (int attempt = 0; attempt < kMaxRemoveAttempts && revision != 0; ++attempt) {
     table::Write write;
     write.transaction.checks.push_back({name, revision});
     write.removes.push_back(name);
@@ -270,13 +268,13 @@
       co_await sleepFor(this->deps_.loop, kRetryBackoff);
       continue;
     }
-    // An answer of an engine outweighs whatever was written meanwhile.
+    // A response of an engine overrides concurrent writes.
     revision = answer->conflicts.empty() ? 0 : answer->conflicts.front().revision;
   }
 }
 
 Task<void> suspect_service::sweepLoop() {
-  const Duration removal_delay = std::chrono::seconds(hash64(this->self()) % kRemovalSpreadSeconds);
+  const Duration removal_delay = std::chrono::seconds(hash64(this->self()) % kRemovalJitterSeconds);
   for (;;) {
     co_await sleepFor(this->deps_.loop, kSweepInterval);
     const auto removable = this->registry_.sweep(steadyNow(), removal_delay, kMaxRemovedPerSweep);
