--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -66,7 +66,7 @@
     if (job.record.ended || job.record.model.empty()) continue;
     versions::open_work& open = workload[job.record.model];
     open.items += job.record.total;
-    const routing::RouteTablePtr table = this->deps_.routes();
+    const routing::ConfigurationPtr table = this->deps_.routes();
     const routing::Route* route = routeOf(job.record, table);
     if (route != nullptr && route->single_version) open.single_version = true;
   }
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -56,7 +56,7 @@
     forward::internal_requests& rewards;
     suspects::suspect_tracker& suspects;
     /// The newest table; null before the first one is loaded.
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
   };
 
   batch_service(dependencies deps, batch_options options) : deps_(std::move(deps)) {
--- a/src/gateway/batch/engine_request_builder.cpp
+++ b/src/gateway/batch/engine_request_builder.cpp
@@ -6,7 +6,7 @@
 
 engines::engine_request engine_request_builder::build(const active_job& active, ItemIndex item,
                                                       const routing::Route& route) const {
-  const routing::RouteTablePtr table = this->deps_.routes();
+  const routing::ConfigurationPtr table = this->deps_.routes();
   engines::engine_request wanted =
       engineRequestFor(active.run, item, route, *table, this->deps_.options.requests_per_slot);
   wanted.residency = this->deps_.residency.ofItem(active, item, *table, route);
--- a/src/gateway/batch/engine_request_builder.h
+++ b/src/gateway/batch/engine_request_builder.h
@@ -18,7 +18,7 @@
  public:
   struct dependencies {
     const job_residency& residency;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
     const batch_options& options;
   };
 
--- a/src/gateway/batch/item_placement.cpp
+++ b/src/gateway/batch/item_placement.cpp
@@ -15,7 +15,7 @@
 
 engines::engine_request engineRequestFor(const batch_run& run, ItemIndex item,
                                          const routing::Route& route,
-                                         const routing::RouteTable& table, double max_per_slot) {
+                                         const routing::Configuration& table, double max_per_slot) {
   const batch_item& each = run.job().items[item];
   engines::engine_request wanted;
   wanted.service = route.services.front().service;
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -17,7 +17,7 @@
  */
 engines::engine_request engineRequestFor(const batch_run& run, ItemIndex item,
                                          const routing::Route& route,
-                                         const routing::RouteTable& table, double max_per_slot);
+                                         const routing::Configuration& table, double max_per_slot);
 
 struct item_placement {
   const engines::engine_state* engine = nullptr;  ///< Null: no engine admits the item.
--- a/src/gateway/batch/item_request.cpp
+++ b/src/gateway/batch/item_request.cpp
@@ -8,7 +8,8 @@
 namespace linenpier::batch {
 
 http::Request itemRequest(const active_job& active, ItemIndex item,
-                          const forward::field_names& names, const routing::RouteTablePtr& table) {
+                          const forward::field_names& names,
+                          const routing::ConfigurationPtr& table) {
   const batch_item& each = active.run.job().items[item];
   http::Request request(boost::beast::http::verb::post, each.path, 11);
   request.set(boost::beast::http::field::host, active.record.host);
--- a/src/gateway/batch/item_request.h
+++ b/src/gateway/batch/item_request.h
@@ -8,7 +8,7 @@
 #include "gateway/batch/batch_run.h"
 #include "gateway/forward/field_names.h"
 #include "gateway/http/http_types.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 #include "gateway/suspects/suspect_tracker.h"
 
 namespace linenpier::batch {
@@ -19,7 +19,8 @@
  * @param table the newest table, which provides the tenant's fields; may be null.
  */
 http::Request itemRequest(const active_job& active, ItemIndex item,
-                          const forward::field_names& names, const routing::RouteTablePtr& table);
+                          const forward::field_names& names,
+                          const routing::ConfigurationPtr& table);
 
 suspects::request_key keyOf(const active_job& active, ItemIndex item);
 
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -33,7 +33,7 @@
 /** A job with its next waiting item. */
 struct item_runner::startable_item {
   active_job_ptr active;
-  routing::RouteTablePtr table;  ///< Keeps `route` alive.
+  routing::ConfigurationPtr table;  ///< Keeps `route` alive.
   const routing::Route* route = nullptr;
   ItemIndex item = 0;
   Instant latest_start{};  ///< Latest start of the item for the job to be complete in time.
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -37,7 +37,7 @@
     suspects::suspect_tracker& suspects;
     job_registry& jobs;
     const engine_request_builder& engine_requests;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
     batch_counts& counts;
     const batch_options& options;
   };
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -26,7 +26,7 @@
     boost::asio::io_context& loop;
     const forward::field_names& names;
     forward::internal_requests& rewards;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
     batch_counts& counts;
     logging::SuccessSampler& sampler;
     std::function<void()> on_finished;  ///< Called when a reward request has finished.
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -97,7 +97,7 @@
   record.tenant = call.from.tenant;
   record.total = job.items.size();
   if (!job.items.empty()) record.model = job.items.front().model;
-  const routing::RouteTablePtr table = this->deps_.routes();
+  const routing::ConfigurationPtr table = this->deps_.routes();
   record.other_routes = otherRoutes(*table, call.route, record.host, job);
   return record;
 }
@@ -200,7 +200,7 @@
 }
 
 std::size_t job_acceptance::modelIndex(const job_record& record) const {
-  const routing::RouteTablePtr table = this->deps_.routes();
+  const routing::ConfigurationPtr table = this->deps_.routes();
   std::size_t index = 0;
   if (!table) return index;
   for (const auto& [name, service] : table->services) {
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -40,7 +40,7 @@
     job_registry& jobs;
     const job_residency& residency;
     job_activation& activation;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
     batch_counts& counts;
     const batch_options& options;
   };
--- a/src/gateway/batch/job_activation.h
+++ b/src/gateway/batch/job_activation.h
@@ -24,7 +24,7 @@
     checkpoint_writer& checkpoints;
     partial_result_reuse& reuse;
     item_runner& runner;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
     const batch_options& options;
   };
 
--- a/src/gateway/batch/job_residency.cpp
+++ b/src/gateway/batch/job_residency.cpp
@@ -17,7 +17,7 @@
   return target.substr(0, target.find('?'));
 }
 
-const routing::Route* routeNamed(const routing::RouteTable& table, const RouteName& name) {
+const routing::Route* routeNamed(const routing::Configuration& table, const RouteName& name) {
   const auto at = std::find_if(table.routes.begin(), table.routes.end(),
                                [&name](const auto& each) { return each.name == name; });
   return at == table.routes.end() ? nullptr : &*at;
@@ -37,7 +37,7 @@
   return residency ? namesOf(*residency) : "not_known";
 }
 
-std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
+std::set<RouteName> otherRoutes(const routing::Configuration& table, const routing::Route& route,
                                 const std::string& host, const batch_job& job) {
   std::set<RouteName> others;
   const auto add = [&](const routing::Route* found) {
@@ -51,7 +51,7 @@
 }
 
 std::optional<fleet::data_residency> job_residency::of(const job_record& record) const {
-  const routing::RouteTablePtr table = this->deps_.routes();
+  const routing::ConfigurationPtr table = this->deps_.routes();
   const routing::Route* route = routeOf(record, table);
   if (!table) return std::nullopt;
   fleet::data_residency residency = tenants::residencyOf(*table, route, record.tenant);
@@ -63,7 +63,7 @@
 }
 
 fleet::data_residency job_residency::ofItem(const active_job& active, std::size_t item,
-                                            const routing::RouteTable& table,
+                                            const routing::Configuration& table,
                                             const routing::Route& route) const {
   const fleet::data_residency residency = tenants::residencyOf(table, &route, active.record.tenant);
   const std::string path = pathOf(active.run.job().items[item].path);
@@ -85,7 +85,7 @@
   const std::optional<fleet::data_residency> owners = this->of(record);
   if (!owners) return false;
   const bool owned_nowhere = owners->isRestricted() && owners->regions().empty();
-  const routing::RouteTablePtr table = this->deps_.routes();
+  const routing::ConfigurationPtr table = this->deps_.routes();
   engines::engine_request wanted;
   wanted.service = route.services.front().service;
   wanted.residency = tenants::residencyOf(*table, &route, record.tenant);
--- a/src/gateway/batch/job_residency.h
+++ b/src/gateway/batch/job_residency.h
@@ -14,7 +14,7 @@
 #include "gateway/engines/engine_registry.h"
 #include "gateway/fleet/data_residency.h"
 #include "gateway/lease/owner_pool.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::batch {
 
@@ -26,7 +26,7 @@
 std::string namesOf(const std::optional<fleet::data_residency>& residency);
 
 /** @return the routes of items and scorers that differ from the job's route. */
-std::set<RouteName> otherRoutes(const routing::RouteTable& table, const routing::Route& route,
+std::set<RouteName> otherRoutes(const routing::Configuration& table, const routing::Route& route,
                                 const std::string& host, const batch_job& job);
 
 /** Stateless. Must be used from the event loop thread only. */
@@ -35,7 +35,7 @@
   struct dependencies {
     engines::engine_registry& registry;
     const lease::owner_pool& pool;
-    std::function<routing::RouteTablePtr()> routes;  ///< Null before the first table is loaded.
+    std::function<routing::ConfigurationPtr()> routes;  ///< Null before the first table is loaded.
   };
 
   explicit job_residency(dependencies deps) : deps_(std::move(deps)) {}
@@ -44,7 +44,8 @@
   std::optional<fleet::data_residency> of(const job_record& record) const;
   /** @return where an item of the job may be served. */
   fleet::data_residency ofItem(const active_job& active, std::size_t item,
-                               const routing::RouteTable& table, const routing::Route& route) const;
+                               const routing::Configuration& table,
+                               const routing::Route& route) const;
   RegionName ownRegion() const;
   /** @return whether this daemon may own the job. */
   bool mayOwn(const job_record& record) const;
--- a/src/gateway/batch/job_rules.cpp
+++ b/src/gateway/batch/job_rules.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< If there is no route.
 }  // namespace
 
-const routing::Route* routeOf(const job_record& record, const routing::RouteTablePtr& table) {
+const routing::Route* routeOf(const job_record& record, const routing::ConfigurationPtr& table) {
   return table ? table->find(record.host, record.path) : nullptr;
 }
 
@@ -30,7 +30,7 @@
   return rules;
 }
 
-void applyRules(active_job& active, const routing::RouteTablePtr& table) {
+void applyRules(active_job& active, const routing::ConfigurationPtr& table) {
   const routing::Route* route = routeOf(active.record, table);
   active.run.setRules(rulesFor(route, active.accepted_at));
   if (route == nullptr) return;
--- a/src/gateway/batch/job_rules.h
+++ b/src/gateway/batch/job_rules.h
@@ -5,14 +5,14 @@
  */
 
 #include "gateway/batch/batch_run.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::batch {
 
 struct active_job;
 
 /** @return the route that the job was submitted to; nullptr without a table or such a route. */
-const routing::Route* routeOf(const job_record& record, const routing::RouteTablePtr& table);
+const routing::Route* routeOf(const job_record& record, const routing::ConfigurationPtr& table);
 
 /** @param route nullptr: use defaults.
  * @param accepted_at when the job was accepted, by this daemon's clock.
@@ -20,6 +20,6 @@
 run_rules rulesFor(const routing::Route* route, Instant accepted_at);
 
 /** Applies the newest table to a running job: its rules, and when its results are due. */
-void applyRules(active_job& active, const routing::RouteTablePtr& table);
+void applyRules(active_job& active, const routing::ConfigurationPtr& table);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/slow_run_mover.cpp
+++ b/src/gateway/batch/slow_run_mover.cpp
@@ -18,7 +18,7 @@
 }
 
 void slow_run_mover::moveRunsOf(Instant now, active_job& active, planned_moves& moves) {
-  const routing::RouteTablePtr table = this->deps_.routes();
+  const routing::ConfigurationPtr table = this->deps_.routes();
   const routing::Route* route = routeOf(active.record, table);
   // Waiting items take precedence over moves.
   if (route == nullptr || route->single_version || active.run.waiting() > 0) return;
--- a/src/gateway/batch/slow_run_mover.h
+++ b/src/gateway/batch/slow_run_mover.h
@@ -23,7 +23,7 @@
     job_registry& jobs;
     const length_estimator& lengths;
     const engine_request_builder& engine_requests;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
     const batch_options& options;
   };
 
--- a/src/gateway/batch/zone_drainer.cpp
+++ b/src/gateway/batch/zone_drainer.cpp
@@ -51,7 +51,7 @@
 }
 
 bool zone_drainer::moveRun(Instant now, const located_run& run, planned_moves& moves) {
-  const routing::RouteTablePtr table = this->deps_.routes();
+  const routing::ConfigurationPtr table = this->deps_.routes();
   const routing::Route* route = routeOf(run.active->record, table);
   if (route == nullptr) return false;
   engines::engine_request wanted = this->deps_.engine_requests.build(*run.active, run.item, *route);
--- a/src/gateway/batch/zone_drainer.h
+++ b/src/gateway/batch/zone_drainer.h
@@ -24,7 +24,7 @@
     job_registry& jobs;
     const length_estimator& lengths;
     const engine_request_builder& engine_requests;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
   };
 
   explicit zone_drainer(dependencies deps) : deps_(std::move(deps)) {}
--- a/src/gateway/engines/cold_engine_limiter.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -20,7 +20,7 @@
 #include "common/ids.h"
 #include "common/time.h"
 #include "gateway/engines/engine_record.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::engines {
 
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -24,7 +24,7 @@
 #include "gateway/engines/engine_table.h"
 #include "gateway/fleet/closed_zones.h"
 #include "gateway/fleet/fleet_layout.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::engines {
 
--- a/src/gateway/forward/attempt_policy.h
+++ b/src/gateway/forward/attempt_policy.h
@@ -8,7 +8,7 @@
 
 #include "common/time.h"
 #include "gateway/forward/engine_call.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::forward {
 
--- a/src/gateway/forward/engine_picker.cpp
+++ b/src/gateway/forward/engine_picker.cpp
@@ -39,7 +39,7 @@
 }
 
 fleet::data_residency engine_picker::residencyOf(const forwarded_request& forwarded) const {
-  const routing::RouteTablePtr newest =
+  const routing::ConfigurationPtr newest =
       this->residency_source_ ? this->residency_source_() : forwarded.table;
   const std::string target(forwarded.request->target());
   const std::string path = target.substr(0, target.find('?'));
--- a/src/gateway/forward/engine_picker.h
+++ b/src/gateway/forward/engine_picker.h
@@ -23,7 +23,7 @@
   /** Sets the source of the newest route table. Its data residency rules also apply to requests
    * that arrived under an older table.
    */
-  void setResidencySource(std::function<routing::RouteTablePtr()> newest) {
+  void setResidencySource(std::function<routing::ConfigurationPtr()> newest) {
     this->residency_source_ = std::move(newest);
   }
 
@@ -44,7 +44,7 @@
   engines::engine_registry& registry_;
   const field_names& names_;
   routing::weighted_round_robin& round_robin_;
-  std::function<routing::RouteTablePtr()> residency_source_;
+  std::function<routing::ConfigurationPtr()> residency_source_;
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -10,7 +10,7 @@
 #include "gateway/engines/engine_admission.h"
 #include "gateway/forward/field_names.h"
 #include "gateway/http/http_types.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 #include "gateway/suspects/suspect_tracker.h"
 #include "gateway/tenants/caller.h"
 
@@ -22,7 +22,7 @@
  * instead of `request`.
  */
 struct forwarded_request {
-  routing::RouteTablePtr table;            ///< Keeps `route` alive.
+  routing::ConfigurationPtr table;         ///< Keeps `route` alive.
   const routing::Route* route = nullptr;   ///< Of `table`.
   const http::Request* request = nullptr;  ///< Valid until the reply was sent.
   tenants::caller caller;
--- a/src/gateway/forward/forwarder.cpp
+++ b/src/gateway/forward/forwarder.cpp
@@ -15,7 +15,7 @@
       context_{loop, engines, picker_, admission_, replies_, log_, runs_, {}},
       unary_(context_) {}
 
-Task<void> forwarder::serve(routing::RouteTablePtr table, const routing::Route& route,
+Task<void> forwarder::serve(routing::ConfigurationPtr table, const routing::Route& route,
                             tenants::caller caller, const http::Request& request, Instant received,
                             http::ResponseWriter& writer) {
   const field_names& names = this->context_.engines.names;
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -28,14 +28,14 @@
   forwarder& operator=(const forwarder&) = delete;
 
   /** See `engine_picker::setResidencySource`. */
-  void setResidencySource(std::function<routing::RouteTablePtr()> newest) {
+  void setResidencySource(std::function<routing::ConfigurationPtr()> newest) {
     this->picker_.setResidencySource(std::move(newest));
   }
 
   /** Sends exactly one response, unless the client disconnects.
    * @param caller the authenticated sender; it is not authenticated again while a stream is open.
    */
-  Task<void> serve(routing::RouteTablePtr table, const routing::Route& route,
+  Task<void> serve(routing::ConfigurationPtr table, const routing::Route& route,
                    tenants::caller caller, const http::Request& request, Instant received,
                    http::ResponseWriter& writer);
 
--- a/src/gateway/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -10,12 +10,12 @@
 
 #include "common/task.h"
 #include "gateway/http/http_types.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::forward {
 
 struct internal_request {
-  routing::RouteTablePtr table;
+  routing::ConfigurationPtr table;
   const routing::Route* route = nullptr;  ///< Points into `table`.
   http::Request message;
   TenantId tenant;          ///< Tenant that the request is sent for; may be empty.
--- a/src/gateway/routing/route_table.cpp
+++ b/src/gateway/routing/configuration.cpp
@@ -1,4 +1,4 @@
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::routing {
 
@@ -16,7 +16,7 @@
   return "unknown";
 }
 
-const Route* RouteTable::find(const std::string& host, const std::string& path) const {
+const Route* Configuration::find(const std::string& host, const std::string& path) const {
   const std::string host_name = host.substr(0, host.find(':'));
   const Route* best = nullptr;
   for (const Route& route : this->routes) {
--- a/src/gateway/routing/route_table.h
+++ b/src/gateway/routing/configuration.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * The operator's configuration: routes, services and tenants. Immutable; a daemon replaces its
- * table as a whole when it reads a newer version.
+ * The operator's configuration: routes, services, tenants and limits of the HTTP server. Immutable:
+ * a daemon replaces it as a whole when it reads a newer version.
  */
 
 #include <cstdint>
@@ -77,7 +77,7 @@
 };
 
 /** One version of the operator's configuration. Versions increase. */
-struct RouteTable {
+struct Configuration {
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::map<ServiceName, Service> services;
@@ -88,6 +88,6 @@
   const Route* find(const std::string& host, const std::string& path) const;
 };
 
-using RouteTablePtr = std::shared_ptr<const RouteTable>;
+using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
 }  // namespace linenpier::routing
--- a/src/gateway/routing/weighted_round_robin.h
+++ b/src/gateway/routing/weighted_round_robin.h
@@ -8,7 +8,7 @@
 #include <map>
 #include <vector>
 
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::routing {
 
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -52,7 +52,7 @@
   for (;;) {
     co_await sleepFor(this->deps_.lock.loop,
                       this->lock_.held() ? kTickInterval : kIdleTickInterval);
-    const routing::RouteTablePtr routes = this->deps_.routes();
+    const routing::ConfigurationPtr routes = this->deps_.routes();
     bool any = false;
     if (routes) {
       for (const auto& [name, service] : routes->services) any = any || service.scaling.has_value();
@@ -88,7 +88,7 @@
       co_return;
     }
   }
-  const routing::RouteTablePtr routes = this->deps_.routes();
+  const routing::ConfigurationPtr routes = this->deps_.routes();
   if (!routes) co_return;
   for (const auto& [name, service] : routes->services) {
     if (!service.scaling) continue;
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -39,7 +39,7 @@
     scaling_port& port;
     std::string holder;  ///< Name of this daemon in orders.
     const engines::engine_registry& registry;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
     std::function<versions::open_work_by_model()> open_work;  ///< Of active jobs.
     std::function<bool()> engines_followed;  ///< Whether the list of engines is up to date.
     load_query load;
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -97,7 +97,7 @@
       closed_zones_(registry_, [this](const ZoneName& zone) { return batches_.runsIn(zone); }),
       cold_engines_(registry_, leases_),
       operator_feed_(loop, platform, closed_zones_,
-                     {[this](const routing::RouteTable& routes) { onConfiguration(routes); },
+                     {[this](const routing::Configuration& routes) { onConfiguration(routes); },
                       [this](const PublishedVersion& published) {
                         orders_.onVersionAnnounced(published.model, published.version);
                       },
@@ -231,7 +231,7 @@
   co_await writer.send(std::move(response));
 }
 
-void Gateway::onConfiguration(const routing::RouteTable& routes) {
+void Gateway::onConfiguration(const routing::Configuration& routes) {
   owner_demand_ = computeOwnerDemand(routes, settings_.layout);
   request_server_.setLimits(routes.limits);
   registry_.setServices(routes.services);
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -59,7 +59,7 @@
  private:
   /** Logs a failure to bind; the gateway serves requests without metrics or peers. */
   void listenForMetricsAndPeers();
-  void onConfiguration(const routing::RouteTable& routes);
+  void onConfiguration(const routing::Configuration& routes);
   void onLeasesRead(bool answered);
   void updateColdSenders();
   /** @return whether this gateway owns jobs or a leader lock, or is a candidate for them. */
--- a/src/gateway/service/metrics_exporter.cpp
+++ b/src/gateway/service/metrics_exporter.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::gateway {
 
 void metrics_exporter::collectScaling(metrics::GatewayState& state) const {
-  const routing::RouteTablePtr routes = this->sources_.operators.routes();
+  const routing::ConfigurationPtr routes = this->sources_.operators.routes();
   for (const auto& [id, engine] : this->sources_.engines.all()) {
     const engines::engine_record& record = engine.record;
     if (!routes || record.draining) continue;
--- a/src/gateway/service/operator_feed.cpp
+++ b/src/gateway/service/operator_feed.cpp
@@ -83,7 +83,7 @@
       .number("routes", static_cast<std::int64_t>(parsed->routes.size()))
       .number("tenants", static_cast<std::int64_t>(parsed->tenants.all().size()));
   this->configuration_ = this->platform_.hashApiKeys(value);
-  this->routes_ = std::make_shared<const routing::RouteTable>(std::move(*parsed));
+  this->routes_ = std::make_shared<const routing::Configuration>(std::move(*parsed));
   this->listener_.on_configuration(*this->routes_);
 }
 
--- a/src/gateway/service/operator_feed.h
+++ b/src/gateway/service/operator_feed.h
@@ -22,7 +22,7 @@
 class operator_feed {
  public:
   struct listener {
-    std::function<void(const routing::RouteTable&)> on_configuration;
+    std::function<void(const routing::Configuration&)> on_configuration;
     std::function<void(const PublishedVersion&)> on_published_version;
     std::function<void()> on_store_reachable;
   };
@@ -32,7 +32,7 @@
 
   void start() { this->watcher_.start(); }
   /** @return the current configuration; null before the first. */
-  const routing::RouteTablePtr& routes() const { return this->routes_; }
+  const routing::ConfigurationPtr& routes() const { return this->routes_; }
   /** @return 0 before the first configuration. */
   std::uint64_t configurationVersion() const { return this->routes_ ? this->routes_->version : 0; }
   /** @return the text of the current configuration, with API keys replaced by their digests. */
@@ -60,7 +60,7 @@
   PlatformPort& platform_;
   closed_zones_monitor& zones_;
   listener listener_;
-  routing::RouteTablePtr routes_;
+  routing::ConfigurationPtr routes_;
   std::string configuration_;
   table::TableWatcher watcher_;
 };
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -13,7 +13,7 @@
 /** Standby owners per residency constraint. */
 constexpr std::size_t kSpareOwnersPerPlace = 1;
 
-std::size_t modelCount(const routing::RouteTable& table, const routing::Route& route) {
+std::size_t modelCount(const routing::Configuration& table, const routing::Route& route) {
   const auto service = table.services.find(route.services.front().service);
   return service == table.services.end() ? 0 : service->second.models.size();
 }
@@ -47,7 +47,7 @@
   return {kSpareOwners, {}};
 }
 
-lease::pool_requirements computeOwnerDemand(const routing::RouteTable& table,
+lease::pool_requirements computeOwnerDemand(const routing::Configuration& table,
                                             const fleet::fleet_layout& layout) {
   lease::pool_requirements demand = defaultOwnerDemand();
   for (const auto& [name, service] : table.services) demand.owners += service.models.size();
--- a/src/gateway/service/owner_demand.h
+++ b/src/gateway/service/owner_demand.h
@@ -6,14 +6,14 @@
 
 #include "gateway/fleet/fleet_layout.h"
 #include "gateway/lease/owner_pool.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::gateway {
 
 /** @return one owner per model plus spares and, for each data residency constraint on batch jobs,
  *     one owner per model and one spare within the allowed zones.
  */
-lease::pool_requirements computeOwnerDemand(const routing::RouteTable& table,
+lease::pool_requirements computeOwnerDemand(const routing::Configuration& table,
                                             const fleet::fleet_layout& layout);
 
 /** @return the demand before a configuration is loaded. */
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -12,7 +12,7 @@
 #include "gateway/engines/engine_registry.h"
 #include "gateway/forward/field_names.h"
 #include "gateway/http/http_types.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 #include "gateway/scaling/scaling_port.h"
 #include "gateway/table/async_table.h"
 #include "gateway/usage/usage_port.h"
@@ -54,7 +54,7 @@
 
   /// @param key row key without the table name.
   virtual bool isConfiguration(const std::string& key) const = 0;
-  virtual tl::expected<routing::RouteTable, Findings> parseConfiguration(
+  virtual tl::expected<routing::Configuration, Findings> parseConfiguration(
       const std::string& value) const = 0;
   /// @return an equivalent configuration with API keys replaced by their digests.
   virtual std::string hashApiKeys(const std::string& configuration) const = 0;
--- a/src/gateway/service/request_dispatcher.cpp
+++ b/src/gateway/service/request_dispatcher.cpp
@@ -17,7 +17,7 @@
 Task<void> request_dispatcher::handle(http::Request& request, Instant received,
                                       http::ResponseWriter& writer) {
   const auto call = this->deps_.platform.parseBatchCall(request);
-  const routing::RouteTablePtr routes = this->deps_.operators.routes();
+  const routing::ConfigurationPtr routes = this->deps_.operators.routes();
   const std::string id = http::fieldText(request, this->deps_.platform.fieldNames().request_id);
   const tenants::caller from = routes ? tenants::authenticate(*routes, request) : tenants::caller{};
   // Without a configuration it is unknown whether the job needs a key, so the call is rejected
--- a/src/gateway/tenants/caller.cpp
+++ b/src/gateway/tenants/caller.cpp
@@ -36,15 +36,15 @@
   return "unknown";
 }
 
-caller authenticate(const routing::RouteTable& table, const http::Fields& fields) {
+caller authenticate(const routing::Configuration& configuration, const http::Fields& fields) {
   caller sender;
-  if (!table.tenants.requiresKeys()) return sender;
+  if (!configuration.tenants.requiresKeys()) return sender;
   const std::string key = bearerToken(fields);
   if (key.empty()) {
     sender.key_status = KeyStatus::kMissing;
     return sender;
   }
-  const routing::tenant* owner = table.tenants.find(routing::digestOf(key));
+  const routing::tenant* owner = configuration.tenants.find(routing::digestOf(key));
   sender.key_status = owner == nullptr ? KeyStatus::kUnknown : KeyStatus::kKnown;
   if (owner != nullptr) {
     sender.tenant = owner->name;
@@ -53,9 +53,9 @@
   return sender;
 }
 
-void setTenantField(const routing::RouteTable& table, const std::string& tenant_field,
+void setTenantField(const routing::Configuration& configuration, const std::string& tenant_field,
                     const TenantId& tenant, http::Fields& fields) {
-  if (!table.tenants.requiresKeys()) return;
+  if (!configuration.tenants.requiresKeys()) return;
   fields.erase(field::authorization);
   fields.erase(tenant_field);
   if (!tenant.empty()) fields.set(tenant_field, tenant.str());
--- a/src/gateway/tenants/caller.h
+++ b/src/gateway/tenants/caller.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "gateway/http/http_types.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 #include "gateway/routing/tenant_table.h"
 
 namespace linenpier::tenants {
@@ -42,14 +42,14 @@
  * while each later request about a job is checked again. A request that is not admitted gets 401,
  * or 503 from a daemon that does not have the newest configuration.
  */
-caller authenticate(const routing::RouteTable& table, const http::Fields& fields);
+caller authenticate(const routing::Configuration& configuration, const http::Fields& fields);
 
 /** Replaces the client's key in a request to an engine by the name of the tenant. Overwrites a name
  * that the client sent. Does nothing without tenants.
  * @param tenant_field name of the header field.
  * @param tenant empty: none, as on a public route.
  */
-void setTenantField(const routing::RouteTable& table, const std::string& tenant_field,
+void setTenantField(const routing::Configuration& configuration, const std::string& tenant_field,
                     const TenantId& tenant, http::Fields& fields);
 
 /** Adds the WWW-Authenticate field to a 401 response. */
--- a/src/gateway/tenants/residency.cpp
+++ b/src/gateway/tenants/residency.cpp
@@ -2,9 +2,9 @@
 
 namespace linenpier::tenants {
 
-fleet::data_residency residencyOf(const routing::RouteTable& table, const routing::Route* route,
-                                  const TenantId& tenant) {
-  const fleet::data_residency of_tenant = table.tenants.residencyOf(tenant);
+fleet::data_residency residencyOf(const routing::Configuration& configuration,
+                                  const routing::Route* route, const TenantId& tenant) {
+  const fleet::data_residency of_tenant = configuration.tenants.residencyOf(tenant);
   return route == nullptr ? of_tenant : route->residency.intersect(of_tenant);
 }
 
--- a/src/gateway/tenants/residency.h
+++ b/src/gateway/tenants/residency.h
@@ -5,7 +5,7 @@
  */
 
 #include "gateway/fleet/data_residency.h"
-#include "gateway/routing/route_table.h"
+#include "gateway/routing/configuration.h"
 
 namespace linenpier::tenants {
 
@@ -13,7 +13,7 @@
  * @param tenant empty or unknown: no restriction by tenant.
  * @return the regions that both allow.
  */
-fleet::data_residency residencyOf(const routing::RouteTable& table, const routing::Route* route,
-                                  const TenantId& tenant);
+fleet::data_residency residencyOf(const routing::Configuration& configuration,
+                                  const routing::Route* route, const TenantId& tenant);
 
 }  // namespace linenpier::tenants
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -76,7 +76,7 @@
     const bool started = steadyNow() - started_at > kStartupTime;
     const bool idle = started && !this->deps_.pool.isCandidate() && !this->holdsAny();
     co_await sleepFor(this->deps_.loop, idle ? kIdleTickInterval : kTickInterval);
-    const routing::RouteTablePtr routes = this->deps_.routes();
+    const routing::ConfigurationPtr routes = this->deps_.routes();
     if (!routes || this->stopping_) continue;
     for (const auto& [name, service] : routes->services) {
       if (!service.models.empty()) this->tickService(steadyNow(), name);
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -37,7 +37,7 @@
     lease::lease_keeper& keeper;
     const lease::owner_pool& pool;
     engine_order_port& orders;
-    std::function<routing::RouteTablePtr()> routes;
+    std::function<routing::ConfigurationPtr()> routes;
     std::function<open_work_by_model()> open_work;  ///< Of active jobs.
     std::string holder;                             ///< Name of this daemon in orders.
     /// Engines with a run that a step waits for. May be unset.
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -45,7 +45,7 @@
 }  // namespace
 
 Test(item_placement, the_request_has_the_items_model_version_and_expected_memory) {
-  routing::RouteTable table;
+  routing::Configuration table;
   table.services[kService].memory_tokens = 30000;
   const auto wanted = batch::engineRequestFor(oneItem(), 0, route(false), table, 1.0);
   cr_assert_eq(wanted.model.str(), "m");
--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -21,7 +21,7 @@
         {"name":"ada","apiKeys":["secret-a1","secret-a2"],"priority":1},
         {"name":"bob","apiKeys":["secret-b1"]},{"name":"cy","apiKeys":[]}]})";
 
-routing::RouteTable parsed(const std::string& text) {
+routing::Configuration parsed(const std::string& text) {
   const auto table = platform_adapter::parseConfiguration(text);
   cr_assert(table.has_value());
   return *table;
@@ -36,7 +36,7 @@
 }  // namespace
 
 Test(tenant_table, every_key_of_a_tenant_is_accepted) {
-  const routing::RouteTable table = parsed(kConfiguration);
+  const routing::Configuration table = parsed(kConfiguration);
   for (const char* key : {"Bearer secret-a1", "bearer  secret-a2 "}) {
     const tenants::caller from = tenants::authenticate(table, withKey(key));
     cr_assert_eq(from.key_status, KeyStatus::kKnown);
@@ -49,7 +49,7 @@
 }
 
 Test(tenant_table, other_keys_and_schemes_are_rejected) {
-  const routing::RouteTable table = parsed(kConfiguration);
+  const routing::Configuration table = parsed(kConfiguration);
   for (const char* key : {"Bearer secret-a", "Bearer secret-a11", "Bearer SECRET-A1"}) {
     cr_assert_eq(tenants::authenticate(table, withKey(key)).key_status, KeyStatus::kUnknown);
   }
@@ -60,7 +60,7 @@
 }
 
 Test(tenant_table, without_tenants_no_key_is_required_and_fields_are_kept) {
-  const routing::RouteTable table = parsed(R"({"version":4,"routes":[],"services":[]})");
+  const routing::Configuration table = parsed(R"({"version":4,"routes":[],"services":[]})");
   cr_assert(tenants::authenticate(table, withKey("")).admitted());
   http::Fields fields = withKey("Bearer mine");
   tenants::setTenantField(table, "Tenant-Id", TenantId(), fields);
--- a/tests/gateway/service/owner_demand_test.cpp
+++ b/tests/gateway/service/owner_demand_test.cpp
@@ -15,8 +15,8 @@
   return {owners, std::move(places)};
 }
 
-routing::RouteTable twoModels() {
-  routing::RouteTable table;
+routing::Configuration twoModels() {
+  routing::Configuration table;
   routing::Service service;
   service.name = ServiceName("s");
   service.models = {ModelName("m"), ModelName("n")};
@@ -36,7 +36,7 @@
 }
 
 Test(owner_demand, each_set_of_homes_wants_owners_of_its_own) {
-  routing::RouteTable table = twoModels();
+  routing::Configuration table = twoModels();
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
   const lease::pool_requirements::zone_requirement near{{ZoneName("a"), ZoneName("b")}, 3};
   cr_assert(gateway::computeOwnerDemand(table, kLayout) == wanted(4, {near}));
@@ -52,7 +52,7 @@
 }
 
 Test(owner_demand, other_routes_want_no_owners) {
-  routing::RouteTable table = twoModels();
+  routing::Configuration table = twoModels();
   table.routes.front().kind = routing::RequestKind::kIdempotent;
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
   cr_assert(gateway::computeOwnerDemand(table, kLayout).zone_requirements.empty());
