--- a/src/gateway/fleet/scaling_bounds.cpp
+++ b/src/gateway/fleet/scaling_bounds.cpp
@@ -2,8 +2,8 @@
 
 namespace linenpier::fleet {
 
-const char* toText(EngineKind kind) {
-  return kind == EngineKind::kSpot ? "spot" : "on_demand";
+const char* toText(PurchaseOption purchase) {
+  return purchase == PurchaseOption::kSpot ? "spot" : "on_demand";
 }
 
 }  // namespace linenpier::fleet
--- a/src/gateway/fleet/scaling_bounds.h
+++ b/src/gateway/fleet/scaling_bounds.h
@@ -13,17 +13,17 @@
 
 namespace linenpier::fleet {
 
-/** Purchase option of an engine. */
-enum class EngineKind {
+/** How an engine is paid for. */
+enum class PurchaseOption {
   kOnDemand,
   kSpot,  ///< Cheaper; may be reclaimed, possibly all in a zone at once.
 };
 
-const char* toText(EngineKind kind);
+const char* toText(PurchaseOption purchase);
 
 struct engine_group {
   ZoneName zone;
-  EngineKind kind = EngineKind::kOnDemand;
+  PurchaseOption purchase = PurchaseOption::kOnDemand;
 
   auto operator<=>(const engine_group&) const = default;
 };
@@ -31,8 +31,8 @@
 using group_counts = std::map<engine_group, std::size_t>;
 
 struct scaling_bounds {
-  std::size_t min_engines = 0;             ///< In a zone, both kinds together.
-  std::size_t max_engines = 0;             ///< In a zone, both kinds together.
+  std::size_t min_engines = 0;             ///< In a zone, both purchase options together.
+  std::size_t max_engines = 0;             ///< In a zone, both purchase options together.
   Duration boot_time{};                    ///< From the order of an engine until it is ready.
   double spot_price = 1;                   ///< Relative to an on-demand engine.
   std::map<ZoneName, double> zone_prices;  ///< Price factor by zone; 1 by default.
@@ -40,7 +40,7 @@
   double priceOf(const engine_group& group) const {
     const auto at = this->zone_prices.find(group.zone);
     const double price = at == this->zone_prices.end() ? 1 : at->second;
-    return group.kind == EngineKind::kSpot ? price * this->spot_price : price;
+    return group.purchase == PurchaseOption::kSpot ? price * this->spot_price : price;
   }
   bool operator==(const scaling_bounds&) const = default;
 };
--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -78,8 +78,9 @@
                                    const ZoneName& zone) const {
   if (view.closed.contains(zone)) return false;
   bool lost = countInZone(this->record_.baseline, zone) > 0;
-  for (const fleet::EngineKind kind : {fleet::EngineKind::kOnDemand, fleet::EngineKind::kSpot}) {
-    const fleet::engine_group group{zone, kind};
+  for (const fleet::PurchaseOption purchase :
+       {fleet::PurchaseOption::kOnDemand, fleet::PurchaseOption::kSpot}) {
+    const fleet::engine_group group{zone, purchase};
     if (this->record_.current(group) == 0) continue;
     const observed_engines seen = view.of(group);
     const auto state = this->states_.find(group);
--- a/src/gateway/scaling/scaling_record.cpp
+++ b/src/gateway/scaling/scaling_record.cpp
@@ -17,7 +17,7 @@
 json encodeCounts(const fleet::group_counts& counts) {
   json list = json::array();
   for (const auto& [group, count] : counts) {
-    list.push_back({{kZone, group.zone.str()}, {kKind, toText(group.kind)}, {kCount, count}});
+    list.push_back({{kZone, group.zone.str()}, {kKind, toText(group.purchase)}, {kCount, count}});
   }
   return list;
 }
@@ -25,10 +25,11 @@
 fleet::group_counts decodeCounts(const json& list) {
   fleet::group_counts counts;
   for (const json& each : list) {
-    const bool spot = each.at(kKind).get<std::string>() == toText(fleet::EngineKind::kSpot);
-    const fleet::EngineKind kind = spot ? fleet::EngineKind::kSpot : fleet::EngineKind::kOnDemand;
+    const bool spot = each.at(kKind).get<std::string>() == toText(fleet::PurchaseOption::kSpot);
+    const fleet::PurchaseOption purchase =
+        spot ? fleet::PurchaseOption::kSpot : fleet::PurchaseOption::kOnDemand;
     const ZoneName zone(each.at(kZone).get<std::string>());
-    counts[{zone, kind}] = each.at(kCount).get<std::size_t>();
+    counts[{zone, purchase}] = each.at(kCount).get<std::size_t>();
   }
   return counts;
 }
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -134,9 +134,9 @@
     const engines::engine_record& record = engine.record;
     if (record.service != service.name) continue;
     slots = std::max(slots, record.slots);
-    const fleet::EngineKind kind =
-        record.spot ? fleet::EngineKind::kSpot : fleet::EngineKind::kOnDemand;
-    observed_engines& seen = view.groups[{record.zone, kind}];
+    const fleet::PurchaseOption purchase =
+        record.spot ? fleet::PurchaseOption::kSpot : fleet::PurchaseOption::kOnDemand;
+    observed_engines& seen = view.groups[{record.zone, purchase}];
     ++(record.draining ? seen.draining : seen.serving);
     if (record.draining && record.reclaim_in) ++seen.reclaimed;
   }
@@ -267,7 +267,7 @@
   LogEvent("scaling", "ordered")
       .text("service", name.str())
       .text("zone", decision.group.zone.str())
-      .text("kind", toText(decision.group.kind))
+      .text("kind", toText(decision.group.purchase))
       .number("have", number(decision.have))
       .number("before", number(decision.before))
       .number("wanted", number(decision.wanted))
--- a/src/gateway/scaling/scaling_targets.cpp
+++ b/src/gateway/scaling/scaling_targets.cpp
@@ -24,8 +24,9 @@
       targets.missing += countInZone(inputs.baseline, zone);
       continue;
     }
-    for (const fleet::EngineKind kind : {fleet::EngineKind::kOnDemand, fleet::EngineKind::kSpot}) {
-      const fleet::engine_group group{zone, kind};
+    for (const fleet::PurchaseOption purchase :
+         {fleet::PurchaseOption::kOnDemand, fleet::PurchaseOption::kSpot}) {
+      const fleet::engine_group group{zone, purchase};
       const std::size_t baseline = countOf(inputs.baseline, group);
       const std::size_t there = std::min(baseline, inputs.view.of(group).serving);
       const bool without_capacity = inputs.without_capacity.contains(group);
@@ -36,18 +37,18 @@
   return targets;
 }
 
-/** Adds up to `count` engines of the kind to the groups in `wanted`: first to those with the fewest
- * beyond their baseline, then to the cheapest.
+/** Adds up to `count` engines of the purchase option to the groups in `wanted`: first to those with
+ * the fewest beyond their baseline, then to the cheapest.
  * @return how many could not be added.
  */
-std::size_t addEngines(const target_inputs& inputs, std::size_t count, fleet::EngineKind kind,
-                       fleet::group_counts& wanted) {
+std::size_t addEngines(const target_inputs& inputs, std::size_t count,
+                       fleet::PurchaseOption purchase, fleet::group_counts& wanted) {
   for (; count > 0; --count) {
     auto best = wanted.end();
     std::tuple<std::size_t, double> best_rank;
     for (auto at = wanted.begin(); at != wanted.end(); ++at) {
       const fleet::engine_group& group = at->first;
-      if (group.kind != kind || inputs.without_capacity.contains(group)) continue;
+      if (group.purchase != purchase || inputs.without_capacity.contains(group)) continue;
       if (countInZone(wanted, group.zone) >= inputs.bounds.max_engines) continue;
       const std::size_t baseline = countOf(inputs.baseline, group);
       const std::size_t extra = at->second > baseline ? at->second - baseline : 0;
@@ -85,8 +86,8 @@
 /** Clamps every zone to its bounds by changing its on-demand engines. */
 void clampToBounds(const fleet::scaling_bounds& bounds, fleet::group_counts& wanted) {
   for (auto& [group, count] : wanted) {
-    if (group.kind != fleet::EngineKind::kOnDemand) continue;
-    const std::size_t spot = countOf(wanted, {group.zone, fleet::EngineKind::kSpot});
+    if (group.purchase != fleet::PurchaseOption::kOnDemand) continue;
+    const std::size_t spot = countOf(wanted, {group.zone, fleet::PurchaseOption::kSpot});
     if (count + spot < bounds.min_engines) count = bounds.min_engines - spot;
     if (count + spot > bounds.max_engines)
       count = bounds.max_engines - std::min(spot, bounds.max_engines);
@@ -101,8 +102,8 @@
 }
 
 std::size_t countInZone(const fleet::group_counts& counts, const ZoneName& zone) {
-  return countOf(counts, {zone, fleet::EngineKind::kOnDemand}) +
-         countOf(counts, {zone, fleet::EngineKind::kSpot});
+  return countOf(counts, {zone, fleet::PurchaseOption::kOnDemand}) +
+         countOf(counts, {zone, fleet::PurchaseOption::kSpot});
 }
 
 std::set<ZoneName> zonesOf(const fleet::group_counts& counts) {
@@ -125,13 +126,13 @@
   fewer -= not_replaced;
   removeEngines(inputs, fewer, targets.wanted);
   const std::size_t left =
-      addEngines(inputs, targets.missing, fleet::EngineKind::kOnDemand, targets.wanted);
+      addEngines(inputs, targets.missing, fleet::PurchaseOption::kOnDemand, targets.wanted);
   std::size_t more = needed - std::min(baseline, needed) + left;
   const bool spot_is_cheaper = inputs.bounds.spot_price < 1;
   if (spot_is_cheaper) {
-    more = addEngines(inputs, more, fleet::EngineKind::kSpot, targets.wanted);
+    more = addEngines(inputs, more, fleet::PurchaseOption::kSpot, targets.wanted);
   }
-  addEngines(inputs, more, fleet::EngineKind::kOnDemand, targets.wanted);
+  addEngines(inputs, more, fleet::PurchaseOption::kOnDemand, targets.wanted);
   clampToBounds(inputs.bounds, targets.wanted);
   return targets;
 }
--- a/src/gateway/service/metrics_exporter.cpp
+++ b/src/gateway/service/metrics_exporter.cpp
@@ -11,12 +11,14 @@
     if (!routes || record.draining) continue;
     const auto service = routes->services.find(record.service);
     if (service == routes->services.end() || !service->second.scaling) continue;
-    const auto kind = record.spot ? fleet::EngineKind::kSpot : fleet::EngineKind::kOnDemand;
-    ++state.engines_present[{record.service.str(), record.zone.str(), fleet::toText(kind)}];
+    const auto purchase =
+        record.spot ? fleet::PurchaseOption::kSpot : fleet::PurchaseOption::kOnDemand;
+    ++state.engines_present[{record.service.str(), record.zone.str(), fleet::toText(purchase)}];
   }
   for (const auto& [service, counts] : this->sources_.scaling.ordered()) {
     for (const auto& [group, count] : counts) {
-      state.engines_ordered[{service.str(), group.zone.str(), fleet::toText(group.kind)}] = count;
+      state.engines_ordered[{service.str(), group.zone.str(), fleet::toText(group.purchase)}] =
+          count;
     }
   }
   state.scaling_orders_sent = this->sources_.scaling.totals().sent;
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace linenpier;
 using fleet::engine_group;
-using fleet::EngineKind;
+using fleet::PurchaseOption;
 using fleet::scaling_bounds;
 using scaling::OrderReason;
 using scaling::scaling_decision;
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr Instant kStart{std::chrono::seconds(100)};
-const engine_group kA{ZoneName("a"), EngineKind::kOnDemand};
-const engine_group kB{ZoneName("b"), EngineKind::kOnDemand};
-const engine_group kC{ZoneName("c"), EngineKind::kOnDemand};
-const engine_group kSpotB{ZoneName("b"), EngineKind::kSpot};
+const engine_group kA{ZoneName("a"), PurchaseOption::kOnDemand};
+const engine_group kB{ZoneName("b"), PurchaseOption::kOnDemand};
+const engine_group kC{ZoneName("c"), PurchaseOption::kOnDemand};
+const engine_group kSpotB{ZoneName("b"), PurchaseOption::kSpot};
 
 Instant after(int seconds) {
   return kStart + std::chrono::seconds(seconds);
@@ -190,7 +190,7 @@
   const auto due = step(policy, 0, view);
   std::size_t more = 0;
   for (const scaling_decision& each : due) {
-    cr_assert(each.group.kind == EngineKind::kOnDemand, "the group is without capacity");
+    cr_assert(each.group.purchase == PurchaseOption::kOnDemand, "the group is without capacity");
     more += each.wanted - each.before;
   }
   cr_assert_eq(more, 3U);
@@ -363,14 +363,14 @@
   const auto due = step(policy, 0, view, FencedCallResult::kFenced);
   std::size_t spot = 0;
   for (const scaling_decision& each : due) {
-    cr_assert(each.group.kind == EngineKind::kSpot);
+    cr_assert(each.group.purchase == PurchaseOption::kSpot);
     cr_assert(each.reason == OrderReason::kWork);
     spot += each.wanted;
   }
   cr_assert_eq(spot, 3U);
   std::size_t on_demand = 0;
   for (const scaling_decision& each : step(policy, 1, view)) {
-    if (each.group.kind == EngineKind::kOnDemand) on_demand += each.wanted - each.before;
+    if (each.group.purchase == PurchaseOption::kOnDemand) on_demand += each.wanted - each.before;
   }
   cr_assert_eq(on_demand, 3U);
 }
--- a/tests/gateway/scaling/scaling_record_test.cpp
+++ b/tests/gateway/scaling/scaling_record_test.cpp
@@ -4,15 +4,15 @@
 
 using namespace linenpier;
 using fleet::engine_group;
-using fleet::EngineKind;
+using fleet::PurchaseOption;
 using scaling::scaling_record;
 
 namespace {
 
-const engine_group kA{ZoneName("a"), EngineKind::kOnDemand};
-const engine_group kB{ZoneName("b"), EngineKind::kOnDemand};
-const engine_group kC{ZoneName("c"), EngineKind::kOnDemand};
-const engine_group kSpotB{ZoneName("b"), EngineKind::kSpot};
+const engine_group kA{ZoneName("a"), PurchaseOption::kOnDemand};
+const engine_group kB{ZoneName("b"), PurchaseOption::kOnDemand};
+const engine_group kC{ZoneName("c"), PurchaseOption::kOnDemand};
+const engine_group kSpotB{ZoneName("b"), PurchaseOption::kSpot};
 
 }  // namespace
 
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -226,8 +226,8 @@
   cr_assert_eq(bounds->max_engines, 32U);
   cr_assert(bounds->boot_time == std::chrono::seconds(4));
   cr_assert_eq(bounds->spot_price, 0.22);
-  cr_assert_eq(bounds->priceOf({ZoneName("b"), fleet::EngineKind::kOnDemand}), 0.8);
-  cr_assert_eq(bounds->priceOf({ZoneName("c"), fleet::EngineKind::kOnDemand}), 1.0);
+  cr_assert_eq(bounds->priceOf({ZoneName("b"), fleet::PurchaseOption::kOnDemand}), 0.8);
+  cr_assert_eq(bounds->priceOf({ZoneName("c"), fleet::PurchaseOption::kOnDemand}), 1.0);
   cr_assert_not(table->services.at(ServiceName("t")).scaling.has_value());
 }
 
