--- a/src/gateway/batch/job_rules.cpp
+++ b/src/gateway/batch/job_rules.cpp
@@ -23,7 +23,7 @@
   run_rules rules;
   rules.terminate_at = accepted_at + kTerminationSlack + kDefaultQueueLimit;
   if (route != nullptr) {
-    rules.terminate_at = accepted_at + kTerminationSlack + route->queue_limit;
+    rules.terminate_at = accepted_at + kTerminationSlack + route->max_item_age;
     rules.max_failures = std::max(1, route->max_attempts);
     rules.single_version = route->single_version;
   }
--- a/src/gateway/routing/configuration.h
+++ b/src/gateway/routing/configuration.h
@@ -46,7 +46,7 @@
   Duration timeout = std::chrono::seconds(30);
   Duration target_latency = std::chrono::seconds(1);  ///< A hedge starts after half of it.
   Duration target_finish{};         ///< Batch: deadline of all results after submission.
-  Duration queue_limit{};           ///< Batch: age after which an item may be dropped.
+  Duration max_item_age{};          ///< Batch: age after which an item may be dropped.
   fleet::data_residency residency;  ///< Where requests may be served, cached and stored.
   int priority = 5;                 ///< 0 is the highest. Overridden by the priority of a tenant.
   /** Attempts per request. Unreachable engines do not count; `forward::attempt_policy` limits them
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -45,7 +45,7 @@
   cr_assert(route->timeout == std::chrono::milliseconds(1500));
   const routing::Route* batch = table->find("a.example", "/y/1");
   cr_assert_eq(batch->kind, routing::RequestKind::kBatch);
-  cr_assert(batch->queue_limit == std::chrono::seconds(40));
+  cr_assert(batch->max_item_age == std::chrono::seconds(40));
   cr_assert_eq(table->services.at(ServiceName("s1")).models.size(), 1U);
   cr_assert_eq(table->limits.max_body_bytes, 1000U);
   const routing::Service& service = table->services.at(ServiceName("s1"));
