--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -201,11 +201,11 @@
   const bool silent = verdict == AttemptOutcome::kTimedOut;
   // An engine that does not respond is overloaded, or blocked while it loads weights.
   if ((rejected || silent) && !run.model.empty()) {
-    registry.onModelRejected(now, run.call->engine(), run.model);
+    registry.onRequestRejected(now, run.call->engine(), run.model);
   }
   if (silent && !report.first_event_delay) state.onFirstEventTimeout(run.item);
   if (verdict == AttemptOutcome::kBroken && !run.model.empty()) {
-    registry.onModelReset(now, run.call->engine(), run.model);
+    registry.onRunReset(now, run.call->engine(), run.model);
   }
   const Duration pause = rejected ? options.rejected_retry_delay : options.interrupted_retry_delay;
   state.onInterrupted(now, run.item, pause);
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -45,7 +45,7 @@
   if (engine->load.expectedTokens() > 0) this->table_.activeEngines().add(*engine);
 }
 
-void engine_registry::onModelRejected(Instant now, const EngineId& id, const ModelName& model) {
+void engine_registry::onRequestRejected(Instant now, const EngineId& id, const ModelName& model) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   const double load = engine->load.total(now, this->options_.score.load);
@@ -53,7 +53,7 @@
   engine->loading.onRejected(now, model, full, this->options_.loading);
 }
 
-void engine_registry::onModelReset(Instant now, const EngineId& id, const ModelName& model) {
+void engine_registry::onRunReset(Instant now, const EngineId& id, const ModelName& model) {
   engine_state* engine = this->table_.find(id);
   if (engine == nullptr) return;
   engine->loading.onReset(now, model, this->options_.loading);
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -90,10 +90,11 @@
   void onAttemptEnded(Instant now, const EngineId& id, HealthOutcome outcome);
   /** @param tokens memory that an attempt is expected to need; negative when it ends. */
   void addExpectedTokens(const EngineId& id, double tokens);
-  /** The engine rejected a request for the model, as while it loads weights. */
-  void onModelRejected(Instant now, const EngineId& id, const ModelName& model);
+  /** The engine rejected a request for the model or did not answer it, as while it loads weights.
+   */
+  void onRequestRejected(Instant now, const EngineId& id, const ModelName& model);
   /** The engine reset a run of the model, as when it starts to load weights. */
-  void onModelReset(Instant now, const EngineId& id, const ModelName& model);
+  void onRunReset(Instant now, const EngineId& id, const ModelName& model);
   void onLoadReport(Instant now, const EngineId& id, const load_report& report);
   /** Records the time that an event or a response took. */
   void onEventTime(Instant now, const EngineId& id, Duration duration);
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -140,7 +140,7 @@
   engine_registry registry = registryOf({record("a")});
   engine_request request = any();
   request.model = kModel;
-  registry.onModelRejected(kStart, EngineId("a"), kModel);
+  registry.onRequestRejected(kStart, EngineId("a"), kModel);
   cr_assert_null(registry.pick(kStart + std::chrono::milliseconds(300), request));
   cr_assert_not_null(registry.pick(kStart + std::chrono::milliseconds(300), any()),
                      "other models are unaffected");
