--- a/src/gateway/engines/cold_engine_limiter.cpp
+++ b/src/gateway/engines/cold_engine_limiter.cpp
@@ -45,7 +45,7 @@
 void cold_engine_limiter::onRecord(Instant now, const EngineId& engine, Duration cold_remaining) {
   const bool remembered = this->limitsAny() || cold_remaining > Duration::zero();
   if (!remembered && !this->engines_.contains(engine)) {
-    this->onFeedAnswered(now);
+    this->onWatchAnswered(now);
     return;
   }
   const auto [at, is_new] = this->engines_.try_emplace(engine);
@@ -55,7 +55,7 @@
   const bool repeated = !is_new && cold && cold_remaining == state.last_cold_for;
   state.last_cold_for = cold_remaining;
   state.recorded_at = now;
-  this->onFeedAnswered(now);
+  this->onWatchAnswered(now);
   if (repeated || cold_remaining <= Duration::zero()) return;
   if (!cold) {
     state.cold_since = now;
@@ -130,7 +130,8 @@
 }
 
 cold_allowance cold_engine_limiter::warmAllowance(Instant now, std::size_t bound) const {
-  const double heartbeats = toSeconds(now - this->feed_at_) / toSeconds(this->timing_.heartbeat);
+  const double heartbeats =
+      toSeconds(now - this->watch_answered_at_) / toSeconds(this->timing_.heartbeat);
   const bool current = heartbeats < this->timing_.stale_after_heartbeats;
   const bool settled = now - this->started_at_ >= this->timing_.window;
   const bool known = current && settled;
--- a/src/gateway/engines/cold_engine_limiter.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -110,7 +110,9 @@
   const cold_senders& senders() const { return this->senders_; }
 
   /** The watch on the records answered: all known records are current as of `at`. */
-  void onFeedAnswered(Instant at) { this->feed_at_ = std::max(this->feed_at_, at); }
+  void onWatchAnswered(Instant at) {
+    this->watch_answered_at_ = std::max(this->watch_answered_at_, at);
+  }
   /** Updates an engine from its record. Without any limit only cold engines are stored, which keeps
    * the state small in a large service.
    */
@@ -160,7 +162,7 @@
   cold_limit_options limit_;
   cold_senders senders_;
   Instant started_at_{};
-  Instant feed_at_{};                         ///< Last answer of the watch on the records.
+  Instant watch_answered_at_{};               ///< Last answer of the watch on the records.
   std::map<ServiceName, double> per_second_;  ///< Of the services with a limit.
   std::map<EngineId, engine_entry> engines_;
   std::map<EngineId, cold_refusals> refusals_;  ///< Since the last `takeRefusals`.
--- a/src/gateway/service/cold_engines_monitor.cpp
+++ b/src/gateway/service/cold_engines_monitor.cpp
@@ -31,7 +31,7 @@
 
 void cold_engines_monitor::report(Instant now, const table::TableWatcher& feed) {
   engines::cold_engine_limiter& cold = this->registry_.coldLimiter();
-  if (feed.read()) cold.onFeedAnswered(feed.lastAnswer());
+  if (feed.read()) cold.onWatchAnswered(feed.lastAnswer());
   for (const engines::cold_change& change : cold.takeChanges(now)) {
     LogEvent("engines", change.cold ? "turned_cold" : "turned_warm")
         .text("engine", change.engine.str())
--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -202,7 +202,7 @@
   const auto stale = limiter.allowance(kLater + 4s, kService, kEngine);
   cr_assert_eq(stale.limit, ColdLimit::kStale);
   cr_assert_eq(stale.requests, kMaxPerSecond / 3);
-  limiter.onFeedAnswered(kLater + 3900ms);
+  limiter.onWatchAnswered(kLater + 3900ms);
   cr_assert_eq(limiter.allowance(kLater + 4s, kService, kEngine).limit, ColdLimit::kWarm,
                "unchanged records are current while the watch answers");
 }
