--- a/src/gateway/engines/cold_engine_limiter.cpp
+++ b/src/gateway/engines/cold_engine_limiter.cpp
@@ -8,11 +8,11 @@
 namespace {
 /// This daemon's share of the limit for an engine that seems warm: if it has turned cold meanwhile,
 /// two daemons that both send to it, as during a change of a job's owner, stay within the limit.
-constexpr std::size_t kWarmDivisor = 2;
+constexpr std::size_t kWarmLimitDivisor = 2;
 /// The same for stale records: three daemons stay within the limit.
-constexpr std::size_t kStaleDivisor = 3;
+constexpr std::size_t kStaleLimitDivisor = 3;
 /// Allowance for senders whose lease is not visible yet, or who can't reach the store.
-constexpr std::size_t kUnlistedSenders = 1;
+constexpr std::size_t kExtraSenders = 1;
 }  // namespace
 
 const char* toText(ColdLimit limit) {
@@ -25,7 +25,7 @@
       return "unheard";
     case ColdLimit::kShared:
       return "shared";
-    case ColdLimit::kRecentlyCold:
+    case ColdLimit::kJustTurnedCold:
       return "pause";
     case ColdLimit::kRestarted:
       return "restart";
@@ -36,14 +36,14 @@
 }
 
 void cold_engine_limiter::setServices(const std::map<ServiceName, routing::Service>& services) {
-  this->per_second_.clear();
+  this->cold_per_second_.clear();
   for (const auto& [name, service] : services) {
-    if (service.cold_per_second > 0) this->per_second_[name] = service.cold_per_second;
+    if (service.cold_per_second > 0) this->cold_per_second_[name] = service.cold_per_second;
   }
 }
 
 void cold_engine_limiter::onRecord(Instant now, const EngineId& engine, Duration cold_remaining) {
-  const bool remembered = this->limitsAny() || cold_remaining > Duration::zero();
+  const bool remembered = this->limitsAnyService() || cold_remaining > Duration::zero();
   if (!remembered && !this->engines_.contains(engine)) {
     this->onWatchAnswered(now);
     return;
@@ -52,8 +52,8 @@
   engine_entry& state = at->second;
   const bool cold = this->isCold(now, state);
   // A record that is received again, from a peer or after an outage, is no newer than before.
-  const bool repeated = !is_new && cold && cold_remaining == state.last_cold_for;
-  state.last_cold_for = cold_remaining;
+  const bool repeated = !is_new && cold && cold_remaining == state.last_cold_remaining;
+  state.last_cold_remaining = cold_remaining;
   state.recorded_at = now;
   this->onWatchAnswered(now);
   if (repeated || cold_remaining <= Duration::zero()) return;
@@ -66,7 +66,7 @@
 }
 
 void cold_engine_limiter::onSent(Instant now, const EngineId& engine) {
-  if (this->per_second_.empty()) return;
+  if (this->cold_per_second_.empty()) return;
   engine_entry& state = this->engines_[engine];
   while (!state.sent.empty() && now - state.sent.front() >= this->timing_.window) {
     state.sent.pop_front();
@@ -114,8 +114,8 @@
 
 std::size_t cold_engine_limiter::fleetLimit(const ServiceName& service) const {
   if (this->limit_.bound_factor <= 0) return 0;
-  const auto at = this->per_second_.find(service);
-  if (at == this->per_second_.end()) return 0;
+  const auto at = this->cold_per_second_.find(service);
+  if (at == this->cold_per_second_.end()) return 0;
   const double bound = at->second * this->limit_.bound_factor + this->limit_.extra_per_second;
   return static_cast<std::size_t>(std::max(1.0, std::floor(bound)));
 }
@@ -125,8 +125,8 @@
   const Duration window = this->timing_.window;
   if (now - this->started_at_ < window) return {ColdLimit::kRestarted, 0};
   if (!this->senders_.self || this->senders_.count == 0) return {ColdLimit::kNotSender, 0};
-  if (state.was_warm && now - state.cold_since < window) return {ColdLimit::kRecentlyCold, 0};
-  return {ColdLimit::kShared, bound / (this->senders_.count + kUnlistedSenders)};
+  if (state.was_warm && now - state.cold_since < window) return {ColdLimit::kJustTurnedCold, 0};
+  return {ColdLimit::kShared, bound / (this->senders_.count + kExtraSenders)};
 }
 
 cold_allowance cold_engine_limiter::warmAllowance(Instant now, std::size_t bound) const {
@@ -135,7 +135,7 @@
   const bool current = heartbeats < this->timing_.stale_after_heartbeats;
   const bool settled = now - this->started_at_ >= this->timing_.window;
   const bool known = current && settled;
-  const std::size_t divisor = known ? kWarmDivisor : kStaleDivisor;
+  const std::size_t divisor = known ? kWarmLimitDivisor : kStaleLimitDivisor;
   const ColdLimit limit = known ? ColdLimit::kWarm : ColdLimit::kStale;
   return {limit, std::max<std::size_t>(1, bound / divisor)};
 }
--- a/src/gateway/engines/cold_engine_limiter.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -58,13 +58,13 @@
 
 /** The rule that limits the requests to an engine. */
 enum class ColdLimit {
-  kUnbounded,     ///< The service has no limit.
-  kWarm,          ///< Warm as of its last record; it may have turned cold since.
-  kStale,         ///< As kWarm, but the records are stale or this daemon has just started.
-  kShared,        ///< Cold: the limit is divided among the senders.
-  kRecentlyCold,  ///< Turned cold within the last window: others may have sent it more before.
-  kRestarted,     ///< Cold, and this daemon may have sent to it before it restarted.
-  kNotSender,     ///< Cold, and this daemon owns no work.
+  kUnbounded,       ///< The service has no limit.
+  kWarm,            ///< Warm as of its last record; it may have turned cold since.
+  kStale,           ///< As kWarm, but the records are stale or this daemon has just started.
+  kShared,          ///< Cold: the limit is divided among the senders.
+  kJustTurnedCold,  ///< Turned cold within the last window: others may have sent it more before.
+  kRestarted,       ///< Cold, and this daemon may have sent to it before it restarted.
+  kNotSender,       ///< Cold, and this daemon owns no work.
 };
 
 /** @return the name in log lines. */
@@ -102,7 +102,7 @@
   void onStart(Instant now) { this->started_at_ = now; }
   void setLimitOptions(const cold_limit_options& options) { this->limit_ = options; }
   void setServices(const std::map<ServiceName, routing::Service>& services);
-  bool limitsAny() const { return !this->per_second_.empty(); }
+  bool limitsAnyService() const { return !this->cold_per_second_.empty(); }
   void setHeartbeat(Duration heartbeat) { this->timing_.heartbeat = heartbeat; }
   /** Registers an engine as known, so that it counts as previously warm if it turns cold. */
   void track(const EngineId& engine) { this->engines_.try_emplace(engine); }
@@ -144,7 +144,7 @@
     Instant cold_since{};
     bool was_warm = false;       ///< Before it turned cold, so that others may have sent to it.
     bool reported_cold = false;  ///< As of the last `takeChanges`.
-    Duration last_cold_for{};
+    Duration last_cold_remaining{};
     std::deque<Instant> sent;
   };
 
@@ -162,8 +162,8 @@
   cold_limit_options limit_;
   cold_senders senders_;
   Instant started_at_{};
-  Instant watch_answered_at_{};               ///< Last answer of the watch on the records.
-  std::map<ServiceName, double> per_second_;  ///< Of the services with a limit.
+  Instant watch_answered_at_{};                    ///< Last answer of the watch on the records.
+  std::map<ServiceName, double> cold_per_second_;  ///< Of the services with a limit.
   std::map<EngineId, engine_entry> engines_;
   std::map<EngineId, cold_refusals> refusals_;  ///< Since the last `takeRefusals`.
   std::uint64_t refused_ = 0;
--- a/src/gateway/engines/engine_index.cpp
+++ b/src/gateway/engines/engine_index.cpp
@@ -5,8 +5,8 @@
 
 namespace linenpier::engines {
 
-bool engine_index::by_rank::operator()(const entry& left, const entry& right) const {
-  if (left.rank != right.rank) return left.rank < right.rank;
+bool engine_index::by_seeded_hash::operator()(const entry& left, const entry& right) const {
+  if (left.seeded_hash != right.seeded_hash) return left.seeded_hash < right.seeded_hash;
   return left.engine->record.id < right.engine->record.id;
 }
 
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -24,13 +24,13 @@
 class engine_index {
  public:
   struct entry {
-    std::uint64_t rank = 0;
+    std::uint64_t seeded_hash = 0;
     const engine_state* engine = nullptr;
   };
-  struct by_rank {
+  struct by_seeded_hash {
     bool operator()(const entry& left, const entry& right) const;
   };
-  using engine_order = std::set<entry, by_rank>;
+  using engine_order = std::set<entry, by_seeded_hash>;
   /** Newest first, so that a bounded selection prefers the newest weights. */
   using version_index = std::map<WeightVersion, engine_order, std::greater<>>;
 
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -3,9 +3,9 @@
 namespace linenpier::engines {
 
 void engine_registry::setServices(const std::map<ServiceName, routing::Service>& services) {
-  const bool before = this->cold_limiter_.limitsAny();
+  const bool before = this->cold_limiter_.limitsAnyService();
   this->cold_limiter_.setServices(services);
-  if (before || !this->cold_limiter_.limitsAny()) return;
+  if (before || !this->cold_limiter_.limitsAnyService()) return;
   // A limit has been added: register the present engines, so that they count as previously warm.
   for (const auto& [id, engine] : this->table_.all()) this->cold_limiter_.track(id);
 }
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -4,19 +4,20 @@
 
 namespace linenpier::engines {
 
-bool engine_table::isOpen(const engine_state& engine) const {
+bool engine_table::isAvailable(const engine_state& engine) const {
   return !engine.record.draining && !this->closed_.contains(engine.record.zone);
 }
 
 void engine_table::removeFromIndexes(const engine_state& engine) {
   this->index_.remove(engine);
-  const auto open = this->open_.find(engine.record.service);
-  if (open != this->open_.end()) open->second.erase(engine.record.id);
+  const auto available = this->available_.find(engine.record.service);
+  if (available != this->available_.end()) available->second.erase(engine.record.id);
 }
 
 void engine_table::addToIndexes(const engine_state& engine) {
   this->index_.add(engine);
-  if (this->isOpen(engine)) this->open_[engine.record.service][engine.record.id] = &engine;
+  if (this->isAvailable(engine))
+    this->available_[engine.record.service][engine.record.id] = &engine;
 }
 
 engine_table::engine_map::iterator engine_table::erase(engine_map::iterator at) {
@@ -27,9 +28,9 @@
 
 void engine_table::setClosedZones(fleet::closed_zones closed) {
   this->closed_ = std::move(closed);
-  this->open_.clear();
+  this->available_.clear();
   for (const auto& [id, engine] : this->engines_) {
-    if (this->isOpen(engine)) this->open_[engine.record.service][id] = &engine;
+    if (this->isAvailable(engine)) this->available_[engine.record.service][id] = &engine;
   }
 }
 
@@ -132,8 +133,8 @@
 
 const engine_list& engine_table::availableEngines(const ServiceName& service) const {
   static const engine_list kNone;
-  const auto at = this->open_.find(service);
-  return at == this->open_.end() ? kNone : at->second;
+  const auto at = this->available_.find(service);
+  return at == this->available_.end() ? kNone : at->second;
 }
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -104,7 +104,7 @@
   void removeFromIndexes(const engine_state& engine);
   void addToIndexes(const engine_state& engine);
   engine_map::iterator erase(engine_map::iterator at);
-  bool isOpen(const engine_state& engine) const;
+  bool isAvailable(const engine_state& engine) const;
   /** @return whether a record that disappears now may have expired. A draining engine removes its
    *     record itself.
    */
@@ -117,7 +117,7 @@
   engine_map engines_;
   /** The members below point into `engines_`. */
   engine_index index_;
-  std::map<ServiceName, engine_list> open_;  ///< Neither draining nor in a closed zone.
+  std::map<ServiceName, engine_list> available_;  ///< Neither draining nor in a closed zone.
   active_engines active_;
   Instant expiry_ends_at_{};  ///< Records that disappear before this may have expired.
 };
--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -190,7 +190,7 @@
   configure(limiter, {kSenders, true});
   limiter.onRecord(kLater, kEngine, 0s);
   limiter.onRecord(kLater + 5s, kEngine, kColdFor);
-  cr_assert_eq(limiter.allowance(kLater + 6s, kService, kEngine).limit, ColdLimit::kRecentlyCold);
+  cr_assert_eq(limiter.allowance(kLater + 6s, kService, kEngine).limit, ColdLimit::kJustTurnedCold);
   cr_assert_eq(limiter.allowance(kLater + 6300ms, kService, kEngine).limit, ColdLimit::kShared);
 }
 
@@ -243,7 +243,7 @@
   limiter.onRecord(kLater, kEngine, 0s);
   limiter.sweep(kLater + 61s, [](const EngineId&) { return true; });
   limiter.onRecord(kLater + 62s, kEngine, kColdFor);
-  cr_assert_eq(limiter.allowance(kLater + 62s, kService, kEngine).limit, ColdLimit::kRecentlyCold,
+  cr_assert_eq(limiter.allowance(kLater + 62s, kService, kEngine).limit, ColdLimit::kJustTurnedCold,
                "others may have sent to it");
 }
 
--- a/tests/gateway/engines/engine_admission_test.cpp
+++ b/tests/gateway/engines/engine_admission_test.cpp
@@ -29,7 +29,7 @@
   return made;
 }
 
-engine_request any() {
+engine_request serviceRequest() {
   engine_request request;
   request.service = kService;
   return request;
@@ -41,7 +41,7 @@
   engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
-  engine_request request = any();
+  engine_request request = serviceRequest();
   cr_assert_null(registry.pick(kStart, request));
   request.last_resort = true;
   cr_assert_null(registry.pick(kStart, request));
@@ -54,14 +54,14 @@
   test::listEngines(registry, kStart, {record("a", kHere)});
   registry.setClosedZones(fleet::closed_zones({{kHere, 7}}));
   registry.setClosedZones({});
-  cr_assert_not_null(registry.pick(kStart, any()));
+  cr_assert_not_null(registry.pick(kStart, serviceRequest()));
 }
 
 Test(engine_admission, respects_the_residency_of_the_request) {
   engine_registry registry(kHere, {}, 1);
   registry.setLayout(fleet::fleet_layout({{kHere, RegionName("r")}, {kThere, RegionName("q")}}));
   test::listEngines(registry, kStart, {record("a", kHere), record("b", kThere)});
-  engine_request request = any();
+  engine_request request = serviceRequest();
   request.residency = fleet::data_residency({RegionName("q")});
   for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "b");
   request.residency = fleet::data_residency({RegionName("elsewhere")});
@@ -73,7 +73,7 @@
 Test(engine_admission, rejects_engines_of_unknown_region_under_a_residency) {
   engine_registry registry(kHere, {}, 1);
   test::listEngines(registry, kStart, {record("a", ZoneName("nowhere"))});
-  engine_request request = any();
+  engine_request request = serviceRequest();
   request.residency = fleet::data_residency({RegionName("r")});
   cr_assert_null(registry.pick(kStart, request));
 }
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -36,7 +36,7 @@
   return registry;
 }
 
-engine_request any() {
+engine_request serviceRequest() {
   engine_request request;
   request.service = kService;
   return request;
@@ -48,9 +48,10 @@
   engine_record leaving = record("a");
   leaving.draining = true;
   engine_registry registry = registryOf({leaving, record("b")});
-  for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
+  for (int i = 0; i < 20; ++i)
+    cr_assert_eq(registry.pick(kStart, serviceRequest())->record.id.str(), "b");
   cr_assert(registry.onRemoved(kStart, EngineId("b")).has_value());
-  cr_assert_null(registry.pick(kStart, any()));
+  cr_assert_null(registry.pick(kStart, serviceRequest()));
 }
 
 Test(engine_registry, complete_listing_removes_missing_engines) {
@@ -64,11 +65,12 @@
   engine_registry registry = registryOf({record("a"), record("b")});
   registry.onAttemptStarted(kStart, EngineId("a"));
   registry.onAttemptStarted(kStart, EngineId("a"));
-  cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
+  cr_assert_eq(registry.pick(kStart, serviceRequest())->record.id.str(), "b");
   registry.onLoadReport(kStart, EngineId("b"), {4, 3, 4});
-  cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "a", "load of other daemons counts");
+  cr_assert_eq(registry.pick(kStart, serviceRequest())->record.id.str(), "a",
+               "load of other daemons counts");
   const Instant later = kStart + std::chrono::seconds(5);
-  cr_assert_eq(registry.pick(later, any())->record.id.str(), "b", "old reports expire");
+  cr_assert_eq(registry.pick(later, serviceRequest())->record.id.str(), "b", "old reports expire");
 }
 
 Test(engine_registry, avoids_a_slow_engine_until_its_measurement_expires) {
@@ -79,18 +81,19 @@
     registry.onEventTime(kStart, EngineId("c"), std::chrono::milliseconds(30));
   }
   cr_assert(registry.latencyRatio(kStart, EngineId("a")) > 3);
-  for (int i = 0; i < 20; ++i) cr_assert_neq(registry.pick(kStart, any())->record.id.str(), "a");
+  for (int i = 0; i < 20; ++i)
+    cr_assert_neq(registry.pick(kStart, serviceRequest())->record.id.str(), "a");
   cr_assert(registry.latencyRatio(kStart + std::chrono::seconds(10), EngineId("a")) <= 1);
 }
 
 Test(engine_registry, ejects_on_the_second_broken_response) {
   engine_registry registry = registryOf({record("a")});
   registry.onAttemptEnded(kStart, EngineId("a"), HealthOutcome::kBroken);
-  cr_assert_not_null(registry.pick(kStart, any()));
+  cr_assert_not_null(registry.pick(kStart, serviceRequest()));
   const Instant later = kStart + std::chrono::seconds(1);
   registry.onAttemptEnded(later, EngineId("a"), HealthOutcome::kBroken);
-  cr_assert_null(registry.pick(later, any()));
-  engine_request last_resort = any();
+  cr_assert_null(registry.pick(later, serviceRequest()));
+  engine_request last_resort = serviceRequest();
   last_resort.last_resort = true;
   cr_assert_not_null(registry.pick(later, last_resort),
                      "an ejected engine is used as a last resort");
@@ -101,19 +104,19 @@
   for (int i = 0; i < 12; ++i) {
     registry.onAttemptEnded(kStart, EngineId("a"), HealthOutcome::kBroken);
   }
-  cr_assert_not_null(registry.pick(kStart, any()),
+  cr_assert_not_null(registry.pick(kStart, serviceRequest()),
                      "an engine that changes weights resets all requests");
 }
 
 Test(engine_registry, engine_at_the_address_of_another_is_ejected) {
   engine_registry registry = registryOf({record("a")});
   registry.onAttemptEnded(kStart, EngineId("a"), HealthOutcome::kWrongEngine);
-  cr_assert_null(registry.pick(kStart + std::chrono::seconds(3), any()));
+  cr_assert_null(registry.pick(kStart + std::chrono::seconds(3), serviceRequest()));
 }
 
 Test(engine_registry, versions_in_responses_override_the_record) {
   engine_registry registry = registryOf({record("a", 3)});
-  engine_request request = any();
+  engine_request request = serviceRequest();
   request.model = kModel;
   request.minimum_version = 4;
   cr_assert_null(registry.pick(kStart, request));
@@ -130,7 +133,7 @@
   engine_registry registry = registryOf({record("a", 3)});
   registry.onVersionSeen(EngineId("a"), kModel, 4);
   registry.onVersionSeen(EngineId("a"), kModel, 0);
-  engine_request request = any();
+  engine_request request = serviceRequest();
   request.model = kModel;
   request.minimum_version = 4;
   cr_assert_not_null(registry.pick(kStart, request));
@@ -138,18 +141,18 @@
 
 Test(engine_registry, engine_that_rejects_with_free_slots_is_loading) {
   engine_registry registry = registryOf({record("a")});
-  engine_request request = any();
+  engine_request request = serviceRequest();
   request.model = kModel;
   registry.onRequestRejected(kStart, EngineId("a"), kModel);
   cr_assert_null(registry.pick(kStart + std::chrono::milliseconds(300), request));
-  cr_assert_not_null(registry.pick(kStart + std::chrono::milliseconds(300), any()),
+  cr_assert_not_null(registry.pick(kStart + std::chrono::milliseconds(300), serviceRequest()),
                      "other models are unaffected");
   cr_assert_not_null(registry.pick(kStart + std::chrono::milliseconds(400), request));
 }
 
 Test(engine_registry, respects_max_per_slot) {
   engine_registry registry = registryOf({record("a")});
-  engine_request request = any();
+  engine_request request = serviceRequest();
   request.max_per_slot = 1;
   for (int i = 0; i < 4; ++i) {
     cr_assert_not_null(registry.pick(kStart, request));
@@ -164,7 +167,7 @@
   registry.onEventTime(kStart, EngineId("full"), std::chrono::milliseconds(100));
   registry.onAttemptStarted(kStart, EngineId("slow"));
   registry.addExpectedTokens(EngineId("slow"), 100);
-  engine_request request = any();
+  engine_request request = serviceRequest();
   request.batching = true;
   request.tokens = 100;
   request.memory_tokens = 420;
@@ -179,7 +182,7 @@
 
 Test(engine_registry, selects_engines_by_exact_and_newest_version) {
   engine_registry registry = registryOf({record("old", 3), record("new", 4)});
-  engine_request request = any();
+  engine_request request = serviceRequest();
   request.model = kModel;
   request.exact_version = 3;
   cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "old");
@@ -237,7 +240,8 @@
   }
   const Instant later = now + std::chrono::seconds(10);
   cr_assert_float_eq(registry.latencyRatio(later, EngineId("a")), 1.3, 0.01);
-  for (int i = 0; i < 20; ++i) cr_assert_neq(registry.pick(later, any())->record.id.str(), "a");
+  for (int i = 0; i < 20; ++i)
+    cr_assert_neq(registry.pick(later, serviceRequest())->record.id.str(), "a");
 }
 
 // --- Large services ---
@@ -250,7 +254,7 @@
   return made;
 }
 
-engine_registry serviceOf(std::size_t engines) {
+engine_registry registryOfSize(std::size_t engines) {
   std::vector<engine_record> records;
   for (std::size_t i = 0; i < engines; ++i) records.push_back(numbered(i));
   return registryOf(records);
@@ -270,19 +274,19 @@
 }  // namespace
 
 Test(engine_registry, number_of_checks_does_not_grow_with_the_service) {
-  engine_request item = any();
+  engine_request item = serviceRequest();
   item.max_per_slot = 1;
-  engine_registry small = serviceOf(1000);
-  engine_registry large = serviceOf(2000);
+  engine_registry small = registryOfSize(1000);
+  engine_registry large = registryOfSize(2000);
   const std::uint64_t checks = checksFor(small, item, 200);
   cr_assert_eq(checksFor(large, item, 200), checks);
   cr_assert_leq(checks, 200U * 2 * engines::selection_options{}.max_candidates);
 }
 
 Test(engine_registry, does_not_check_engines_with_other_versions) {
-  engine_registry registry = serviceOf(2000);
+  engine_registry registry = registryOfSize(2000);
   for (std::size_t i = 0; i < 40; ++i) registry.onRecord(kStart, numbered(i, 5));
-  engine_request item = any();
+  engine_request item = serviceRequest();
   item.model = kModel;
   item.minimum_version = 5;
   cr_assert_leq(checksFor(registry, item, 10), 400U);
@@ -296,14 +300,14 @@
 }
 
 Test(engine_registry, finds_the_only_admitted_engine) {
-  engine_registry registry = serviceOf(2000);
+  engine_registry registry = registryOfSize(2000);
   for (std::size_t i = 0; i < 2000; ++i) {
     if (i == 1234) continue;
     engine_record leaving = numbered(i);
     leaving.draining = true;
     registry.onRecord(kStart, leaving);
   }
-  cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "e1234");
+  cr_assert_eq(registry.pick(kStart, serviceRequest())->record.id.str(), "e1234");
   cr_assert_eq(registry.availableEngines(kService).size(), 1U);
 }
 
@@ -316,7 +320,7 @@
     engine_registry registry(kZone, {}, static_cast<std::uint64_t>(daemon) + 1);
     test::listEngines(registry, kStart, records);
     std::set<EngineId> chosen;
-    for (int i = 0; i < 200; ++i) chosen.insert(registry.pick(kStart, any())->record.id);
+    for (int i = 0; i < 200; ++i) chosen.insert(registry.pick(kStart, serviceRequest())->record.id);
     for (const EngineId& id : chosen) ++chosen_by[id];
   }
   int most = 0;
@@ -326,11 +330,11 @@
 }
 
 Test(engine_registry, infrequent_requests_reuse_a_connection) {
-  engine_registry registry = serviceOf(300);
+  engine_registry registry = registryOfSize(300);
   std::set<EngineId> used;
   Instant now = kStart;
   for (int i = 0; i < 10; ++i, now += std::chrono::seconds(2)) {
-    const EngineId id = registry.pick(now, any())->record.id;
+    const EngineId id = registry.pick(now, serviceRequest())->record.id;
     registry.onAttemptStarted(now, id);
     registry.onEventTime(now, id, std::chrono::milliseconds(25));
     registry.onAttemptEnded(now, id, HealthOutcome::kSuccess);
@@ -356,7 +360,7 @@
   const engines::engine_state* engine = registry.find(id);
   cr_assert_eq(engine->versionOf(kModel), 3U, "not the version of the previous run");
   cr_assert_eq(engine->health.failures(), 0);
-  cr_assert(registry.admit(kStart, *engine, any()) == engines::AdmissionFailure::kNone);
+  cr_assert(registry.admit(kStart, *engine, serviceRequest()) == engines::AdmissionFailure::kNone);
 }
 
 Test(engine_registry, ignores_a_record_of_an_earlier_run) {
@@ -376,7 +380,8 @@
   registry.onStoreReconnected(kStart, std::chrono::seconds(60));
   cr_assert(registry.onInvalidRecord(EngineId("a")).has_value());
   cr_assert_null(registry.find(EngineId("a")), "not treated as expired");
-  for (int i = 0; i < 20; ++i) cr_assert_eq(registry.pick(kStart, any())->record.id.str(), "b");
+  for (int i = 0; i < 20; ++i)
+    cr_assert_eq(registry.pick(kStart, serviceRequest())->record.id.str(), "b");
   cr_assert_not(registry.onInvalidRecord(EngineId("c")).has_value());
 }
 
--- a/tests/gateway/engines/latency_history_test.cpp
+++ b/tests/gateway/engines/latency_history_test.cpp
@@ -50,7 +50,7 @@
   cr_assert_float_eq(engine.baselineRatio(now), 1.4, 0.01);
 }
 
-Test(latency_history, ignores_an_engine_that_is_slower_than_any_hardware) {
+Test(latency_history, ratio_is_1_for_an_engine_slower_than_hardware_explains) {
   latency_history engine;
   Instant now = kStart;
   recordEvents(engine, now, std::chrono::seconds(10), 0.15);
--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -91,7 +91,7 @@
   cr_assert_not(routing::digestFromHex(std::string(64, 'x')).has_value());
 }
 
-Test(tenant_table, without_keys_hides_the_keys_and_parses_the_same) {
+Test(tenant_table, hashed_keys_hide_the_keys_and_leave_the_tenants_unchanged) {
   const std::string redacted = platform_adapter::hashApiKeys(kConfiguration);
   cr_assert_eq(redacted.find("secret"), std::string::npos);
   cr_assert(parsed(redacted).tenants.all() == parsed(kConfiguration).tenants.all());
