--- a/src/gateway/engines/active_engines.h
+++ b/src/gateway/engines/active_engines.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Engines with requests of this daemon in flight or with a recent event time. They are few even in
- * a large service, which keeps means and medians cheap.
+ * Engines that this daemon has requests in flight at, or whose event time it measured recently.
+ * They are few even in a large service, which keeps means and medians cheap.
  */
 
 #include <set>
@@ -21,10 +21,10 @@
  public:
   void add(const engine_state& engine) { this->engines_.insert(&engine); }
   void remove(const engine_state& engine) { this->engines_.erase(&engine); }
-  /** Removes engines with neither requests in flight nor a recent event time. */
+  /** Removes engines with neither requests in flight nor a recently measured event time. */
   void sweep(Instant now, const latency_options& options);
 
-  /** @return the median of the recent event times of a service in seconds; 0: none. */
+  /** @return the median of a service's recently measured event times in seconds; 0: none. */
   double medianEventTime(Instant now, const ServiceName& service,
                          const latency_options& options) const;
   /** @return the mean of the expected tokens per request in flight; 0: unknown. */
--- a/src/gateway/engines/cold_engine_limiter.cpp
+++ b/src/gateway/engines/cold_engine_limiter.cpp
@@ -6,12 +6,15 @@
 namespace linenpier::engines {
 
 namespace {
-/// This daemon's share of the limit for an engine that seems warm: if it has turned cold meanwhile,
-/// two daemons that both send to it, as during a change of a job's owner, stay within the limit.
+/// A daemon may send this fraction (1/n) of the limit to an engine that seems warm. If the engine
+/// has turned cold meanwhile, two daemons that both send to it, as while a job changes its owner,
+/// stay within the limit.
 constexpr std::size_t kWarmLimitDivisor = 2;
-/// The same for stale records: three daemons stay within the limit.
+/// A daemon with stale records may send only this fraction (1/n) of the limit to an engine that
+/// seems warm, so that even three daemons stay within the limit.
 constexpr std::size_t kStaleLimitDivisor = 3;
-/// Allowance for senders whose lease is not visible yet, or who can't reach the store.
+/// Number of senders that are assumed in addition to those known from their leases: the lease of a
+/// sender may not be visible yet, or the sender can't reach the store.
 constexpr std::size_t kExtraSenders = 1;
 }  // namespace
 
@@ -112,7 +115,7 @@
   return state == nullptr ? 0 : this->sent(now, *state);
 }
 
-std::size_t cold_engine_limiter::fleetLimit(const ServiceName& service) const {
+std::size_t cold_engine_limiter::totalLimit(const ServiceName& service) const {
   if (this->limit_.bound_factor <= 0) return 0;
   const auto at = this->cold_per_second_.find(service);
   if (at == this->cold_per_second_.end()) return 0;
@@ -142,7 +145,7 @@
 
 cold_allowance cold_engine_limiter::allowance(Instant now, const ServiceName& service,
                                               const EngineId& engine) const {
-  const std::size_t bound = this->fleetLimit(service);
+  const std::size_t bound = this->totalLimit(service);
   return bound == 0 ? cold_allowance{} : this->allowance(now, this->find(engine), bound);
 }
 
@@ -154,7 +157,7 @@
 
 bool cold_engine_limiter::hasRoom(Instant now, const ServiceName& service,
                                   const EngineId& engine) const {
-  const std::size_t bound = this->fleetLimit(service);
+  const std::size_t bound = this->totalLimit(service);
   if (bound == 0) return true;
   // Called for every candidate engine, hence a single lookup.
   const engine_entry* state = this->find(engine);
--- a/src/gateway/engines/cold_engine_limiter.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -3,8 +3,9 @@
 /** @file
  * Rate limiter for cold engines: engines that are slow for some time after their start. The limit
  * applies to all daemons together. As a daemon can't ask the others before it sends a request, each
- * keeps to a share that is safe whatever the others do. Keeps the send times of the last window per
- * engine, separately from `engine_table`, since they must outlive an engine's record. Does no I/O.
+ * keeps to a share of the limit, which depends on what it knows of the engine and of the other
+ * daemons. Keeps the send times of the last window per engine, separately from `engine_table`,
+ * since they must outlive an engine's record. Does no I/O.
  *
  * See docs/design/cold-engines.md.
  */
@@ -24,8 +25,8 @@
 
 namespace linenpier::engines {
 
-/** The fleet may send a cold engine `cold_per_second` (of its service) x `bound_factor` +
- * `extra_per_second` requests a second. From the settings.
+/** All daemons together may send a cold engine `cold_per_second` (of its service) x `bound_factor`
+ * + `extra_per_second` requests a second. From the settings.
  */
 struct cold_limit_options {
   double bound_factor = 0;  ///< 0: no limit.
@@ -43,16 +44,20 @@
 };
 
 struct cold_limit_timing {
-  /** Length of the sliding window: the second that the limit is for, and the longest delay between
-   * counting a request and sending it (0.2 s to connect, 0.1 s for a late event loop).
+  /** Length of the sliding window: one second, to which the limit applies, plus 0.3 s, the longest
+   * delay between counting a request and sending it (0.2 s to connect, 0.1 s for a late event
+   * loop).
    */
   Duration window = std::chrono::milliseconds(1300);
   Duration heartbeat = kDefaultEngineHeartbeat;  ///< Heartbeat interval of an engine.
   /** Records are stale once the watch has not answered for this many heartbeats: engines may have
-   * turned cold since. Longer than the 2.7 s within which a working watch answers.
+   * turned cold since. With the default heartbeat these are 3 s, while a working watch answers
+   * within 2.7 s.
    */
   double stale_after_heartbeats = 2.5;
-  /** How long an engine without a record is remembered: after a crash it returns under its id. */
+  /** How long the state of an engine is kept after its last record, if it is no longer listed. An
+   * engine that restarts after a crash has the same id, and the requests before the crash count.
+   */
   Duration forget_after = std::chrono::seconds(60);
 };
 
@@ -62,7 +67,7 @@
   kWarm,            ///< Warm as of its last record; it may have turned cold since.
   kStale,           ///< As kWarm, but the records are stale or this daemon has just started.
   kShared,          ///< Cold: the limit is divided among the senders.
-  kJustTurnedCold,  ///< Turned cold within the last window: others may have sent it more before.
+  kJustTurnedCold,  ///< Turned cold within the last window; others may have used up the limit.
   kRestarted,       ///< Cold, and this daemon may have sent to it before it restarted.
   kNotSender,       ///< Cold, and this daemon owns no work.
 };
@@ -92,8 +97,12 @@
   std::uint64_t refused = 0;
 };
 
-/** Invariant: any two daemons together never exceed the limit of an engine within a second,
- * whatever either of them knows.
+/** Limits the requests that an engine is sent within a second:
+ * - Senders that all know that the engine is cold stay within its limit together, if each knows all
+ *   of them but one.
+ * - Any two daemons stay within a limit of two or more together, whatever either of them knows.
+ *
+ * Three or more daemons may exceed the limit until they know that the engine is cold.
  */
 class cold_engine_limiter {
  public:
@@ -104,7 +113,9 @@
   void setServices(const std::map<ServiceName, routing::Service>& services);
   bool limitsAnyService() const { return !this->cold_per_second_.empty(); }
   void setHeartbeat(Duration heartbeat) { this->timing_.heartbeat = heartbeat; }
-  /** Registers an engine as known, so that it counts as previously warm if it turns cold. */
+  /** Adds a listed engine that has no entry yet. If a later record says that it is cold, it counts
+   * as having turned cold, and not as a new engine that nobody has sent a request to.
+   */
   void track(const EngineId& engine) { this->engines_.try_emplace(engine); }
   void setSenders(const cold_senders& senders) { this->senders_ = senders; }
   const cold_senders& senders() const { return this->senders_; }
@@ -127,7 +138,7 @@
   cold_allowance allowance(Instant now, const ServiceName& service, const EngineId& engine) const;
   bool hasRoom(Instant now, const ServiceName& service, const EngineId& engine) const;
   /** @return whether the service limits requests to its cold engines. */
-  bool isBounded(const ServiceName& service) const { return this->fleetLimit(service) > 0; }
+  bool isBounded(const ServiceName& service) const { return this->totalLimit(service) > 0; }
 
   /** @return the engines that turned cold or warm since the last call. */
   std::vector<cold_change> takeChanges(Instant now);
@@ -142,9 +153,10 @@
     Instant recorded_at{};
     Instant cold_until{};
     Instant cold_since{};
-    bool was_warm = false;       ///< Before it turned cold, so that others may have sent to it.
-    bool reported_cold = false;  ///< As of the last `takeChanges`.
-    Duration last_cold_remaining{};
+    /** It was known before it turned cold: other daemons may have sent to it while it was warm. */
+    bool was_warm = false;
+    bool reported_cold = false;      ///< As of the last `takeChanges`.
+    Duration last_cold_remaining{};  ///< From its last record, to detect a repeated record.
     std::deque<Instant> sent;
   };
 
@@ -152,7 +164,7 @@
   bool isCold(Instant now, const engine_entry& state) const { return now < state.cold_until; }
   std::size_t sent(Instant now, const engine_entry& state) const;
   /** @return requests a second that all daemons together may send to a cold engine; 0: no limit. */
-  std::size_t fleetLimit(const ServiceName& service) const;
+  std::size_t totalLimit(const ServiceName& service) const;
   /** @param state nullptr if the engine is not known. */
   cold_allowance allowance(Instant now, const engine_entry* state, std::size_t bound) const;
   cold_allowance coldAllowance(Instant now, const engine_entry& state, std::size_t bound) const;
--- a/src/gateway/engines/engine_health.h
+++ b/src/gateway/engines/engine_health.h
@@ -20,8 +20,8 @@
    */
   kRejected,
   kUnreachable,  ///< Failure: no connection.
-  /** Failure: truncated, unsigned or malformed response, or status 500 and above. The only failure
-   * that does not eject the engine the first time.
+  /** Failure: the response is truncated, malformed or lacks the engine's signature, or its status
+   * is 500 or above. The only failure that does not eject the engine the first time.
    */
   kBroken,
   kTimeout,      ///< Failure: no response in time.
@@ -29,7 +29,9 @@
 };
 
 struct health_options {
-  /** Doubles with each further consecutive failure. */
+  /** Length of the ejection after one failure. Each further consecutive failure doubles it, up to
+   * `max_ejection`.
+   */
   Duration first_ejection = std::chrono::milliseconds(700);
   Duration max_ejection = std::chrono::seconds(6);
   /** Failures within this time after a counted one are ignored: an engine that resets all its
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -1,10 +1,11 @@
 #pragma once
 
 /** @file
- * Index of the engines of each service in a hashed order, and by the version of a model that they
- * hold. A selection stops after a bounded number of candidates, so that its cost does not grow with
- * the service. The hash is seeded per daemon: load spreads over all engines, while each daemon
- * reuses its connections to a few of them. Does no I/O.
+ * Two indexes: the engines of each service, and the engines of each service by the version of a
+ * model that they hold. Both list engines in this daemon's order: by a hash of the engine id that
+ * is seeded per daemon. A selection stops after a bounded number of candidates in this order, so
+ * that its cost does not grow with the service. As the order differs between daemons, load spreads
+ * over all engines, while each daemon reuses its connections to a few of them. Does no I/O.
  */
 
 #include <cstdint>
@@ -24,7 +25,7 @@
 class engine_index {
  public:
   struct entry {
-    std::uint64_t seeded_hash = 0;
+    std::uint64_t seeded_hash = 0;  ///< Of the engine id; determines the order.
     const engine_state* engine = nullptr;
   };
   struct by_seeded_hash {
@@ -54,7 +55,7 @@
   std::uint64_t seed_;
   std::map<ServiceName, engine_order> services_;
   std::map<ServiceName, indexes_by_model>
-      models_;  ///< Only models that `byVersion` was called for.
+      models_;  ///< Only models for which `byVersion` was called.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_latency.h
+++ b/src/gateway/engines/engine_latency.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /** @file
- * Latency of one engine per event or response: the recent one as a moving average, and the
- * long-term one in `latency_history`. Does no I/O.
+ * Event time of one engine: the time between two events of a stream, or the time of a response
+ * without a stream. Keeps a moving average of recent event times, and the long-term latency in
+ * `latency_history`. Does no I/O.
  */
 
 #include "common/time.h"
@@ -20,7 +21,7 @@
 
 class engine_latency {
  public:
-  /** Records the time that an event or a response took.
+  /** @param duration time between two events of a stream, or time of a response without a stream.
    * @return whether a window of the history is complete and `closeHistoryWindow` must be called.
    */
   bool onEventTime(Instant now, Duration duration, const latency_options& options);
--- a/src/gateway/engines/engine_record.h
+++ b/src/gateway/engines/engine_record.h
@@ -22,7 +22,7 @@
  */
 using model_versions = boost::container::flat_map<ModelName, WeightVersion>;
 
-/** Id and start time together identify a run of an engine; no state carries over to the next run.
+/** An engine that restarts keeps its id, but has a new start time and none of its former state.
  */
 struct engine_record {
   EngineId id;
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -96,7 +96,8 @@
   /** The engine reset a run of the model, as when it starts to load weights. */
   void onRunReset(Instant now, const EngineId& id, const ModelName& model);
   void onLoadReport(Instant now, const EngineId& id, const load_report& report);
-  /** Records the time that an event or a response took. */
+  /** @param duration time between two events of a stream, or time of a response without a stream.
+   */
   void onEventTime(Instant now, const EngineId& id, Duration duration);
   /** @param version the version in a response; 0: none. */
   void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version) {
@@ -136,26 +137,27 @@
    *     overloaded.
    */
   double freeSlots(Instant now, const EngineId& id) const;
-  /** @return the engine's event time relative to the median of its service; the ratio of its
-   * history without a recent measurement; 1 without any.
+  /** @return the engine's event time relative to the median of its service. If either
+   *     is unknown, the long-term ratio from `latency_history`, which is 1 by default.
    */
   double latencyRatio(Instant now, const EngineId& id) const;
   /** Avoids computing the median again for each of many engines. */
   double latencyRatio(Instant now, const engine_state& engine, double median_event_time) const {
     return engine.latency.ratio(now, median_event_time, this->options_.score.latency);
   }
-  /** @return the expected time of an event or a response in seconds; 0 if its service has no recent
-   *     measurement.
+  /** @return the engine's expected event time in seconds; 0 if its service has no recent
+   * measurement.
    */
   double expectedEventTime(Instant now, const EngineId& id) const;
-  /** @return the moving average of recent event times in seconds; 0: none. */
+  /** @return the moving average of the engine's recent event times in seconds; 0: none. */
   double measuredEventTime(Instant now, const EngineId& id) const;
-  /** @return the median of the recent event times of a service in seconds; 0: none. */
+  /** @return the median of a service's recently measured event times in seconds; 0: none. */
   double medianEventTime(Instant now, const ServiceName& service) const {
     return this->table_.activeEngines().medianEventTime(now, service, this->options_.score.latency);
   }
 
-  /** Removes outdated state: of engines that were removed and of engines no longer in use. */
+  /** Discards the state kept for removed engines, and removes unused engines from `active_engines`.
+   */
   void sweep(Instant now);
 
  private:
--- a/src/gateway/engines/engine_request.h
+++ b/src/gateway/engines/engine_request.h
@@ -18,10 +18,10 @@
   ModelName model;              ///< Empty: any model.
   WeightVersion minimum_version = 0;
   fleet::data_residency residency;  ///< Regions in which the engine may be.
-  /** Requires this version, to continue a text that a single version must generate. */
+  /** Requires this version, as for a started text that a single version must generate. */
   std::optional<WeightVersion> exact_version;
-  /** Prefers engines with the newest version: they keep it longest, so that a text that a single
-   * version must generate can be finished there.
+  /** Prefers engines with the newest version. Set for a new text that a single version must
+   * generate: engines hold the newest version longest, so the text can probably be finished.
    */
   bool prefer_newest = false;
   double tokens = 0;         ///< Memory that the request is expected to need, in tokens.
--- a/src/gateway/engines/engine_scorer.cpp
+++ b/src/gateway/engines/engine_scorer.cpp
@@ -20,8 +20,9 @@
 /// For a cold engine with a rate limit, so that it is used only when the others are full.
 constexpr double kBoundedColdFactor = 4;
 /// For an engine of a large service that this daemon has not used recently, as it has to connect
-/// first. Above the random tie break, so that a daemon with few requests reuses its connections,
-/// and below the cost of one more request.
+/// first. Larger than any random factor of `engine_selector::jitter`, so that a daemon with few
+/// requests reuses its connections, but smaller than the slowdown by one request at an engine that
+/// processes requests one by one.
 constexpr double kNewConnectionFactor = 1.06;
 }  // namespace
 
@@ -56,7 +57,8 @@
 double engine_scorer::memoryFactor(const engine_state& engine) const {
   if (this->request_.memory_tokens <= 0) return 1;
   const engine_load& load = engine.load;
-  // Engines do not report the memory of other daemons' requests; assume the mean of this daemon's.
+  // Engines do not report the memory that requests of other daemons use; assume the mean of the
+  // requests of this daemon.
   const double total = load.total(this->now_, this->options_.load);
   const double others = std::max(0.0, total - load.inFlight()) * this->context_.mean_tokens;
   const double used =
--- a/src/gateway/engines/engine_scorer.h
+++ b/src/gateway/engines/engine_scorer.h
@@ -23,9 +23,9 @@
 /** Inputs that are the same for all candidates of one selection. */
 struct score_context {
   double median_event_time = 0;  ///< Over the service's engines, in seconds; 0: unknown.
-  double mean_tokens = 0;        ///< Per request of this daemon; 0 with unlimited memory.
-  bool many_engines = false;     ///< The service has more engines than a selection compares.
-  WeightVersion newest = 0;      ///< Newest version that any engine holds; 0: irrelevant.
+  double mean_tokens = 0;     ///< Mean of this daemon's requests in flight; 0: unknown or unused.
+  bool many_engines = false;  ///< The service has more engines than a selection compares.
+  WeightVersion newest = 0;   ///< Newest version that any engine holds; 0: irrelevant.
 };
 
 /** Scores engines for one request at one point in time. Holds references only. */
@@ -41,8 +41,8 @@
         cold_limiter_(cold),
         options_(options) {}
 
-  /** @return the relative time until the engine answers: 1 for an idle engine with the median event
-   *     time in this daemon's zone.
+  /** @return the relative time until the engine answers: 1 for an idle engine that is in this
+   *     daemon's zone and has the median event time of its service.
    */
   double expectedWait(const engine_state& engine) const;
   /** @return a factor of the expected wait for engines with an older version and for those that are
@@ -51,7 +51,9 @@
   double penaltyFactor(const engine_state& engine) const;
 
  private:
-  /** An engine that runs out of memory preempts requests and has to compute them again. */
+  /** @return a factor that grows as the engine's memory fills: an engine that runs out of memory
+   *     preempts requests and has to compute them again.
+   */
   double memoryFactor(const engine_state& engine) const;
   double coldFactor(const engine_state& engine) const;
 
--- a/src/gateway/engines/engine_selector.cpp
+++ b/src/gateway/engines/engine_selector.cpp
@@ -3,7 +3,8 @@
 namespace linenpier::engines {
 
 namespace {
-/// Inverse of the relative difference of expected waits below which engines count as equal.
+/// Expected waits are multiplied by a random factor of up to 1 + 1 / kJitterDivisor, which breaks
+/// ties between engines with similar waits.
 constexpr std::uint64_t kJitterDivisor = 20;
 constexpr std::uint64_t kJitterSteps = 1000;
 }  // namespace
--- a/src/gateway/engines/engine_selector.h
+++ b/src/gateway/engines/engine_selector.h
@@ -2,7 +2,8 @@
 
 /** @file
  * Selects the engine for a request: the one with the shortest expected wait among the first
- * `max_candidates` admitted engines in this daemon's order. Ties are broken at random. Does no I/O.
+ * `max_candidates` admitted engines in this daemon's order (see `engine_index`). Ties are broken at
+ * random. Does no I/O.
  */
 
 #include <cstddef>
--- a/src/gateway/engines/engine_state.h
+++ b/src/gateway/engines/engine_state.h
@@ -30,9 +30,11 @@
 
   /** @return the version that the engine holds; 0: none. */
   WeightVersion versionOf(const ModelName& model) const;
-  /** Discards the state of the previous run, except for its attempts in flight. */
+  /** Discards the state from before the restart, except for the attempts in flight. */
   void onRestarted();
-  /** Replaces the record. A version that changes in it overrides the one seen in responses. */
+  /** Replaces the record. If the new record lists another version of a model than the old one, that
+   * version overrides the one seen in responses.
+   */
   void setRecord(const engine_record& newer);
 };
 
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -25,7 +25,7 @@
   kNew,
   kUpdated,
   kRestarted,  ///< The engine restarted under its id; its former state was discarded.
-  kOutdated,   ///< From an earlier run of the engine; ignored.
+  kOutdated,   ///< From before the last restart of the engine; ignored.
 };
 
 /** Engines can't renew their records during a store outage: the records expire and are deleted just
@@ -37,8 +37,9 @@
    */
   Duration expiry_grace = std::chrono::milliseconds(1900);
   Duration heartbeat = kDefaultEngineHeartbeat;  ///< Heartbeat interval of an engine.
-  /** Shortest outage, in heartbeats, in which a record can expire: that takes three missed ones,
-   * the first of which may have been due just after the outage began.
+  /** Shortest outage, in heartbeat intervals, in which a record can expire. A record expires after
+   * three missed heartbeats. The first of them may be due just after the outage begins, so that the
+   * outage may last less than three intervals.
    */
   double min_expiry_heartbeats = 2.5;
 };
@@ -100,7 +101,8 @@
  private:
   using engine_map = std::map<EngineId, engine_state>;
 
-  /** Call before and `addToIndexes` after a change of an indexed field. */
+  /** Must be called before an indexed field of the engine changes, and `addToIndexes` afterwards.
+   */
   void removeFromIndexes(const engine_state& engine);
   void addToIndexes(const engine_state& engine);
   engine_map::iterator erase(engine_map::iterator at);
@@ -117,7 +119,7 @@
   engine_map engines_;
   /** The members below point into `engines_`. */
   engine_index index_;
-  std::map<ServiceName, engine_list> available_;  ///< Neither draining nor in a closed zone.
+  std::map<ServiceName, engine_list> available_;  ///< See `availableEngines`.
   active_engines active_;
   Instant expiry_ends_at_{};  ///< Records that disappear before this may have expired.
 };
--- a/src/gateway/engines/latency_history.cpp
+++ b/src/gateway/engines/latency_history.cpp
@@ -10,10 +10,11 @@
 /// Minimum length of a window, so that the history outlasts a slowdown of some seconds.
 constexpr Duration kMinWindow = std::chrono::seconds(1);
 constexpr std::size_t kMaxWindows = 16;
-/// Hardware classes of one service differ by less. A slower engine has a fault, which may clear at
-/// any time, and counts as normal.
+/// Highest ratio that different hardware within a service can cause. An engine with a higher ratio
+/// has a fault, which may clear at any time, so its long-term ratio is not used.
 constexpr double kMaxHardwareRatio = 2;
-/// An avoided engine is not measured, so its ratio expires and it is tried again.
+/// An engine that is avoided because of its ratio is not measured. Its ratio expires after this
+/// time, so that it is tried again.
 constexpr Duration kRatioLifetime = std::chrono::seconds(60);
 }  // namespace
 
--- a/src/gateway/engines/latency_history.h
+++ b/src/gateway/engines/latency_history.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /** @file
- * Long-term latency of an engine, as determined by its hardware: the minimum, over the last
- * windows, of the ratio of its event time to the median of its service. Ignores temporary slowness.
- * Does no I/O.
+ * Long-term latency of an engine relative to its service. At the end of each measurement window,
+ * the mean event time of the engine is divided by the median of its service. The lowest of these
+ * ratios over the last windows is the baseline: it reflects the speed of the hardware, as temporary
+ * slowness raises only some of them. Does no I/O.
  */
 
 #include <cstddef>
@@ -15,14 +16,14 @@
 
 class latency_history {
  public:
-  /** Records the time that an event or a response took.
+  /** @param seconds time between two events of a stream, or time of a response without a stream.
    * @return whether the window is complete and `closeWindow` must be called.
    */
   bool onEventTime(Instant now, double seconds);
   /** @param median_event_time median over the service's engines in seconds; 0: unknown. */
   void closeWindow(double median_event_time);
-  /** @return the minimum ratio of event time to median; 1 without a complete window or without a
-   *     recent measurement.
+  /** @return the lowest ratio of event time to median; 1 without a complete window, without a
+   *     recent measurement, or if the ratio is too high to be due to the hardware.
    */
   double baselineRatio(Instant now) const;
 
--- a/src/gateway/engines/model_loading.h
+++ b/src/gateway/engines/model_loading.h
@@ -14,19 +14,23 @@
 
 /** How long requests for the model avoid the engine. */
 struct loading_options {
-  Duration full_backoff = std::chrono::milliseconds(120);     ///< Rejected while full.
-  Duration loading_backoff = std::chrono::milliseconds(350);  ///< Rejected with free slots.
-  Duration reset_backoff = std::chrono::milliseconds(900);    ///< Reset a run.
+  Duration full_backoff = std::chrono::milliseconds(120);     ///< For a rejection by a full engine.
+  Duration loading_backoff = std::chrono::milliseconds(350);  ///< For one despite free slots.
+  Duration reset_backoff = std::chrono::milliseconds(900);    ///< For a run that was reset.
 };
 
 class model_loading {
  public:
   /** @param full whether all slots of the engine were in use. */
   void onRejected(Instant now, const ModelName& model, bool full, const loading_options& options);
-  /** Further resets belong to the same load and do not extend the backoff. */
+  /** Starts a backoff unless one is active: an engine that starts to load weights resets all runs
+   * of the model.
+   */
   void onReset(Instant now, const ModelName& model, const loading_options& options);
 
-  /** @param model empty: any model; never loading. */
+  /** @param model empty: the request accepts any model.
+   * @return whether requests for the model avoid the engine; false for an empty model.
+   */
   bool isLoading(Instant now, const ModelName& model) const;
 
  private:
--- a/src/gateway/routing/tenant_table.h
+++ b/src/gateway/routing/tenant_table.h
@@ -29,9 +29,9 @@
 
 struct tenant {
   TenantId name;
-  std::optional<int> priority;           ///< Overrides that of a route; 0 is the highest.
-  std::vector<key_digest> keys;          ///< Equivalent; may be empty.
-  fleet::data_residency residency = {};  ///< Applies in addition to that of a route.
+  std::optional<int> priority;           ///< Overrides the priority of a route; 0 is the highest.
+  std::vector<key_digest> keys;          ///< Any of them is accepted; may be empty.
+  fleet::data_residency residency = {};  ///< Applies in addition to the residency of a route.
 
   bool operator==(const tenant&) const = default;
 };
@@ -42,7 +42,7 @@
   /** An empty table: no request requires a key. */
   tenant_table() = default;
 
-  /** @return the table, or a finding per duplicate name or key. */
+  /** @return the table, or an error for each duplicate name or key. */
   static tl::expected<tenant_table, Findings> make(std::vector<tenant> tenants);
 
   bool requiresKeys() const { return this->requires_keys_; }
--- a/src/gateway/routing/weighted_round_robin.cpp
+++ b/src/gateway/routing/weighted_round_robin.cpp
@@ -39,7 +39,8 @@
   if (!sameServices(state.services, route.services)) {
     state.services = route.services;
     state.credits.assign(route.services.size(), 0);
-    // Otherwise all daemons would start with the same service, which skews the shares at low load.
+    // Skip some turns, so that the daemons don't all start with the same service: that would skew
+    // the shares at low load.
     const std::uint64_t skipped = hash64(route.name.str(), this->start_) % kMaxInitialTurns;
     for (std::uint64_t i = 0; i < skipped; ++i) pickService(state, total);
   }
--- a/src/gateway/routing/weighted_round_robin.h
+++ b/src/gateway/routing/weighted_round_robin.h
@@ -12,8 +12,8 @@
 
 namespace linenpier::routing {
 
-/** Smooth weighted round robin: over as many requests as the sum of the weights, each service gets
- * exactly its weight.
+/** Smooth weighted round robin: out of as many requests as the sum of the weights, each service
+ * gets exactly as many as its weight.
  */
 class weighted_round_robin {
  public:
--- a/tests/gateway/engines/cold_engine_limiter_test.cpp
+++ b/tests/gateway/engines/cold_engine_limiter_test.cpp
@@ -146,7 +146,7 @@
   const Instant again = turned + 30s;
   limiter.onRecord(again, kEngine, kColdFor);
   cr_assert(limiter.isCold(again + 1s, kEngine),
-            "an equal remaining time counts again after the first has elapsed");
+            "a record like the first one makes it cold again after the cold time");
 }
 
 Test(cold_engine_limiter, repeated_record_does_not_extend_the_cold_time) {
@@ -296,7 +296,8 @@
 }
 
 Test(cold_engines, daemons_with_different_sender_counts_respect_the_limit) {
-  greedy_daemon alone({1, true});  // Reached the store before the others.
+  // Counts itself as the only sender, as it reached the store before the others.
+  greedy_daemon alone({1, true});
   greedy_daemon few({3, true});
   greedy_daemon all({kSenders, true});
   greedy_daemon isolated({kSenders, true});
--- a/tests/gateway/engines/engine_registry_test.cpp
+++ b/tests/gateway/engines/engine_registry_test.cpp
@@ -126,7 +126,7 @@
   cr_assert_not_null(registry.pick(kStart, request),
                      "an unchanged record does not override the response");
   registry.onRecord(kStart, record("a", 2));
-  cr_assert_null(registry.pick(kStart, request), "a changed record does");
+  cr_assert_null(registry.pick(kStart, request), "a changed record overrides the response");
 }
 
 Test(engine_registry, response_without_a_version_is_ignored) {
@@ -172,7 +172,8 @@
   request.tokens = 100;
   request.memory_tokens = 420;
   for (int i = 0; i < 20; ++i) {
-    cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "full", "it is still empty");
+    cr_assert_eq(registry.pick(kStart, request)->record.id.str(), "full",
+                 "the engine 'full' has no requests yet");
   }
   registry.onLoadReport(kStart, EngineId("full"), {3, 0, 4});
   for (int i = 0; i < 20; ++i) {
@@ -358,12 +359,12 @@
   again.start = 2000;
   cr_assert(registry.onRecord(kStart, again) == engines::RecordEffect::kRestarted);
   const engines::engine_state* engine = registry.find(id);
-  cr_assert_eq(engine->versionOf(kModel), 3U, "not the version of the previous run");
+  cr_assert_eq(engine->versionOf(kModel), 3U, "not the version from before the restart");
   cr_assert_eq(engine->health.failures(), 0);
   cr_assert(registry.admit(kStart, *engine, serviceRequest()) == engines::AdmissionFailure::kNone);
 }
 
-Test(engine_registry, ignores_a_record_of_an_earlier_run) {
+Test(engine_registry, ignores_a_record_from_before_the_restart) {
   engine_record newer = record("a", 3);
   newer.start = 2000;
   engine_registry registry = registryOf({newer});
--- a/tests/gateway/routing/tenant_table_test.cpp
+++ b/tests/gateway/routing/tenant_table_test.cpp
@@ -67,7 +67,7 @@
   cr_assert_eq(http::fieldText(fields, "Authorization"), "Bearer mine");
 }
 
-Test(tenant_table, duplicate_names_and_keys_are_findings_with_their_place) {
+Test(tenant_table, reports_duplicate_names_and_keys_with_their_place) {
   const std::vector<tenant> twice = {{TenantId("ada"), {}, {digestOf("k1")}},
                                      {TenantId("ada"), {}, {digestOf("k2")}},
                                      {TenantId("bob"), {}, {digestOf("k1")}}};
