--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -179,10 +179,10 @@
 void scaling_policy::onAnswer(Instant now, const scaling_decision& decision,
                               FencedCallResult answer) {
   group_state& state = this->states_[decision.group];
-  state.unconfirmed = answer != FencedCallResult::kTaken;
+  state.unconfirmed = answer != FencedCallResult::kAccepted;
   if (decision.scalesDown()) state.scaled_down_at = now;
   switch (answer) {
-    case FencedCallResult::kTaken:
+    case FencedCallResult::kAccepted:
       state.refusals = 0;
       state.ordered_at = now;
       if (decision.reason == OrderReason::kRepeat) ++state.repeats;
--- a/src/gateway/usage/usage_port.cpp
+++ b/src/gateway/usage/usage_port.cpp
@@ -4,7 +4,7 @@
 
 const char* toText(FencedCallResult answer) {
   switch (answer) {
-    case FencedCallResult::kTaken:
+    case FencedCallResult::kAccepted:
       return "taken";
     case FencedCallResult::kFenced:
       return "fenced";
--- a/src/gateway/usage/usage_port.h
+++ b/src/gateway/usage/usage_port.h
@@ -15,10 +15,10 @@
 
 /** Result of a platform call that carries a fencing token. */
 enum class FencedCallResult {
-  kTaken,
-  kFenced,   ///< The platform has seen a higher token for the same subject.
-  kRefused,  ///< Not executed; may be retried later.
-  kUnknown,  ///< No response: the call may still be executed.
+  kAccepted,  ///< The platform accepted the call.
+  kFenced,    ///< The platform has seen a higher token for the same subject.
+  kRefused,   ///< Not executed; may be retried later.
+  kUnknown,   ///< No response: the call may still be executed.
 };
 
 const char* toText(FencedCallResult answer);
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -196,7 +196,7 @@
       .text("outcome", toText(answer))
       .milliseconds("took_ms", took);
   const bool same = this->progress_ && this->progress_->report.window == report.window;
-  if (answer == FencedCallResult::kTaken) {
+  if (answer == FencedCallResult::kAccepted) {
     ++this->total_reported_;
     if (same) this->progress_->accepted = true;
     co_return;
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -69,7 +69,7 @@
 
 /// Executes the due orders as scaling_service does. @return these orders.
 std::vector<scaling_decision> step(scaling_policy& policy, int second, const scaling_view& view,
-                                   FencedCallResult answer = FencedCallResult::kTaken,
+                                   FencedCallResult answer = FencedCallResult::kAccepted,
                                    const scaling_bounds& within = bounds()) {
   auto due = policy.decide(after(second), within, view);
   for (const scaling_decision& each : due) {
@@ -145,7 +145,7 @@
 Test(scaling_policy, replacements_stay_within_the_bounds) {
   scaling_policy policy(options(), kStart, fourEach());
   const auto due =
-      step(policy, 0, closing(seen(4, 4, 4), "c"), FencedCallResult::kTaken, bounds(5));
+      step(policy, 0, closing(seen(4, 4, 4), "c"), FencedCallResult::kAccepted, bounds(5));
   cr_assert_eq(wantedOf(due, kA), 5U);
   cr_assert_eq(wantedOf(due, kB), 5U);
 }
@@ -219,7 +219,8 @@
   for (const scaling_decision& each : due) {
     policy.onRecord(policy.withOrder(each));
     const bool refused = each.group == kA;
-    policy.onAnswer(after(0), each, refused ? FencedCallResult::kFenced : FencedCallResult::kTaken);
+    policy.onAnswer(after(0), each,
+                    refused ? FencedCallResult::kFenced : FencedCallResult::kAccepted);
   }
   const auto next = step(policy, 1, view);
   cr_assert_eq(next.size(), 1U);
