--- a/src/gateway/versions/version_order.h
+++ b/src/gateway/versions/version_order.h
@@ -46,9 +46,9 @@
 /** An engine's report of its state; slightly outdated on arrival. */
 struct order_report {
   engines::engine_start start = 0;
-  std::uint64_t taken = 0;  ///< Orders accepted since the engine's start.
-  bool busy = false;        ///< An order is in progress.
-  std::uint32_t load = 0;   ///< Running and waiting requests.
+  std::uint64_t accepted_orders = 0;  ///< Since the start of the engine.
+  bool busy = false;                  ///< An order is in progress.
+  std::uint32_t load = 0;             ///< Running and waiting requests.
 };
 
 const char* toText(LoadMode mode);
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -60,7 +60,7 @@
   progress.reported_at = now;
   progress.load = report.load;
   // Reports are slightly outdated, so the local count of accepted orders may be ahead.
-  progress.sequence = std::max(progress.sequence.value_or(0), report.taken);
+  progress.sequence = std::max(progress.sequence.value_or(0), report.accepted_orders);
   if (report.busy) {
     progress.not_before = std::max(progress.not_before, now + this->options_.busy_backoff);
   }
