--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -55,14 +55,14 @@
   for (const owner_candidate& each : others) {
     if (ranksHigher(each, self)) better.push_back(each.zone);
   }
-  if (better.size() < wanted.owners) return true;
+  if (better.size() < wanted.min_candidates) return true;
   return std::any_of(
       wanted.zone_requirements.begin(), wanted.zone_requirements.end(), [&](const auto& required) {
         if (!required.zones.contains(this->zone_)) return false;
         const auto there = std::count_if(
             better.begin(), better.end(),
             [&required](const ZoneName& zone) { return required.zones.contains(zone); });
-        return static_cast<std::size_t>(there) < required.owners;
+        return static_cast<std::size_t>(there) < required.min_candidates;
       });
 }
 
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -18,18 +18,17 @@
 
 namespace linenpier::lease {
 
-/** How many candidates are required. */
+/** How many candidates for owning jobs and leader locks are required. */
 struct pool_requirements {
-  /** Candidates required within a set of zones, for jobs that must stay in these zones.
-   */
+  /** Candidates required within a set of zones, for jobs that must stay in these zones. */
   struct zone_requirement {
     std::set<ZoneName> zones;
-    std::size_t owners = 0;
+    std::size_t min_candidates = 0;
 
     bool operator==(const zone_requirement&) const = default;
   };
 
-  std::size_t owners = 0;  ///< In any zone.
+  std::size_t min_candidates = 0;  ///< In the whole fleet, whatever their zones.
   std::vector<zone_requirement> zone_requirements = {};
 
   bool operator==(const pool_requirements&) const = default;
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -244,13 +244,13 @@
   if (!owner_pool_.onLeasesRead(steadyNow(), owner_demand_)) return;
   LogEvent("lease", owner_pool_.isCandidate() ? "offers_to_own" : "offers_no_more")
       .real("capacity", owner_pool_.capacity())
-      .number("wanted", static_cast<std::int64_t>(owner_demand_.owners))
+      .number("wanted", static_cast<std::int64_t>(owner_demand_.min_candidates))
       .number("homes", static_cast<std::int64_t>(owner_demand_.zone_requirements.size()));
   updateColdSenders();
 }
 
 void Gateway::updateColdSenders() {
-  cold_engines_.updateSenders(owner_demand_.owners, ownsWork());
+  cold_engines_.updateSenders(owner_demand_.min_candidates, ownsWork());
 }
 
 bool Gateway::ownsWork() const {
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -29,15 +29,15 @@
 
 /** Adds a residency constraint, or raises the demand of an equal one. */
 void mergePlace(std::vector<zone_requirement>& places, std::set<ZoneName> zones,
-                std::size_t owners) {
+                std::size_t min_candidates) {
   if (zones.empty()) return;
   const auto known =
       std::find_if(places.begin(), places.end(),
                    [&zones](const zone_requirement& each) { return each.zones == zones; });
   if (known == places.end()) {
-    places.push_back({std::move(zones), owners});
+    places.push_back({std::move(zones), min_candidates});
   } else {
-    known->owners = std::max(known->owners, owners);
+    known->min_candidates = std::max(known->min_candidates, min_candidates);
   }
 }
 
@@ -50,13 +50,13 @@
 lease::pool_requirements computeOwnerDemand(const routing::RouteTable& table,
                                             const fleet::fleet_layout& layout) {
   lease::pool_requirements demand = defaultOwnerDemand();
-  for (const auto& [name, service] : table.services) demand.owners += service.models.size();
+  for (const auto& [name, service] : table.services) demand.min_candidates += service.models.size();
   for (const routing::Route& route : table.routes) {
     if (route.kind != routing::RequestKind::kBatch) continue;
-    const std::size_t owners = modelCount(table, route) + kSpareOwnersPerPlace;
+    const std::size_t min_candidates = modelCount(table, route) + kSpareOwnersPerPlace;
     const auto add = [&](const fleet::data_residency& residency) {
       if (residency.isRestricted())
-        mergePlace(demand.zone_requirements, allowedZones(layout, residency), owners);
+        mergePlace(demand.zone_requirements, allowedZones(layout, residency), min_candidates);
     };
     add(route.residency);
     for (const routing::tenant& each : table.tenants.all())
