--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -68,8 +68,8 @@
   if (key.starts_with(table::kJobPrefix)) {
     const JobId id(suffixAfter(table::kJobPrefix));
     change.removed ? batches.onRecordRemoved(id) : batches.onRecordRow(id, change.row);
-  } else if (key.starts_with(table::kOrderPrefix)) {
-    const ServiceName service(suffixAfter(table::kOrderPrefix));
+  } else if (key.starts_with(table::kServiceLockPrefix)) {
+    const ServiceName service(suffixAfter(table::kServiceLockPrefix));
     change.removed ? orders.onLockRemoved(service) : orders.onLockRow(service, change.row);
   } else if (key.starts_with(table::kSuspectPrefix)) {
     const suspects::request_key suspect(suffixAfter(table::kSuspectPrefix));
--- a/src/gateway/table/store_keys.h
+++ b/src/gateway/table/store_keys.h
@@ -19,7 +19,8 @@
 inline const std::string kCheckpointTable = "checkpoints";
 inline const std::string kBodyTable = "bodies";
 inline const std::string kJobPrefix = "job/";
-inline const std::string kOrderPrefix = "order/";
+/// Leader locks of services, whose holders order engines to load versions.
+inline const std::string kServiceLockPrefix = "order/";
 
 /// @return the row's key without its table.
 inline std::string keyWithoutTable(const Row& row) {
@@ -32,8 +33,8 @@
 inline std::string leaseKey(const LeaseId& id) {
   return kLeaseTable + "/" + id.str();
 }
-inline std::string orderKey(const ServiceName& service) {
-  return kCoordinationTable + "/" + kOrderPrefix + service.str();
+inline std::string serviceLockKey(const ServiceName& service) {
+  return kCoordinationTable + "/" + kServiceLockPrefix + service.str();
 }
 inline const std::string kLockPrefix = "right/";  ///< Leader locks other than those of services.
 inline const std::string kUsageTable = "usage";
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -23,7 +23,7 @@
     const lease::leader_lock::dependencies& deps, const ServiceName& service,
     const rollout_service_options& options)
     : rollout(options.rollout),
-      lock(deps, "order/" + service.str(), table::orderKey(service), options.handover,
+      lock(deps, "order/" + service.str(), table::serviceLockKey(service), options.handover,
            [this](bool) { this->rollout.reset(); }) {}
 
 void rollout_service::start() {
