--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -28,7 +28,7 @@
    * the two.
    */
   virtual Task<usage::FencedCallResult> setEngineCount(scaling_order order,
-                                                       usage::fenced_call_context proof) = 0;
+                                                       usage::fenced_call_context context) = 0;
 };
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -256,11 +256,11 @@
 Task<void> scaling_service::send(ServiceName name, scaling_decision decision, FencingToken token) {
   const Instant sent_at = steadyNow();
   if (!this->lock_.mayAct(sent_at) || this->lock_.token() != token) co_return;
-  const usage::fenced_call_context proof{this->deps_.holder, token, this->lock_.mayActUntil()};
+  const usage::fenced_call_context context{this->deps_.holder, token, this->lock_.mayActUntil()};
   const scaling_order order{name, decision.group, decision.wanted};
   this->lock_.recordAction(sent_at);
   ++this->totals_.sent;
-  const FencedCallResult answer = co_await this->deps_.port.setEngineCount(order, proof);
+  const FencedCallResult answer = co_await this->deps_.port.setEngineCount(order, context);
   if (answer == FencedCallResult::kUnknown) ++this->totals_.unanswered;
   if (answer == FencedCallResult::kFenced || answer == FencedCallResult::kRefused)
     ++this->totals_.refused;
--- a/src/gateway/usage/usage_port.h
+++ b/src/gateway/usage/usage_port.h
@@ -42,7 +42,7 @@
  public:
   virtual ~usage_port() = default;
 
-  virtual Task<FencedCallResult> reportUsage(usage_report report, fenced_call_context proof) = 0;
+  virtual Task<FencedCallResult> reportUsage(usage_report report, fenced_call_context context) = 0;
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -184,15 +184,15 @@
 
 Task<void> usage_reporter::send() {
   const usage_report report = this->progress_->report;
-  const fenced_call_context proof{this->deps_.holder, this->lock_.token(),
-                                  this->lock_.mayActUntil()};
+  const fenced_call_context context{this->deps_.holder, this->lock_.token(),
+                                    this->lock_.mayActUntil()};
   const Instant sent_at = steadyNow();
   this->lock_.recordAction(sent_at);
-  const FencedCallResult answer = co_await this->deps_.port.reportUsage(report, proof);
+  const FencedCallResult answer = co_await this->deps_.port.reportUsage(report, context);
   const Duration took = steadyNow() - sent_at;
   LogEvent("usage", "report_answered")
       .number("window", report.window)
-      .number("token", static_cast<std::int64_t>(proof.token))
+      .number("token", static_cast<std::int64_t>(context.token))
       .text("outcome", toText(answer))
       .milliseconds("took_ms", took);
   const bool same = this->progress_ && this->progress_->report.window == report.window;
