--- a/src/gateway/lease/capacity_estimator.h
+++ b/src/gateway/lease/capacity_estimator.h
@@ -25,20 +25,20 @@
 
   /** Records that a timer ran this long after it was due. */
   void onTimerLateness(Duration lateness) {
-    const double seconds = toSeconds(std::max(lateness - kToleratedLateness, Duration::zero()));
+    const double seconds = toSeconds(std::max(lateness - kIdleLateness, Duration::zero()));
     this->lateness_ += kNewestWeight * (seconds - this->lateness_);
   }
 
   /** @return the capacity in processors, limited by the link. */
   double value() const {
     const double by_link = this->limits_.link_mbps / kMbpsPerProcessor;
-    const double given = std::min(this->limits_.processors, by_link);
-    return given / (1 + this->lateness_ / toSeconds(kHalvingLateness));
+    const double available = std::min(this->limits_.processors, by_link);
+    return available / (1 + this->lateness_ / toSeconds(kHalvingLateness));
   }
 
  private:
   /// Lateness of timers on an idle machine.
-  static constexpr Duration kToleratedLateness = std::chrono::milliseconds(5);
+  static constexpr Duration kIdleLateness = std::chrono::milliseconds(5);
   /// Excess lateness that halves the capacity: it delays each step of an item's run about as much
   /// as a machine of half the speed would.
   static constexpr Duration kHalvingLateness = std::chrono::milliseconds(20);
--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -37,11 +37,11 @@
 }
 
 leader_lock::leader_lock(const dependencies& deps, std::string name, std::string key,
-                         handover_options rules, on_change callback)
+                         handover_options handover, on_change callback)
     : deps_(deps),
       name_(std::move(name)),
       key_(std::move(key)),
-      rules_(rules),
+      handover_(handover),
       started_at_(steadyNow()),
       on_change_(std::move(callback)) {}
 
@@ -63,7 +63,7 @@
   const leader_lock_row value = decodeLockRow(row.value);
   this->revision_ = row.revision;
   this->owner_ = value.owner;
-  this->last_action_ms_ = value.last_action_ms;
+  this->previous_leader_action_ms_ = value.last_action_ms;
   this->vacant_since_ = Instant{};
   if (!was_held || this->held()) return;
   LogEvent("lease", "right_lost")
@@ -121,22 +121,22 @@
 }
 
 Duration leader_lock::handoverDelayAfterOwnActions(Instant now) const {
-  const Instant last = std::max(this->started_at_, this->last_action_at_);
-  return std::max<Duration>(last + this->rules_.pause - now, Duration::zero());
+  const Instant last = std::max(this->started_at_, this->own_last_action_at_);
+  return std::max<Duration>(last + this->handover_.pause - now, Duration::zero());
 }
 
 Duration leader_lock::handoverDelayAfter(const LeaseId& from, std::int64_t last_action_ms) const {
-  if (this->rules_.tokens_checked) return this->handoverDelayAfterOwnActions(steadyNow());
+  if (this->handover_.tokens_checked) return this->handoverDelayAfterOwnActions(steadyNow());
   if (!from.empty()) {
     // The old leader could act until its validity ended, which is before its lease expired for
     // others.
     const lease_times& times = this->deps_.leases.times();
-    return this->rules_.pause - (times.expiry - times.validity);
+    return this->handover_.pause - (times.expiry - times.validity);
   }
   const std::int64_t clock_ms = this->deps_.keeper.storeClock(steadyNow());
-  if (last_action_ms == 0 || clock_ms == 0) return this->rules_.pause;
+  if (last_action_ms == 0 || clock_ms == 0) return this->handover_.pause;
   const Duration since = std::chrono::milliseconds(clock_ms - last_action_ms);
-  return std::clamp(this->rules_.pause - since, Duration::zero(), this->rules_.pause);
+  return std::clamp(this->handover_.pause - since, Duration::zero(), this->handover_.pause);
 }
 
 Task<void> leader_lock::acquire() {
@@ -148,7 +148,7 @@
     co_return;
   }
   const Revision before = this->revision_;
-  const std::int64_t last_action_ms = this->last_action_ms_;
+  const std::int64_t last_action_ms = this->previous_leader_action_ms_;
   const bool first = before == 0 || this->deps_.leases.isPreviousIncarnation(from);
   table::Write write;
   write.transaction.checks.push_back({this->key_, before});
@@ -187,9 +187,9 @@
   table::Write write;
   write.transaction.checks.push_back(this->condition());
   const std::int64_t last_action_ms =
-      this->last_action_at_ == Instant{}
-          ? this->last_action_ms_
-          : this->deps_.keeper.storeClock(this->last_action_at_) + kClockLagMs;
+      this->own_last_action_at_ == Instant{}
+          ? this->previous_leader_action_ms_
+          : this->deps_.keeper.storeClock(this->own_last_action_at_) + kClockLagMs;
   write.transaction.puts.push_back({this->key_, encodeLockRow({{}, last_action_ms})});
   this->owner_ = LeaseId();
   // If the store does not respond, the lock is taken over as from a crashed leader.
--- a/src/gateway/lease/leader_lock.h
+++ b/src/gateway/lease/leader_lock.h
@@ -68,8 +68,8 @@
   /** @param name used in the log and to compute takeover delays.
    * @param key of the lock's row.
    */
-  leader_lock(const dependencies& deps, std::string name, std::string key, handover_options rules,
-              on_change callback);
+  leader_lock(const dependencies& deps, std::string name, std::string key,
+              handover_options handover, on_change callback);
 
   /** Handles the row from a feed or a write conflict. Ignores rows older than the known one. */
   void onRow(const table::Row& row);
@@ -90,7 +90,7 @@
   /** @return a check that the lock is still held, for writes that must fail otherwise. */
   table::Check condition() const { return {this->key_, this->revision_}; }
   /** Must be called before each call made under the lock. */
-  void recordAction(Instant now) { this->last_action_at_ = now; }
+  void recordAction(Instant now) { this->own_last_action_at_ = now; }
   /** Releases the lock, so that another daemon need not wait for this one's lease to expire. */
   Task<void> handOver();
 
@@ -108,7 +108,7 @@
   dependencies deps_;
   std::string name_;
   std::string key_;
-  handover_options rules_;
+  handover_options handover_;
   Instant started_at_;  ///< Of this incarnation; an earlier one may have acted until then.
   on_change on_change_;
   Revision revision_ = 0;  ///< Of the row; the fencing token while `owner_` is this daemon.
@@ -119,10 +119,11 @@
   /// When the last committed confirmation was sent, not when its response arrived: the lock may
   /// have been lost in between.
   Instant confirmed_at_{};
-  Instant vacant_since_{};           ///< Since when the lock is known to be free; zero: it is not.
-  Instant may_act_at_{};             ///< End of the handover pause.
-  std::int64_t last_action_ms_ = 0;  ///< Of an earlier leader, by the store's clock; 0: unknown.
-  Instant last_action_at_{};         ///< Of this daemon; zero: none.
+  Instant vacant_since_{};  ///< Since when the lock is known to be free; zero: it is not.
+  Instant may_act_at_{};    ///< End of the handover pause.
+  std::int64_t previous_leader_action_ms_ =
+      0;                          ///< Of an earlier leader, by the store's clock; 0: unknown.
+  Instant own_last_action_at_{};  ///< Of this daemon; zero: none.
 };
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -72,8 +72,9 @@
     co_await sleepFor(this->loop_, pause);
     // A distant store delays each step of an item's run as a late timer does, so both lower the
     // capacity.
-    const Duration store_delay = storeDelay(this->leases_.allowance(), this->leases_.times());
-    this->pool_.onTimerLateness(steadyNow() - wake_at + store_delay);
+    const Duration excess_delay =
+        excessStoreDelay(this->leases_.allowance(), this->leases_.times());
+    this->pool_.onTimerLateness(steadyNow() - wake_at + excess_delay);
   }
 }
 
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// The takeover delay increases with the daemon's uptime up to this uptime …
-constexpr Duration kMaxCountedAge = std::chrono::seconds(60);
+constexpr Duration kMaxCountedUptime = std::chrono::seconds(60);
 /// … and up to this delay.
-constexpr Duration kMaxAgeDelay = std::chrono::milliseconds(300);
+constexpr Duration kMaxUptimeDelay = std::chrono::milliseconds(300);
 /// A hash of daemon and subject adds up to this, so that daemons of the same uptime differ.
 constexpr Duration kMaxJitter = std::chrono::milliseconds(80);
 constexpr std::int64_t kJitterSteps = 100;
@@ -19,10 +19,11 @@
 }  // namespace
 
 Duration lease_table::takeoverDelay(Instant now, const std::string& subject) const {
-  const Duration age = std::min(now - this->started_at_, kMaxCountedAge);
+  const Duration uptime = std::min(now - this->started_at_, kMaxCountedUptime);
   const auto step =
       static_cast<std::int64_t>(hash64(this->own_.str(), hash64(subject)) % kJitterSteps);
-  return kMaxAgeDelay * age.count() / kMaxCountedAge.count() + kMaxJitter * step / kJitterSteps;
+  return kMaxUptimeDelay * uptime.count() / kMaxCountedUptime.count() +
+         kMaxJitter * step / kJitterSteps;
 }
 
 void lease_table::onRow(Instant now, const LeaseId& lease, Revision revision) {
--- a/src/gateway/lease/store_delay.h
+++ b/src/gateway/lease/store_delay.h
@@ -14,13 +14,13 @@
 /** Longer delays are caused by the store itself and affect all daemons, so they must not change the
  * ranking.
  */
-inline constexpr Duration kMaxStoreDelay = std::chrono::milliseconds(40);
+inline constexpr Duration kMaxExcessStoreDelay = std::chrono::milliseconds(40);
 
 /** @param allowance of the lease table: a multiple of the excess delay of its reads.
  * @return by how much this daemon's reads of the store exceed the tolerated delay.
  */
-inline Duration storeDelay(Duration allowance, const lease_times& times) {
-  return std::min(allowance / times.allowance_factor, kMaxStoreDelay);
+inline Duration excessStoreDelay(Duration allowance, const lease_times& times) {
+  return std::min(allowance / times.allowance_factor, kMaxExcessStoreDelay);
 }
 
 }  // namespace linenpier::lease
--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -110,7 +110,7 @@
   if (this->options_.mode == ScalingMode::kFixed || this->record_.baseline.empty()) return more;
   this->observe(now, view);
   const scaling_targets targets = computeTargets(this->targetInputs(now, bounds, view));
-  const OrderReason reason = targets.missing > 0 ? OrderReason::kReplace : OrderReason::kWork;
+  const OrderReason reason = targets.to_replace > 0 ? OrderReason::kReplace : OrderReason::kWork;
   for (const auto& [group, wanted] : targets.wanted) {
     const std::size_t have = view.of(group).serving;
     const auto due =
@@ -123,45 +123,46 @@
 
 std::optional<scaling_decision> scaling_policy::orderDue(Instant now,
                                                          const fleet::scaling_bounds& bounds,
-                                                         scaling_decision change) {
-  group_state& state = this->states_[change.group];
-  if (change.wanted >= change.before) state.needed_at = now;
+                                                         scaling_decision candidate) {
+  group_state& state = this->states_[candidate.group];
+  if (candidate.wanted >= candidate.before) state.needed_at = now;
   if (now < state.paused_until || now < state.no_capacity_until) return std::nullopt;
-  if (change.wanted > change.before) return change;
-  if (change.wanted < change.before) return this->scaleDownDue(now, state.needed_at, change);
-  return this->repeatDue(now, bounds, change);
+  if (candidate.wanted > candidate.before) return candidate;
+  if (candidate.wanted < candidate.before)
+    return this->scaleDownDue(now, state.needed_at, candidate);
+  return this->repeatDue(now, bounds, candidate);
 }
 
 std::optional<scaling_decision> scaling_policy::scaleDownDue(Instant now, Instant since,
-                                                             scaling_decision change) const {
-  const group_state& state = this->states_.at(change.group);
+                                                             scaling_decision candidate) const {
+  const group_state& state = this->states_.at(candidate.group);
   if (now - since < this->options_.stabilization_window) return std::nullopt;
   if (now - state.scaled_down_at < this->options_.scale_down_interval) return std::nullopt;
   // One engine at a time; engines that were ordered but have not started are cancelled at once.
-  const std::size_t step = change.have >= change.before ? 1 : 0;
-  const std::size_t fewer = change.have - std::min(step, change.have);
-  change.wanted = std::max(change.wanted, fewer);
-  change.reason = OrderReason::kSurplus;
-  return change;
+  const std::size_t step = candidate.have >= candidate.before ? 1 : 0;
+  const std::size_t fewer = candidate.have - std::min(step, candidate.have);
+  candidate.wanted = std::max(candidate.wanted, fewer);
+  candidate.reason = OrderReason::kSurplus;
+  return candidate;
 }
 
 std::optional<scaling_decision> scaling_policy::repeatDue(Instant now,
                                                           const fleet::scaling_bounds& bounds,
-                                                          scaling_decision change) const {
-  const group_state& state = this->states_.at(change.group);
-  change.reason = OrderReason::kRepeat;
+                                                          scaling_decision candidate) const {
+  const group_state& state = this->states_.at(candidate.group);
+  candidate.reason = OrderReason::kRepeat;
   // An order without a response may have been executed after newer ones.
-  if (change.have > change.before && state.unanswered_at != Instant{}) {
-    return this->scaleDownDue(now, state.surplus_since, change);
+  if (candidate.have > candidate.before && state.unanswered_at != Instant{}) {
+    return this->scaleDownDue(now, state.surplus_since, candidate);
   }
-  if (change.have >= change.before) return std::nullopt;
-  if (state.unconfirmed) return change;
+  if (candidate.have >= candidate.before) return std::nullopt;
+  if (state.unconfirmed) return candidate;
   const Duration timeout = bounds.boot_time + this->options_.boot_slack;
   const Duration after_order = state.repeats > 0 ? this->backoff(state.repeats) + timeout : timeout;
   const bool waited =
       heldFor(now, state.missing_since, timeout) && now - state.ordered_at >= after_order;
   if (!waited) return std::nullopt;
-  return change;
+  return candidate;
 }
 
 scaling_record scaling_policy::withOrder(const scaling_decision& decision) const {
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -66,15 +66,15 @@
                              const scaling_view& view) const;
   /** @return the order that is due for a group, if any. */
   std::optional<scaling_decision> orderDue(Instant now, const fleet::scaling_bounds& bounds,
-                                           scaling_decision change);
+                                           scaling_decision candidate);
   /** @param since when there are more engines than needed.
    * @return an order for one engine less, if due.
    */
   std::optional<scaling_decision> scaleDownDue(Instant now, Instant since,
-                                               scaling_decision change) const;
+                                               scaling_decision candidate) const;
   /** @return a repetition of the last order, if due. */
   std::optional<scaling_decision> repeatDue(Instant now, const fleet::scaling_bounds& bounds,
-                                            scaling_decision change) const;
+                                            scaling_decision candidate) const;
   /** @return the backoff after this many consecutive failures. */
   Duration backoff(int failures) const;
 
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -72,12 +72,12 @@
 }
 
 bool scaling_service::engineListSettled(Instant now) {
-  if (!this->deps_.engines_followed() || !this->deps_.lock.leases.storeHealthy()) {
-    this->followed_since_ = Instant{};
+  if (!this->deps_.engine_list_current() || !this->deps_.lock.leases.storeHealthy()) {
+    this->list_current_since_ = Instant{};
     return false;
   }
-  if (this->followed_since_ == Instant{}) this->followed_since_ = now;
-  return now - this->followed_since_ >= this->options_.settle;
+  if (this->list_current_since_ == Instant{}) this->list_current_since_ = now;
+  return now - this->list_current_since_ >= this->options_.settle;
 }
 
 Task<void> scaling_service::decideAll() {
@@ -127,7 +127,7 @@
   co_return true;
 }
 
-scaling_view scaling_service::viewOf(const routing::Service& service, peak_demand& work) const {
+scaling_view scaling_service::viewOf(const routing::Service& service, peak_demand& demand) const {
   scaling_view view;
   std::uint32_t slots = 1;
   for (const auto& [id, engine] : this->deps_.registry.all()) {
@@ -150,7 +150,7 @@
     const auto at = open.find(model);
     if (at != open.end()) items += at->second.items;
   }
-  view.engines_for_work = work.onOpenItems(steadyNow(), this->options_, items, slots);
+  view.engines_for_work = demand.onOpenItems(steadyNow(), this->options_, items, slots);
   return view;
 }
 
@@ -162,7 +162,7 @@
     service_state fresh{0, scaling_policy(this->options_, now, scaling_record{}), {}};
     at = this->services_.emplace(name, std::move(fresh)).first;
   }
-  const scaling_view view = this->viewOf(service, at->second.work);
+  const scaling_view view = this->viewOf(service, at->second.demand);
   const std::vector<scaling_decision> due = at->second.policy.decide(now, *service.scaling, view);
   const std::optional<scaling_record> learned = at->second.policy.learnBaseline(now, view);
   if (learned) {
@@ -273,7 +273,7 @@
       .number("wanted", number(decision.wanted))
       .text("reason", toText(decision.reason))
       .number("token", static_cast<std::int64_t>(token))
-      .milliseconds("engines_known", sent_at - this->followed_since_)
+      .milliseconds("engines_known", sent_at - this->list_current_since_)
       .text("outcome", usage::toText(answer))
       .milliseconds("took_ms", steadyNow() - sent_at);
   const auto at = this->services_.find(name);
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -41,7 +41,7 @@
     const engines::engine_registry& registry;
     std::function<routing::RouteTablePtr()> routes;
     std::function<versions::open_work_by_model()> open_work;  ///< Of active jobs.
-    std::function<bool()> engines_followed;  ///< Whether the list of engines is up to date.
+    std::function<bool()> engine_list_current;  ///< Whether the list of engines is up to date.
     load_query load;
   };
   scaling_service(dependencies deps, const scaling_options& options,
@@ -63,7 +63,7 @@
   struct service_state {
     Revision revision = 0;  ///< Of the service's row; 0: there is none.
     scaling_policy policy;
-    peak_demand work;
+    peak_demand demand;
   };
 
   Task<void> lockLoop();
@@ -75,7 +75,7 @@
   Task<bool> readRecords();
   /** @return whether the list of engines has been up to date for long enough. */
   bool engineListSettled(Instant now);
-  scaling_view viewOf(const routing::Service& service, peak_demand& work) const;
+  scaling_view viewOf(const routing::Service& service, peak_demand& demand) const;
   Task<void> writeBaseline(ServiceName name, scaling_record learned);
   /** Writes the service's row, conditional on the lock being held. @return whether it was
    * committed.
@@ -95,7 +95,8 @@
   /// outcome; no decision is made until the rows are read.
   bool records_read_ = false;
   std::map<ServiceName, service_state> services_;
-  Instant followed_since_{};  ///< Since when the list of engines is up to date; zero: it is not.
+  Instant
+      list_current_since_{};  ///< Since when the list of engines is up to date; zero: it is not.
   bool table_read_ = false;
 };
 
--- a/src/gateway/scaling/scaling_targets.cpp
+++ b/src/gateway/scaling/scaling_targets.cpp
@@ -21,7 +21,7 @@
   scaling_targets targets;
   for (const ZoneName& zone : zonesOf(inputs.baseline)) {
     if (inputs.unavailable.contains(zone)) {
-      targets.missing += countInZone(inputs.baseline, zone);
+      targets.to_replace += countInZone(inputs.baseline, zone);
       continue;
     }
     for (const fleet::EngineKind kind : {fleet::EngineKind::kOnDemand, fleet::EngineKind::kSpot}) {
@@ -30,7 +30,7 @@
       const std::size_t there = std::min(baseline, inputs.view.of(group).serving);
       const bool without_capacity = inputs.without_capacity.contains(group);
       targets.wanted[group] = without_capacity ? there : baseline;
-      if (without_capacity) targets.missing += baseline - there;
+      if (without_capacity) targets.to_replace += baseline - there;
     }
   }
   return targets;
@@ -120,12 +120,12 @@
   }
   // If less than the baseline is needed, missing engines are not replaced up to the difference.
   std::size_t fewer = baseline - std::min(baseline, needed);
-  const std::size_t not_replaced = std::min(fewer, targets.missing);
-  targets.missing -= not_replaced;
+  const std::size_t not_replaced = std::min(fewer, targets.to_replace);
+  targets.to_replace -= not_replaced;
   fewer -= not_replaced;
   removeEngines(inputs, fewer, targets.wanted);
   const std::size_t left =
-      addEngines(inputs, targets.missing, fleet::EngineKind::kOnDemand, targets.wanted);
+      addEngines(inputs, targets.to_replace, fleet::EngineKind::kOnDemand, targets.wanted);
   std::size_t more = needed - std::min(baseline, needed) + left;
   const bool spot_is_cheaper = inputs.bounds.spot_price < 1;
   if (spot_is_cheaper) {
--- a/src/gateway/scaling/scaling_targets.h
+++ b/src/gateway/scaling/scaling_targets.h
@@ -28,7 +28,7 @@
 
 struct scaling_targets {
   fleet::group_counts wanted;  ///< Without the groups of unavailable zones.
-  std::size_t missing = 0;     ///< Engines replaced in other groups.
+  std::size_t to_replace = 0;  ///< Engines replaced in other groups.
 };
 
 scaling_targets computeTargets(const target_inputs& inputs);
--- a/src/gateway/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -27,7 +27,7 @@
 
 Task<void> TableWatcher::run() {
   for (;;) {
-    const bool done = have_rows_ ? co_await waitForChanges() : co_await readWhole();
+    const bool done = can_watch_ ? co_await waitForChanges() : co_await readWhole();
     if (done) {
       backoff_.onSuccess();
       continue;
@@ -74,7 +74,7 @@
     if (!more) break;
   }
   revision_ = revision;
-  have_rows_ = true;
+  can_watch_ = true;
   setHealthy(true);
   ever_read_ = true;
   listener_.on_snapshot(rows);
@@ -89,7 +89,7 @@
     co_return false;
   }
   if (batch->history_truncated) {
-    have_rows_ = false;
+    can_watch_ = false;
     co_return true;
   }
   setHealthy(true);
--- a/src/gateway/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -81,7 +81,7 @@
   retry_backoff backoff_;
   Signal retry_now_;
   Revision revision_ = 0;   ///< All changes up to here were reported.
-  bool have_rows_ = false;  ///< Whether changes can be watched from `revision_`.
+  bool can_watch_ = false;  ///< Whether changes can be watched from `revision_`.
   bool ever_read_ = false;
   bool healthy_ = false;
   Instant last_answer_{};
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -48,7 +48,7 @@
     if (!window) return false;
     window_counts& counts = this->windows_[*window];
     ++counts.counts[each.tenant];
-    ++counts.changes;
+    ++counts.total;
     return true;
   });
 }
--- a/src/gateway/usage/usage_counter.h
+++ b/src/gateway/usage/usage_counter.h
@@ -33,11 +33,11 @@
  */
 struct window_counts {
   tenant_counts counts;
-  Revision revision = 0;      ///< Of the row; 0: none yet.
-  std::uint64_t changes = 0;  ///< Requests counted.
-  std::uint64_t stored = 0;   ///< Of these, stored.
+  Revision revision = 0;     ///< Of the row; 0: none yet.
+  std::uint64_t total = 0;   ///< Sum of the counts.
+  std::uint64_t stored = 0;  ///< Of these, stored.
 
-  bool unsaved() const { return this->changes > this->stored; }
+  bool unsaved() const { return this->total > this->stored; }
 };
 
 class usage_counter {
--- a/src/gateway/usage/usage_writer.cpp
+++ b/src/gateway/usage/usage_writer.cpp
@@ -56,7 +56,7 @@
     const std::string key = table::usageKey(window, this->deps_.leases.own());
     write.transaction.checks.push_back({key, counts.revision});
     write.transaction.puts.push_back({key, encodeCounts(counts.counts)});
-    added.push_back({window, counts.changes});
+    added.push_back({window, counts.total});
   }
   return added;
 }
@@ -68,7 +68,7 @@
   if (store_ms == 0 || recent) return false;
   const clock_sample sample{this->deps_.time_of_day_ms() - store_ms, store_ms};
   write.transaction.puts.push_back(
-      {table::clockSampleKey(this->deps_.holder), encodeSample(sample)});
+      {table::clockSampleKey(this->deps_.daemon), encodeSample(sample)});
   return true;
 }
 
@@ -107,7 +107,7 @@
     }
     window_counts& counts = this->counter_.of(each.window);
     counts.revision = answer.revision;
-    counts.stored = std::max(counts.stored, each.changes);
+    counts.stored = std::max(counts.stored, each.total);
   }
 }
 
@@ -120,9 +120,9 @@
   const bool present = row != answer.conflicts.end();
   if (!present && counts.revision > 0) {
     // The window was summed and its rows were removed.
-    const std::uint64_t missed = counts.changes - counts.stored;
+    const std::uint64_t missed = counts.total - counts.stored;
     this->total_late_ += missed;
-    counts.stored = counts.changes;
+    counts.stored = counts.total;
     LogEvent("usage", "counted_too_late")
         .number("window", written.window)
         .number("requests", static_cast<std::int64_t>(missed));
--- a/src/gateway/usage/usage_writer.h
+++ b/src/gateway/usage/usage_writer.h
@@ -32,7 +32,7 @@
     const lease::lease_table& leases;
     const lease::lease_keeper& keeper;
     const cluster_clock& clock;
-    std::string holder;  ///< Name of this daemon.
+    std::string daemon;  ///< Name of this daemon.
     std::function<std::int64_t()> time_of_day_ms;
     write_by_peer by_peer;
   };
@@ -53,7 +53,7 @@
   /** A window in a pending write. */
   struct written_window {
     window_number window = 0;
-    std::uint64_t changes = 0;  ///< Requests counted in it when the write was sent.
+    std::uint64_t total = 0;  ///< Requests counted in it when the write was sent.
   };
 
   Task<void> writeLoop();
--- a/src/gateway/versions/engine_assignment.cpp
+++ b/src/gateway/versions/engine_assignment.cpp
@@ -45,13 +45,13 @@
   this->model_of_.erase(at);
 }
 
-void engine_assignment::releaseLost(const engines::engine_list& engines,
-                                    const engines_wanted& wanted) {
-  std::vector<EngineId> lost;
+void engine_assignment::releaseUnneeded(const engines::engine_list& engines,
+                                        const engines_wanted& wanted) {
+  std::vector<EngineId> unneeded;
   for (const auto& [id, model] : this->model_of_) {
-    if (!engines.contains(id) || !wanted.contains(model)) lost.push_back(id);
+    if (!engines.contains(id) || !wanted.contains(model)) unneeded.push_back(id);
   }
-  for (const EngineId& id : lost) this->release(id);
+  for (const EngineId& id : unneeded) this->release(id);
 }
 
 void engine_assignment::releaseSurplus(const engines::engine_list& engines,
@@ -146,7 +146,7 @@
 
 void engine_assignment::update(const engines::engine_list& engines, const engines_wanted& wanted,
                                const std::map<ModelName, WeightVersion>& newest_versions) {
-  this->releaseLost(engines, wanted);
+  this->releaseUnneeded(engines, wanted);
   if (wanted.empty()) return;
   this->releaseSurplus(engines, wanted);
   this->adopt(engines, wanted, newest_versions);
--- a/src/gateway/versions/engine_assignment.h
+++ b/src/gateway/versions/engine_assignment.h
@@ -49,7 +49,7 @@
   void assign(const engines::engine_state& engine, const ModelName& model);
   void release(const EngineId& engine);
   /** Releases engines that are no longer listed and those of models that need none. */
-  void releaseLost(const engines::engine_list& engines, const engines_wanted& wanted);
+  void releaseUnneeded(const engines::engine_list& engines, const engines_wanted& wanted);
   /** Releases the surplus of models that have far more engines than they can use. */
   void releaseSurplus(const engines::engine_list& engines, const engines_wanted& wanted);
   /** Assigns engines to the model whose newest weights they hold, so that a new leader continues
--- a/src/gateway/versions/load_demand.cpp
+++ b/src/gateway/versions/load_demand.cpp
@@ -8,7 +8,7 @@
 void load_demand::onOpenWork(Instant now, const open_work_by_model& work) {
   for (const auto& [model, open] : work) {
     peak& known = this->peaks_[model];
-    if (open.items < known.items && now - known.at < this->options_.memory) continue;
+    if (open.items < known.items && now - known.at < this->options_.peak_window) continue;
     known = {open.items, now};
   }
 }
--- a/src/gateway/versions/load_demand.h
+++ b/src/gateway/versions/load_demand.h
@@ -20,10 +20,10 @@
   double headroom = 1.25;  ///< Engines wanted per engine that the open items fill.
   /// Engines assigned to a model, as a multiple of those that load its newest version: a new
   /// version is loaded on idle engines while runs under the previous one finish on others.
-  std::size_t generations = 3;
+  std::size_t assigned_factor = 3;
   /// Window of the peak of open items. Work comes in successive steps, so recent work is expected
   /// to recur.
-  Duration memory = std::chrono::seconds(10);
+  Duration peak_window = std::chrono::seconds(10);
 };
 
 /** Open work of active jobs for a model. */
@@ -50,7 +50,7 @@
   std::size_t enginesFor(const ModelName& model, std::uint32_t slots) const;
   /** @return engines that should be assigned to the model, over all its versions in use. */
   std::size_t enginesToAssign(const ModelName& model, std::uint32_t slots) const {
-    return this->options_.generations * this->enginesFor(model, slots);
+    return this->options_.assigned_factor * this->enginesFor(model, slots);
   }
 
  private:
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -124,7 +124,7 @@
   const OrderResult answer =
       co_await this->deps_.orders.send(order, this->deps_.holder, token, send_by);
   leadership.rollout.onAnswer(steadyNow(), order, answer);
-  if (answer == OrderResult::kStarted) ++this->counts_.under_way;
+  if (answer == OrderResult::kStarted) ++this->counts_.loads_started;
   if (answer == OrderResult::kUnknown) ++this->counts_.unanswered;
   LogEvent("versions", "order_answered")
       .text("engine", order.engine.str())
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -22,7 +22,7 @@
 
 struct rollout_counts {
   std::uint64_t sent = 0;
-  std::uint64_t under_way = 0;
+  std::uint64_t loads_started = 0;
   std::uint64_t unanswered = 0;
 };
 
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -40,7 +40,7 @@
 bool version_rollout::isSettled(Instant now, const ModelName& model) const {
   const auto announced_at = this->announced_at_.find(model);
   return announced_at != this->announced_at_.end() &&
-         now - announced_at->second >= this->options_.settled;
+         now - announced_at->second >= this->options_.settle_time;
 }
 
 void version_rollout::reset() {
@@ -106,7 +106,7 @@
   this->updateOpenWork(now, work);
   this->assignment_.update(engines, this->enginesWanted(now, engines, work),
                            this->newest_versions_);
-  this->dropIdleProgress(now);
+  this->discardUnassignedProgress(now);
   const std::size_t loading = this->loadingCount(now);
   std::vector<load_candidate> candidates = this->findCandidates(now, engines, awaited);
   this->chooseCandidates(now, engines, candidates);
@@ -140,7 +140,7 @@
   return progress;
 }
 
-void version_rollout::dropIdleProgress(Instant now) {
+void version_rollout::discardUnassignedProgress(Instant now) {
   std::erase_if(this->progress_, [&](const auto& each) {
     return !each.second.changing(now) && !this->assignment_.all().contains(each.first);
   });
@@ -156,7 +156,7 @@
     const auto confirmed = at->second.confirmed.find(model);
     const auto since = at->second.confirmed_at.find(model);
     if (confirmed != at->second.confirmed.end() && confirmed->second >= wanted &&
-        now - since->second < this->options_.confirm_time) {
+        now - since->second < this->options_.confirmation_lifetime) {
       return false;
     }
   }
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -39,14 +39,14 @@
   /// load interrupts all runs of an engine.
   Duration busy_timeout = std::chrono::seconds(10);
   /// After this time a version is also loaded on engines beyond the demand.
-  Duration settled = std::chrono::seconds(8);
+  Duration settle_time = std::chrono::seconds(8);
   demand_options demand;
   /// Between two report requests to an engine.
   Duration report_interval = std::chrono::milliseconds(250);
   std::size_t reports_at_once = 24;                     ///< Requested in one tick.
   Duration load_time = std::chrono::milliseconds(900);  ///< Assumed duration of a load.
   /// How long an engine's own response overrides discovery, which lags behind it.
-  Duration confirm_time = std::chrono::milliseconds(3500);
+  Duration confirmation_lifetime = std::chrono::milliseconds(3500);
   /// After an engine reported that it is busy.
   Duration busy_backoff = std::chrono::milliseconds(250);
   /// After an order without a response.
@@ -127,7 +127,7 @@
                                const open_work_by_model& work) const;
   /** @return the state of the engine's current start. */
   engine_progress& progressOf(const engines::engine_state& engine);
-  void dropIdleProgress(Instant now);
+  void discardUnassignedProgress(Instant now);
 
   /** @return the engines without the newest version that may get an order now. */
   std::vector<load_candidate> findCandidates(Instant now, const engines::engine_list& engines,
--- a/tests/gateway/lease/store_delay_test.cpp
+++ b/tests/gateway/lease/store_delay_test.cpp
@@ -17,7 +17,7 @@
   lease_table table(lease::makeLeaseId("own", "a"), {}, kStart);
   table.onStoreRegained(kStart);
   table.onRead(kStart, kStart + answer, {});
-  return lease::storeDelay(table.allowance(), table.times());
+  return lease::excessStoreDelay(table.allowance(), table.times());
 }
 
 double capacityAt(Duration answer) {
@@ -44,6 +44,6 @@
 
 Test(store_delay, the_delay_of_a_slow_store_is_limited) {
   const Duration slow = delayAfterReadsOf(std::chrono::milliseconds(400));
-  cr_assert(slow == lease::kMaxStoreDelay);
+  cr_assert(slow == lease::kMaxExcessStoreDelay);
   cr_assert(slow == delayAfterReadsOf(std::chrono::milliseconds(440)));
 }
--- a/tests/gateway/usage/usage_counter_test.cpp
+++ b/tests/gateway/usage/usage_counter_test.cpp
@@ -55,14 +55,14 @@
   usage_counter counter;
   counter.onRequestStarted(kStart, kAda);
   counter.assign([](Instant) { return 7; });
-  const std::uint64_t sent = counter.of(7).changes;
+  const std::uint64_t sent = counter.of(7).total;
   counter.onRequestStarted(kStart, kBob);
   counter.assign([](Instant) { return 7; });
   counter.of(7).stored = sent;
   cr_assert_not(counter.idle(), "a request was counted during the write");
   counter.discardBefore(9);
   cr_assert_eq(counter.unsaved().size(), 1U);
-  counter.of(7).stored = counter.of(7).changes;
+  counter.of(7).stored = counter.of(7).total;
   counter.discardBefore(9);
   cr_assert(counter.idle());
   cr_assert(counter.of(7).counts.empty());
