--- a/src/gateway/lease/capacity_estimator.h
+++ b/src/gateway/lease/capacity_estimator.h
@@ -37,15 +37,16 @@
   }
 
  private:
-  /// Lateness of timers on an idle machine.
+  /// Lateness of timers on an idle machine; it does not lower the capacity.
   static constexpr Duration kIdleLateness = std::chrono::milliseconds(5);
   /// Excess lateness that halves the capacity: it delays each step of an item's run about as much
   /// as a machine of half the speed would.
   static constexpr Duration kHalvingLateness = std::chrono::milliseconds(20);
-  /// Weight of the newest sample in the moving average, which covers about two seconds of renewals.
+  /// Weight of the newest sample in the moving average. One sample is taken per renewal interval,
+  /// so the average covers about two seconds.
   static constexpr double kNewestWeight = 0.2;
-  /// Bandwidth that one processor can use: sending 1 MB of results takes 10 ms at this rate, about
-  /// as long as encoding them.
+  /// Bandwidth that one processor can use. Assumes that encoding results takes a processor about as
+  /// long as sending them over a link of this bandwidth.
   static constexpr double kMbpsPerProcessor = 1000;
 
   machine_limits limits_;
--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -12,7 +12,7 @@
 
 /// The lock is confirmed this long before a lease renewal is due, so that one write serves as both.
 constexpr Duration kConfirmLead = std::chrono::milliseconds(60);
-/// After a write without a response.
+/// Wait before the next confirmation after a write without a response.
 constexpr Duration kConfirmBackoff = std::chrono::milliseconds(120);
 /// Added to the time of the last action, because a slow response makes the estimate of the store's
 /// clock lag.
@@ -128,8 +128,8 @@
 Duration leader_lock::handoverDelayAfter(const LeaseId& from, std::int64_t last_action_ms) const {
   if (this->handover_.tokens_checked) return this->handoverDelayAfterOwnActions(steadyNow());
   if (!from.empty()) {
-    // The old leader could act until its validity ended, which is before its lease expired for
-    // others.
+    // The previous leader stopped acting when the validity of its lease ended, and its lease has
+    // expired since then.
     const lease_times& times = this->deps_.leases.times();
     return this->handover_.pause - (times.expiry - times.validity);
   }
--- a/src/gateway/lease/leader_lock.h
+++ b/src/gateway/lease/leader_lock.h
@@ -15,12 +15,14 @@
  * from when the last committed confirmation was sent. A plain lease renewal is unconditional and
  * confirms nothing.
  *
- * Calls of two leaders never interleave within the handover pause. Where the callee does not check
- * tokens, a delayed call of the old leader may still be executed, so the new leader waits for the
- * pause. Where tokens are checked, such a call is rejected: the new leader acts at once, and only a
- * daemon that acted before another leader did waits for the pause after its own last action.
+ * A call of the previous leader may be delayed and executed after that leader lost the lock. If the
+ * callee does not check tokens, the new leader therefore makes no call until the handover pause has
+ * passed since the previous leader could last act. If the callee rejects calls with outdated
+ * tokens, a new leader only waits until the pause has passed since its own last action, or since
+ * its start.
  *
- * Models: spec/order_right.pml (tokens unchecked), spec/checked_right.pml (tokens checked).
+ * Promela models of the protocol: spec/order_right.pml (tokens not checked) and
+ * spec/checked_right.pml (tokens checked).
  */
 
 #include <functional>
@@ -34,7 +36,7 @@
 /** The decoded row of a lock. */
 struct leader_lock_row {
   LeaseId owner;  ///< The leader's lease; empty: released.
-  /// Of the last leader that released the lock, by the store's clock; 0: unknown.
+  /// When the last leader that released the lock last acted, by the store's clock; 0: unknown.
   std::int64_t last_action_ms = 0;
 
   bool operator==(const leader_lock_row&) const = default;
@@ -45,7 +47,7 @@
 
 /** Timing of a handover from one leader to the next. */
 struct handover_options {
-  /// Calls of two leaders never interleave within it.
+  /// How long a new leader waits for delayed calls of the previous one to be executed.
   Duration pause = std::chrono::milliseconds(3100);
   bool tokens_checked = false;  ///< The callee rejects tokens lower than one it has seen.
 
@@ -100,8 +102,9 @@
   Task<void> acquire();
   /** @return how long a new leader waits before its first action after the leader `from`. */
   Duration handoverDelayAfter(const LeaseId& from, std::int64_t last_action_ms) const;
-  /** @return the same where tokens are checked: this daemon, or its previous incarnation, may have
-   * acted before the other leader did.
+  /** @return how long a new leader waits before its first action if tokens are checked: until the
+   * pause has passed since its own last action, and since its start, because its previous
+   * incarnation may have acted until then.
    */
   Duration handoverDelayAfterOwnActions(Instant now) const;
 
@@ -121,9 +124,9 @@
   Instant confirmed_at_{};
   Instant vacant_since_{};  ///< Since when the lock is known to be free; zero: it is not.
   Instant may_act_at_{};    ///< End of the handover pause.
-  std::int64_t previous_leader_action_ms_ =
-      0;                          ///< Of an earlier leader, by the store's clock; 0: unknown.
-  Instant own_last_action_at_{};  ///< Of this daemon; zero: none.
+  /// `leader_lock_row::last_action_ms` of the last known row.
+  std::int64_t previous_leader_action_ms_ = 0;
+  Instant own_last_action_at_{};  ///< When this daemon last acted; zero: never.
 };
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Before a failed renewal is retried: half of the renewal interval, so that the retry falls within
-/// the validity.
+/// Wait before a failed renewal is retried: half of the renewal interval, so that the retry falls
+/// within the validity.
 constexpr Duration kRenewalBackoff = std::chrono::milliseconds(200);
 
 }  // namespace
@@ -61,7 +61,7 @@
     const Instant now = steadyNow();
     const bool needed = this->needed_();
     if (!needed && this->renewed_at_ != Instant{}) {
-      // An unneeded row would cost every daemon's reads.
+      // All daemons read all rows, so a row that is not needed would slow down their reads.
       if (co_await this->removeRow()) this->renewed_at_ = Instant{};
     } else if (needed && now >= due) {
       if (!co_await this->renew()) pause = kRenewalBackoff;
--- a/src/gateway/lease/lease_keeper.h
+++ b/src/gateway/lease/lease_keeper.h
@@ -26,8 +26,8 @@
   void start(std::function<bool()> needed);
   /** Sets the address for peers, published with each renewal. */
   void setPeerAddress(const Address& peer) { this->peer_ = peer; }
-  /** @param awaited returns the engines running items that a step waits for; published with each
-   * renewal.
+  /** @param awaited returns the engines that are running an item whose result a step is waiting
+   * for; published with each renewal.
    */
   void setAwaited(std::function<std::set<EngineId>()> awaited) {
     this->awaited_ = std::move(awaited);
--- a/src/gateway/lease/lease_poller.h
+++ b/src/gateway/lease/lease_poller.h
@@ -3,9 +3,9 @@
 /** @file
  * Reads the leases of all daemons periodically.
  *
- * Polling replaces a change feed, which would wake every daemon for each renewal: a daemon does
- * about one small read per second, independent of the number of owners. A daemon that may have to
- * take over reads more often.
+ * Leases are polled because a change feed would wake every daemon for each renewal. With polling, a
+ * daemon does about one small read per second, independent of the number of owners. A daemon that
+ * may have to take over reads more often.
  */
 
 #include <functional>
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// The takeover delay increases with the daemon's uptime up to this uptime …
+/// The takeover delay increases with the daemon's uptime until the uptime reaches this value.
 constexpr Duration kMaxCountedUptime = std::chrono::seconds(60);
-/// … and up to this delay.
+/// Takeover delay at that uptime, without the jitter.
 constexpr Duration kMaxUptimeDelay = std::chrono::milliseconds(300);
 /// A hash of daemon and subject adds up to this, so that daemons of the same uptime differ.
 constexpr Duration kMaxJitter = std::chrono::milliseconds(80);
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -41,19 +41,21 @@
 
   /** Handles a lease's row read at this revision. */
   void onRow(Instant now, const LeaseId& lease, Revision revision);
-  /** Handles a read of all rows, as of some time between `sent_at` and `now`, and adapts the
-   * allowance to its delay.
+  /** Handles a read of all rows that was sent at `sent_at` and answered at `now`, and adapts
+   * `allowance()` to the delay of the read.
    */
   void onRead(Instant sent_at, Instant now, const std::map<LeaseId, lease_row>& rows);
-  /** The store responds again. Missing renewals until now do not count against owners. */
+  /** Records that the store responds again. The time until now does not count towards the expiry of
+   * a lease.
+   */
   void onStoreRegained(Instant now) { this->store_healthy_since_ = now; }
   void onStoreLost() { this->store_healthy_since_.reset(); }
   bool storeHealthy() const { return this->store_healthy_since_.has_value(); }
 
   /** @return whether others may take over from the owner: its lease was not renewed for the expiry
-   * plus the allowance, or belongs to a previous incarnation of this daemon. Always false for this
+   * plus `allowance()`, or belongs to a previous incarnation of this daemon. Always false for this
    * daemon's own lease and, for other daemons, while the store does not respond. Time after the
-   * last read does not count.
+   * last read does not count towards the expiry.
    */
   bool expired(const LeaseId& lease);
   /** @return whether some owner has missed a renewal recently enough that a takeover may be
@@ -72,8 +74,8 @@
    * they can relay for a daemon that cannot reach it.
    */
   std::vector<Address> peers() const;
-  /** @return engines with runs that a step waits for, as published by live owners. May lag by one
-   * renewal interval plus one read interval.
+  /** @return engines that are running an item whose result a step is waiting for, as published by
+   * live owners. May lag by one renewal interval plus one read interval.
    */
   std::set<EngineId> awaited(Instant now) const;
   /** @return leases whose rows may be removed from the store: those of previous incarnations of
--- a/src/gateway/lease/lease_times.h
+++ b/src/gateway/lease/lease_times.h
@@ -20,11 +20,11 @@
   /// Time without a renewal after which others may take over.
   Duration expiry = std::chrono::milliseconds(1500);
   /// A slow store also delays renewals. The expiry is therefore extended by this multiple of the
-  /// delay of the observer's own reads …
+  /// time by which the observer's own reads exceed `tolerated_delay`.
   int allowance_factor = 6;
-  /// … in excess of this delay …
+  /// Delay of a read up to which the expiry is not extended.
   Duration tolerated_delay = std::chrono::milliseconds(20);
-  /// … up to this limit, so that a failed owner is replaced however slow the store is.
+  /// Limit of the extension, so that a failed owner is replaced however slow the store is.
   Duration max_allowance = std::chrono::seconds(3);
   /// Time without a renewal after which leases are read more often.
   Duration suspicion = std::chrono::milliseconds(700);
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -45,7 +45,7 @@
 
   /** Records that a timer of this daemon ran this long after it was due. */
   void onTimerLateness(Duration lateness) { this->capacity_.onTimerLateness(lateness); }
-  /** Updates whether this daemon is a candidate after a read of the leases. @return whether it
+  /** Decides after a read of the leases whether this daemon is a candidate. @return whether that
    * changed.
    */
   bool onLeasesRead(Instant now, const pool_requirements& wanted);
@@ -61,8 +61,8 @@
  private:
   /** @return how long this daemon waits before it joins a pool that lacks members. */
   Duration joinDelay(const std::vector<owner_candidate>& members) const;
-  /** @return whether fewer better candidates exist than required, in total or in a set of zones
-   * that includes this daemon's.
+  /** @return whether the pool needs this daemon: fewer candidates than required rank above it,
+   * either in the whole fleet or in one of the required sets of zones that include its zone.
    */
   bool lacksMembers(const pool_requirements& wanted,
                     const std::vector<owner_candidate>& others) const;
--- a/src/gateway/lease/store_clock.cpp
+++ b/src/gateway/lease/store_clock.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Steady clocks of two machines drift apart by at most one millisecond in this many seconds.
+/// Seconds in which the steady clocks of two machines drift apart by at most one millisecond.
 constexpr std::int64_t kSecondsPerMsOfDrift = 10;
 /// Longest network delay of a response. A clock that lags by more has restarted.
 constexpr std::int64_t kMaxLagMs = 5000;
--- a/src/gateway/lease/store_clock.h
+++ b/src/gateway/lease/store_clock.h
@@ -12,9 +12,10 @@
 
 /** Tracks the clock that the store reports in its responses.
  *
- * A reported time lags by the response's network delay, so the response with the most advanced
- * clock is the most accurate. Invariant: the estimate decreases only by the possible drift between
- * the two clocks, or when the store's clock restarted.
+ * A reported time is already outdated by the response's network delay when it arrives. The estimate
+ * is therefore based on the response that arrived with the least delay, which is the one that gives
+ * the highest estimate. Invariant: the estimate decreases only by the possible drift between the
+ * store's clock and this daemon's, or when the store's clock restarted.
  */
 class store_clock {
  public:
--- a/src/gateway/lease/store_delay.h
+++ b/src/gateway/lease/store_delay.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /** @file
- * The daemon's network delay to the store, which lowers its capacity. Does no I/O.
+ * By how much the daemon's network delay to the store exceeds the tolerated delay, which lowers the
+ * daemon's capacity. Does no I/O.
  */
 
 #include <algorithm>
@@ -11,13 +12,13 @@
 
 namespace linenpier::lease {
 
-/** Longer delays are caused by the store itself and affect all daemons, so they must not change the
- * ranking.
+/** Limit of the excess delay. A longer one is assumed to be caused by the store itself; it affects
+ * all daemons, so it must not change their ranking.
  */
 inline constexpr Duration kMaxExcessStoreDelay = std::chrono::milliseconds(40);
 
-/** @param allowance of the lease table: a multiple of the excess delay of its reads.
- * @return by how much this daemon's reads of the store exceed the tolerated delay.
+/** @param allowance see `lease_table::allowance`: a multiple of the excess delay of the reads.
+ * @return by how much this daemon's reads exceed the tolerated delay, up to the limit.
  */
 inline Duration excessStoreDelay(Duration allowance, const lease_times& times) {
   return std::min(allowance / times.allowance_factor, kMaxExcessStoreDelay);
--- a/src/gateway/scaling/scaling_options.h
+++ b/src/gateway/scaling/scaling_options.h
@@ -26,16 +26,16 @@
   Duration boot_slack = std::chrono::seconds(3);
   /// Scale-down stabilization window; longer than a burst of work plus the warm-up of new engines.
   Duration stabilization_window = std::chrono::seconds(10);
-  /// Between two scale-downs by one engine in a group.
+  /// Minimum time between two scale-downs of a group; each removes one engine.
   Duration scale_down_interval = std::chrono::seconds(3);
-  /// After a rejected order; doubles with each further one.
+  /// Wait after a rejected order; doubles with each further rejection, up to `max_backoff`.
   Duration first_backoff = std::chrono::seconds(2);
   Duration max_backoff = std::chrono::seconds(30);
   /// How long a group counts as without capacity after the platform reclaimed engines of it.
   Duration reclaim_backoff = std::chrono::seconds(10);
   /// Jobs arrive in bursts, so the maximum of open items over this window counts as the open work.
   Duration peak_window = std::chrono::seconds(10);
-  double items_per_slot = 4;  ///< Open items that one slot can process in time.
+  double items_per_slot = 4;  ///< Open items for which one slot is planned.
   /// A zone may be scaled down while at most this share of its slots is in use: the platform
   /// chooses the engine to stop, so all of them should be nearly idle.
   double quiet_share = 0.25;
--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// After a call that the platform rejected without processing it, such as for rate limiting, or
-/// that got no response.
+/// Wait after a call that the platform rejected without processing it, such as for rate limiting,
+/// or that got no response.
 constexpr Duration kRefusedBackoff = std::chrono::seconds(1);
 /// A call without a response may be executed up to this long after it was sent.
 constexpr Duration kMaxCarryOutDelay = std::chrono::seconds(15);
@@ -190,7 +190,7 @@
       if (now - state.unanswered_at >= kMaxCarryOutDelay) state.unanswered_at = Instant{};
       break;
     case FencedCallResult::kFenced:
-      // The platform returns the same status when it lacks capacity.
+      // The platform returns the same status for an outdated token and for a lack of capacity.
       state.no_capacity_until = now + this->backoff(++state.refusals);
       break;
     case FencedCallResult::kRefused:
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -43,19 +43,24 @@
   void onZoneBusy(Instant now, const scaling_decision& decision);
 
  private:
-  /** This leader's state of a group. A time is zero if its event never happened. */
+  /** This leader's state of a group. Times are zero if the event never happened or the condition
+   * does not hold.
+   */
   struct group_state {
-    Instant needed_at{};          ///< The group last needed at least as many engines as ordered.
-    Instant scaled_down_at{};     ///< The last scale-down, sent or skipped for a busy zone.
-    Instant ordered_at{};         ///< The platform last accepted an order.
-    Instant unanswered_at{};      ///< An order got no response and may be executed late.
-    Instant paused_until{};       ///< No order is sent before.
+    Instant needed_at{};       ///< When the group last needed at least as many engines as ordered.
+    Instant scaled_down_at{};  ///< When a scale-down was last sent, or skipped for a busy zone.
+    Instant ordered_at{};      ///< When the platform last accepted an order.
+    /// When an order last got no response. It may still be executed, even after a later order was
+    /// accepted.
+    Instant unanswered_at{};
+    Instant paused_until{};       ///< No order is sent before then.
     Instant no_capacity_until{};  ///< The group counts as without capacity until then.
-    Instant missing_since{};      ///< Fewer engines are listed than ordered; zero: not so.
-    Instant surplus_since{};      ///< More engines are listed than ordered; zero: not so.
-    int refusals = 0;             ///< Consecutive.
-    int repeats = 0;              ///< Of the same order, consecutive.
-    bool unconfirmed = false;     ///< The last order was not acknowledged.
+    Instant missing_since{};      ///< Since when fewer engines are listed than ordered.
+    Instant surplus_since{};      ///< Since when more engines are listed than ordered.
+    int refusals = 0;             ///< Consecutive orders rejected with `kFenced`.
+    int repeats = 0;              ///< Consecutive repetitions of the same order.
+    /// The platform did not accept the last order, or it is unknown whether it did.
+    bool unconfirmed = false;
   };
 
   /** Updates since when engines are missing, surplus or reclaimed in each group. */
@@ -64,10 +69,12 @@
   bool zoneAvailable(Instant now, const scaling_view& view, const ZoneName& zone) const;
   target_inputs targetInputs(Instant now, const fleet::scaling_bounds& bounds,
                              const scaling_view& view) const;
-  /** @return the order that is due for a group, if any. */
+  /** @param candidate the group's listed, ordered and wanted numbers of engines.
+   * @return the order that is due for the group, if any.
+   */
   std::optional<scaling_decision> orderDue(Instant now, const fleet::scaling_bounds& bounds,
                                            scaling_decision candidate);
-  /** @param since when there are more engines than needed.
+  /** @param since the time since which the group has had more engines than needed.
    * @return an order for one engine less, if due.
    */
   std::optional<scaling_decision> scaleDownDue(Instant now, Instant since,
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -11,7 +11,7 @@
 
 namespace linenpier::scaling {
 
-/** An order that a group of a service's engines have this count. */
+/** An order to set the number of engines in a group of a service. */
 struct scaling_order {
   ServiceName service;
   fleet::engine_group group;
--- a/src/gateway/scaling/scaling_record.h
+++ b/src/gateway/scaling/scaling_record.h
@@ -12,7 +12,8 @@
 namespace linenpier::scaling {
 
 struct scaling_record {
-  /** Engines that the service has while none is missing: those that appeared without an order.
+  /** The number of engines that each group has without scaling, learned from engines that appeared
+   * without an order.
    */
   fleet::group_counts baseline;
   /** The last order for each group, stored before it is sent. */
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -51,7 +51,7 @@
   /** Handles the lock's row from the feed. */
   void onLockRow(const table::Row& row) { this->lock_.onRow(row); }
   void onLockRemoved() { this->lock_.onRowRemoved(); }
-  /** Records that the table of locks was read: without a row until now, the lock is free. */
+  /** Records that the table of locks was read. If the lock has no row by now, it is free. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsLock() const { return this->lock_.held(); }
   Task<void> handOver();
--- a/src/gateway/scaling/scaling_targets.cpp
+++ b/src/gateway/scaling/scaling_targets.cpp
@@ -36,8 +36,8 @@
   return targets;
 }
 
-/** Adds up to `count` engines of the kind to the groups in `wanted`: first to those with the fewest
- * beyond their baseline, then to the cheapest.
+/** Adds up to `count` engines of the kind to the groups in `wanted`, one at a time: to the group
+ * that exceeds its baseline by the fewest engines; among equal groups, to the cheapest.
  * @return how many could not be added.
  */
 std::size_t addEngines(const target_inputs& inputs, std::size_t count, fleet::EngineKind kind,
@@ -118,7 +118,7 @@
   if (inputs.options.mode == ScalingMode::kDemand) {
     needed = inputs.view.engines_for_work.value_or(baseline);
   }
-  // If less than the baseline is needed, missing engines are not replaced up to the difference.
+  // If the work needs n engines less than the baseline, n of the missing engines are not replaced.
   std::size_t fewer = baseline - std::min(baseline, needed);
   const std::size_t not_replaced = std::min(fewer, targets.to_replace);
   targets.to_replace -= not_replaced;
--- a/src/gateway/scaling/scaling_targets.h
+++ b/src/gateway/scaling/scaling_targets.h
@@ -28,14 +28,14 @@
 
 struct scaling_targets {
   fleet::group_counts wanted;  ///< Without the groups of unavailable zones.
-  std::size_t to_replace = 0;  ///< Engines replaced in other groups.
+  std::size_t to_replace = 0;  ///< Missing engines to be replaced in other groups.
 };
 
 scaling_targets computeTargets(const target_inputs& inputs);
 
 /** @return the group's count; 0 if it is not listed. */
 std::size_t countOf(const fleet::group_counts& counts, const fleet::engine_group& group);
-/** @return the zone's count, both kinds together. */
+/** @return the zone's count of on-demand and spot engines together. */
 std::size_t countInZone(const fleet::group_counts& counts, const ZoneName& zone);
 /** @return the zones that appear in the counts. */
 std::set<ZoneName> zonesOf(const fleet::group_counts& counts);
--- a/src/gateway/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -19,8 +19,9 @@
   /// Maximum wait of a call while unhealthy; short, because its response shows that the store has
   /// recovered.
   Duration wait_while_unhealthy = std::chrono::milliseconds(20);
-  /// Returns the pause after changes, which batches further ones; empty: none. Called after each
-  /// response, because the required freshness depends on what the daemon is doing.
+  /// Returns how long to wait after a response with changes before the next call, so that further
+  /// changes arrive in one response; unset: no wait. Called after each response with changes,
+  /// because the required freshness depends on what the daemon is doing.
   std::function<Duration()> coalesce = {};
   /// Initial and maximum backoff after a failed call.
   Duration retry_pause = std::chrono::milliseconds(150);
@@ -80,8 +81,9 @@
   Listener listener_;
   retry_backoff backoff_;
   Signal retry_now_;
-  Revision revision_ = 0;   ///< All changes up to here were reported.
-  bool can_watch_ = false;  ///< Whether changes can be watched from `revision_`.
+  Revision revision_ = 0;  ///< All changes up to here were reported.
+  /// Whether changes can be watched from `revision_`; if not, the table is read first.
+  bool can_watch_ = false;
   bool ever_read_ = false;
   bool healthy_ = false;
   Instant last_answer_{};
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Limit of requests whose window is unknown because this daemon has not reached the store since
-/// its start: a few minutes of its share of the peak load.
+/// Limits the memory for requests whose window is unknown because this daemon has not reached the
+/// store since its start.
 constexpr std::size_t kMaxUnassigned = 20000;
 
 }  // namespace
--- a/src/gateway/usage/usage_counter.h
+++ b/src/gateway/usage/usage_counter.h
@@ -35,7 +35,7 @@
   tenant_counts counts;
   Revision revision = 0;     ///< Of the row; 0: none yet.
   std::uint64_t total = 0;   ///< Sum of the counts.
-  std::uint64_t stored = 0;  ///< Of these, stored.
+  std::uint64_t stored = 0;  ///< How many requests of `total` are stored.
 
   bool unsaved() const { return this->total > this->stored; }
 };
--- a/src/gateway/usage/usage_options.h
+++ b/src/gateway/usage/usage_options.h
@@ -9,22 +9,23 @@
 
 namespace linenpier::usage {
 
-/** A window's counts are stored at most one request duration, write interval and retry after its
- * end; `settle` must exceed their sum.
+/** Timing of usage reports. The last counts of a window are stored after its end, delayed by at
+ * most the duration of a request, a write interval and a retry; `settle` must exceed their sum.
  */
 struct usage_options {
   Duration window{};  ///< Length of a window; zero disables usage reports.
-  /// Between two writes of a daemon's counts; limits the load on the store.
+  /// Time between two writes of a daemon's counts; limits the load on the store.
   Duration write_interval = std::chrono::seconds(1);
-  Duration retry_backoff = std::chrono::milliseconds(200);  ///< After a failed write of counts.
-  /// From a window's end until its rows are summed.
+  /// Wait after a failed write of counts.
+  Duration retry_backoff = std::chrono::milliseconds(200);
+  /// Minimum time from a window's end until its rows are summed.
   Duration settle = std::chrono::seconds(4);
-  /// After a store outage a window is summed only this much later, so that daemons can time out and
-  /// retry writes sent during the outage …
+  /// Minimum time from the end of a store outage until a window is summed, so that daemons can time
+  /// out and retry writes sent during the outage.
   Duration settle_after_outage = std::chrono::milliseconds(2500);
-  /// … but at the latest this long after the window's end.
+  /// Maximum time from a window's end until it is summed after an outage.
   Duration max_settle = std::chrono::milliseconds(8500);
-  /// Between two samples of a daemon's clock.
+  /// Time between two samples of a daemon's clock.
   Duration sample_interval = std::chrono::seconds(20);
   Duration sample_lifetime = std::chrono::seconds(60);  ///< Older samples are ignored.
   /// How long a new leader waits for the daemons' first samples if cluster time was never set.
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< At the leader.
 /// At the other daemons, which check whether the lock is free.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
-/// After a report that the platform did not accept.
+/// Wait after a report that the platform did not accept.
 constexpr Duration kRefusedBackoff = std::chrono::milliseconds(300);
 /// The store accepts 100 entries per write.
 constexpr std::size_t kMaxRemovedAtOnce = 90;
@@ -79,7 +79,8 @@
   const auto current = this->deps_.clock.windowAt(now);
   if (!current) co_return;
   const window_number next = any_committed ? this->progress_->report.window + 1 : *current - 1;
-  // The first report only marks the start, so it need not wait for delayed counts.
+  // The first report only marks the window after which reporting starts, so it need not wait for
+  // delayed counts.
   if (!any_committed || this->due(now, next)) {
     co_await this->commitReport(next);
   }
--- a/src/gateway/usage/usage_reporter.h
+++ b/src/gateway/usage/usage_reporter.h
@@ -4,9 +4,10 @@
  * Reports each window's usage to the platform once. Runs at one daemon, the holder of a leader
  * lock.
  *
- * Some time after a window's end the leader sums its rows. It stores the report, conditional on the
- * lock still being held, and then sends it repeatedly until the platform accepts it, so that the
- * next leader sends the same bytes. The leader also synchronizes cluster time.
+ * Some time after a window's end the leader sums the rows in which the daemons stored their counts.
+ * It stores the report, conditional on the lock still being held, and then sends it repeatedly
+ * until the platform accepts it, so that the next leader sends the same bytes. The leader also
+ * synchronizes cluster time.
  */
 
 #include <optional>
@@ -34,7 +35,7 @@
   /** Handles the lock's row from the feed. */
   void onLockRow(const table::Row& row) { this->lock_.onRow(row); }
   void onLockRemoved() { this->lock_.onRowRemoved(); }
-  /** Records that the table of locks was read: without a row until now, the lock is free. */
+  /** Records that the table of locks was read. If the lock has no row by now, it is free. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsLock() const { return this->lock_.held(); }
   Task<void> handOver();
@@ -69,8 +70,8 @@
   lease::leader_lock lock_;
   std::optional<usage_progress> progress_;  ///< Empty until this leader has read the row.
   Instant acquired_at_{};                   ///< When this daemon became the leader.
-  /// Since when the store has responded and this leader could act. Delayed counts are arriving
-  /// since then.
+  /// Since when the store has responded and this leader has been able to act. Counts that could not
+  /// be stored before may still be arriving.
   Instant store_recovered_at_{};
   bool could_act_ = false;  ///< Whether this leader could act at the last tick.
   bool table_read_ = false;
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -40,7 +40,7 @@
   /** Handles the reporting lock's row from the feed. */
   void onLockRow(const table::Row& row) { this->reporter_.onLockRow(row); }
   void onLockRemoved() { this->reporter_.onLockRemoved(); }
-  /** Records that the table of locks was read: without a row until now, the lock is free. */
+  /** Records that the table of locks was read. If the lock has no row by now, it is free. */
   void onTableRead() { this->reporter_.onTableRead(); }
   bool holdsLock() const { return this->reporter_.holdsLock(); }
   /** Releases the lock; counts are still written. */
--- a/src/gateway/versions/load_demand.h
+++ b/src/gateway/versions/load_demand.h
@@ -17,12 +17,13 @@
   /// Lower limit of engines per model. Services with no more engines than this load each version on
   /// all of them.
   std::size_t min_engines = 24;
-  double headroom = 1.25;  ///< Engines wanted per engine that the open items fill.
-  /// Engines assigned to a model, as a multiple of those that load its newest version: a new
-  /// version is loaded on idle engines while runs under the previous one finish on others.
+  /// Engines needed, as a multiple of those that the open items would fill.
+  double headroom = 1.25;
+  /// A model is assigned this many times the engines that should load its newest version, so that a
+  /// new version is loaded on idle engines while runs under earlier versions finish on others.
   std::size_t assigned_factor = 3;
-  /// Window of the peak of open items. Work comes in successive steps, so recent work is expected
-  /// to recur.
+  /// How long a peak of open items counts as the current demand. Work arrives in successive steps,
+  /// so recent work is expected to recur.
   Duration peak_window = std::chrono::seconds(10);
 };
 
@@ -45,10 +46,10 @@
   void onOpenWork(Instant now, const open_work_by_model& work);
 
   /** @param slots concurrent requests of one engine.
-   * @return engines that should soon load the model's newest version.
+   * @return how many engines should load the model's newest version as soon as possible.
    */
   std::size_t enginesFor(const ModelName& model, std::uint32_t slots) const;
-  /** @return engines that should be assigned to the model, over all its versions in use. */
+  /** @return how many engines should be assigned to the model, for all its versions in use. */
   std::size_t enginesToAssign(const ModelName& model, std::uint32_t slots) const {
     return this->options_.assigned_factor * this->enginesFor(model, slots);
   }
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(60);
-/// At a daemon that holds no lock and is no candidate: it acquires one only if no candidate does.
+/// Tick interval of a daemon that holds no lock and is not a candidate owner. It acquires a lock
+/// only if no candidate does.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(250);
 /// While a fleet starts there are no leaders or candidates yet, so no daemon counts as idle.
 constexpr Duration kStartupTime = std::chrono::seconds(5);
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -21,9 +21,9 @@
 };
 
 struct rollout_counts {
-  std::uint64_t sent = 0;
-  std::uint64_t loads_started = 0;
-  std::uint64_t unanswered = 0;
+  std::uint64_t sent = 0;           ///< Orders sent.
+  std::uint64_t loads_started = 0;  ///< Orders after which the engine started loading.
+  std::uint64_t unanswered = 0;     ///< Orders without a response.
 };
 
 /** Runs on the loop thread only; must live as long as the loop runs. */
--- a/src/gateway/versions/version_order.h
+++ b/src/gateway/versions/version_order.h
@@ -23,13 +23,14 @@
 /** An order that an engine load a version. */
 struct version_order {
   EngineId engine;
-  engines::engine_start start = 0;  ///< Start of the engine that the order is for.
+  engines::engine_start start = 0;  ///< The order is for this start of the engine, not a later one.
   Address address;
   ModelName model;
   WeightVersion version = 0;
   LoadMode mode = LoadMode::kCancel;
-  /// Number of orders that the engine must have accepted before, so that at most one of an order
-  /// and its repetition is executed.
+  /// The engine accepts the order only if it has accepted exactly this many orders since its start.
+  /// A repetition carries the same number, so at most one of an order and its repetition is
+  /// executed.
   std::optional<std::uint64_t> expected_sequence;
 };
 
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// At most this fraction (1/n) of a model's engines, but at least one, is changed concurrently
-/// while they can still serve the newest step, which needs the others.
+/// At most this fraction (1/n) of a model's engines, but at least one engine, loads concurrently,
+/// so that the others can serve the newest step. Engines that cannot serve it are exempt from the
+/// limit.
 constexpr std::size_t kLoadingDivisor = 3;
-/// At most this fraction (1/n) of a model's engines is skipped for runs that a step waits for,
-/// because the newest step needs engines with its version.
+/// At most this fraction (1/n) of a model's engines is skipped because a step waits for one of
+/// their runs: the newest step needs engines with its version.
 constexpr std::size_t kAwaitedDivisor = 3;
 
 }  // namespace
--- a/tests/gateway/lease/lease_table_test.cpp
+++ b/tests/gateway/lease/lease_table_test.cpp
@@ -154,7 +154,7 @@
   cr_assert(table.expired(kOwner));
 }
 
-Test(lease_table, the_own_lease_never_expires_and_previous_or_empty_ones_have) {
+Test(lease_table, the_own_lease_never_expires_but_previous_and_empty_ones_always_are_expired) {
   lease::lease_table table = tableOfHealthyStore();
   cr_assert_not(table.expired(LeaseId("own#1")));
   cr_assert(table.expired(LeaseId("own#0")));
--- a/tests/gateway/lease/owner_pool_test.cpp
+++ b/tests/gateway/lease/owner_pool_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-Test(owner_pool, a_daemon_is_a_candidate_only_while_too_few_better_ones_are) {
+Test(owner_pool, a_daemon_is_a_candidate_only_if_too_few_candidates_rank_above_it) {
   const lease_table empty = tableWith({});
   owner_pool first(empty, kSmall);
   readTwice(first, 2);
--- a/tests/gateway/scaling/scaling_policy_test.cpp
+++ b/tests/gateway/scaling/scaling_policy_test.cpp
@@ -124,7 +124,7 @@
   cr_assert_eq(learned->baseline.at(kB), 6U);
 }
 
-Test(scaling_policy, a_closed_zone_is_replaced_at_once_in_the_other_zones) {
+Test(scaling_policy, engines_of_a_closed_zone_are_replaced_at_once_in_the_other_zones) {
   scaling_policy policy(options(), kStart, fourEach());
   const auto due = step(policy, 0, closing(seen(4, 4, 4), "c"));
   cr_assert_eq(due.size(), 2U, "no order for the closed zone");
@@ -156,7 +156,7 @@
   cr_assert(step(policy, 0, view).empty());
 }
 
-Test(scaling_policy, a_lost_zone_is_replaced_after_the_loss_timeout) {
+Test(scaling_policy, engines_of_a_lost_zone_are_replaced_after_the_loss_timeout) {
   scaling_policy policy(options(), kStart, fourEach());
   cr_assert(step(policy, 0, seen(4, 4, 0)).empty());
   cr_assert(step(policy, 2, seen(4, 4, 0)).empty());
@@ -212,7 +212,8 @@
   cr_assert(step(policy, 0, view).empty());
 }
 
-Test(scaling_policy, a_group_without_capacity_is_replaced_and_retried_with_backoff) {
+Test(scaling_policy,
+     engines_that_a_group_lacks_capacity_for_are_replaced_and_ordered_again_with_backoff) {
   scaling_policy policy(options(), kStart, fourEach());
   const scaling_view view = closing(seen(4, 4, 4), "c");
   const auto due = policy.decide(after(0), bounds(), view);
@@ -244,7 +245,7 @@
   }
 }
 
-Test(scaling_policy, an_unanswered_order_is_not_replaced_in_another_group) {
+Test(scaling_policy, engines_of_an_unanswered_or_refused_order_are_not_ordered_in_another_group) {
   for (const FencedCallResult answer : {FencedCallResult::kUnknown, FencedCallResult::kRefused}) {
     scaling_policy policy(options(), kStart, fourEach());
     const scaling_view view = closing(seen(4, 4, 4), "c");
--- a/tests/gateway/versions/version_rollout_test.cpp
+++ b/tests/gateway/versions/version_rollout_test.cpp
@@ -227,7 +227,7 @@
     fixture.rollout.onVersionAnnounced(kStart, kModel, 3);
     std::size_t ordered = 0;
     std::size_t requested = 0;
-    // Shorter than the discovery lag.
+    // Within the discovery lag, during which the list does not show the new versions.
     for (Instant now = kStart; now < kStart + std::chrono::seconds(3); now += 6 * kMoment) {
       for (const version_order& order : fixture.tick(now, {kModel}, 200)) {
         ++ordered;
