--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -11,7 +11,7 @@
 
 namespace linenpier::scaling {
 
-/** An order that a group of a service's engines have this count. */
+/** An order to set the number of engines in a group of a service. */
 struct scaling_order {
   ServiceName service;
   fleet::engine_group group;
@@ -28,7 +28,7 @@
    * the two.
    */
   virtual Task<usage::FencedCallResult> setEngineCount(scaling_order order,
-                                                       usage::fenced_call_context proof) = 0;
+                                                       usage::fenced_call_context context) = 0;
 };
 
 }  // namespace linenpier::scaling
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Limit of requests whose window is unknown because this daemon has not reached the store since
-/// its start: a few minutes of its share of the peak load.
+/// Limits the memory for requests whose window is unknown because this daemon has not reached the
+/// store since its start.
 constexpr std::size_t kMaxUnassigned = 20000;
 
 }  // namespace
@@ -48,7 +48,7 @@
     if (!window) return false;
     window_counts& counts = this->windows_[*window];
     ++counts.counts[each.tenant];
-    ++counts.changes;
+    ++counts.total;
     return true;
   });
 }
--- a/src/gateway/usage/usage_port.h
+++ b/src/gateway/usage/usage_port.h
@@ -15,10 +15,10 @@
 
 /** Result of a platform call that carries a fencing token. */
 enum class FencedCallResult {
-  kTaken,
-  kFenced,   ///< The platform has seen a higher token for the same subject.
-  kRefused,  ///< Not executed; may be retried later.
-  kUnknown,  ///< No response: the call may still be executed.
+  kAccepted,  ///< The platform accepted the call.
+  kFenced,    ///< The platform has seen a higher token for the same subject.
+  kRefused,   ///< Not executed; may be retried later.
+  kUnknown,   ///< No response: the call may still be executed.
 };
 
 const char* toText(FencedCallResult answer);
@@ -42,7 +42,7 @@
  public:
   virtual ~usage_port() = default;
 
-  virtual Task<FencedCallResult> reportUsage(usage_report report, fenced_call_context proof) = 0;
+  virtual Task<FencedCallResult> reportUsage(usage_report report, fenced_call_context context) = 0;
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(60);
-/// At a daemon that holds no lock and is no candidate: it acquires one only if no candidate does.
+/// Tick interval of a daemon that holds no lock and is not a candidate owner. It acquires a lock
+/// only if no candidate does.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(250);
 /// While a fleet starts there are no leaders or candidates yet, so no daemon counts as idle.
 constexpr Duration kStartupTime = std::chrono::seconds(5);
@@ -23,7 +24,7 @@
     const lease::leader_lock::dependencies& deps, const ServiceName& service,
     const rollout_service_options& options)
     : rollout(options.rollout),
-      lock(deps, "order/" + service.str(), table::orderKey(service), options.handover,
+      lock(deps, "order/" + service.str(), table::serviceLockKey(service), options.handover,
            [this](bool) { this->rollout.reset(); }) {}
 
 void rollout_service::start() {
@@ -124,7 +125,7 @@
   const OrderResult answer =
       co_await this->deps_.orders.send(order, this->deps_.holder, token, send_by);
   leadership.rollout.onAnswer(steadyNow(), order, answer);
-  if (answer == OrderResult::kStarted) ++this->counts_.under_way;
+  if (answer == OrderResult::kStarted) ++this->counts_.loads_started;
   if (answer == OrderResult::kUnknown) ++this->counts_.unanswered;
   LogEvent("versions", "order_answered")
       .text("engine", order.engine.str())
--- a/src/gateway/versions/version_order.h
+++ b/src/gateway/versions/version_order.h
@@ -23,13 +23,14 @@
 /** An order that an engine load a version. */
 struct version_order {
   EngineId engine;
-  engines::engine_start start = 0;  ///< Start of the engine that the order is for.
+  engines::engine_start start = 0;  ///< The order is for this start of the engine, not a later one.
   Address address;
   ModelName model;
   WeightVersion version = 0;
   LoadMode mode = LoadMode::kCancel;
-  /// Number of orders that the engine must have accepted before, so that at most one of an order
-  /// and its repetition is executed.
+  /// The engine accepts the order only if it has accepted exactly this many orders since its start.
+  /// A repetition carries the same number, so at most one of an order and its repetition is
+  /// executed.
   std::optional<std::uint64_t> expected_sequence;
 };
 
@@ -46,9 +47,9 @@
 /** An engine's report of its state; slightly outdated on arrival. */
 struct order_report {
   engines::engine_start start = 0;
-  std::uint64_t taken = 0;  ///< Orders accepted since the engine's start.
-  bool busy = false;        ///< An order is in progress.
-  std::uint32_t load = 0;   ///< Running and waiting requests.
+  std::uint64_t accepted_orders = 0;  ///< Since the start of the engine.
+  bool busy = false;                  ///< An order is in progress.
+  std::uint32_t load = 0;             ///< Running and waiting requests.
 };
 
 const char* toText(LoadMode mode);
--- a/src/gateway/versions/version_rollout.cpp
+++ b/src/gateway/versions/version_rollout.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// At most this fraction (1/n) of a model's engines, but at least one, is changed concurrently
-/// while they can still serve the newest step, which needs the others.
+/// At most this fraction (1/n) of a model's engines, but at least one engine, loads concurrently,
+/// so that the others can serve the newest step. Engines that cannot serve it are exempt from the
+/// limit.
 constexpr std::size_t kLoadingDivisor = 3;
-/// At most this fraction (1/n) of a model's engines is skipped for runs that a step waits for,
-/// because the newest step needs engines with its version.
+/// At most this fraction (1/n) of a model's engines is skipped because a step waits for one of
+/// their runs: the newest step needs engines with its version.
 constexpr std::size_t kAwaitedDivisor = 3;
 
 }  // namespace
@@ -40,7 +41,7 @@
 bool version_rollout::isSettled(Instant now, const ModelName& model) const {
   const auto announced_at = this->announced_at_.find(model);
   return announced_at != this->announced_at_.end() &&
-         now - announced_at->second >= this->options_.settled;
+         now - announced_at->second >= this->options_.settle_time;
 }
 
 void version_rollout::reset() {
@@ -60,7 +61,7 @@
   progress.reported_at = now;
   progress.load = report.load;
   // Reports are slightly outdated, so the local count of accepted orders may be ahead.
-  progress.sequence = std::max(progress.sequence.value_or(0), report.taken);
+  progress.sequence = std::max(progress.sequence.value_or(0), report.accepted_orders);
   if (report.busy) {
     progress.not_before = std::max(progress.not_before, now + this->options_.busy_backoff);
   }
@@ -106,7 +107,7 @@
   this->updateOpenWork(now, work);
   this->assignment_.update(engines, this->enginesWanted(now, engines, work),
                            this->newest_versions_);
-  this->dropIdleProgress(now);
+  this->discardUnassignedProgress(now);
   const std::size_t loading = this->loadingCount(now);
   std::vector<load_candidate> candidates = this->findCandidates(now, engines, awaited);
   this->chooseCandidates(now, engines, candidates);
@@ -140,7 +141,7 @@
   return progress;
 }
 
-void version_rollout::dropIdleProgress(Instant now) {
+void version_rollout::discardUnassignedProgress(Instant now) {
   std::erase_if(this->progress_, [&](const auto& each) {
     return !each.second.changing(now) && !this->assignment_.all().contains(each.first);
   });
@@ -156,7 +157,7 @@
     const auto confirmed = at->second.confirmed.find(model);
     const auto since = at->second.confirmed_at.find(model);
     if (confirmed != at->second.confirmed.end() && confirmed->second >= wanted &&
-        now - since->second < this->options_.confirm_time) {
+        now - since->second < this->options_.confirmation_lifetime) {
       return false;
     }
   }
