--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -64,19 +64,19 @@
 };
 
 struct batch_counts {
-  std::uint64_t accepted = 0;
-  std::uint64_t refused = 0;
-  std::uint64_t taken_over = 0;
-  std::uint64_t lost = 0;
-  /// Part of `refused`: no engine within the job's residency.
-  std::uint64_t refused_for_residency = 0;
-  /// Handed over because this daemon is outside the job's residency.
-  std::uint64_t handed_over_for_residency = 0;
-  std::uint64_t ended = 0;
-  std::uint64_t completed = 0;
-  std::uint64_t terminated = 0;
-  std::uint64_t attempts = 0;
-  std::uint64_t scored = 0;
+  std::uint64_t jobs_accepted = 0;
+  std::uint64_t jobs_refused = 0;
+  std::uint64_t jobs_taken_over = 0;
+  std::uint64_t jobs_lost = 0;  ///< Running jobs that were stopped because of another owner.
+  /// Part of `jobs_refused`: no engine within the job's residency.
+  std::uint64_t jobs_refused_for_residency = 0;
+  /// Jobs handed over because this daemon is outside their residency.
+  std::uint64_t jobs_handed_over_for_residency = 0;
+  std::uint64_t jobs_ended = 0;  ///< Successful requests to end a job, including repeated ones.
+  std::uint64_t items_completed = 0;
+  std::uint64_t items_terminated = 0;
+  std::uint64_t item_attempts = 0;
+  std::uint64_t items_scored = 0;
   std::uint64_t scorings_failed = 0;  ///< Reward requests that returned no score.
 };
 
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -106,7 +106,7 @@
   active->run.onStarted(now, item, placement.engine->record.id);
   active->calls[item] = call;
   registry.addExpectedTokens(call->engine(), wanted.tokens);
-  ++this->deps_.counts.attempts;
+  ++this->deps_.counts.item_attempts;
   const item_attempt run{active, item, call, itemOf(*active, item).model, *admission};
   spawn(this->deps_.loop, [this, run] { return this->runItem(run); });
   return true;
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -102,7 +102,7 @@
                                const forward::internal_outcome& outcome, int max_failures) {
   if (isSuccess(outcome)) {
     active.run.onScored(item, outcome.signature);
-    ++this->deps_.counts.scored;
+    ++this->deps_.counts.items_scored;
   } else {
     const Duration min_pause = outcome.attempts == 0 ? kNoEngineDelay : kFailureRetryDelay;
     const Duration pause = std::max(min_pause, std::min(outcome.retry_after, kMaxSuspectDelay));
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -41,8 +41,8 @@
     co_return;
   }
   submission_outcome outcome = co_await this->accept(call);
-  if (outcome.status == kUnavailable) ++this->deps_.counts.refused;
-  if (outcome.revision) ++this->deps_.counts.accepted;
+  if (outcome.status == kUnavailable) ++this->deps_.counts.jobs_refused;
+  if (outcome.revision) ++this->deps_.counts.jobs_accepted;
   this->logOutcome(call, outcome);
   if (outcome.revision) this->onAccepted(call, *outcome.revision);
   co_await sendStatus(writer, names, outcome.status, std::move(outcome.text));
@@ -71,7 +71,7 @@
   }
   call.record = this->recordOf(call, *job);
   if (!this->deps_.residency.servedWithinResidency(call.route, call.record)) {
-    ++this->deps_.counts.refused_for_residency;
+    ++this->deps_.counts.jobs_refused_for_residency;
     co_return submission_outcome{"no_engine_at_home", kUnavailable};
   }
   std::vector<table::Put> body = this->deps_.store.bodyRows(call.id, call.request.body());
@@ -254,7 +254,7 @@
   const Instant start_time = steadyNow();
   const Instant deadline = start_time + this->deps_.options.end_timeout;
   const unsigned status = co_await this->endBefore(id, from, deadline, writer);
-  if (status == kOk) ++this->deps_.counts.ended;
+  if (status == kOk) ++this->deps_.counts.jobs_ended;
   LogEvent("batch", "end_asked")
       .text("batch", id.str())
       .text("tenant", from.tenant.str())
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -61,7 +61,7 @@
       .text("reason", reason)
       .number("revision", static_cast<std::int64_t>(job.revision))
       .number("listed", static_cast<std::int64_t>(job.active->appended.size()));
-  if (!job.record.ended) ++this->deps_.counts.lost;
+  if (!job.record.ended) ++this->deps_.counts.jobs_lost;
   job.active->stop(steadyNow());
   if (!job.record.ended || job.active->run.allAppended()) return;
   // Later jobs may contain its incomplete groups.
@@ -153,7 +153,7 @@
     if (answer.current) this->deps_.jobs.onRow(id, *answer.current);
     co_return;
   }
-  ++this->deps_.counts.taken_over;
+  ++this->deps_.counts.jobs_taken_over;
   this->deps_.keeper.onRenewed(sent_at);
   if (answer.revision > job->revision) {
     job->record = record;
@@ -232,7 +232,7 @@
       .text("reason", "not_at_home")
       .text("homes", namesOf(residency))
       .text("region", this->deps_.residency.ownRegion().str());
-  ++this->deps_.counts.handed_over_for_residency;
+  ++this->deps_.counts.jobs_handed_over_for_residency;
   co_await this->handOverJob(id);
   job_entry* at = this->deps_.jobs.find(id);
   const bool still_owned = at != nullptr && this->isOwn(*at);
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -136,7 +136,7 @@
   active_job::pending_append& pending = active.pending;
   for (std::size_t i = 0; i < pending.items.size(); ++i) {
     const bool completed = active.run.progress(pending.items[i]).outcome == ResultState::kCompleted;
-    ++(completed ? this->deps_.counts.completed : this->deps_.counts.terminated);
+    ++(completed ? this->deps_.counts.items_completed : this->deps_.counts.items_terminated);
     active.run.onAppended(pending.items[i]);
     active.unpublished_bytes += pending.results[i].encoded.size();
     active.appended.push_back(std::move(pending.results[i]));
--- a/src/gateway/service/metrics_exporter.cpp
+++ b/src/gateway/service/metrics_exporter.cpp
@@ -71,16 +71,16 @@
   state.items_in_closed_zones = workload.in_closed_zones;
   state.jobs_awaiting_residency = workload.awaiting_residency;
   const batch::batch_counts& counts = this->sources_.batches.counts();
-  state.items_completed = counts.completed;
-  state.items_terminated = counts.terminated;
-  state.item_attempts = counts.attempts;
-  state.items_scored = counts.scored;
+  state.items_completed = counts.items_completed;
+  state.items_terminated = counts.items_terminated;
+  state.item_attempts = counts.item_attempts;
+  state.items_scored = counts.items_scored;
   state.scorings_failed = counts.scorings_failed;
-  state.jobs_accepted = counts.accepted;
-  state.jobs_refused = counts.refused;
-  state.jobs_taken_over = counts.taken_over;
-  state.jobs_refused_for_residency = counts.refused_for_residency;
-  state.jobs_released_for_residency = counts.handed_over_for_residency;
+  state.jobs_accepted = counts.jobs_accepted;
+  state.jobs_refused = counts.jobs_refused;
+  state.jobs_taken_over = counts.jobs_taken_over;
+  state.jobs_refused_for_residency = counts.jobs_refused_for_residency;
+  state.jobs_released_for_residency = counts.jobs_handed_over_for_residency;
 }
 
 void metrics_exporter::collectLeadership(Instant now, metrics::GatewayState& state) const {
