--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -46,7 +46,7 @@
 
 batch_service::job_workload batch_service::workload() const {
   job_workload workload;
-  workload.awaiting_residency = this->ownership_.awaitingResidency();
+  workload.awaiting_owner = this->ownership_.awaitingOwner();
   for (const auto& [id, job] : this->jobs_.all()) {
     if (!job.active || job.active->stopped) continue;
     ++workload.jobs;
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -113,8 +113,8 @@
     std::size_t running = 0;
     std::size_t unscored = 0;
     std::size_t in_closed_zones = 0;  ///< Part of `running`.
-    /// Jobs, of any owner, that no daemon within their residency takes over.
-    std::size_t awaiting_residency = 0;
+    /// Known jobs that are waiting for a daemon within their residency to take them over.
+    std::size_t awaiting_owner = 0;
   };
   job_workload workload() const;
   /** @return the number of runs of owned jobs on engines of the zone. */
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -75,7 +75,7 @@
 // --- Taking over --------------------------------------------------------------------------------
 
 void job_ownership::checkOwners(Instant now) {
-  this->awaiting_residency_ = 0;
+  this->awaiting_owner_ = 0;
   for (auto& [id, job] : this->deps_.jobs.all()) this->checkOwner(now, id, job);
 }
 
@@ -107,7 +107,7 @@
   if (!leases.storeHealthy() || !leases.expired(job.record.owner)) return;
   if (job.orphaned_at == Instant{}) job.orphaned_at = now;
   if (!this->deps_.residency.mayOwn(job.record)) {
-    this->reportAwaitingResidency(now, id, job);
+    this->reportAwaitingOwner(now, id, job);
     return;
   }
   const bool own = leases.isPreviousIncarnation(job.record.owner);
@@ -244,10 +244,10 @@
   if (job_entry* job = this->deps_.jobs.find(id)) job->transition_pending = false;
 }
 
-void job_ownership::reportAwaitingResidency(Instant now, const JobId& id, job_entry& job) {
+void job_ownership::reportAwaitingOwner(Instant now, const JobId& id, job_entry& job) {
   const bool open = job.record.published < job.record.total;
   if (!open || now - job.orphaned_at < kResidencyWait) return;
-  ++this->awaiting_residency_;
+  ++this->awaiting_owner_;
   if (now < this->next_wait_log_) return;
   this->next_wait_log_ = now + kWaitLogInterval;
   const std::optional<fleet::data_residency> residency = this->deps_.residency.of(job.record);
--- a/src/gateway/batch/job_ownership.h
+++ b/src/gateway/batch/job_ownership.h
@@ -52,10 +52,10 @@
    * over afterwards.
    */
   Task<void> handOver();
-  /** @return the number of jobs that no daemon within their residency had taken over at the last
-   *     check.
+  /** @return the number of jobs that were waiting, at the last check, for a daemon within their
+   *     residency to take them over.
    */
-  std::size_t awaitingResidency() const { return this->awaiting_residency_; }
+  std::size_t awaitingOwner() const { return this->awaiting_owner_; }
 
  private:
   bool isOwn(const job_entry& job) const;
@@ -80,14 +80,16 @@
    */
   bool checkResidency(const JobId& id, job_entry& job);
   Task<void> handOverForResidency(JobId id);
-  /** Counts and logs a job without an owner if this daemon is outside its residency. */
-  void reportAwaitingResidency(Instant now, const JobId& id, job_entry& job);
+  /** Counts and logs a job that this daemon must not take over, if no other daemon has taken it
+   * over for some time.
+   */
+  void reportAwaitingOwner(Instant now, const JobId& id, job_entry& job);
   /** Releases an owned job after writing a checkpoint. */
   Task<void> handOverJob(JobId id);
 
   dependencies deps_;
-  std::size_t awaiting_residency_ = 0;
-  /// When the next log entry about jobs without an owner within their residency is due.
+  std::size_t awaiting_owner_ = 0;
+  /// When the next log entry about a job that is waiting for an owner is due.
   Instant next_wait_log_{};
   bool stopping_ = false;
 };
--- a/src/gateway/service/metrics_exporter.cpp
+++ b/src/gateway/service/metrics_exporter.cpp
@@ -69,7 +69,7 @@
   state.items_running = workload.running;
   state.items_awaiting_score = workload.unscored;
   state.items_in_closed_zones = workload.in_closed_zones;
-  state.jobs_awaiting_residency = workload.awaiting_residency;
+  state.jobs_awaiting_residency = workload.awaiting_owner;
   const batch::batch_counts& counts = this->sources_.batches.counts();
   state.items_completed = counts.items_completed;
   state.items_terminated = counts.items_terminated;
