--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -16,7 +16,7 @@
 #include "gateway/batch/batch_codec.h"
 #include "gateway/batch/batch_options.h"
 #include "gateway/batch/checkpoint_writer.h"
-#include "gateway/batch/engine_request_builder.h"
+#include "gateway/batch/engine_requirements_builder.h"
 #include "gateway/batch/item_runner.h"
 #include "gateway/batch/job_acceptance.h"
 #include "gateway/batch/job_activation.h"
@@ -128,13 +128,13 @@
   job_registry jobs_;
   batch_counts counts_;
   job_residency residency_{{deps_.engines.registry, deps_.pool, deps_.routes}};
-  engine_request_builder engine_requests_{{residency_, deps_.routes, options_}};
+  engine_requirements_builder engine_requirements_{{residency_, deps_.routes, options_}};
   item_runner runner_{{deps_.loop, deps_.engines, deps_.rewards, deps_.suspects, jobs_,
-                       engine_requests_, deps_.routes, counts_, options_}};
-  slow_run_mover slow_run_mover_{
-      {deps_.engines.registry, jobs_, runner_.lengths(), engine_requests_, deps_.routes, options_}};
+                       engine_requirements_, deps_.routes, counts_, options_}};
+  slow_run_mover slow_run_mover_{{deps_.engines.registry, jobs_, runner_.lengths(),
+                                  engine_requirements_, deps_.routes, options_}};
   zone_drainer zone_drainer_{
-      {deps_.engines.registry, jobs_, runner_.lengths(), engine_requests_, deps_.routes}};
+      {deps_.engines.registry, jobs_, runner_.lengths(), engine_requirements_, deps_.routes}};
   result_writer results_{
       {deps_.loop, deps_.store, deps_.leases, deps_.codec, jobs_, counts_, options_}};
   checkpoint_writer checkpoints_{{deps_.loop, deps_.store, options_}};
--- a/src/gateway/batch/checkpoint.cpp
+++ b/src/gateway/batch/checkpoint.cpp
@@ -7,9 +7,9 @@
 
 using nlohmann::json;
 
-checkpoint_texts mergeParts(const std::vector<checkpoint_texts>& parts) {
+item_checkpoints mergeParts(const std::vector<item_checkpoints>& parts) {
   std::map<std::size_t, item_checkpoint> texts;
-  for (const checkpoint_texts& part : parts) {
+  for (const item_checkpoints& part : parts) {
     for (const item_checkpoint& added : part) {
       if (added.after_event == 0) {
         texts[added.item_index] = added;
@@ -23,12 +23,12 @@
       at->second = std::move(whole);
     }
   }
-  checkpoint_texts merged;
+  item_checkpoints merged;
   for (auto& [item, text] : texts) merged.push_back(std::move(text));
   return merged;
 }
 
-std::string encodeCheckpoint(const checkpoint_texts& checkpoint) {
+std::string encodeCheckpoint(const item_checkpoints& checkpoint) {
   json document = json::array();
   for (const item_checkpoint& item : checkpoint) {
     json entry = {{"item", item.item_index},
@@ -47,11 +47,11 @@
   return {bytes.begin(), bytes.end()};
 }
 
-std::optional<checkpoint_texts> decodeCheckpoint(const std::string& bytes) {
+std::optional<item_checkpoints> decodeCheckpoint(const std::string& bytes) {
   const json document = json::from_cbor(bytes, true, false);
   if (!document.is_array()) return std::nullopt;
   try {
-    checkpoint_texts checkpoint;
+    item_checkpoints checkpoint;
     for (const json& entry : document) {
       item_checkpoint item;
       item.item_index = entry.at("item").get<std::size_t>();
--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -27,17 +27,17 @@
   bool operator==(const item_checkpoint&) const = default;
 };
 
-using checkpoint_texts = std::vector<item_checkpoint>;
+using item_checkpoints = std::vector<item_checkpoint>;
 
 /** Merges the parts of a checkpoint.
  * @param parts in the order in which they were written. An increment whose predecessor is missing
  *     is skipped.
  * @return the merged text of each item.
  */
-checkpoint_texts mergeParts(const std::vector<checkpoint_texts>& parts);
+item_checkpoints mergeParts(const std::vector<item_checkpoints>& parts);
 
-std::string encodeCheckpoint(const checkpoint_texts& checkpoint);
+std::string encodeCheckpoint(const item_checkpoints& checkpoint);
 /** @return the checkpoint, or nothing if the bytes are malformed. */
-std::optional<checkpoint_texts> decodeCheckpoint(const std::string& bytes);
+std::optional<item_checkpoints> decodeCheckpoint(const std::string& bytes);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/checkpoint_rows.cpp
+++ b/src/gateway/batch/checkpoint_rows.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-std::vector<std::string> toRows(const checkpoint_texts& part, std::size_t max_bytes) {
+std::vector<std::string> toRows(const item_checkpoints& part, std::size_t max_bytes) {
   const std::string bytes = encodeCheckpoint(part);
   const std::size_t room = max_bytes - kHeaderBytes;
   const std::size_t pieces = std::max<std::size_t>(1, (bytes.size() + room - 1) / room);
@@ -45,8 +45,8 @@
   return rows;
 }
 
-std::vector<checkpoint_texts> partsFromRows(const std::vector<std::string>& values) {
-  std::vector<checkpoint_texts> parts;
+std::vector<item_checkpoints> partsFromRows(const std::vector<std::string>& values) {
+  std::vector<item_checkpoints> parts;
   std::string bytes;
   std::size_t next = 1;
   for (const std::string& value : values) {
--- a/src/gateway/batch/checkpoint_rows.h
+++ b/src/gateway/batch/checkpoint_rows.h
@@ -14,11 +14,11 @@
 /** @param max_bytes upper limit for the value of a row.
  * @return the values of consecutive rows; at least one.
  */
-std::vector<std::string> toRows(const checkpoint_texts& part, std::size_t max_bytes);
+std::vector<std::string> toRows(const item_checkpoints& part, std::size_t max_bytes);
 
 /** @param values of consecutive rows of one job.
  * @return the parts, in order. Incomplete and malformed parts are skipped.
  */
-std::vector<checkpoint_texts> partsFromRows(const std::vector<std::string>& values);
+std::vector<item_checkpoints> partsFromRows(const std::vector<std::string>& values);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/checkpoint_tracker.h
+++ b/src/gateway/batch/checkpoint_tracker.h
@@ -16,7 +16,7 @@
 
 /** The next part to write. */
 struct checkpoint_part {
-  checkpoint_texts texts;
+  item_checkpoints texts;
   std::vector<std::uint32_t> revisions;  ///< `item_progress::text_revision` of each text.
   /// The part holds the full text of each item and makes earlier parts obsolete.
   bool full = false;
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -19,12 +19,12 @@
   spawn(this->deps_.loop, [this, active] { return this->checkpointLoop(active); });
 }
 
-Task<void> checkpoint_writer::write(active_job_ptr active, Need need) {
+Task<void> checkpoint_writer::write(active_job_ptr active, Condition condition) {
   // The outcome of the write in progress is unknown, so this part must be full.
   if (active->checkpoint_in_progress) active->checkpointed.onWriteUnknown();
   const checkpoint_part part = active->checkpointed.next(active->run);
   const bool enough_new = part.events >= this->deps_.options.min_checkpoint_events;
-  if (part.texts.empty() || (need == Need::kIfEnoughNew && !enough_new)) co_return;
+  if (part.texts.empty() || (condition == Condition::kEnoughNewEvents && !enough_new)) co_return;
   checkpoint_write write;
   write.rows = toRows(part.texts, this->deps_.store.rowBytes());
   write.first_row = active->checkpoint_next_row;
@@ -60,7 +60,7 @@
     co_await sleepFor(this->deps_.loop, pause);
     if (active->stopped || active->run.allAppended()) co_return;
     const Instant start_time = steadyNow();
-    co_await this->write(active, Need::kIfEnoughNew);
+    co_await this->write(active, Condition::kEnoughNewEvents);
     // Leaves a slow store capacity for results and lease renewals.
     pause = std::max<Duration>(this->deps_.options.checkpoint_interval,
                                kCheckpointBackoffFactor * (steadyNow() - start_time));
--- a/src/gateway/batch/checkpoint_writer.h
+++ b/src/gateway/batch/checkpoint_writer.h
@@ -21,14 +21,14 @@
     job_store& store;
     const batch_options& options;
   };
-  enum class Need { kAlways, kIfEnoughNew };
+  enum class Condition { kAnyChange, kEnoughNewEvents };
 
   explicit checkpoint_writer(dependencies deps) : deps_(deps) {}
 
   /** Writes checkpoints until the job has stopped or all of its items are appended. */
   void start(const active_job_ptr& active);
   /** Writes the changes since the last checkpoint, if there are any. */
-  Task<void> write(active_job_ptr active, Need need);
+  Task<void> write(active_job_ptr active, Condition condition);
 
  private:
   Task<void> checkpointLoop(active_job_ptr active);
--- a/src/gateway/batch/engine_request_builder.h
+++ b/src/gateway/batch/engine_requirements_builder.h
@@ -14,7 +14,7 @@
 namespace linenpier::batch {
 
 /** Stateless. Must be used from the event loop thread only. */
-class engine_request_builder {
+class engine_requirements_builder {
  public:
   struct dependencies {
     const job_residency& residency;
@@ -22,7 +22,7 @@
     const batch_options& options;
   };
 
-  explicit engine_request_builder(dependencies deps) : deps_(std::move(deps)) {}
+  explicit engine_requirements_builder(dependencies deps) : deps_(std::move(deps)) {}
 
   /** @param route the job's route in the newest table. */
   engines::engine_request build(const active_job& active, ItemIndex item,
--- a/src/gateway/batch/item_placement.cpp
+++ b/src/gateway/batch/item_placement.cpp
@@ -13,9 +13,10 @@
   return std::min(item.tokens, static_cast<double>(item.length_hint) + kPromptTokens);
 }
 
-engines::engine_request engineRequestFor(const batch_run& run, ItemIndex item,
-                                         const routing::Route& route,
-                                         const routing::RouteTable& table, double max_per_slot) {
+engines::engine_request engineRequirementsFor(const batch_run& run, ItemIndex item,
+                                              const routing::Route& route,
+                                              const routing::RouteTable& table,
+                                              double max_per_slot) {
   const batch_item& each = run.job().items[item];
   engines::engine_request wanted;
   wanted.service = route.services.front().service;
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -15,9 +15,10 @@
 /** @return the requirements of an item on an engine.
  * @param max_per_slot upper limit of requests per slot, counting all daemons.
  */
-engines::engine_request engineRequestFor(const batch_run& run, ItemIndex item,
-                                         const routing::Route& route,
-                                         const routing::RouteTable& table, double max_per_slot);
+engines::engine_request engineRequirementsFor(const batch_run& run, ItemIndex item,
+                                              const routing::Route& route,
+                                              const routing::RouteTable& table,
+                                              double max_per_slot);
 
 struct item_placement {
   const engines::engine_state* engine = nullptr;  ///< Null: no engine admits the item.
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -94,11 +94,12 @@
                             const routing::Route& route) {
   const Instant now = steadyNow();
   engines::engine_registry& registry = this->deps_.engines.registry;
-  const engines::engine_request wanted = this->deps_.engine_requests.build(*active, item, route);
+  const engines::engine_request wanted =
+      this->deps_.engine_requirements.build(*active, item, route);
   const item_placement placement = placeItem(now, registry, active->run.progress(item), wanted);
   if (placement.discard_text) active->run.discardText(item);
   if (placement.engine == nullptr) return false;
-  const auto admission = this->admitSuspect(*active, item);
+  const auto admission = this->admitItem(*active, item);
   if (!admission) return true;  // The item is on hold; other items of the job may start.
   const auto call = std::make_shared<forward::engine_call>(
       this->deps_.engines, *placement.engine,
@@ -107,21 +108,20 @@
   active->calls[item] = call;
   registry.addExpectedTokens(call->engine(), wanted.tokens);
   ++this->deps_.counts.item_attempts;
-  const item_attempt run{active, item, call, itemOf(*active, item).model, *admission};
-  spawn(this->deps_.loop, [this, run] { return this->runItem(run); });
+  const item_attempt attempt{active, item, call, itemOf(*active, item).model, *admission};
+  spawn(this->deps_.loop, [this, attempt] { return this->runItem(attempt); });
   return true;
 }
 
-std::optional<suspects::sent_attempt> item_runner::admitSuspect(active_job& active,
-                                                                ItemIndex item) {
-  suspects::sent_attempt attempt;
-  if (!this->deps_.suspects.hasSuspects()) return attempt;
+std::optional<suspects::sent_attempt> item_runner::admitItem(active_job& active, ItemIndex item) {
+  suspects::sent_attempt sent;
+  if (!this->deps_.suspects.hasSuspects()) return sent;
   const std::string id = itemOf(active, item).id.str();
   const suspects::suspect_admission admission = this->deps_.suspects.beginLocalIsolatedRun(
       keyOf(active, item), suspects::RequestSource::kItem, id);
-  attempt.crashes = admission.crashes;
-  attempt.isolated = admission.state == suspects::AdmissionState::kMayRunAlone;
-  if (attempt.isolated || admission.state == suspects::AdmissionState::kNotSuspect) return attempt;
+  sent.crashes = admission.crashes;
+  sent.isolated = admission.state == suspects::AdmissionState::kMayRunAlone;
+  if (sent.isolated || admission.state == suspects::AdmissionState::kNotSuspect) return sent;
   const bool runs_isolated = admission.state == suspects::AdmissionState::kRunning;
   const Duration wait =
       std::min(admission.retry_after, runs_isolated ? kSuspectRunningPoll : kSuspectHeldPoll);
@@ -131,102 +131,103 @@
 
 // --- Running and evaluating ---------------------------------------------------------------------
 
-Task<void> item_runner::runItem(item_attempt run) {
+Task<void> item_runner::runItem(item_attempt attempt) {
   run_report report;
-  const AttemptOutcome verdict =
-      co_await this->reader_.read(*run.active, run.item, *run.call, run.model, report);
-  if (verdict == AttemptOutcome::kBroken) {
-    report.engine_crashed = co_await run.call->engineHasCrashed();
+  const AttemptOutcome outcome = co_await this->reader_.read(*attempt.active, attempt.item,
+                                                             *attempt.call, attempt.model, report);
+  if (outcome == AttemptOutcome::kBroken) {
+    report.engine_crashed = co_await attempt.call->engineHasCrashed();
   }
-  this->reportToSuspectGate(run, verdict, report.engine_crashed);
-  run.active->calls.erase(run.item);
-  this->deps_.engines.registry.addExpectedTokens(run.call->engine(),
-                                                 -expectedTokens(itemOf(*run.active, run.item)));
-  if (run.active->stopped) co_return;
-  this->finishAttempt(run, verdict, report);
+  this->reportToSuspectTracker(attempt, outcome, report.engine_crashed);
+  attempt.active->calls.erase(attempt.item);
+  this->deps_.engines.registry.addExpectedTokens(
+      attempt.call->engine(), -expectedTokens(itemOf(*attempt.active, attempt.item)));
+  if (attempt.active->stopped) co_return;
+  this->finishAttempt(attempt, outcome, report);
   this->startRunnableItems();
 }
 
-void item_runner::reportToSuspectGate(const item_attempt& run, AttemptOutcome verdict,
-                                      bool engine_crashed) {
-  suspects::suspect_tracker& gate = this->deps_.suspects;
+void item_runner::reportToSuspectTracker(const item_attempt& attempt, AttemptOutcome outcome,
+                                         bool engine_crashed) {
+  suspects::suspect_tracker& tracker = this->deps_.suspects;
   if (engine_crashed) {
-    gate.onEngineCrashed(run.sent, keyOf(*run.active, run.item), run.call->engine(),
-                         run.call->startedAt(), suspects::RequestSource::kItem,
-                         itemOf(*run.active, run.item).id.str());
-  } else if (verdict != AttemptOutcome::kAnswered) {
-    if (run.sent.isolated) gate.onInconclusive(keyOf(*run.active, run.item));
-  } else if (gate.hasSuspects()) {
-    gate.onAnswered(keyOf(*run.active, run.item));
+    tracker.onEngineCrashed(attempt.sent, keyOf(*attempt.active, attempt.item),
+                            attempt.call->engine(), attempt.call->startedAt(),
+                            suspects::RequestSource::kItem,
+                            itemOf(*attempt.active, attempt.item).id.str());
+  } else if (outcome != AttemptOutcome::kAnswered) {
+    if (attempt.sent.isolated) tracker.onInconclusive(keyOf(*attempt.active, attempt.item));
+  } else if (tracker.hasSuspects()) {
+    tracker.onAnswered(keyOf(*attempt.active, attempt.item));
   }
 }
 
-void item_runner::finishAttempt(const item_attempt& run, AttemptOutcome verdict,
+void item_runner::finishAttempt(const item_attempt& attempt, AttemptOutcome outcome,
                                 const run_report& report) {
   const Instant now = steadyNow();
-  active_job& active = *run.active;
-  const unsigned status = verdict == AttemptOutcome::kAnswered ? run.call->status() : 0;
-  const std::uint64_t events = active.run.progress(run.item).last_event;
-  this->applyVerdict(now, run, verdict, status, events, report);
-  const ItemState state = active.run.progress(run.item).state;
+  active_job& active = *attempt.active;
+  const unsigned status = outcome == AttemptOutcome::kAnswered ? attempt.call->status() : 0;
+  const std::uint64_t events = active.run.progress(attempt.item).last_event;
+  this->applyOutcome(now, attempt, outcome, status, events, report);
+  const ItemState state = active.run.progress(attempt.item).state;
   if (state == ItemState::kFinished) active.results_ready.notifyAll();
-  active.logStepComplete(run.item);
-  const bool success = verdict == AttemptOutcome::kAnswered && status < kFirstErrorStatus;
+  active.logStepComplete(attempt.item);
+  const bool success = outcome == AttemptOutcome::kAnswered && status < kFirstErrorStatus;
   if (success && !this->sampler_.admit(now)) return;
-  this->logAttempt(now, run, verdict, status, events, report);
+  this->logAttempt(now, attempt, outcome, status, events, report);
 }
 
-void item_runner::applyVerdict(Instant now, const item_attempt& run, AttemptOutcome verdict,
+void item_runner::applyOutcome(Instant now, const item_attempt& attempt, AttemptOutcome outcome,
                                unsigned status, std::uint64_t events, const run_report& report) {
-  batch_run& state = run.active->run;
-  const bool answered = verdict == AttemptOutcome::kAnswered;
+  batch_run& state = attempt.active->run;
+  const bool answered = outcome == AttemptOutcome::kAnswered;
   if (answered && status == kUnprocessable) {
-    state.onRejected(run.item);
+    state.onRejected(attempt.item);
   } else if (answered && status >= kFirstErrorStatus) {
-    state.onFailed(now, run.item);
+    state.onFailed(now, attempt.item);
   } else if (answered && events > 0) {
-    state.onCompleted(now, run.item);
-    this->lengths_.onFinished(itemOf(*run.active, run.item).length_hint, events);
+    state.onCompleted(now, attempt.item);
+    this->lengths_.onFinished(itemOf(*attempt.active, attempt.item).length_hint, events);
   } else {
-    this->interruptItem(now, run, verdict, report);
+    this->interruptItem(now, attempt, outcome, report);
   }
 }
 
-void item_runner::interruptItem(Instant now, const item_attempt& run, AttemptOutcome verdict,
+void item_runner::interruptItem(Instant now, const item_attempt& attempt, AttemptOutcome outcome,
                                 const run_report& report) {
   engines::engine_registry& registry = this->deps_.engines.registry;
   const batch_options& options = this->deps_.options;
-  batch_run& state = run.active->run;
-  const bool rejected = verdict == AttemptOutcome::kNotExecuted;
-  const bool silent = verdict == AttemptOutcome::kTimedOut;
+  batch_run& state = attempt.active->run;
+  const bool rejected = outcome == AttemptOutcome::kNotExecuted;
+  const bool silent = outcome == AttemptOutcome::kTimedOut;
   // An engine that does not respond is overloaded, or blocked while it loads weights.
-  if ((rejected || silent) && !run.model.empty()) {
-    registry.onModelRejected(now, run.call->engine(), run.model);
+  if ((rejected || silent) && !attempt.model.empty()) {
+    registry.onModelRejected(now, attempt.call->engine(), attempt.model);
   }
-  if (silent && !report.first_event_delay) state.onFirstEventTimeout(run.item);
-  if (verdict == AttemptOutcome::kBroken && !run.model.empty()) {
-    registry.onModelReset(now, run.call->engine(), run.model);
+  if (silent && !report.first_event_delay) state.onFirstEventTimeout(attempt.item);
+  if (outcome == AttemptOutcome::kBroken && !attempt.model.empty()) {
+    registry.onModelReset(now, attempt.call->engine(), attempt.model);
   }
   const Duration pause = rejected ? options.rejected_retry_delay : options.interrupted_retry_delay;
-  state.onInterrupted(now, run.item, pause);
+  state.onInterrupted(now, attempt.item, pause);
 }
 
-void item_runner::logAttempt(Instant now, const item_attempt& run, AttemptOutcome verdict,
+void item_runner::logAttempt(Instant now, const item_attempt& attempt, AttemptOutcome outcome,
                              unsigned status, std::uint64_t events, const run_report& report) {
-  const batch_item& item = itemOf(*run.active, run.item);
+  const batch_item& item = itemOf(*attempt.active, attempt.item);
   LogEvent event("batch", "attempt_ended");
-  event.text("batch", run.active->record.id.str())
+  event.text("batch", attempt.active->record.id.str())
       .text("item", item.id.str())
-      .text("engine", run.call->engine().str())
-      .text("verdict", forward::toText(verdict))
+      .text("engine", attempt.call->engine().str())
+      .text("verdict", forward::toText(outcome))
       .number("status", status)
       .number("events", static_cast<std::int64_t>(events))
       .number("hint", static_cast<std::int64_t>(item.length_hint))
       .milliseconds("first_event_ms", report.first_event_delay.value_or(Duration::zero()))
       .milliseconds("longest_gap_ms", report.max_gap)
-      .milliseconds("took_ms", now - run.call->startedAt());
-  if (verdict == AttemptOutcome::kBroken) {
-    event.text("key", keyOf(*run.active, run.item).str())
+      .milliseconds("took_ms", now - attempt.call->startedAt());
+  if (outcome == AttemptOutcome::kBroken) {
+    event.text("key", keyOf(*attempt.active, attempt.item).str())
         .text("engine_ended", report.engine_crashed ? "yes" : "no");
   }
 }
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "common/success_sampler.h"
-#include "gateway/batch/engine_request_builder.h"
+#include "gateway/batch/engine_requirements_builder.h"
 #include "gateway/batch/item_scorer.h"
 #include "gateway/batch/job_registry.h"
 #include "gateway/batch/length_estimator.h"
@@ -22,7 +22,7 @@
 namespace linenpier::batch {
 
 /// Completed runs logged per second; beyond that rate they are sampled.
-inline constexpr std::uint32_t kFullLinesPerSecond = 60;
+inline constexpr std::uint32_t kUnsampledLogsPerSecond = 60;
 inline constexpr std::uint32_t kSampleOneIn = 10;
 
 /** Owns the length statistics and the reward requests in flight. Engine calls in flight are kept in
@@ -36,7 +36,7 @@
     forward::internal_requests& rewards;
     suspects::suspect_tracker& suspects;
     job_registry& jobs;
-    const engine_request_builder& engine_requests;
+    const engine_requirements_builder& engine_requirements;
     std::function<routing::RouteTablePtr()> routes;
     batch_counts& counts;
     const batch_options& options;
@@ -68,26 +68,26 @@
   /** @return whether other items of the job may start. */
   bool startItem(const active_job_ptr& active, ItemIndex item, const routing::Route& route);
   /** @return nothing if the item must wait because engines crashed while running it. */
-  std::optional<suspects::sent_attempt> admitSuspect(active_job& active, ItemIndex item);
-  Task<void> runItem(item_attempt run);
+  std::optional<suspects::sent_attempt> admitItem(active_job& active, ItemIndex item);
+  Task<void> runItem(item_attempt attempt);
   /** Reports the outcome of a run to the detection of requests that crash engines. */
-  void reportToSuspectGate(const item_attempt& run, forward::AttemptOutcome verdict,
-                           bool engine_crashed);
-  void finishAttempt(const item_attempt& run, forward::AttemptOutcome verdict,
+  void reportToSuspectTracker(const item_attempt& attempt, forward::AttemptOutcome outcome,
+                              bool engine_crashed);
+  void finishAttempt(const item_attempt& attempt, forward::AttemptOutcome outcome,
                      const run_report& report);
   /** @param status of the response; 0: none.
    * @param events number of events that the item has.
    */
-  void applyVerdict(Instant now, const item_attempt& run, forward::AttemptOutcome verdict,
+  void applyOutcome(Instant now, const item_attempt& attempt, forward::AttemptOutcome outcome,
                     unsigned status, std::uint64_t events, const run_report& report);
-  void interruptItem(Instant now, const item_attempt& run, forward::AttemptOutcome verdict,
+  void interruptItem(Instant now, const item_attempt& attempt, forward::AttemptOutcome outcome,
                      const run_report& report);
-  void logAttempt(Instant now, const item_attempt& run, forward::AttemptOutcome verdict,
+  void logAttempt(Instant now, const item_attempt& attempt, forward::AttemptOutcome outcome,
                   unsigned status, std::uint64_t events, const run_report& report);
 
   dependencies deps_;
   length_estimator lengths_;
-  logging::SuccessSampler sampler_{kFullLinesPerSecond, kSampleOneIn};
+  logging::SuccessSampler sampler_{kUnsampledLogsPerSecond, kSampleOneIn};
   item_scorer scorer_;
   run_reader reader_;
 };
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -214,8 +214,8 @@
 
 // --- Ending -------------------------------------------------------------------------------------
 
-Task<unsigned> job_acceptance::endBefore(JobId id, tenants::caller from, Instant deadline,
-                                         http::ResponseWriter& writer) {
+Task<unsigned> job_acceptance::writeEnded(JobId id, tenants::caller from, Instant deadline,
+                                          http::ResponseWriter& writer) {
   // The row from the feed or from a failed conditional write saves reading it.
   std::optional<table::Row> known = rowOf(this->deps_.jobs.find(id));
   while (steadyNow() < deadline && !writer.cancellation().requested()) {
@@ -253,7 +253,7 @@
 Task<void> job_acceptance::end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
   const Instant start_time = steadyNow();
   const Instant deadline = start_time + this->deps_.options.end_timeout;
-  const unsigned status = co_await this->endBefore(id, from, deadline, writer);
+  const unsigned status = co_await this->writeEnded(id, from, deadline, writer);
   if (status == kOk) ++this->deps_.counts.jobs_ended;
   LogEvent("batch", "end_asked")
       .text("batch", id.str())
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -98,8 +98,8 @@
   std::size_t modelIndex(const job_record& record) const;
 
   /** @return the status code of the response. */
-  Task<unsigned> endBefore(JobId id, tenants::caller from, Instant deadline,
-                           http::ResponseWriter& writer);
+  Task<unsigned> writeEnded(JobId id, tenants::caller from, Instant deadline,
+                            http::ResponseWriter& writer);
 
   dependencies deps_;
   bool stopping_ = false;
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -68,7 +68,7 @@
   job.active->fence = job.revision;
   const active_job_ptr active = job.active;
   spawn(this->deps_.loop, [this, active] {
-    return this->deps_.checkpoints.write(active, checkpoint_writer::Need::kAlways);
+    return this->deps_.checkpoints.write(active, checkpoint_writer::Condition::kAnyChange);
   });
 }
 
@@ -284,7 +284,7 @@
     active->stop(steadyNow());
     // Even if another checkpoint was sent just now: it may be committed only after the job was
     // released, and fail.
-    co_await this->deps_.checkpoints.write(active, checkpoint_writer::Need::kAlways);
+    co_await this->deps_.checkpoints.write(active, checkpoint_writer::Condition::kAnyChange);
   }
   const fenced_write_result answer = co_await this->deps_.store.putRecord(record, fence, {});
   LogEvent("batch", "handed_over")
--- a/src/gateway/batch/job_removal.cpp
+++ b/src/gateway/batch/job_removal.cpp
@@ -9,7 +9,7 @@
 namespace {
 /// Multiple of the daemon's takeover delay that is added to the poll interval, so that daemons do
 /// not all remove the same jobs.
-constexpr int kRemovalJitterFactor = 5;
+constexpr int kTakeoverDelayFactor = 5;
 }  // namespace
 
 void job_removal::start() {
@@ -34,7 +34,7 @@
   while (!this->stopping_) {
     const Duration own_delay = this->deps_.leases.takeoverDelay(steadyNow(), "removal");
     co_await sleepFor(this->deps_.loop,
-                      this->deps_.options.removal_period + kRemovalJitterFactor * own_delay);
+                      this->deps_.options.removal_period + kTakeoverDelayFactor * own_delay);
     const auto id = this->nextToRemove(steadyNow());
     if (!id) continue;
     const Revision revision = this->deps_.jobs.find(*id)->revision;
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -34,7 +34,7 @@
 
 /** A checkpoint as stored, and the range of its rows. */
 struct stored_checkpoint {
-  checkpoint_texts texts;
+  item_checkpoints texts;
   std::size_t first_row = 0;
   std::size_t next_row = 0;  ///< After the last one.
 };
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -46,7 +46,7 @@
   /** @param texts of the earlier job's items that are not appended.
    * @param appended results of the earlier job. Completed ones of the wanted items are used, too.
    */
-  void add(const batch_job& earlier, checkpoint_texts texts,
+  void add(const batch_job& earlier, item_checkpoints texts,
            const std::vector<stored_result>& appended, const batch_codec& codec) {
     for (const stored_result& result : appended) {
       if (result.item_index >= earlier.items.size()) continue;
@@ -92,7 +92,7 @@
   if (active) {
     const batch_job& job = active->run.job();
     if (!search->sharesItems(job)) return;
-    const checkpoint_texts texts = checkpoint_tracker{}.next(active->run).texts;
+    const item_checkpoints texts = checkpoint_tracker{}.next(active->run).texts;
     search->add(job, texts, active->appended, this->deps_.codec);
     return;
   }
--- a/src/gateway/batch/partial_results.cpp
+++ b/src/gateway/batch/partial_results.cpp
@@ -2,7 +2,7 @@
 
 namespace linenpier::batch {
 
-void partial_results::addJob(const batch_job& earlier, const checkpoint_texts& checkpoint) {
+void partial_results::addJob(const batch_job& earlier, const item_checkpoints& checkpoint) {
   for (const batch_item& item : earlier.items) this->items_.insert(item.id);
   for (const item_checkpoint& text : checkpoint) {
     if (text.item_index >= earlier.items.size()) continue;
--- a/src/gateway/batch/partial_results.h
+++ b/src/gateway/batch/partial_results.h
@@ -19,7 +19,7 @@
   /** Adds an earlier job. Of several texts of an item, the longest is kept.
    * @param checkpoint text of its items, finished or not.
    */
-  void addJob(const batch_job& earlier, const checkpoint_texts& checkpoint);
+  void addJob(const batch_job& earlier, const item_checkpoints& checkpoint);
 
   /** @return whether an earlier job contained the item. */
   bool contains(const ItemId& item) const { return this->items_.contains(item); }
--- a/src/gateway/batch/slow_run_mover.cpp
+++ b/src/gateway/batch/slow_run_mover.cpp
@@ -37,7 +37,7 @@
 void slow_run_mover::moveRun(Instant now, active_job& active, const item_run& run,
                              const routing::Route& route, planned_moves& moves) {
   engines::engine_registry& registry = this->deps_.registry;
-  engines::engine_request wanted = this->deps_.engine_requests.build(active, run.item, route);
+  engines::engine_request wanted = this->deps_.engine_requirements.build(active, run.item, route);
   wanted.excluded = moves.fullEngines();
   wanted.excluded.insert(run.engine);
   const auto move = planMove(now, registry, this->deps_.lengths, active.run, run, wanted,
--- a/src/gateway/batch/zone_drainer.cpp
+++ b/src/gateway/batch/zone_drainer.cpp
@@ -54,7 +54,8 @@
   const routing::RouteTablePtr table = this->deps_.routes();
   const routing::Route* route = routeOf(run.active->record, table);
   if (route == nullptr) return false;
-  engines::engine_request wanted = this->deps_.engine_requests.build(*run.active, run.item, *route);
+  engines::engine_request wanted =
+      this->deps_.engine_requirements.build(*run.active, run.item, *route);
   wanted.excluded = moves.fullEngines();
   const engines::engine_state* target = this->deps_.registry.pick(now, wanted);
   if (target == nullptr) return false;
--- a/src/gateway/batch/zone_drainer.h
+++ b/src/gateway/batch/zone_drainer.h
@@ -8,7 +8,7 @@
 #include <functional>
 #include <vector>
 
-#include "gateway/batch/engine_request_builder.h"
+#include "gateway/batch/engine_requirements_builder.h"
 #include "gateway/batch/job_registry.h"
 #include "gateway/batch/length_estimator.h"
 #include "gateway/batch/planned_moves.h"
@@ -23,7 +23,7 @@
     engines::engine_registry& registry;
     job_registry& jobs;
     const length_estimator& lengths;
-    const engine_request_builder& engine_requests;
+    const engine_requirements_builder& engine_requirements;
     std::function<routing::RouteTablePtr()> routes;
   };
 
--- a/tests/gateway/batch/batch_run_test.cpp
+++ b/tests/gateway/batch/batch_run_test.cpp
@@ -178,7 +178,7 @@
   cr_assert_eq(too_old.reusedGroups(), 1U, "the group is required nevertheless");
 }
 
-Test(batch_run, an_attempt_with_less_text_than_reused_is_obsolete) {
+Test(batch_run, an_attempt_is_obsolete_if_the_reused_text_is_longer) {
   batch_run run(job(), rules());
   run.onStarted(kStart, 2, kEngine);
   run.onEvent(kStart, 2, 1, "one", 4);
--- a/tests/gateway/batch/checkpoint_tracker_test.cpp
+++ b/tests/gateway/batch/checkpoint_tracker_test.cpp
@@ -33,9 +33,9 @@
 }
 
 /// Writes the next part.
-checkpoint_texts writeNext(checkpoint_tracker& log, const batch_run& run) {
-  const checkpoint_part part = log.next(run);
-  log.onWritten(part);
+item_checkpoints writeNext(checkpoint_tracker& tracker, const batch_run& run) {
+  const checkpoint_part part = tracker.next(run);
+  tracker.onWritten(part);
   return part.texts;
 }
 
@@ -43,21 +43,21 @@
 
 Test(checkpoint_tracker, parts_hold_increments_and_merge_to_the_full_text) {
   batch_run run = runOf(2);
-  checkpoint_tracker log;
+  checkpoint_tracker tracker;
   addEvents(run, 0, 1, 6);
-  std::vector<checkpoint_texts> parts = {writeNext(log, run)};
+  std::vector<item_checkpoints> parts = {writeNext(tracker, run)};
   addEvents(run, 0, 7, 9);
   addEvents(run, 1, 1, 5);
-  parts.push_back(writeNext(log, run));
+  parts.push_back(writeNext(tracker, run));
   cr_assert_eq(parts[1].size(), 2U);
   cr_assert_eq(parts[1][0].after_event, 6U);
   cr_assert_eq(parts[1][0].text, "\ne7\ne8\ne9");
-  cr_assert(log.next(run).texts.empty(), "no changes");
+  cr_assert(tracker.next(run).texts.empty(), "no changes");
   run.onCompleted(kStart, 0);
-  parts.push_back(writeNext(log, run));
+  parts.push_back(writeNext(tracker, run));
   cr_assert_eq(parts[2].size(), 1U);
   cr_assert_eq(parts[2][0].text, "");
-  const checkpoint_texts merged = mergeParts(parts);
+  const item_checkpoints merged = mergeParts(parts);
   cr_assert_eq(merged[0].text, run.progress(0).text);
   cr_assert(merged[0].finished);
   cr_assert_eq(merged[1].text, run.progress(1).text);
@@ -65,50 +65,50 @@
 
 Test(checkpoint_tracker, a_restarted_text_is_written_in_full) {
   batch_run run = runOf(1);
-  checkpoint_tracker log;
+  checkpoint_tracker tracker;
   addEvents(run, 0, 1, 6);
-  writeNext(log, run);
+  writeNext(tracker, run);
   run.discardText(0);
   addEvents(run, 0, 1, 8);
-  const checkpoint_texts part = writeNext(log, run);
+  const item_checkpoints part = writeNext(tracker, run);
   cr_assert_eq(part[0].after_event, 0U);
   cr_assert_eq(part[0].text, run.progress(0).text);
 }
 
 Test(checkpoint_tracker, a_text_restarted_during_a_write_is_written_in_full_afterwards) {
   batch_run run = runOf(1);
-  checkpoint_tracker log;
+  checkpoint_tracker tracker;
   addEvents(run, 0, 1, 6);
-  const checkpoint_part part = log.next(run);
+  const checkpoint_part part = tracker.next(run);
   run.discardText(0);
   addEvents(run, 0, 1, 8);
-  log.onWritten(part);
-  cr_assert_eq(log.next(run).texts[0].after_event, 0U);
+  tracker.onWritten(part);
+  cr_assert_eq(tracker.next(run).texts[0].after_event, 0U);
 }
 
 Test(checkpoint_tracker, the_part_after_an_unanswered_write_is_full) {
   batch_run run = runOf(1);
-  checkpoint_tracker log;
+  checkpoint_tracker tracker;
   addEvents(run, 0, 1, 6);
-  writeNext(log, run);
+  writeNext(tracker, run);
   addEvents(run, 0, 7, 7);
-  cr_assert_not(log.next(run).full);
-  log.onWriteUnknown();
-  const checkpoint_part part = log.next(run);
+  cr_assert_not(tracker.next(run).full);
+  tracker.onWriteUnknown();
+  const checkpoint_part part = tracker.next(run);
   cr_assert(part.full);
   cr_assert_eq(part.texts[0].text, run.progress(0).text);
 }
 
 Test(checkpoint_tracker, the_number_of_parts_since_the_last_full_one_is_bounded) {
   batch_run run = runOf(1);
-  checkpoint_tracker log;
+  checkpoint_tracker tracker;
   addEvents(run, 0, 1, 5);
   int full = 0;
   for (std::uint64_t event = 6; event < 106; ++event) {
     addEvents(run, 0, event, event);
-    const checkpoint_part part = log.next(run);
+    const checkpoint_part part = tracker.next(run);
     if (part.full) ++full;
-    log.onWritten(part);
+    tracker.onWritten(part);
   }
   cr_assert_geq(full, 6);
   cr_assert_leq(full, 8);
--- a/tests/gateway/batch/item_placement_test.cpp
+++ b/tests/gateway/batch/item_placement_test.cpp
@@ -47,7 +47,7 @@
 Test(item_placement, the_request_has_the_items_model_version_and_expected_memory) {
   routing::RouteTable table;
   table.services[kService].memory_tokens = 30000;
-  const auto wanted = batch::engineRequestFor(oneItem(), 0, route(false), table, 1.0);
+  const auto wanted = batch::engineRequirementsFor(oneItem(), 0, route(false), table, 1.0);
   cr_assert_eq(wanted.model.str(), "m");
   cr_assert_eq(wanted.minimum_version, 2U);
   cr_assert_eq(wanted.tokens, 1200, "length hint plus a typical prompt");
@@ -61,7 +61,7 @@
   batch::item_progress progress;
   progress.failures = 1;
   progress.last_engine = EngineId("a");
-  const auto wanted = batch::engineRequestFor(oneItem(), 0, route(false), {}, 1.0);
+  const auto wanted = batch::engineRequirementsFor(oneItem(), 0, route(false), {}, 1.0);
   cr_assert_eq(batch::placeItem(kStart, registry, progress, wanted).engine->record.id.str(), "b");
   registry.onRemoved(kStart, EngineId("b"));
   cr_assert_eq(batch::placeItem(kStart, registry, progress, wanted).engine->record.id.str(), "a");
@@ -73,7 +73,7 @@
   batch_run run = oneItem();
   run.onStarted(kStart, 0, EngineId("a"));
   run.onEvent(kStart, 0, 1, "text", 2);
-  const auto wanted = batch::engineRequestFor(run, 0, route(true), {}, 1.0);
+  const auto wanted = batch::engineRequirementsFor(run, 0, route(true), {}, 1.0);
   const auto placement = batch::placeItem(kStart, registry, run.progress(0), wanted);
   cr_assert_not_null(placement.engine);
   cr_assert(placement.discard_text);
--- a/tests/gateway/batch/new_job_owner_test.cpp
+++ b/tests/gateway/batch/new_job_owner_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const LeaseId kOwn("slow#1");
+const LeaseId kOwn("own#1");
 const LeaseId kFast("fast#1");
 const LeaseId kOther("other#1");
 
--- a/tests/gateway/batch/result_schedule_test.cpp
+++ b/tests/gateway/batch/result_schedule_test.cpp
@@ -8,13 +8,13 @@
 namespace {
 constexpr Instant kStart{std::chrono::seconds(50)};
 constexpr Duration kMaxHold = std::chrono::seconds(1);
-constexpr Duration kMoment = std::chrono::milliseconds(300);
+constexpr Duration kShortTime = std::chrono::milliseconds(300);
 }  // namespace
 
 Test(result_schedule, results_are_held_back_until_they_are_due) {
   result_schedule schedule(kStart, {kMaxHold});
   schedule.setDue(kStart + 5 * kMaxHold);
-  const Instant now = kStart + kMoment;
+  const Instant now = kStart + kShortTime;
   cr_assert(schedule.publishAt(now, false) == kStart + 5 * kMaxHold);
   cr_assert(schedule.publishAt(now, true) == now);
   schedule.onPublished(now);
@@ -23,7 +23,7 @@
 
 Test(result_schedule, results_without_a_due_time_are_held_back_unless_urgent) {
   result_schedule schedule(kStart, {kMaxHold});
-  const Instant now = kStart + kMoment;
+  const Instant now = kStart + kShortTime;
   cr_assert(schedule.publishAt(now, false) == kStart + kMaxHold);
   cr_assert(schedule.publishAt(now, true) == now);
   schedule.onPublished(now);
@@ -34,11 +34,12 @@
 
 Test(result_schedule, results_finished_by_the_due_time_are_published_then) {
   result_schedule schedule(kStart, {kMaxHold});
-  schedule.setDue(kStart + kMoment);
-  cr_assert(schedule.publishAt(kStart, false) == kStart + kMoment);
-  cr_assert(schedule.publishAt(kStart + 2 * kMoment, false) == kStart + 2 * kMoment);
-  schedule.onPublished(kStart + 2 * kMoment);
-  cr_assert(schedule.publishAt(kStart + 2 * kMoment, false) == kStart + 2 * kMoment + kMaxHold);
+  schedule.setDue(kStart + kShortTime);
+  cr_assert(schedule.publishAt(kStart, false) == kStart + kShortTime);
+  cr_assert(schedule.publishAt(kStart + 2 * kShortTime, false) == kStart + 2 * kShortTime);
+  schedule.onPublished(kStart + 2 * kShortTime);
+  cr_assert(schedule.publishAt(kStart + 2 * kShortTime, false) ==
+            kStart + 2 * kShortTime + kMaxHold);
 }
 
 Test(result_schedule, finished_items_are_appended_before_they_are_published) {
@@ -47,10 +48,10 @@
   schedule.setDue(kStart + std::chrono::seconds(8));
   cr_assert(schedule.appendAt(kStart, false) == kStart + options.append_interval);
   cr_assert(schedule.appendAt(kStart, true) == kStart, "they fill an append");
-  schedule.onAppended(kStart + kMoment);
-  cr_assert(schedule.appendAt(kStart + kMoment, false) ==
-            kStart + kMoment + options.append_interval);
-  cr_assert(schedule.publishAt(kStart + kMoment, false) == kStart + std::chrono::seconds(8));
+  schedule.onAppended(kStart + kShortTime);
+  cr_assert(schedule.appendAt(kStart + kShortTime, false) ==
+            kStart + kShortTime + options.append_interval);
+  cr_assert(schedule.publishAt(kStart + kShortTime, false) == kStart + std::chrono::seconds(8));
 }
 
 Test(result_schedule, urgent_publications_keep_a_minimum_interval) {
