--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -48,7 +48,7 @@
   Revision fence = 0;  ///< Revision of the job's row under which this daemon owns the job.
   batch_run run;
   result_schedule schedule;
-  Instant accepted_at{};                ///< By this daemon's clock.
+  Instant accepted_at{};                ///< When the job was accepted, by this daemon's clock.
   std::vector<stored_result> appended;  ///< Results stored so far, by position.
   std::size_t published = 0;            ///< Number of results visible to readers.
   std::size_t unpublished_bytes = 0;    ///< Size of the results that are stored but not published.
@@ -60,11 +60,14 @@
   Signal results_ready;      ///< Notified when there are results to append, or when the job stops.
   Signal published_changed;  ///< Notified when `published` has grown, or when the job stops.
   checkpoint_tracker checkpointed;
-  /// First row of the latest full part, or of the parts of earlier owners.
+  /// First of the checkpoint rows that the next full part makes obsolete. These are the rows of the
+  /// checkpoint that this owner has resumed from, until it has written a full part itself.
   std::size_t checkpoint_first_row = 0;
-  std::size_t checkpoint_next_row = 0;
+  std::size_t checkpoint_next_row = 0;  ///< First row of the next part.
   bool checkpoint_in_progress = false;
-  bool first_event_logged = false;  ///< Each of these events is logged once per job and owner.
+  /// Whether the log events `first_event`, `step_whole` and `step_listed` were written. Each is
+  /// written at most once per job and owner.
+  bool first_event_logged = false;
   bool step_complete_logged = false;
   bool step_published_logged = false;
   bool stopped = false;
--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -16,50 +16,58 @@
 namespace linenpier::batch {
 
 struct batch_options {
-  Duration connect_timeout = std::chrono::milliseconds(200);  ///< For connecting to an engine.
+  /// Time limit for connecting to an engine.
+  Duration connect_timeout = std::chrono::milliseconds(200);
   run_timeouts timeouts;
-  /// Before an item that an engine rejected is sent again.
+  /// Delay before an item that an engine rejected is sent again.
   Duration rejected_retry_delay = std::chrono::milliseconds(40);
-  Duration interrupted_retry_delay{};  ///< Before an item whose run was interrupted is sent again.
+  /// Delay before an item whose run was interrupted is sent again.
+  Duration interrupted_retry_delay{};
   result_timing_options result_timing;
-  Duration checkpoint_interval = std::chrono::milliseconds(500);  ///< Between checkpoints of a job.
-  /// A checkpoint is written only for at least so many new events.
+  /// Minimum time between checkpoints of a job.
+  Duration checkpoint_interval = std::chrono::milliseconds(500);
+  /// Minimum number of events since the last checkpoint for which another one is written.
   std::uint64_t min_checkpoint_events = 10;
-  /// Before a failed write to the store is retried.
+  /// Delay before a failed write to the store is retried.
   Duration store_retry_delay = std::chrono::milliseconds(150);
   /// Poll interval of a waiting reader while the feed of job rows is unavailable.
   Duration poll_interval = std::chrono::milliseconds(100);
-  /// Poll interval of a waiting reader on daemons other than the owner. They fetch unpublished
-  /// results ahead of time, so that few are left to read once these are published.
+  /// Poll interval of a reader that waits at a daemon other than the job's owner. At each poll, the
+  /// daemon fetches results that are stored but not published yet, so that few are left to fetch
+  /// when they are published.
   Duration read_ahead_interval = std::chrono::milliseconds(300);
-  /// From receiving a job until the store must have accepted it.
+  /// Time limit for storing a job, from its receipt.
   Duration accept_timeout = std::chrono::milliseconds(2500);
-  /// From receiving the request that ends a job until the store must have accepted it.
+  /// Time limit for storing that a job has ended, from the receipt of the request to end it.
   Duration end_timeout = std::chrono::milliseconds(3500);
-  /// How long the results of an ended job stay in memory, where the trainer's next steps can reuse
-  /// them.
+  /// How long the results of an ended job stay in memory, where jobs of the trainer's next steps
+  /// can reuse them.
   Duration ended_job_cache_time = std::chrono::seconds(10);
-  /// From a job's acceptance until it may be removed, provided that it has ended.
+  /// Minimum time from a job's acceptance to its removal. Only ended jobs are removed.
   Duration job_retention = std::chrono::seconds(120);
   /// Additional delay before daemons other than the owner remove an ended job.
   Duration removal_delay = std::chrono::seconds(30);
-  Duration removal_period = std::chrono::seconds(2);  ///< Poll interval for such jobs.
+  Duration removal_period = std::chrono::seconds(2);  ///< Poll interval for jobs to remove.
   /// Time limit for reading the partial results of earlier jobs.
   Duration reuse_timeout = std::chrono::seconds(2);
-  /// Earlier jobs searched for partial results. Trainers keep one or two steps in flight.
+  /// Maximum number of earlier jobs searched for partial results. Trainers keep one or two steps in
+  /// flight.
   std::size_t max_earlier_jobs = 3;
-  /// Limit of items in open jobs per owner. Bounds the processor time spent on their events.
+  /// Maximum number of items in the open jobs of an owner. Bounds the processor time spent on their
+  /// events.
   std::size_t max_open_items = 1000;
-  /// Upper limit of requests per engine slot, counting all daemons, for an item to start there.
+  /// Maximum number of requests per slot of an engine, including those of other daemons. An item is
+  /// not started on an engine where it would exceed this.
   double requests_per_slot = 1.0;
   run_move_rules move_rules;
   zone_drain_options zone_drain;              ///< How runs are moved out of closed zones.
-  std::size_t max_page_bytes = 900 * 1024;    ///< Size of the results in one page.
-  std::size_t max_append_bytes = 640 * 1024;  ///< Size of the results in one append.
-  /// Unpublished results beyond this size are published at once: they would not fit in one page.
+  std::size_t max_page_bytes = 900 * 1024;    ///< Maximum size of a page's results.
+  std::size_t max_append_bytes = 640 * 1024;  ///< Maximum size of an append.
+  /// Results that are stored but not published are published as soon as their size reaches this
+  /// limit. It is below `max_page_bytes`, so that they usually fit in one page.
   std::size_t max_unpublished_bytes = 640 * 1024;
-  /// Limit of results per append. The store accepts 100 entries per write, one of them for the
-  /// job's row.
+  /// Maximum number of results per append. The store accepts 100 entries per write, one of them for
+  /// the job's row.
   std::size_t max_append_rows = 96;
 };
 
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -37,6 +37,7 @@
  */
 struct item_progress {
   ItemState state = ItemState::kWaiting;
+  /// Attempts whose engine call has not returned, including one that is being aborted; at most one.
   int attempts_running = 0;
   std::uint64_t last_event = 0;
   std::string text;
@@ -106,9 +107,9 @@
   void onScoringStarted(ItemIndex item);
   void onScored(ItemIndex item, std::string score);
   /** The reward request returned no score.
-   * @param failures failed attempts of this request.
-   * @param max_failures failed attempts, over all requests, after which the item is terminated; 0:
-   *     unlimited.
+   * @param failures number of failed attempts to send this reward request.
+   * @param max_failures the item is terminated once this many attempts have failed, counting all of
+   *     its reward requests; 0: unlimited.
    */
   void onNotScored(Instant now, ItemIndex item, int failures, int max_failures, Duration pause);
   std::size_t unscored() const;
@@ -156,7 +157,7 @@
   std::vector<item_progress> progress_;
   std::vector<item_group> groups_;
   std::vector<std::size_t> group_of_;  ///< Index into `groups_`, by item.
-  std::vector<ItemIndex> order_;       ///< By priority, highest first.
+  std::vector<ItemIndex> order_;       ///< Items by priority, highest first.
   std::vector<ItemIndex> finished_;    ///< Not yet appended, in the order in which they finished.
   std::size_t appended_ = 0;
 };
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -6,12 +6,13 @@
 namespace linenpier::batch {
 
 namespace {
-/// Shorter than an engine takes for an event, so that free slots are filled soon.
+/// Shorter than the time that an engine takes per event, so that free slots are filled soon.
 constexpr Duration kPollInterval = std::chrono::milliseconds(50);
-/// Poll interval of a daemon that owns no job and is not a preferred owner. Limits wakeups in large
-/// fleets.
+/// Poll interval of a daemon that owns no open job and is not a candidate for owning jobs. Limits
+/// wakeups in large fleets.
 constexpr Duration kIdlePollInterval = std::chrono::milliseconds(250);
-/// After its start, a daemon may have to resume the jobs that it owned before.
+/// Time after its start for which a daemon uses the short poll interval in any case, since it may
+/// have to resume jobs that it owned before.
 constexpr Duration kStartupTime = std::chrono::seconds(5);
 }  // namespace
 
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -1,13 +1,14 @@
 #pragma once
 
 /** @file
- * Batch jobs of this daemon: composes the components of this folder and polls them.
+ * Entry point to the batch jobs of this daemon: owns the components of this folder, forwards calls
+ * to them, and runs their periodic checks.
  *
  * Guarantees to callers:
  * - a job is accepted only after the job and its row are stored (`job_acceptance`);
  * - readers see only results that are stored (`job_reader`);
- * - only the owner runs items, as far as it knows (`job_ownership`), and results are stored only
- *   under the job's fence (`job_store`).
+ * - a daemon runs the items of a job only while the newest row that it knows names it as the owner
+ *   (`job_ownership`), and results are stored only under the job's fence (`job_store`).
  */
 
 #include <functional>
@@ -89,7 +90,7 @@
   /** @return whether the job is known and may be accessed without a key. */
   bool isPublic(const JobId& id) const;
 
-  /** A row of the job feed. */
+  /** Called when the feed of job rows reports a new row. */
   void onRecordRow(const JobId& id, const table::Row& row) { this->jobs_.onRow(id, row); }
   void onRecordRemoved(const JobId& id) { this->jobs_.onRemoved(id); }
 
@@ -97,9 +98,13 @@
   bool hasWaitingReaders() const { return this->reader_.hasWaitingReaders(); }
   /** @return whether this daemon owns jobs that have not ended. */
   bool ownsOpenJobs() const { return this->ownership_.ownsOpenJobs(); }
-  /** @return the open work of all known jobs, whoever owns them. */
+  /** @return the number of items in jobs that have not ended, by model. Counts all known jobs,
+   *     including those of other owners.
+   */
   versions::open_work_by_model openWork() const;
-  /** @return the engines with runs that determine when the steps of owned jobs end. */
+  /** @return the engines that run the longest remaining items of owned jobs. These items determine
+   *     when the jobs' steps end.
+   */
   std::set<EngineId> criticalEngines() const { return this->runner_.criticalEngines(); }
   /** Releases all owned jobs, so that other daemons can take them over at once. */
   Task<void> handOver();
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -27,10 +27,10 @@
   bool operator==(const reward_request&) const = default;
 };
 
-/** A score and the id of the request that returned it. */
+/** The score of a text, as returned by its reward request. */
 struct reward_score {
-  std::string request_id;
-  std::string signature;  ///< Of the response; returned to the trainer.
+  std::string request_id;  ///< Id of the reward request.
+  std::string signature;   ///< Signature of the response; returned to the trainer as the score.
 
   bool operator==(const reward_score&) const = default;
 };
@@ -70,7 +70,7 @@
 struct job_record {
   JobId id;
   LeaseId owner;     ///< Empty: none; any daemon may take the job over.
-  std::string host;  ///< Of the route that the job was submitted to.
+  std::string host;  ///< Host of the route that the job was submitted to.
   std::string path;
   ModelName model;  ///< Model of the items; empty if not specified.
   TenantId tenant;  ///< Tenant that submitted the job; empty: the job is public.
--- a/src/gateway/batch/call_status.h
+++ b/src/gateway/batch/call_status.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Status codes and local responses of the batch API.
+ * Status codes of the batch API, and the responses that this daemon generates itself.
  */
 
 #include <string>
--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -2,7 +2,9 @@
 
 /** @file
  * Checkpoints: the text of items that are not appended, from which another owner or job can resume.
- * Written incrementally, so that long texts are not rewritten each time.
+ *
+ * A checkpoint is stored as a sequence of parts. The first part is full; a later part holds only
+ * what is new since the part before, so that long texts are not rewritten each time.
  */
 
 #include <optional>
@@ -20,13 +22,14 @@
   std::string text;                        ///< Data of the events up to `last_event`.
   bool finished = false;                   ///< The text is complete, but not appended.
   std::optional<reward_score> score = {};  ///< Set only for a complete text.
-  /// The text starts after this event and extends the text of an earlier part; 0: it is the full
-  /// text.
+  /// In an incremental part: the text starts after this event and extends the text of the parts
+  /// before. 0: this is the full text.
   std::uint64_t after_event = 0;
 
   bool operator==(const item_checkpoint&) const = default;
 };
 
+/// The items of one part, or of a checkpoint merged from its parts.
 using item_checkpoints = std::vector<item_checkpoint>;
 
 /** Merges the parts of a checkpoint.
--- a/src/gateway/batch/checkpoint_rows.cpp
+++ b/src/gateway/batch/checkpoint_rows.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
+// The value of each row starts with "NUMBER/COUNT:", such as "2/3:" for the second of three pieces.
 constexpr char kCountSeparator = '/';
 constexpr char kHeaderEnd = ':';
-constexpr std::size_t kHeaderBytes = 32;  ///< Upper limit for "PIECE/PIECES:".
+constexpr std::size_t kHeaderBytes = 32;  ///< Upper limit of the header's size.
 
 /** A piece of an encoded part, as stored in one row. */
 struct row_piece {
--- a/src/gateway/batch/checkpoint_tracker.cpp
+++ b/src/gateway/batch/checkpoint_tracker.cpp
@@ -6,7 +6,8 @@
 
 /// Shorter texts are generated again as fast as they are read from the store.
 constexpr std::uint64_t kMinCheckpointEvents = 5;
-/// Parts before the next full one. Bounds the number of rows to read when resuming a job.
+/// Number of parts, including the last full one, after which a full part is written. Bounds the
+/// number of rows to read when resuming a job.
 constexpr std::size_t kMaxParts = 16;
 
 bool isTextComplete(const item_progress& progress) {
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -61,7 +61,8 @@
     if (active->stopped || active->run.allAppended()) co_return;
     const Instant start_time = steadyNow();
     co_await this->write(active, Condition::kEnoughNewEvents);
-    // Leaves a slow store capacity for results and lease renewals.
+    // Wait longer if the store is slow, so that checkpoints do not delay results and lease
+    // renewals.
     pause = std::max<Duration>(this->deps_.options.checkpoint_interval,
                                kCheckpointBackoffFactor * (steadyNow() - start_time));
   }
--- a/src/gateway/batch/checkpoint_writer.h
+++ b/src/gateway/batch/checkpoint_writer.h
@@ -21,13 +21,17 @@
     job_store& store;
     const batch_options& options;
   };
-  enum class Condition { kAnyChange, kEnoughNewEvents };
+  /** When a checkpoint is written. */
+  enum class Condition {
+    kAnyChange,        ///< If there are changes since the last one.
+    kEnoughNewEvents,  ///< If there are at least `batch_options::min_checkpoint_events` new events.
+  };
 
   explicit checkpoint_writer(dependencies deps) : deps_(deps) {}
 
   /** Writes checkpoints until the job has stopped or all of its items are appended. */
   void start(const active_job_ptr& active);
-  /** Writes the changes since the last checkpoint, if there are any. */
+  /** Writes the changes since the last checkpoint, if the condition is met. */
   Task<void> write(active_job_ptr active, Condition condition);
 
  private:
--- a/src/gateway/batch/engine_requirements_builder.h
+++ b/src/gateway/batch/engine_requirements_builder.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Builds the requirements of an item on an engine: version, capacity and residency. Used for both
- * starting and moving runs, so that both follow the same rules.
+ * Determines what an item requires of the engine that runs it: version, capacity and residency.
+ * Used for both starting and moving runs, so that both follow the same rules.
  */
 
 #include <functional>
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -9,11 +9,14 @@
 
 namespace linenpier::batch {
 
-/** @return the engine memory that the item is expected to use, in tokens. Less than its maximum. */
+/** @return the engine memory that the item is expected to use, in tokens; at most the item's
+ *     maximum, `batch_item::tokens`.
+ */
 double expectedTokens(const batch_item& item);
 
-/** @return the requirements of an item on an engine.
- * @param max_per_slot upper limit of requests per slot, counting all daemons.
+/** @return what the item requires of the engine that runs it; without its residency.
+ * @param max_per_slot maximum number of requests per slot of the engine, including those of other
+ *     daemons.
  */
 engines::engine_request engineRequirementsFor(const batch_run& run, ItemIndex item,
                                               const routing::Route& route,
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -15,10 +15,13 @@
 using logging::LogEvent;
 
 namespace {
-/// Poll interval for a suspect item while an isolated run of the same request is in progress.
+// A suspect is an item during whose earlier attempts engines crashed. It may run on only one engine
+// at a time, in an isolated run; see `suspect_tracker`.
+
+/// Poll interval for a suspect while an isolated run of the same request is in progress.
 constexpr Duration kSuspectRunningPoll = std::chrono::milliseconds(100);
-/// Poll interval for a suspect item that is blocked, until another daemon reports that it is
-/// harmless.
+/// Poll interval for a suspect that must wait for any other reason. Another daemon may report in
+/// the meantime that the request is harmless.
 constexpr Duration kSuspectHeldPoll = std::chrono::seconds(1);
 
 /// HTTP status codes of engines.
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -21,7 +21,7 @@
 
 namespace linenpier::batch {
 
-/// Completed runs logged per second; beyond that rate they are sampled.
+/// Successful attempts logged per second; of those beyond, one in `kSampleOneIn` is logged.
 inline constexpr std::uint32_t kUnsampledLogsPerSecond = 60;
 inline constexpr std::uint32_t kSampleOneIn = 10;
 
@@ -44,16 +44,18 @@
 
   explicit item_runner(dependencies deps);
 
-  /** Starts waiting reward requests and items, as engine capacity permits. */
+  /** Sends waiting reward requests and starts waiting items, as engine capacity permits. */
   void startRunnableItems();
 
   const length_estimator& lengths() const { return this->lengths_; }
-  /** @return the engines with runs that determine when the steps of owned jobs end. */
+  /** @return the engines that run the longest remaining items of owned jobs. These items determine
+   *     when the jobs' steps end.
+   */
   std::set<EngineId> criticalEngines() const;
 
  private:
   struct startable_item;
-  /** One run of an item. Keeps the job and the call alive. */
+  /** An attempt to run an item on an engine. Keeps the job and the call alive. */
   struct item_attempt {
     active_job_ptr active;
     ItemIndex item = 0;
@@ -67,15 +69,18 @@
   bool findNext(startable_item& job) const;
   /** @return whether other items of the job may start. */
   bool startItem(const active_job_ptr& active, ItemIndex item, const routing::Route& route);
-  /** @return nothing if the item must wait because engines crashed while running it. */
+  /** Checks whether the item may be sent, or must wait because engines crashed while running it.
+   * @return the state of the request to record with the attempt; nothing if the item must wait.
+   */
   std::optional<suspects::sent_attempt> admitItem(active_job& active, ItemIndex item);
   Task<void> runItem(item_attempt attempt);
-  /** Reports the outcome of a run to the detection of requests that crash engines. */
+  /** Reports the outcome of an attempt to the detection of requests that crash engines. */
   void reportToSuspectTracker(const item_attempt& attempt, forward::AttemptOutcome outcome,
                               bool engine_crashed);
   void finishAttempt(const item_attempt& attempt, forward::AttemptOutcome outcome,
                      const run_report& report);
-  /** @param status of the response; 0: none.
+  /** Updates the state of the item.
+   * @param status of the response; 0: there is none.
    * @param events number of events that the item has.
    */
   void applyOutcome(Instant now, const item_attempt& attempt, forward::AttemptOutcome outcome,
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -8,7 +8,7 @@
 using logging::LogEvent;
 
 namespace {
-/// Reward requests are idempotent, so that slow ones are sent again.
+/// Time limit of a reward request, after which it is sent again. Reward requests are idempotent.
 constexpr Duration kRewardTimeout = std::chrono::milliseconds(1500);
 constexpr std::size_t kMaxInFlight = 64;  ///< Limit per daemon.
 /// Share of an engine's slots available to reward requests; the rest is left to interactive
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -11,11 +11,11 @@
 using logging::LogEvent;
 
 namespace {
-constexpr int kMaxPutAttempts = 2;
-/// For checking whether the store responds, many times its usual response time.
+constexpr int kMaxPutAttempts = 2;  ///< Attempts to store a job as an object.
+/// Time limit of the check whether the store responds. Many times its usual response time.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(150);
 
-/** @return the known row, which saves reading it from the store. */
+/** @return the job's row, if it is known and need not be read from the store. */
 std::optional<table::Row> rowOf(const job_entry* job) {
   if (job == nullptr || job->revision == 0) return std::nullopt;
   return table::Row{table::jobKey(job->record.id), job->revision, encodeRecord(job->record)};
@@ -216,7 +216,8 @@
 
 Task<unsigned> job_acceptance::writeEnded(JobId id, tenants::caller from, Instant deadline,
                                           http::ResponseWriter& writer) {
-  // The row from the feed or from a failed conditional write saves reading it.
+  // The row is read from the store only if neither the feed nor a failed conditional write has
+  // returned it.
   std::optional<table::Row> known = rowOf(this->deps_.jobs.find(id));
   while (steadyNow() < deadline && !writer.cancellation().requested()) {
     CallResult<table::Row> row = known.value_or(table::Row{});
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -25,7 +25,7 @@
 
 namespace linenpier::batch {
 
-/** Stateless between calls. Must be used from the event loop thread only. */
+/** Holds no state of individual calls. Must be used from the event loop thread only. */
 class job_acceptance {
  public:
   struct dependencies {
@@ -64,7 +64,7 @@
     tenants::caller from;
     JobId id;
     Instant received;
-    Instant deadline;        ///< For writing the job to the store.
+    Instant deadline;        ///< Time limit for writing the job to the store.
     job_record record = {};  ///< The owner is set once it is selected.
     std::optional<batch_job> job = {};
   };
@@ -73,7 +73,7 @@
     const char* name = "";
     unsigned status = 0;
     std::string text = {};                  ///< Body of the response.
-    std::optional<Revision> revision = {};  ///< Of the job's row, if the job was accepted.
+    std::optional<Revision> revision = {};  ///< Revision of the job's row, if it was written.
   };
 
   /** @return why no job can be accepted now, as a name for the log; nullptr if jobs can be
@@ -97,7 +97,9 @@
   /** @return the index of the job's model in the configuration. */
   std::size_t modelIndex(const job_record& record) const;
 
-  /** @return the status code of the response. */
+  /** Stores in the job's row that the job has ended. Retries until the deadline.
+   * @return the status code of the response.
+   */
   Task<unsigned> writeEnded(JobId id, tenants::caller from, Instant deadline,
                             http::ResponseWriter& writer);
 
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -11,10 +11,10 @@
 using logging::LogEvent;
 
 namespace {
-/// Daemons within a job's residency take it over sooner than this. A job without an owner for
-/// longer is reported.
+/// Time after which a job without an owner is reported. Daemons within its residency would have
+/// taken it over sooner.
 constexpr Duration kResidencyWait = std::chrono::seconds(3);
-/// Between log entries about such jobs.
+/// Minimum time between log entries about jobs that are waiting for an owner.
 constexpr Duration kWaitLogInterval = std::chrono::seconds(10);
 }  // namespace
 
@@ -47,7 +47,8 @@
 }
 
 void job_ownership::startResume(const JobId& id, job_entry& job) {
-  // The next poll checks whether this daemon may own it.
+  // If this daemon is not known to be within the job's residency, `checkResidency` resumes or
+  // releases the job once the residency is known.
   job.resume_when_in_residency = !this->deps_.residency.mayOwn(job.record);
   if (job.resume_when_in_residency) return;
   job.transition_pending = true;
@@ -64,7 +65,7 @@
   if (!job.record.ended) ++this->deps_.counts.jobs_lost;
   job.active->stop(steadyNow());
   if (!job.record.ended || job.active->run.allAppended()) return;
-  // Later jobs may contain its incomplete groups.
+  // Write a last checkpoint of the ended job, since later jobs may contain its incomplete groups.
   job.active->fence = job.revision;
   const active_job_ptr active = job.active;
   spawn(this->deps_.loop, [this, active] {
@@ -85,8 +86,9 @@
   if (job.record.ended || this->stopping_ || job.transition_pending) return;
   if (job.active && !job.active->stopped) return;
   if (this->isOwn(job)) {
-    // The feed reported a takeover by this daemon whose write was not answered. The lease of this
-    // daemon stays valid, so that no other daemon would take the job over.
+    // This daemon's takeover was committed, but the response was lost: the row came from the feed.
+    // The job must be resumed here, because no other daemon takes it over while this daemon's lease
+    // is valid.
     if (!job.active) this->startResume(id, job);
     return;
   }
@@ -237,7 +239,8 @@
   job_entry* at = this->deps_.jobs.find(id);
   const bool still_owned = at != nullptr && this->isOwn(*at);
   if (still_owned) {
-    // The write failed. Retry, unless the residency has changed back by then.
+    // The write failed. `checkResidency` retries it, or resumes the job if the residency has
+    // changed back by then.
     at->resume_when_in_residency = true;
     co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
@@ -282,8 +285,8 @@
   const active_job_ptr active = at->active;
   if (active && !active->stopped) {
     active->stop(steadyNow());
-    // Even if another checkpoint was sent just now: it may be committed only after the job was
-    // released, and fail.
+    // Required even if another checkpoint write is in progress: that write fails if the job is
+    // released before it is committed.
     co_await this->deps_.checkpoints.write(active, checkpoint_writer::Condition::kAnyChange);
   }
   const fenced_write_result answer = co_await this->deps_.store.putRecord(record, fence, {});
--- a/src/gateway/batch/job_ownership.h
+++ b/src/gateway/batch/job_ownership.h
@@ -5,8 +5,9 @@
  * owner is lost, stops jobs that another daemon has taken over, and releases jobs that it must not
  * own. `new_job_owner.h` selects the owner of a new job.
  *
- * Invariant: only the owner runs items, as far as it knows. All of its writes are conditional on
- * the job's fence, so that a daemon that has lost a job unnoticed cannot change it.
+ * Invariant: a daemon runs the items of a job only while the newest row that it knows names it as
+ * the owner. All of its writes are conditional on the job's fence, so that a daemon that has not
+ * yet noticed the loss of a job cannot change it.
  */
 
 #include "gateway/batch/batch_codec.h"
@@ -20,8 +21,9 @@
 
 namespace linenpier::batch {
 
-/** Owns the ownership fields of `job_entry`. Leases tell which owners are lost; the pool of owners
- * orders the daemons that take over. Must be used from the event loop thread only.
+/** Owns the ownership fields of `job_entry`. Leases tell which owners are lost; `owner_pool`
+ * determines how long each daemon waits before it takes over. Must be used from the event loop
+ * thread only.
  */
 class job_ownership {
  public:
@@ -62,7 +64,7 @@
   void checkOwner(Instant now, const JobId& id, job_entry& job);
   /** Frees the memory of a job that has been stopped for some time. */
   void releaseStopped(Instant now, job_entry& job) const;
-  /** Takes the job over if its owner is lost and this daemon is next in order. */
+  /** Takes the job over if its owner is lost and this daemon's takeover delay has passed. */
   void considerTakeover(Instant now, const JobId& id, job_entry& job);
   Task<void> takeOver(JobId id);
 
@@ -74,9 +76,9 @@
   Task<CallResult<stored_progress>> readProgress(job_record record);
   void deactivate(job_entry& job, const char* reason);
 
-  /** Releases an owned job if this daemon is outside its residency, and resumes it if the residency
-   * was unknown before.
-   * @return whether neither was necessary.
+  /** Releases an owned job if this daemon is outside its residency. Resumes it if that was
+   * postponed until this daemon is known to be within the residency.
+   * @return false if a release or resume was started.
    */
   bool checkResidency(const JobId& id, job_entry& job);
   Task<void> handOverForResidency(JobId id);
--- a/src/gateway/batch/job_reader.cpp
+++ b/src/gateway/batch/job_reader.cpp
@@ -63,7 +63,8 @@
 std::size_t job_reader::publishedOf(const JobId& id) const {
   const job_entry* job = this->deps_.jobs.find(id);
   if (job == nullptr) return 0;
-  // The feed may deliver the row of a publication before the response to its write arrives.
+  // When the owner publishes results, the feed may deliver the job's new row before the write is
+  // answered. Until then the results are not in memory, so the count in the row is not used.
   if (job->active && !job->active->stopped) return job->active->published;
   return job->record.published;
 }
--- a/src/gateway/batch/job_registry.h
+++ b/src/gateway/batch/job_registry.h
@@ -24,7 +24,7 @@
 /** A known job. */
 struct job_entry {
   job_record record;
-  Revision revision = 0;  ///< Of the row in `record`; 0: no row was read yet.
+  Revision revision = 0;  ///< Revision of `record`; 0: no row was read yet.
   /// Set while this daemon runs the job, and for some time afterwards: results are served from it,
   /// and later jobs reuse its texts.
   active_job_ptr active;
@@ -33,8 +33,8 @@
   /// Owned by `job_ownership`: a takeover, resume or release of the job is in progress. Invariant:
   /// at most one at a time.
   bool transition_pending = false;
-  /// Owned by `job_ownership`: this daemon owns the job, but is not known to be within its
-  /// residency. The job is resumed as soon as it is.
+  /// Owned by `job_ownership`: this daemon owns the job, but does not run it before it is known to
+  /// be within the job's residency.
   bool resume_when_in_residency = false;
   /// Owned by `job_ownership`: when the job's owner was first seen to be lost.
   Instant orphaned_at{};
--- a/src/gateway/batch/job_removal.cpp
+++ b/src/gateway/batch/job_removal.cpp
@@ -7,8 +7,8 @@
 using logging::LogEvent;
 
 namespace {
-/// Multiple of the daemon's takeover delay that is added to the poll interval, so that daemons do
-/// not all remove the same jobs.
+/// Multiple of this daemon's takeover delay that is added to the poll interval. The delays differ,
+/// so that the daemons do not all remove the same jobs.
 constexpr int kTakeoverDelayFactor = 5;
 }  // namespace
 
--- a/src/gateway/batch/job_residency.h
+++ b/src/gateway/batch/job_residency.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /** @file
- * Data residency of batch jobs: in which regions a job may be owned and its items served, by the
- * newest routing table. Ownership itself is managed by `job_ownership`.
+ * Data residency of batch jobs: the regions in which a job may be owned, and those in which its
+ * items may be served, according to the newest routing table. `job_ownership` manages ownership
+ * itself.
  */
 
 #include <functional>
@@ -48,8 +49,8 @@
   RegionName ownRegion() const;
   /** @return whether this daemon may own the job. */
   bool mayOwn(const job_record& record) const;
-  /** @return whether there are a region that may own the job and an engine of the route's service
-   *     that may serve its items.
+  /** @return whether the job can run within its residency: it may be owned in some region, and the
+   *     route's service has an engine that may serve its items.
    */
   bool servedWithinResidency(const routing::Route& route, const job_record& record) const;
 
--- a/src/gateway/batch/job_rules.cpp
+++ b/src/gateway/batch/job_rules.cpp
@@ -7,12 +7,12 @@
 namespace linenpier::batch {
 
 namespace {
-/// Results read up to this long after their due time still count as on time. Waiting for it lets a
-/// step that is complete by then be read in one page.
+/// Added to the route's target finish time to get the time at which results are due. A step that
+/// completes this shortly after the target still counts as on time, and can be read in one page.
 constexpr Duration kDueGrace = std::chrono::milliseconds(450);
-/// Added to the route's queue limit before items are terminated.
+/// Added to the route's queue limit to get the time after which unfinished items are terminated.
 constexpr Duration kTerminationSlack = std::chrono::milliseconds(1500);
-constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< If there is no route.
+constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< Without a route.
 }  // namespace
 
 const routing::Route* routeOf(const job_record& record, const routing::RouteTablePtr& table) {
--- a/src/gateway/batch/job_store.cpp
+++ b/src/gateway/batch/job_store.cpp
@@ -22,9 +22,11 @@
 constexpr char kInline = '=';
 constexpr char kObject = '@';
 constexpr std::size_t kMaxRemovedAtOnce = 90;  ///< The store accepts 100 entries per write.
-/// Leaves room for the part's own rows within the limit of the store.
+/// Maximum number of obsolete rows removed in the write that adds a part. Leaves room for the
+/// part's own rows within the limit of the store.
 constexpr std::size_t kMaxRemovedWithPart = 60;
-/// The store accepts 1 MB per write, and the encoding adds a third.
+/// Maximum size of the values in a write, unencoded. The store accepts 1 MB, and the encoding adds
+/// a third.
 constexpr std::size_t kMaxWriteBytes = 600 * 1024;
 
 std::string resultRowKey(const JobId& id, std::size_t position) {
@@ -149,7 +151,8 @@
     write_result.outcome = FencedWriteOutcome::kFenceLost;
     return write_result;
   }
-  // The row's revision is the only condition, so that the conflict has another cause.
+  // The write was rejected although its only condition, the revision of the job's row, is met: it
+  // may be retried.
   write_result.outcome = FencedWriteOutcome::kNotCommitted;
   return write_result;
 }
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -21,10 +21,9 @@
 
 namespace linenpier::batch {
 
-/** A result as stored. */
 struct stored_result {
-  std::size_t item_index = 0;
-  std::string encoded;  ///< As returned to readers.
+  std::size_t item_index = 0;  ///< Index of the item in the job.
+  std::string encoded;         ///< As returned to readers.
 };
 
 struct stored_results {
@@ -36,7 +35,7 @@
 struct stored_checkpoint {
   item_checkpoints texts;
   std::size_t first_row = 0;
-  std::size_t next_row = 0;  ///< After the last one.
+  std::size_t next_row = 0;  ///< The row after the last one.
 };
 
 /** Everything that the owners of a job have stored. */
@@ -64,7 +63,7 @@
 
 struct fenced_write_result {
   FencedWriteOutcome outcome = FencedWriteOutcome::kUnknown;
-  Revision revision = 0;              ///< Of the written rows.
+  Revision revision = 0;              ///< Revision of the written rows.
   std::optional<table::Row> current;  ///< The job's row, if the fence is lost and the row exists.
 };
 
--- a/src/gateway/batch/length_estimator.cpp
+++ b/src/gateway/batch/length_estimator.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::batch {
 
 namespace {
-/// Minimum of expected events, relative to those generated so far.
+/// Lower limit of the expected number of further events, relative to those generated so far.
 constexpr double kOverrunFactor = 0.5;
 }  // namespace
 
--- a/src/gateway/batch/result_schedule.h
+++ b/src/gateway/batch/result_schedule.h
@@ -5,9 +5,10 @@
  * readers. Pure.
  *
  * Results are appended soon, in the background, so that they are durable and little is left to
- * write when the step ends. They are published when the step is complete or due: a read without new
- * results waits and is answered at once when they are published, whereas a trainer that received
- * part of the results polls again only later.
+ * write when the step ends. They are published only when the step is complete or due. A read waits
+ * while there are no new results, and is answered as soon as some are published. A trainer that
+ * gets only part of the results pauses before it reads again, so publishing a part early would
+ * delay the rest.
  */
 
 #include "common/time.h"
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -11,7 +11,7 @@
 using logging::LogEvent;
 
 namespace {
-constexpr Duration kIdleWait = std::chrono::seconds(1);  ///< While nothing is finished.
+constexpr Duration kIdleWait = std::chrono::seconds(1);  ///< Pause while nothing is finished.
 }  // namespace
 
 void result_writer::start(const active_job_ptr& active) {
--- a/src/gateway/batch/run_move_rules.h
+++ b/src/gateway/batch/run_move_rules.h
@@ -11,9 +11,11 @@
 namespace linenpier::batch {
 
 struct run_move_rules {
-  /// Minimum ratio of the engines' event times.
+  /// Minimum ratio of the current engine's time per event to the median of its service, and to that
+  /// of the target engine.
   double min_speedup = 1.15;
-  /// Minimum time saved. Exceeds the cost of processing the prompt and text again.
+  /// Minimum time that a move is expected to save. Exceeds the cost of processing the prompt and
+  /// text again.
   Duration min_saving = std::chrono::milliseconds(250);
   /// Runs that started more recently are not moved.
   Duration min_run_time = std::chrono::milliseconds(1000);
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -26,8 +26,9 @@
 struct run_move {
   EngineId target;
   double events_left = 0;
-  double latency_ratio = 1;  ///< Event time of the current engine, relative to the median.
-  double target_latency_ratio = 1;
+  /// The current engine's time per event, relative to the median of its service.
+  double latency_ratio = 1;
+  double target_latency_ratio = 1;  ///< The same for the target engine.
 };
 
 /** @return the runs that may be moved, those with the longest expected texts first. */
--- a/src/gateway/batch/run_reader.h
+++ b/src/gateway/batch/run_reader.h
@@ -18,7 +18,7 @@
 /** Measurements of a run, for its evaluation and for the log. */
 struct run_report {
   std::optional<Duration> first_event_delay;
-  Duration max_gap{};           ///< Between two events.
+  Duration max_gap{};           ///< Longest time between two events.
   bool engine_crashed = false;  ///< The engine crashed during the run.
 };
 
--- a/src/gateway/batch/run_timeouts.h
+++ b/src/gateway/batch/run_timeouts.h
@@ -12,15 +12,16 @@
 namespace linenpier::batch {
 
 struct run_timeouts {
-  /// For the first event. Several times what an engine with a free slot takes.
+  /// Timeout for the first event. Several times what an engine with a free slot takes.
   Duration first_event = std::chrono::milliseconds(600);
-  /// For the first event after earlier timeouts: if all engines are full, a run that is sent
-  /// elsewhere loses its place in the queue.
+  /// Maximum timeout for the first event. The timeout is doubled each time it expires: if all
+  /// engines are full, a run that is sent elsewhere loses its place in the queue.
   Duration max_first_event = std::chrono::milliseconds(2500);
   /// Minimum timeout between events.
   Duration min_gap = std::chrono::milliseconds(450);
+  /// Maximum timeout between events.
   Duration max_gap = std::chrono::milliseconds(1200);
-  /// Timeout between events, as a multiple of the engine's event time.
+  /// Timeout between events, as a multiple of the engine's time per event.
   double gap_event_times = 5;
 
   bool operator==(const run_timeouts&) const = default;
@@ -33,7 +34,7 @@
     return std::min(limit, this->max_first_event);
   }
 
-  /** @param event_time of the engine, in seconds; 0: unknown. */
+  /** @param event_time the engine's time per event, in seconds; 0: unknown. */
   Duration forGap(double event_time) const {
     if (event_time <= 0) return this->max_gap;
     return std::clamp(fromSeconds(this->gap_event_times * event_time), this->min_gap,
--- a/src/gateway/batch/zone_drain_schedule.h
+++ b/src/gateway/batch/zone_drain_schedule.h
@@ -16,8 +16,8 @@
 namespace linenpier::batch {
 
 struct zone_drain_options {
-  /// From the closing of a zone until its last run is moved. Leaves time for another attempt before
-  /// the zone's engines may be shut down.
+  /// Time from the closing of a zone until the last of its runs should be moved. Leaves time for
+  /// another attempt before the zone's engines may be shut down.
   Duration drain_time = std::chrono::milliseconds(2500);
   /// Runs that are expected to end sooner are not moved: moving them would take as long.
   Duration min_remaining_time = std::chrono::milliseconds(250);
@@ -33,7 +33,7 @@
 /** A zone without remaining runs. */
 struct drained_zone {
   ZoneName zone;
-  Duration took{};        ///< Since draining started.
+  Duration took{};        ///< Time since draining started.
   std::size_t moved = 0;  ///< Runs that were moved; the others ended in the zone.
 };
 
--- a/src/gateway/batch/zone_drainer.cpp
+++ b/src/gateway/batch/zone_drainer.cpp
@@ -10,7 +10,7 @@
 
 using logging::LogEvent;
 
-/** A run on an engine of a closed zone. */
+/** Job and item of a `placed_run`. */
 struct zone_drainer::located_run {
   active_job_ptr active;
   ItemIndex item = 0;
