--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -2,7 +2,9 @@
 
 /** @file
  * Checkpoints: the text of items that are not appended, from which another owner or job can resume.
- * Written incrementally, so that long texts are not rewritten each time.
+ *
+ * A checkpoint is stored as a sequence of parts. The first part is full; a later part holds only
+ * what is new since the part before, so that long texts are not rewritten each time.
  */
 
 #include <optional>
@@ -20,24 +22,25 @@
   std::string text;                        ///< Data of the events up to `last_event`.
   bool finished = false;                   ///< The text is complete, but not appended.
   std::optional<reward_score> score = {};  ///< Set only for a complete text.
-  /// The text starts after this event and extends the text of an earlier part; 0: it is the full
-  /// text.
+  /// In an incremental part: the text starts after this event and extends the text of the parts
+  /// before. 0: this is the full text.
   std::uint64_t after_event = 0;
 
   bool operator==(const item_checkpoint&) const = default;
 };
 
-using checkpoint_texts = std::vector<item_checkpoint>;
+/// The items of one part, or of a checkpoint merged from its parts.
+using item_checkpoints = std::vector<item_checkpoint>;
 
 /** Merges the parts of a checkpoint.
  * @param parts in the order in which they were written. An increment whose predecessor is missing
  *     is skipped.
  * @return the merged text of each item.
  */
-checkpoint_texts mergeParts(const std::vector<checkpoint_texts>& parts);
+item_checkpoints mergeParts(const std::vector<item_checkpoints>& parts);
 
-std::string encodeCheckpoint(const checkpoint_texts& checkpoint);
+std::string encodeCheckpoint(const item_checkpoints& checkpoint);
 /** @return the checkpoint, or nothing if the bytes are malformed. */
-std::optional<checkpoint_texts> decodeCheckpoint(const std::string& bytes);
+std::optional<item_checkpoints> decodeCheckpoint(const std::string& bytes);
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -9,15 +9,19 @@
 
 namespace linenpier::batch {
 
-/** @return the engine memory that the item is expected to use, in tokens. Less than its maximum. */
+/** @return the engine memory that the item is expected to use, in tokens; at most the item's
+ *     maximum, `batch_item::tokens`.
+ */
 double expectedTokens(const batch_item& item);
 
-/** @return the requirements of an item on an engine.
- * @param max_per_slot upper limit of requests per slot, counting all daemons.
+/** @return what the item requires of the engine that runs it; without its residency.
+ * @param max_per_slot maximum number of requests per slot of the engine, including those of other
+ *     daemons.
  */
-engines::engine_request engineRequestFor(const batch_run& run, ItemIndex item,
-                                         const routing::Route& route,
-                                         const routing::Configuration& table, double max_per_slot);
+engines::engine_request engineRequirementsFor(const batch_run& run, ItemIndex item,
+                                              const routing::Route& route,
+                                              const routing::Configuration& table,
+                                              double max_per_slot);
 
 struct item_placement {
   const engines::engine_state* engine = nullptr;  ///< Null: no engine admits the item.
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -8,7 +8,7 @@
 using logging::LogEvent;
 
 namespace {
-/// Reward requests are idempotent, so that slow ones are sent again.
+/// Time limit of a reward request, after which it is sent again. Reward requests are idempotent.
 constexpr Duration kRewardTimeout = std::chrono::milliseconds(1500);
 constexpr std::size_t kMaxInFlight = 64;  ///< Limit per daemon.
 /// Share of an engine's slots available to reward requests; the rest is left to interactive
@@ -102,7 +102,7 @@
                                const forward::internal_outcome& outcome, int max_failures) {
   if (isSuccess(outcome)) {
     active.run.onScored(item, outcome.signature);
-    ++this->deps_.counts.scored;
+    ++this->deps_.counts.items_scored;
   } else {
     const Duration min_pause = outcome.attempts == 0 ? kNoEngineDelay : kFailureRetryDelay;
     const Duration pause = std::max(min_pause, std::min(outcome.retry_after, kMaxSuspectDelay));
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -11,11 +11,11 @@
 using logging::LogEvent;
 
 namespace {
-constexpr int kMaxPutAttempts = 2;
-/// For checking whether the store responds, many times its usual response time.
+constexpr int kMaxPutAttempts = 2;  ///< Attempts to store a job as an object.
+/// Time limit of the check whether the store responds. Many times its usual response time.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(150);
 
-/** @return the known row, which saves reading it from the store. */
+/** @return the job's row, if it is known and need not be read from the store. */
 std::optional<table::Row> rowOf(const job_entry* job) {
   if (job == nullptr || job->revision == 0) return std::nullopt;
   return table::Row{table::jobKey(job->record.id), job->revision, encodeRecord(job->record)};
@@ -41,8 +41,8 @@
     co_return;
   }
   submission_outcome outcome = co_await this->accept(call);
-  if (outcome.status == kUnavailable) ++this->deps_.counts.refused;
-  if (outcome.revision) ++this->deps_.counts.accepted;
+  if (outcome.status == kUnavailable) ++this->deps_.counts.jobs_refused;
+  if (outcome.revision) ++this->deps_.counts.jobs_accepted;
   this->logOutcome(call, outcome);
   if (outcome.revision) this->onAccepted(call, *outcome.revision);
   co_await sendStatus(writer, names, outcome.status, std::move(outcome.text));
@@ -71,7 +71,7 @@
   }
   call.record = this->recordOf(call, *job);
   if (!this->deps_.residency.servedWithinResidency(call.route, call.record)) {
-    ++this->deps_.counts.refused_for_residency;
+    ++this->deps_.counts.jobs_refused_for_residency;
     co_return submission_outcome{"no_engine_at_home", kUnavailable};
   }
   std::vector<table::Put> body = this->deps_.store.bodyRows(call.id, call.request.body());
@@ -214,9 +214,10 @@
 
 // --- Ending -------------------------------------------------------------------------------------
 
-Task<unsigned> job_acceptance::endBefore(JobId id, tenants::caller from, Instant deadline,
-                                         http::ResponseWriter& writer) {
-  // The row from the feed or from a failed conditional write saves reading it.
+Task<unsigned> job_acceptance::writeEnded(JobId id, tenants::caller from, Instant deadline,
+                                          http::ResponseWriter& writer) {
+  // The row is read from the store only if neither the feed nor a failed conditional write has
+  // returned it.
   std::optional<table::Row> known = rowOf(this->deps_.jobs.find(id));
   while (steadyNow() < deadline && !writer.cancellation().requested()) {
     CallResult<table::Row> row = known.value_or(table::Row{});
@@ -253,8 +254,8 @@
 Task<void> job_acceptance::end(JobId id, tenants::caller from, http::ResponseWriter& writer) {
   const Instant start_time = steadyNow();
   const Instant deadline = start_time + this->deps_.options.end_timeout;
-  const unsigned status = co_await this->endBefore(id, from, deadline, writer);
-  if (status == kOk) ++this->deps_.counts.ended;
+  const unsigned status = co_await this->writeEnded(id, from, deadline, writer);
+  if (status == kOk) ++this->deps_.counts.jobs_ended;
   LogEvent("batch", "end_asked")
       .text("batch", id.str())
       .text("tenant", from.tenant.str())
