--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -76,7 +76,7 @@
   }
   read_context run{active, item, call, model, call.weightVersion(), started, steadyNow()};
   this->reportVersion(run);
-  forward::event_parser parser(this->deps_.names.weight_versions);
+  forward::event_parser parser(this->deps_.names.weight_version);
   std::vector<forward::stream_event> events;
   while (!call.finished()) {
     const Duration gap = this->eventTimeout(run, first_limit);
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -167,7 +167,7 @@
 }
 
 WeightVersion engine_call::weightVersion() const {
-  return std::strtoull(http::fieldText(this->head(), this->context_.names.weight_versions).c_str(),
+  return std::strtoull(http::fieldText(this->head(), this->context_.names.weight_version).c_str(),
                        nullptr, 10);
 }
 
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -121,7 +121,7 @@
 }
 
 Task<AttemptOutcome> stream_session::relayEvents(engine_call& call) {
-  event_parser parser(this->context_.engines.names.weight_versions);
+  event_parser parser(this->context_.engines.names.weight_version);
   std::vector<stream_event> events;
   while (!call.finished()) {
     const AttemptOutcome outcome = co_await call.readEvents(parser, events, this->readDeadline());
