--- a/src/gateway/http/server.cpp
+++ b/src/gateway/http/server.cpp
@@ -48,7 +48,7 @@
   draining_ = true;
 }
 
-void Server::closeIdle() {
+void Server::shutDown() {
   boost::system::error_code ignored;
   acceptor_.close(ignored);
   const std::set<ServerSession*> sessions = sessions_;
--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -57,7 +57,7 @@
 
 using Handler = std::function<Task<void>(Request&, Instant received, ResponseWriter&)>;
 
-/// Listens on one address until `closeIdle`.
+/// Listens on one address until `shutDown`.
 class Server {
  public:
   Server(boost::asio::io_context& loop, Handler handler)
@@ -70,8 +70,8 @@
   void setLimits(const ServerLimits& limits) { limits_ = limits; }
   /// Disables keep-alive, so that each connection closes after its next response.
   void beginDrain();
-  /// Stops accepting connections and closes those without a request in progress.
-  void closeIdle();
+  /// Stops accepting connections and closes idle ones. Requests in progress continue.
+  void shutDown();
   std::size_t activeRequests() const { return active_requests_; }
   std::size_t connections() const { return sessions_.size(); }
 
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -294,7 +294,7 @@
   while (steadyNow() < begun + kDeregistrationDelay) {
     co_await sleepFor(loop_, kShutdownPollInterval);
   }
-  request_server_.closeIdle();
+  request_server_.shutDown();
   while ((request_server_.activeRequests() > 0 || usage_.unsaved()) &&
          steadyNow() < begun + settings_.shutdown_timeout - kShutdownMargin) {
     co_await sleepFor(loop_, kShutdownPollInterval);
