--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -81,7 +81,7 @@
 
 Task<AttemptOutcome> engine_call::start(attempt_limits limits) {
   const auto self = this->shared_from_this();
-  this->end_on_timeout_ = limits.end_on_timeout;
+  this->timeout_outcome_ = limits.timeout_outcome;
   http::ExpectedEcho echo{this->context_.names.request_id, this->request_id_};
   const ExchangeStatus status = co_await this->exchange_->start(
       limits.connect_deadline, limits.deadline, echo, limits.fresh_connection);
@@ -135,7 +135,7 @@
       this->exchange_->abort();
       return AttemptOutcome::kBroken;
     case ExchangeStatus::kTimedOut:
-      this->reportEnd(this->end_on_timeout_);
+      this->reportEnd(this->timeout_outcome_);
       this->exchange_->abort();
       return AttemptOutcome::kTimedOut;
     case ExchangeStatus::kAborted:
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -47,7 +47,7 @@
   /** Reported to the registry when the deadline passes. A sender whose deadline is shorter than the
    * response time of a healthy engine must not report a failure.
    */
-  engines::HealthOutcome end_on_timeout = engines::HealthOutcome::kTimeout;
+  engines::HealthOutcome timeout_outcome = engines::HealthOutcome::kTimeout;
 };
 
 /** Event loop thread only; must be owned by a shared_ptr. Counts as in flight on its engine until
@@ -103,7 +103,7 @@
   std::string request_id_;
   std::shared_ptr<http::ClientExchange> exchange_;
   Instant started_at_{};
-  engines::HealthOutcome end_on_timeout_ = engines::HealthOutcome::kTimeout;
+  engines::HealthOutcome timeout_outcome_ = engines::HealthOutcome::kTimeout;
   bool ended_ = false;
 };
 
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -25,11 +25,11 @@
 }
 
 Task<void> stream_session::run() {
-  this->writer_.cancellation().onRequest([this] {
+  this->writer_.cancellation().setCallback([this] {
     if (this->running_) this->running_->abort();
   });
   const bool answered = co_await this->runAttempts();
-  this->writer_.cancellation().onRequest(nullptr);
+  this->writer_.cancellation().setCallback(nullptr);
   if (answered) {
     const unsigned status = this->running_->status();
     this->context_.log.onRequestEnded(this->forwarded_, "answered", status, this->policy_);
--- a/src/gateway/forward/unary_forwarder.cpp
+++ b/src/gateway/forward/unary_forwarder.cpp
@@ -71,7 +71,7 @@
     std::shared_ptr<forwarded_request> forwarded, attempt_policy& policy,
     http::Cancellation& cancellation) {
   const auto group = std::make_shared<attempt_group>(this->context_, forwarded);
-  cancellation.onRequest([group] { group->notify(); });
+  cancellation.setCallback([group] { group->notify(); });
   attempts_outcome outcome;
   while (!cancellation.requested()) {
     this->processResults(*group, policy, outcome);
@@ -87,7 +87,7 @@
     co_await group->waitForChange(std::max<Duration>(next_check - now, kMinWait));
   }
   group->abortAll();
-  cancellation.onRequest(nullptr);
+  cancellation.setCallback(nullptr);
   co_return outcome;
 }
 
--- a/src/gateway/http/http_types.h
+++ b/src/gateway/http/http_types.h
@@ -34,14 +34,14 @@
   void request() {
     if (requested_) return;
     requested_ = true;
-    if (on_request_) on_request_();
+    if (callback_) callback_();
   }
-  /// @param on_request called once when cancellation is requested; replaces the previous callback.
-  void onRequest(std::function<void()> on_request) { on_request_ = std::move(on_request); }
+  /// @param callback called once when cancellation is requested; replaces the previous callback.
+  void setCallback(std::function<void()> callback) { callback_ = std::move(callback); }
 
  private:
   bool requested_ = false;
-  std::function<void()> on_request_;
+  std::function<void()> callback_;
 };
 
 }  // namespace linenpier::http
