--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -14,7 +14,7 @@
 /** Misdirected Request: the request names another engine. */
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
-/** Many times the round trip to a reachable host. */
+/** Time for a host to accept or refuse a connection; many times the round trip. */
 constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(100);
 }  // namespace
 
@@ -81,7 +81,7 @@
 
 Task<AttemptOutcome> engine_call::start(attempt_limits limits) {
   const auto self = this->shared_from_this();
-  this->end_on_timeout_ = limits.end_on_timeout;
+  this->timeout_outcome_ = limits.timeout_outcome;
   http::ExpectedEcho echo{this->context_.names.request_id, this->request_id_};
   const ExchangeStatus status = co_await this->exchange_->start(
       limits.connect_deadline, limits.deadline, echo, limits.fresh_connection);
@@ -135,7 +135,7 @@
       this->exchange_->abort();
       return AttemptOutcome::kBroken;
     case ExchangeStatus::kTimedOut:
-      this->reportEnd(this->end_on_timeout_);
+      this->reportEnd(this->timeout_outcome_);
       this->exchange_->abort();
       return AttemptOutcome::kTimedOut;
     case ExchangeStatus::kAborted:
@@ -167,7 +167,7 @@
 }
 
 WeightVersion engine_call::weightVersion() const {
-  return std::strtoull(http::fieldText(this->head(), this->context_.names.weight_versions).c_str(),
+  return std::strtoull(http::fieldText(this->head(), this->context_.names.weight_version).c_str(),
                        nullptr, 10);
 }
 
--- a/src/gateway/forward/unary_forwarder.cpp
+++ b/src/gateway/forward/unary_forwarder.cpp
@@ -71,7 +71,7 @@
     std::shared_ptr<forwarded_request> forwarded, attempt_policy& policy,
     http::Cancellation& cancellation) {
   const auto group = std::make_shared<attempt_group>(this->context_, forwarded);
-  cancellation.onRequest([group] { group->notify(); });
+  cancellation.setCallback([group] { group->notify(); });
   attempts_outcome outcome;
   while (!cancellation.requested()) {
     this->processResults(*group, policy, outcome);
@@ -80,14 +80,14 @@
     Instant next_check = policy.nextCheck();
     if (policy.canStart(now)) {
       const bool started = co_await this->startAttempt(forwarded, *group, policy, cancellation);
-      // With no engine available, only the end of an attempt in flight can change that.
+      // If none could start, another may start only after an attempt in flight has ended.
       next_check = started ? policy.nextCheck() : forwarded->deadline;
     }
     if (policy.running() == 0) break;
     co_await group->waitForChange(std::max<Duration>(next_check - now, kMinWait));
   }
   group->abortAll();
-  cancellation.onRequest(nullptr);
+  cancellation.setCallback(nullptr);
   co_return outcome;
 }
 
