--- a/src/gateway/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -32,7 +32,7 @@
 
 bool attempt_policy::canStart(Instant now) const {
   if (!this->hasAttemptsLeft() || now + kMinAttemptTime >= this->deadline_) return false;
-  if (this->running_ == 0) return !this->may_have_run_ || this->repeatable_;
+  if (this->running_ == 0) return !this->may_have_run_ || this->retryable_after_run_;
   return this->idempotent_ && now >= this->last_start_ + this->hedge_delay_;
 }
 
@@ -42,8 +42,9 @@
 }
 
 bool attempt_policy::retriesServerErrors(Instant now) const {
-  return this->repeatable_ && (this->running_ > 0 || (this->hasAttemptsLeft() &&
-                                                      now + kMinAttemptTime < this->deadline_));
+  return this->retryable_after_run_ &&
+         (this->running_ > 0 ||
+          (this->hasAttemptsLeft() && now + kMinAttemptTime < this->deadline_));
 }
 
 LocalReply attempt_policy::localReply(Instant now) const {
--- a/src/gateway/forward/attempt_policy.h
+++ b/src/gateway/forward/attempt_policy.h
@@ -32,7 +32,7 @@
 class attempt_policy {
  public:
   attempt_policy(const routing::Route& route, Instant deadline)
-      : repeatable_(route.repeatable()),
+      : retryable_after_run_(route.repeatable()),
         idempotent_(route.kind == routing::RequestKind::kIdempotent),
         max_attempts_(route.max_attempts),
         hedge_delay_(route.target_latency / 2),
@@ -56,7 +56,8 @@
  private:
   bool hasAttemptsLeft() const;
 
-  bool repeatable_;
+  /** The request may be retried after an attempt that may have executed it. */
+  bool retryable_after_run_;
   bool idempotent_;
   int max_attempts_;
   Duration hedge_delay_;
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -14,7 +14,7 @@
 /** Misdirected Request: the request names another engine. */
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
-/** Many times the round trip to a reachable host. */
+/** Time for a host to accept or refuse a connection; many times the round trip. */
 constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(100);
 }  // namespace
 
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -20,12 +20,12 @@
  * execute the request.
  */
 enum class AttemptOutcome {
-  kAnswered,     ///< The engine responded; complete if the body was read to its end.
+  kAnswered,     ///< The engine responded. The body may not have been read yet.
   kNotExecuted,  ///< The engine rejected the request without executing it.
-  kUnreachable,  ///< Not connected, or not sent.
-  kBroken,       ///< Connection lost, or response malformed or unsigned; may have run.
-  kTimedOut,     ///< No data before the deadline; may have run or still be running.
-  kAborted,      ///< Aborted by the gateway; may have run.
+  kUnreachable,  ///< No connection, or the request was not sent.
+  kBroken,       ///< Connection lost, or response malformed or unsigned.
+  kTimedOut,     ///< No data before the deadline; the request may still be running.
+  kAborted,      ///< Aborted by the gateway.
 };
 
 /** @return the outcome's name in log lines and metrics. */
@@ -44,8 +44,8 @@
   Instant connect_deadline;
   Instant deadline;  ///< For reading the response header.
   bool fresh_connection = false;
-  /** Reported to the registry when the deadline passes. A sender whose deadline is shorter than the
-   * response time of a healthy engine must not report a failure.
+  /** Outcome reported to the registry if the deadline passes. Must not count as a failure, like
+   * kRejected, if the deadline may be shorter than the response time of a healthy engine.
    */
   engines::HealthOutcome timeout_outcome = engines::HealthOutcome::kTimeout;
 };
--- a/src/gateway/forward/engine_picker.cpp
+++ b/src/gateway/forward/engine_picker.cpp
@@ -11,24 +11,24 @@
   criteria.max_per_slot = forwarded.max_per_slot;
   criteria.model = ModelName(http::fieldText(*forwarded.request, this->names_.model));
   criteria.residency = this->residencyOf(forwarded);
-  const engines::engine_state* engine = this->pickFromRoute(*forwarded.route, criteria);
+  const engines::engine_state* engine = this->pickWithFallbacks(*forwarded.route, criteria);
   if (engine == nullptr) forwarded.refusals = this->registry_.lastAdmissionFailures();
   return engine;
 }
 
-const engines::engine_state* engine_picker::pickFromRoute(const routing::Route& route,
-                                                          engines::engine_request& criteria) {
+const engines::engine_state* engine_picker::pickWithFallbacks(const routing::Route& route,
+                                                              engines::engine_request& criteria) {
   const Instant now = steadyNow();
   criteria.service = this->round_robin_.next(route);
   if (const auto* engine = this->registry_.pick(now, criteria)) return engine;
-  if (const auto* engine = this->pickFromAnyService(now, route, criteria)) return engine;
+  if (const auto* engine = this->pickInServiceOrder(now, route, criteria)) return engine;
   // Only the first attempt may fall back to an ejected engine.
   if (!criteria.excluded.empty()) return nullptr;
   criteria.last_resort = true;
-  return this->pickFromAnyService(now, route, criteria);
+  return this->pickInServiceOrder(now, route, criteria);
 }
 
-const engines::engine_state* engine_picker::pickFromAnyService(Instant now,
+const engines::engine_state* engine_picker::pickInServiceOrder(Instant now,
                                                                const routing::Route& route,
                                                                engines::engine_request& criteria) {
   for (const routing::WeightedService& each : route.services) {
--- a/src/gateway/forward/engine_picker.h
+++ b/src/gateway/forward/engine_picker.h
@@ -35,9 +35,10 @@
   const engines::engine_state* pick(forwarded_request& forwarded, const std::set<EngineId>& tried);
 
  private:
-  const engines::engine_state* pickFromRoute(const routing::Route& route,
-                                             engines::engine_request& criteria);
-  const engines::engine_state* pickFromAnyService(Instant now, const routing::Route& route,
+  const engines::engine_state* pickWithFallbacks(const routing::Route& route,
+                                                 engines::engine_request& criteria);
+  /** Tries the route's services in the order of the configuration. */
+  const engines::engine_state* pickInServiceOrder(Instant now, const routing::Route& route,
                                                   engines::engine_request& criteria);
   fleet::data_residency residencyOf(const forwarded_request& forwarded) const;
 
--- a/src/gateway/forward/field_names.h
+++ b/src/gateway/forward/field_names.h
@@ -11,7 +11,7 @@
 
 struct field_names {
   std::string request_id;
-  std::string deadline_ms;     ///< The sender's timeout.
+  std::string deadline_ms;     ///< Time left for the request, in milliseconds.
   std::string target_engine;   ///< Engines with a different id reject the request.
   std::string signature;       ///< Signature of an engine's response; required.
   std::string not_executed;    ///< Present if the engine did not execute the request.
@@ -22,8 +22,8 @@
   std::string length_hint;  ///< Expected number of output tokens.
   std::string priority;
   std::string model;
-  std::string tenant;   ///< Tenant that the engine works for.
-  std::string wait_ms;  ///< Long-poll timeout of a read of results.
+  std::string tenant;   ///< Tenant that the request is sent for.
+  std::string wait_ms;  ///< Long-poll timeout of a client's request for batch results.
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -18,12 +18,12 @@
 
 /** State of one request, shared by its attempts.
  *
- * An aborted attempt may finish after the reply was sent. It must use the message that it sent
- * instead of `request`.
+ * An aborted attempt may finish after the reply was sent, when `request` is no longer valid. It
+ * must use its own copy of the message, `engine_call::request`.
  */
 struct forwarded_request {
   routing::ConfigurationPtr table;         ///< Keeps `route` alive.
-  const routing::Route* route = nullptr;   ///< Of `table`.
+  const routing::Route* route = nullptr;   ///< Points into `table`.
   const http::Request* request = nullptr;  ///< Valid until the reply was sent.
   tenants::caller caller;
   std::string id;
@@ -31,8 +31,8 @@
   Instant deadline{};
   double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0 means unlimited.
   bool internal = false;    ///< Sent by the gateway itself, not by a client.
-  bool run_reported = false;  ///< The usage recorder was notified of its execution.
-  /** Reasons of the last engine selection that found none. */
+  bool run_reported = false;  ///< The usage recorder was notified of the execution.
+  /** Reasons why the last unsuccessful engine selection found no engine. */
   engines::admission_failure_counts refusals;
   std::optional<suspects::request_key> key;  ///< Computed on first use.
   suspects::suspect_admission admission;     ///< Result of the last suspect check.
--- a/src/gateway/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -25,11 +25,11 @@
 };
 
 struct internal_outcome {
-  unsigned status = 0;    ///< Of a complete, signed response; 0 if there was none.
-  std::string signature;  ///< Of that response.
+  unsigned status = 0;    ///< Status of a complete, signed response; 0 if there was none.
+  std::string signature;  ///< Signature of that response.
   int failures = 0;       ///< Attempts that engines answered with status 500.
   int attempts = 0;
-  Duration retry_after{};  ///< If suspect: the time until it may run.
+  Duration retry_after{};  ///< Time until the request may run, if it is a suspect.
 
   bool operator==(const internal_outcome&) const = default;
 };
--- a/src/gateway/forward/local_replies.cpp
+++ b/src/gateway/forward/local_replies.cpp
@@ -53,8 +53,8 @@
     forwarded.admission =
         this->suspects_.admissionOf(*forwarded.key, suspects::RequestSource::kCaller);
   }
-  // Also set on 502 and 504, since an earlier retry would be rejected. A suspect that is running
-  // now may be cleared soon, so its caller may retry after the usual delay.
+  // Retry-After is also set on 502 and 504, since an earlier retry would be rejected. A suspect
+  // that is running now may be cleared soon, so its caller may retry after the usual delay.
   const bool running = forwarded.admission.state == suspects::AdmissionState::kRunning;
   if (!running && forwarded.admission.retry_after > this->options_.retry_after) {
     response.set(this->names_.retry_after, secondsText(forwarded.admission.retry_after));
--- a/src/gateway/forward/local_replies.h
+++ b/src/gateway/forward/local_replies.h
@@ -13,8 +13,8 @@
 
 struct local_reply_options {
   Duration retry_after = std::chrono::milliseconds(250);
-  /** Used if the engines' zones are closed. Zones stay closed for at least some seconds, so an
-   * earlier retry would be rejected again.
+  /** Retry-After if the operator has closed the engines' zones, so that no requests are sent to
+   * them. Zones stay closed for at least some seconds; an earlier retry would be rejected again.
    */
   Duration retry_after_closed = std::chrono::seconds(1);
 };
--- a/src/gateway/forward/request_log.h
+++ b/src/gateway/forward/request_log.h
@@ -13,9 +13,7 @@
 
 namespace linenpier::forward {
 
-/** Log events for successes written per second before sampling; beyond that, one in
- * `kSampleInterval` is written.
- */
+/** Number of successes logged per second. Of further ones, one in `kSampleInterval` is logged. */
 inline constexpr std::uint32_t kUnsampledLinesPerSecond = 50;
 inline constexpr std::uint32_t kSampleInterval = 20;
 
@@ -24,7 +22,7 @@
   request_log(const engines::engine_registry& registry, metrics::GatewayMetrics& metrics)
       : registry_(registry), metrics_(metrics) {}
 
-  /** Logs an attempt that got no response; the event of the request covers the others.
+  /** Logs an attempt that got no response. A response is logged by `onRequestEnded`.
    * @param engine_crashed whether the engine process crashed during the attempt.
    */
   void onAttemptEnded(forwarded_request& forwarded, const engine_call& call, AttemptOutcome outcome,
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -26,16 +26,16 @@
 
 Task<void> stream_session::run() {
   this->writer_.cancellation().setCallback([this] {
-    if (this->running_) this->running_->abort();
+    if (this->latest_call_) this->latest_call_->abort();
   });
   const bool answered = co_await this->runAttempts();
   this->writer_.cancellation().setCallback(nullptr);
   if (answered) {
-    const unsigned status = this->running_->status();
+    const unsigned status = this->latest_call_->status();
     this->context_.log.onRequestEnded(this->forwarded_, "answered", status, this->policy_);
     co_return;
   }
-  this->running_.reset();
+  this->latest_call_.reset();
   co_await this->endWithoutResponse();
 }
 
@@ -67,7 +67,7 @@
   const engines::engine_state* engine = this->context_.picker.pick(this->forwarded_, this->tried_);
   if (engine != nullptr || this->tried_.size() <= 1) return engine;
   // All engines were tried. Allow all but the last one again, since they may have recovered.
-  this->tried_ = {this->running_->engine()};
+  this->tried_ = {this->latest_call_->engine()};
   return this->context_.picker.pick(this->forwarded_, this->tried_);
 }
 
@@ -76,7 +76,7 @@
   const field_names& names = this->context_.engines.names;
   http::Request request = makeEngineRequest(names, this->forwarded_, now);
   if (this->last_event_id_) request.set(names.last_event_id, std::to_string(*this->last_event_id_));
-  this->running_ =
+  this->latest_call_ =
       std::make_shared<engine_call>(this->context_.engines, engine, std::move(request));
   this->policy_.onStarted(now);
 }
@@ -85,9 +85,9 @@
   const AttemptOutcome outcome = co_await this->relay();
   bool engine_crashed = false;
   if (outcome == AttemptOutcome::kBroken) {
-    engine_crashed = co_await this->running_->engineHasCrashed();
+    engine_crashed = co_await this->latest_call_->engineHasCrashed();
   }
-  const engine_call& call = *this->running_;
+  const engine_call& call = *this->latest_call_;
   this->context_.log.onAttemptEnded(this->forwarded_, call, outcome, engine_crashed);
   this->context_.admission.onEnded(this->forwarded_, call, outcome, attempt, engine_crashed);
   this->policy_.onEnded(outcome);
@@ -95,7 +95,7 @@
 }
 
 Task<AttemptOutcome> stream_session::relay() {
-  engine_call& call = *this->running_;
+  engine_call& call = *this->latest_call_;
   attempt_limits limits{steadyNow() + this->context_.timeouts.connect, this->readDeadline()};
   const AttemptOutcome started = co_await call.start(limits);
   if (started != AttemptOutcome::kAnswered) co_return started;
--- a/src/gateway/forward/stream_session.h
+++ b/src/gateway/forward/stream_session.h
@@ -60,9 +60,10 @@
   attempt_policy policy_;
   const bool resumable_;
   bool head_sent_ = false;
-  std::optional<std::uint64_t> last_event_id_;  ///< Last one sent, or the client's.
+  /** Last event sent to the client, in this or an earlier request. */
+  std::optional<std::uint64_t> last_event_id_;
   std::set<EngineId> tried_;
-  std::shared_ptr<engine_call> running_;  ///< The latest attempt, even after its end.
+  std::shared_ptr<engine_call> latest_call_;  ///< Remains set after the attempt ended.
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/unary_forwarder.cpp
+++ b/src/gateway/forward/unary_forwarder.cpp
@@ -80,7 +80,7 @@
     Instant next_check = policy.nextCheck();
     if (policy.canStart(now)) {
       const bool started = co_await this->startAttempt(forwarded, *group, policy, cancellation);
-      // With no engine available, only the end of an attempt in flight can change that.
+      // If none could start, another may start only after an attempt in flight has ended.
       next_check = started ? policy.nextCheck() : forwarded->deadline;
     }
     if (policy.running() == 0) break;
--- a/src/gateway/forward/unary_forwarder.h
+++ b/src/gateway/forward/unary_forwarder.h
@@ -37,7 +37,9 @@
    */
   Task<attempts_outcome> runAttempts(std::shared_ptr<forwarded_request> forwarded,
                                      attempt_policy& policy, http::Cancellation& cancellation);
-  /** Processes finished attempts and stores the last response that is not to be retried. */
+  /** Processes finished attempts. Stores the last response in `outcome`, unless it is a server
+   * error that is retried.
+   */
   void processResults(attempt_group& group, attempt_policy& policy,
                       attempts_outcome& outcome) const;
   /** @return false if the attempt was not admitted or no engine was found. */
--- a/src/gateway/http/client_exchange.cpp
+++ b/src/gateway/http/client_exchange.cpp
@@ -17,8 +17,11 @@
 constexpr std::size_t kReadChunkBytes = 16 * 1024;
 constexpr std::size_t kMaxBodyBytes = 64 * 1024 * 1024;
 constexpr int kMaxStaleResponses = 3;
-/// Shorter differences between the two clocks are not counted as a suspension of the machine.
+/// Shorter suspensions of the machine are ignored: `machine_clock::suspended` is the difference of
+/// two clocks that are read one after the other.
 constexpr Duration kSuspensionTolerance = std::chrono::milliseconds(50);
+/// Reuse of a connection ends this long before the peer closes it, so that no request is sent on a
+/// connection that is being closed.
 constexpr Duration kIdleTimeoutMargin = std::chrono::milliseconds(600);
 
 /// @return the idle timeout from the Keep-Alive field, less a margin.
--- a/src/gateway/http/client_exchange.h
+++ b/src/gateway/http/client_exchange.h
@@ -34,14 +34,14 @@
 /// Writes and reads concurrently, since peers may respond before they have read the whole body.
 /// Event loop thread only; must be owned by a shared_ptr.
 ///
-/// Invariant: the connection returns to the
-/// pool only if the request was written and the response read completely, the buffer is empty and
-/// both sides allow keep-alive.
+/// Invariant: the connection returns to the pool only if the request was written and the response
+/// read completely, the buffer is empty and both sides allow keep-alive.
 class ClientExchange : public std::enable_shared_from_this<ClientExchange> {
  public:
   ClientExchange(ConnectionPool& pool, Address peer, Request request);
 
-  /// Sets a condition that is checked once connected, since it may have changed while connecting.
+  /// Sets a condition that is checked after the connection was established. If it is false, the
+  /// request is not sent.
   void sendOnlyIf(std::function<bool()> condition) { may_send_ = std::move(condition); }
   /// Connects, sends the request and reads the response header.
   /// @param force_new_connection ignore idle connections.
--- a/src/gateway/http/connection_pool.h
+++ b/src/gateway/http/connection_pool.h
@@ -54,8 +54,8 @@
   /// Opens a connection. @return nullptr on failure.
   Task<ClientConnectionPtr> connect(Address peer, Instant deadline);
   /// Tests whether the peer accepts connections; a new connection is kept in the pool. Concurrent
-  /// probes of one peer share a connection, since all requests of an engine probe it at the same
-  /// time when it resets them to load weights.
+  /// probes of one peer share a connection: an engine that loads weights resets all connections,
+  /// and all requests on them probe the engine at the same time.
   Task<PeerState> probe(Address peer, Instant deadline);
   /// Adds a connection that has no exchange in progress.
   void release(Instant now, ClientConnectionPtr connection, Duration idle_timeout);
--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -84,8 +84,8 @@
   Handler handler_;
   ServerLimits limits_;
   std::set<ServerSession*> sessions_;  ///< All open connections.
-  std::size_t active_requests_ =
-      0;  ///< From the first byte of a request to the end of its response.
+  /// Requests between their first byte and the end of their response.
+  std::size_t active_requests_ = 0;
   bool draining_ = false;
 };
 
--- a/src/gateway/suspects/request_key.h
+++ b/src/gateway/suspects/request_key.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * Key that identifies a request across retries and daemons.
+ * Key that identifies a request across retries and gateway daemons.
  */
 
 #include <string_view>
--- a/src/gateway/suspects/suspect_admission.h
+++ b/src/gateway/suspects/suspect_admission.h
@@ -15,19 +15,20 @@
 struct suspect_rules {
   /** Number of crashes after which a caller's request is barred. */
   int crash_threshold = 3;
-  /** The same for an item of a batch job; not lower, since the job cannot finish without the item.
+  /** Number of crashes after which an item of a batch job is barred. Not lower than
+   * `crash_threshold`, since the job cannot finish without the item.
    */
   int item_crash_threshold = 5;
-  /** A crash longer than this after the attempt was sent does not count: requests that crash
-   * engines do so when execution starts.
+  /** Longest time from the sending of an attempt to a crash that counts. A request that crashes
+   * engines does so when its execution starts.
    */
   Duration max_run_before_crash = std::chrono::seconds(3);
   /** Delay before a caller's request may run again after its second crash. Long enough for crashed
    * engines to restart, so that one request takes down at most two of them.
    */
   Duration retry_backoff = std::chrono::seconds(5);
-  /** Delay between runs of an item from the second crash on. Shorter than the 5 s without an engine
-   * after which an item counts as lost.
+  /** Delay before an item may run again after its second and each later crash. Shorter than 5 s,
+   * since an item that has had no engine for 5 s counts as lost.
    */
   Duration item_retry_interval = std::chrono::seconds(4);
   /** Duration after which an isolated run no longer blocks other runs of the request. */
--- a/src/gateway/suspects/suspect_record.h
+++ b/src/gateway/suspects/suspect_record.h
@@ -22,10 +22,10 @@
    * many engines that run the same request.
    */
   int crashes = 0;
-  std::vector<EngineId> engines;       ///< That crashed; at most `kMaxEnginesKept`.
-  std::int64_t last_crash_ms = 0;      ///< Time of the last crash by the store's clock.
-  std::string isolated_by;             ///< Daemon incarnation that runs it isolated; empty if none.
-  std::int64_t isolated_until_ms = 0;  ///< No other daemon runs it before this time.
+  std::vector<EngineId> engines;   ///< Engines that crashed; at most `kMaxEnginesKept`.
+  std::int64_t last_crash_ms = 0;  ///< Time of the last crash by the store's clock.
+  std::string isolated_by;  ///< Lease id of the daemon that runs the request isolated; or empty.
+  std::int64_t isolated_until_ms = 0;  ///< No other daemon runs the request before this time.
 
   bool operator==(const suspect_record&) const = default;
 };
--- a/src/gateway/suspects/suspect_registry.cpp
+++ b/src/gateway/suspects/suspect_registry.cpp
@@ -10,7 +10,9 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/** @return the local time of the store's time `at_ms`; not later than `now`. */
+/** @return `at_ms` converted from the store's clock to local time; not later than `now`.
+ * @param clock_ms the store's current time. If either time is 0 (unknown), `now` is returned.
+ */
 Instant pastInstant(Instant now, std::int64_t clock_ms, std::int64_t at_ms) {
   if (clock_ms == 0 || at_ms == 0) return now;
   return now - std::chrono::milliseconds(std::max<std::int64_t>(0, clock_ms - at_ms));
@@ -37,14 +39,14 @@
   return this->rules_.initial_bar * (1 << doublings);
 }
 
-Instant suspect_registry::expiresAt(const entry& each) const {
-  return each.last_at + this->barDuration(each.crashes) + this->rules_.retention;
+Instant suspect_registry::expiresAt(const entry& suspect) const {
+  return suspect.last_crash_at + this->barDuration(suspect.crashes) + this->rules_.retention;
 }
 
 std::size_t suspect_registry::barredCount(Instant now) const {
   return static_cast<std::size_t>(
       std::count_if(this->entries_.begin(), this->entries_.end(), [&](const auto& each) {
-        return now < each.second.last_at + this->barDuration(each.second.crashes);
+        return now < each.second.last_crash_at + this->barDuration(each.second.crashes);
       }));
 }
 
@@ -61,8 +63,8 @@
   const entry& known = at->second;
   if (now >= this->expiresAt(known)) return admission;
   admission.crashes = known.crashes;
-  admission.since_last_crash = now - known.last_at;
-  const Instant allowed_at = known.last_at + this->retryDelay(known.crashes, source);
+  admission.since_last_crash = now - known.last_crash_at;
+  const Instant allowed_at = known.last_crash_at + this->retryDelay(known.crashes, source);
   if (now < allowed_at) {
     const bool barred = this->isBarred(known.crashes, source);
     admission.state = barred ? AdmissionState::kBarred : AdmissionState::kBackingOff;
@@ -87,8 +89,8 @@
 void suspect_registry::evictOne() {
   const auto least = std::min_element(
       this->entries_.begin(), this->entries_.end(), [](const auto& one, const auto& other) {
-        return std::pair(one.second.crashes, one.second.last_at) <
-               std::pair(other.second.crashes, other.second.last_at);
+        return std::pair(one.second.crashes, one.second.last_crash_at) <
+               std::pair(other.second.crashes, other.second.last_crash_at);
       });
   if (least != this->entries_.end()) this->entries_.erase(least);
 }
@@ -104,7 +106,7 @@
   each.crashes = std::max(each.crashes, counted);
   this->addEngines(each, {engine});
   if (grew) {
-    each.last_at = now;
+    each.last_crash_at = now;
     each.written = false;
   }
   return grew;
@@ -138,7 +140,7 @@
   if (revision <= each.revision) return;
   const bool knew_more = each.crashes > record.crashes;
   if (record.crashes >= each.crashes)
-    each.last_at = pastInstant(now, clock_ms, record.last_crash_ms);
+    each.last_crash_at = pastInstant(now, clock_ms, record.last_crash_ms);
   each.crashes = std::max(each.crashes, record.crashes);
   this->addEngines(each, record.engines);
   each.isolated_by = record.isolated_by;
@@ -206,7 +208,7 @@
   const entry& each = at->second;
   record.crashes = each.crashes;
   record.engines = each.engines;
-  record.last_crash_ms = clock_ms - toMilliseconds(now - each.last_at);
+  record.last_crash_ms = clock_ms - toMilliseconds(now - each.last_crash_at);
   record.isolated_by = each.isolated_by;
   if (!each.isolated_by.empty()) {
     record.isolated_until_ms = clock_ms + toMilliseconds(each.isolated_until - now);
--- a/src/gateway/suspects/suspect_registry.h
+++ b/src/gateway/suspects/suspect_registry.h
@@ -5,8 +5,7 @@
  *
  * When an engine crashes, all requests that it was running become suspects, since the one that
  * caused the crash is unknown. A suspect runs isolated: on one engine at a time in the whole fleet.
- * The first complete response clears it; consecutive crashes bar it. An innocent request costs a
- * single write to the store.
+ * The first complete response clears it; consecutive crashes bar it.
  */
 
 #include <map>
@@ -33,7 +32,7 @@
   const suspect_rules& rules() const { return this->rules_; }
 
   suspect_admission admissionOf(Instant now, const request_key& key, RequestSource source) const;
-  /** @return the number of crashes of the request. A sender records it with its attempt. */
+  /** @return the number of crashes of the request. Senders store it in `sent_attempt::crashes`. */
   int crashesOf(const request_key& key) const;
 
   /** An engine crashed during an attempt.
@@ -42,7 +41,9 @@
    * @return whether the number of crashes increased.
    */
   bool onEngineCrashed(Instant now, const request_key& key, const EngineId& engine, int known);
-  /** An engine completed the request. @return the revision of its row, 0 if it has none. */
+  /** Removes the suspect: an engine completed the request.
+   * @return the revision of the suspect's row; 0 if there is none.
+   */
   Revision onCleared(const request_key& key);
   /** The daemon `self` starts or ends an isolated run of the request. */
   void onIsolatedRun(Instant now, const request_key& key, const std::string& self);
@@ -65,11 +66,11 @@
   /** @return the record to be stored. */
   suspect_record record(Instant now, std::int64_t clock_ms, const request_key& key) const;
   Revision revisionOf(const request_key& key) const;
-  /** @return the daemon incarnation that runs it isolated; empty if none. */
+  /** @return the lease id of the daemon that runs the request isolated; empty if none. */
   std::string isolatedBy(const request_key& key) const;
   /** @return up to `max_count` requests whose rows must be written, most crashes first. */
   std::vector<request_key> unwritten(std::size_t max_count) const;
-  /** Requires the row to be stored, for the other daemons. */
+  /** Marks the suspect to be stored, so that other daemons know it. */
   void setShared(const request_key& key);
   /** @return up to `max_count` rows for a daemon that cannot reach the store, most crashes first.
    * @param prefix prefix of the row keys.
@@ -86,10 +87,10 @@
   struct entry {
     int crashes = 0;
     std::vector<EngineId> engines;
-    Instant last_at{};
-    std::string isolated_by;  ///< Daemon incarnation that runs it isolated; empty if none.
+    Instant last_crash_at{};
+    std::string isolated_by;  ///< Lease id of the daemon that runs the request isolated; or empty.
     Instant isolated_until{};
-    Revision revision = 0;  ///< Revision of its row; 0 if unknown.
+    Revision revision = 0;  ///< Revision of the stored row; 0 if unknown.
     bool shared = false;    ///< The row must be stored.
     bool written = false;   ///< The stored row is up to date.
   };
@@ -98,7 +99,7 @@
   /** @return how long after its last crash a request must not run. */
   Duration retryDelay(int crashes, RequestSource source) const;
   Duration barDuration(int crashes) const;
-  Instant expiresAt(const entry& each) const;
+  Instant expiresAt(const entry& suspect) const;
   void addEngines(entry& into, const std::vector<EngineId>& engines) const;
   /** Evicts the suspect with the fewest crashes. */
   void evictOne();
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -17,9 +17,10 @@
 constexpr Duration kWritePollInterval = std::chrono::seconds(1);
 /** Delay between writes; limits the load of all daemons on a small store. */
 constexpr Duration kWriteInterval = std::chrono::milliseconds(25);
-constexpr Duration kRetryBackoff = std::chrono::milliseconds(200);
+/** Delay before writing again if the store did not respond. */
+constexpr Duration kStoreRetryDelay = std::chrono::milliseconds(200);
 constexpr int kMaxRemoveAttempts = 3;
-/** Rows written before they are ordered by crashes again. */
+/** Number of rows, those with the most crashes, that are written before rows are selected again. */
 constexpr std::size_t kWriteBatchSize = 32;
 /** Limits a response to a peer to about 80 KB. */
 constexpr std::size_t kMaxPeerRows = 256;
@@ -120,7 +121,7 @@
   if (counts) {
     ++this->totals_.engine_crashes;
     this->registry_.onEngineCrashed(now, key, engine, attempt.crashes);
-    // Only its owner runs an item, so other daemons need not know of its first crash.
+    // Only the owner of a job runs its items, so other daemons need not know an item's first crash.
     if (source == RequestSource::kCaller || this->registry_.crashesOf(key) > 1)
       this->registry_.setShared(key);
   }
@@ -221,8 +222,9 @@
     if (direct) answer = std::move(*direct);
   }
   if (!answer) {
-    // Writes by way of a peer after the first failure, before the store counts as lost, since other
-    // daemons could send the request until then. Reads the record again to include newer crashes.
+    // The row is written by way of a peer at once. Until it is written, other daemons could send
+    // the request, so this does not wait until the store counts as lost. The record is made again
+    // to include newer crashes.
     record = this->registry_.record(steadyNow(), this->clock(), key);
     answer = co_await this->deps_.write_by_peer(this->writeOf(key, record));
   }
@@ -252,7 +254,7 @@
     }
     if (answered) continue;
     LogEvent("suspects", "not_stored").number("rows", static_cast<std::int64_t>(keys.size()));
-    co_await sleepFor(this->deps_.loop, kRetryBackoff);
+    co_await sleepFor(this->deps_.loop, kStoreRetryDelay);
   }
 }
 
@@ -265,7 +267,7 @@
     const auto answer = co_await this->deps_.table.write(std::move(write));
     if (answer && answer->committed) co_return;
     if (!answer) {
-      co_await sleepFor(this->deps_.loop, kRetryBackoff);
+      co_await sleepFor(this->deps_.loop, kStoreRetryDelay);
       continue;
     }
     // A response of an engine overrides concurrent writes.
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -5,8 +5,8 @@
  * daemon at a time holds the right to run a suspect.
  *
  * Guarantees:
- * - A daemon that reaches the store learns of a crash after one write and one update of the watch,
- * even if all daemons were restarted.
+ * - A daemon that reaches the store learns of a crash after one write and one update of the watch.
+ * Suspects in the store survive a restart of all daemons.
  * - A daemon that cannot reach the store exchanges suspects with its peers.
  * - A daemon that reaches neither applies the rules to its own observations.
  */
@@ -24,16 +24,14 @@
 
 namespace linenpier::suspects {
 
-/** Log events for refusals written per second before sampling; beyond that, one in
- * `kSampleInterval` is written.
- */
+/** Number of refusals logged per second. Of further ones, one in `kSampleInterval` is logged. */
 inline constexpr std::uint32_t kUnsampledRefusalsPerSecond = 20;
 inline constexpr std::uint32_t kSampleInterval = 50;
 
 struct suspect_totals {
-  std::uint64_t engine_crashes = 0;  ///< Counted crashes during attempts of this daemon.
-  std::uint64_t refused = 0;         ///< Refused admissions.
-  std::uint64_t cleared = 0;         ///< Suspects cleared by a response received here.
+  std::uint64_t engine_crashes = 0;  ///< Crashes during this daemon's attempts that counted.
+  std::uint64_t refused = 0;
+  std::uint64_t cleared = 0;  ///< Suspects cleared by a response received here.
 };
 
 /** Event loop thread only. */
@@ -69,8 +67,8 @@
   void onTableRead(const std::set<request_key>& present, Revision as_of);
   /** Rows received from a peer while the store is unreachable. */
   void onPeerRows(const std::vector<table::Row>& rows);
-  /** @return whether existing suspects were read from the store or a peer. The daemon is not ready
-   * before: it could send known suspects without isolation.
+  /** @return whether existing suspects were read from the store or a peer. Until then, the daemon
+   * is not ready, since it could send known suspects without isolation.
    */
   bool loaded() const { return this->loaded_; }
   /** @return the suspects with the most crashes, for a peer that cannot reach the store. */
--- a/src/gateway/suspects/suspect_tracker.h
+++ b/src/gateway/suspects/suspect_tracker.h
@@ -25,7 +25,7 @@
 
   /** @return whether there are any suspects. If not, callers can skip computing the request key. */
   virtual bool hasSuspects() const = 0;
-  /** @return the admission by this daemon's state; kNotSuspect in the common case. */
+  /** @return the admission by the suspects that this daemon knows; mostly kNotSuspect. */
   virtual suspect_admission admissionOf(const request_key& key, RequestSource source) const = 0;
   /** Claims the fleet-wide right to run a suspect. Writes the claim to the store if it is
    * reachable.
@@ -35,8 +35,8 @@
    */
   virtual Task<suspect_admission> beginIsolatedRun(request_key key, RequestSource source,
                                                    std::string id) = 0;
-  /** The same by this daemon's state alone, for requests that no other daemon sends: only the owner
-   * of a job sends its items.
+  /** Like `beginIsolatedRun`, but does not write a claim to the store. For requests that no other
+   * daemon sends: only the owner of a job sends its items.
    */
   virtual suspect_admission beginLocalIsolatedRun(const request_key& key, RequestSource source,
                                                   const std::string& id) = 0;
--- a/tests/gateway/suspects/suspect_registry_test.cpp
+++ b/tests/gateway/suspects/suspect_registry_test.cpp
@@ -98,7 +98,7 @@
   cr_assert(stateAt(registry, 0.1) == AdmissionState::kMayRunAlone);
 }
 
-Test(suspect_registry, response_clears_it_and_earlier_attempts_count_from_zero) {
+Test(suspect_registry, crash_of_attempt_sent_before_clearing_counts_as_first) {
   suspect_registry registry = registryAfter(2);
   cr_assert_eq(registry.onCleared(kKey), Revision{0}, "no row yet");
   cr_assert(registry.empty());
