--- a/src/gateway/forward/field_names.h
+++ b/src/gateway/forward/field_names.h
@@ -23,7 +23,7 @@
   std::string priority;
   std::string model;
   std::string tenant;   ///< Tenant that the request is sent for.
-  std::string wait_ms;  ///< Long-poll timeout of a read of results.
+  std::string wait_ms;  ///< Long-poll timeout of a client's request for batch results.
 };
 
 }  // namespace linenpier::forward
