--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -48,7 +48,7 @@
   http::ConnectionPool store_pool(loop, {});
   http::ConnectionPool engine_pool(loop, {});
   platform_adapter::Platform platform(store_pool, engine_pool, settings.store_address,
-                                      settings.duties_address);
+                                      settings.control_plane_address);
   metrics::GatewayMetrics metrics;
   platform.store().setObserver([&metrics](const char* call, const char* result, Duration took) {
     metrics.onStoreCall(call, result, took);
@@ -65,7 +65,7 @@
   });
   gateway::settings_watcher settings_watcher(
       loop, file, kSettingsPollInterval, [&](const gateway::GatewaySettings& changed) {
-        platform.setAddresses(changed.store_address, changed.duties_address);
+        platform.setAddresses(changed.store_address, changed.control_plane_address);
         daemon.applySettings(changed);
       });
   settings_watcher.start();
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -94,7 +94,7 @@
   Address duties;
   double window_seconds = 0;
   reader.readAddress("duties.address", duties, false);
-  if (duties.port != 0) settings.duties_address = duties;
+  if (duties.port != 0) settings.control_plane_address = duties;
   reader.readNumber("duties.usage_window_seconds", window_seconds, 0, 86400);
   std::string duty_names;
   std::string scaling_mode = "fixed";
@@ -136,7 +136,8 @@
   settings.handover = {fromSeconds(order_pause_ms / 1000) + kHandoverMargin, tokens == "checked"};
   settings.usage.window = fromSeconds(window_seconds);
   settings.usage.handover = settings.handover;
-  const bool autoscales = settings.duties_address && containsEntry(duty_names, kAutoscaleDuty);
+  const bool autoscales =
+      settings.control_plane_address && containsEntry(duty_names, kAutoscaleDuty);
   if (autoscales) settings.scaling.mode = scalingModeFromName(scaling_mode);
   settings.rollout.busy_timeout = fromSeconds(patience_ms / 1000);
   settings.rollout.mode = loadModeFromName(mode);
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -34,7 +34,7 @@
   std::vector<Address> seed_peers;  ///< Initial peer addresses; may be out of date.
   Address store_address;
   /// Platform service that takes usage reports and scaling orders; none if empty.
-  std::optional<Address> duties_address;
+  std::optional<Address> control_plane_address;
   usage::usage_options usage;
   scaling::scaling_options scaling;
   lease::machine_limits machine;
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -45,7 +45,7 @@
   virtual table::AsyncObjects& objects() = 0;
   virtual const batch::batch_codec& batchCodec() const = 0;
   virtual versions::engine_order_port& orders() = 0;
-  virtual usage::usage_port& duties() = 0;
+  virtual usage::usage_port& usageReporting() = 0;
   virtual scaling::scaling_port& scaling() = 0;
 
   /// Tables written by the platform and its operators.
--- a/tests/support/gateway_fixture.cpp
+++ b/tests/support/gateway_fixture.cpp
@@ -45,7 +45,7 @@
                                    const gateway::GatewaySettings& settings)
     : store_pool(loop, {}),
       engine_pool(loop, {}),
-      platform(store_pool, engine_pool, settings.store_address, settings.duties_address),
+      platform(store_pool, engine_pool, settings.store_address, settings.control_plane_address),
       gateway(loop, settings, platform, engine_pool, metrics, Random::seedFromSystem()) {
   cr_assert(gateway.start().empty());
 }
@@ -78,13 +78,13 @@
   settings.layout = options_.layout;
   settings.handover.tokens_checked = options_.tokens_checked;
   if (options_.usage) {
-    settings.duties_address = duties_->address();
+    settings.control_plane_address = duties_->address();
     settings.usage = *options_.usage;
     settings.usage.handover = settings.handover;
   }
   settings.cold = options_.cold;
   if (options_.scaling) {
-    settings.duties_address = duties_->address();
+    settings.control_plane_address = duties_->address();
     settings.scaling = *options_.scaling;
   }
   if (options_.keep_jobs) settings.batch.job_retention = *options_.keep_jobs;
