--- a/apps/linenpier_gateway.cpp
+++ b/apps/linenpier_gateway.cpp
@@ -80,7 +80,7 @@
   awaitReload();
   loop.run();
   logging::stopEventLog();
-  // Suspended tasks hold references to the objects above, so skip their destructors.
+  // Exits without running destructors: suspended tasks still refer to the objects of this function.
   std::_Exit(0);
 }
 
--- a/apps/linenpier_soak.cpp
+++ b/apps/linenpier_soak.cpp
@@ -21,9 +21,14 @@
   --directory DIR  Output directory for the gateways' settings.
   --seed N         Seed of the faults [default: 1].
   --seconds N      Seconds with faults; about 15 without faults follow [default: 20].
-  --break PROMISE  Violate a guarantee to test the checker: answer, refusal, text, job or ends.
-
-Prints "signal NAME INDEX" for each signal to send to a gateway process.
+  --break PROMISE  Violate a guarantee to test the checker:
+                   answer: engines send answers that belong to other requests;
+                   refusal: engines report requests that they ran as not run;
+                   text: events of a stream repeat the text of the event before;
+                   job: accepted jobs are deleted from the store;
+                   ends: requests that crash engines differ each time, so none is recognized.
+
+Prints "signal NAME INDEX" for each signal that scripts/soak must send to a gateway process.
 Exit codes: 0 no violation, 1 a violation was found.
 )";
 
@@ -42,6 +47,6 @@
   soak::soak_run run(loop, options, std::cout);
   run.start();
   loop.run();
-  // Suspended tasks hold references to local objects, so skip their destructors.
+  // Exits without running destructors: suspended tasks still refer to the objects of this function.
   std::_Exit(run.violations() == 0 ? 0 : 1);
 }
--- a/apps/linenpierctl.cpp
+++ b/apps/linenpierctl.cpp
@@ -37,23 +37,26 @@
 Options:
   --daemon ADDRESS  Any daemon's HTTP address [default: 127.0.0.1:7100].
   --key KEY         Operator key; if absent, LINENPIER_OPERATOR_KEY of the environment.
-  --from REVISION   Item revision that the edit is based on; 0 for a new item [default: 0].
+  --from REVISION   Revision of the template or tenant that the edit is based on; 0 to create it
+                    [default: 0].
   --json            Print JSON.
 
 trace merges log files (or standard input) of many daemons and prints the events of one request,
-item or batch job in time order. steps prints one line per batch job with the times, in seconds, at
-which it was submitted, accepted, started, complete, listed, read and ended. Neither contacts a
-daemon.
+item or batch job in time order. steps prints one line per batch job with the times, in seconds
+since the first log line, at which the job was submitted, was accepted, started, had its first
+event, had all results that the trainer waits for, had them published in the store, was first read
+and was ended, and at which the next model version was published and last loaded by an engine.
+Neither contacts a daemon.
 
 Exit codes: 0 success, 1 rejected by the daemon, 2 invalid file or arguments, 3 no response from the
 daemon, 4 conflict with another edit, 5 outcome unknown.
 )";
 
 constexpr int kExitRefused = 1;
-constexpr int kExitWrong = 2;
+constexpr int kExitInvalidInput = 2;
 constexpr int kExitUnreachable = 3;
 constexpr int kExitConflict = 4;
-constexpr int kExitUnknown = 5;
+constexpr int kExitOutcomeUnknown = 5;
 
 using Arguments = std::map<std::string, docopt::value>;
 
@@ -88,10 +91,11 @@
   if (reply.status == 409) return kExitConflict;
   const json error = reply.body.is_object() ? reply.body.value("error", json::object()) : json();
   const bool unknown = error.is_object() && error.value("ran", "") == "unknown";
-  return unknown ? kExitUnknown : kExitRefused;
+  return unknown ? kExitOutcomeUnknown : kExitRefused;
 }
 
-void printItem(const json& item) {
+/// Prints a template or tenant with its revision.
+void printDocument(const json& item) {
   std::cout << item.value("key", "") << " at revision " << item.value("revision", 0) << "\n"
             << item.value("document", json()).dump(2) << "\n";
 }
@@ -128,14 +132,14 @@
                                     : "Request rejected.")
               << "\n";
     if (reply.body.contains("current") && reply.body["current"].is_object()) {
-      printItem(reply.body["current"]);
+      printDocument(reply.body["current"]);
     }
   } else if (reply.body.contains("items")) {
     for (const json& item : reply.body["items"]) {
       std::cout << item.value("key", "") << "  revision " << item.value("revision", 0) << "\n";
     }
   } else if (reply.body.contains("document")) {
-    printItem(reply.body);
+    printDocument(reply.body);
   } else if (reply.body.contains("members")) {
     printStatus(reply.body);
   } else if (reply.body.contains("revision")) {
@@ -151,7 +155,7 @@
   const auto text = settings::readFile(file);
   if (!text) {
     std::cerr << describe(text.error());
-    return kExitWrong;
+    return kExitInvalidInput;
   }
   Findings findings;
   if (file.ends_with(".toml")) {
@@ -170,7 +174,7 @@
   }
   std::cerr << describe(findings);
   if (findings.empty()) std::cout << file << " is valid.\n";
-  return findings.empty() ? 0 : kExitWrong;
+  return findings.empty() ? 0 : kExitInvalidInput;
 }
 
 /// Reads the given log files, or standard input.
@@ -192,7 +196,7 @@
 /// Prints the timeline of all training steps in the logs.
 int steps(Arguments& arguments) {
   logging::TraceReader reader;
-  if (!readLogs(arguments, reader)) return kExitWrong;
+  if (!readLogs(arguments, reader)) return kExitInvalidInput;
   const logging::Trace all = reader.all();
   if (all.lines.empty()) return kExitRefused;
   std::cout << logging::formatSteps(logging::collectSteps(all), all.lines.front().time_ms);
@@ -202,7 +206,7 @@
 /// Prints the trace of one id from the logs.
 int trace(Arguments& arguments) {
   logging::TraceReader reader;
-  if (!readLogs(arguments, reader)) return kExitWrong;
+  if (!readLogs(arguments, reader)) return kExitInvalidInput;
   const logging::Trace found = reader.linesFor(arguments["ID"].asString());
   std::cout << (arguments["--json"].asBool() ? logging::toJson(found) : logging::toText(found));
   return found.lines.empty() ? kExitRefused : 0;
@@ -220,7 +224,7 @@
   const auto address = parseAddress(arguments["--daemon"].asString());
   if (!address) {
     std::cerr << "--daemon must be an IP address and port.\n";
-    return kExitWrong;
+    return kExitInvalidInput;
   }
   const char* from_environment = std::getenv("LINENPIER_OPERATOR_KEY");
   const std::string key = arguments["--key"]
@@ -242,7 +246,7 @@
     const json document = text ? json::parse(*text, nullptr, false) : json();
     if (!document.is_object()) {
       std::cerr << fileArgument(arguments) << " is not a JSON object.\n";
-      return kExitWrong;
+      return kExitInvalidInput;
     }
     const auto from = static_cast<Revision>(std::stoull(arguments["--from"].asString()));
     reply = client.put("/admin/" + kind + "/" + arguments["NAME"].asString(),
--- a/apps/linenpierd.cpp
+++ b/apps/linenpierd.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// linenpierd: the daemon for the product's own platform.
+/// linenpierd: the daemon for the product's own platform; linenpier-gateway is its counterpart for
+/// the users' platform.
 
 #include <docopt/docopt.h>
 
@@ -35,7 +36,8 @@
 constexpr int kExitBadSettings = 2;
 constexpr int kExitCannotBind = 3;
 constexpr auto kPollInterval = std::chrono::milliseconds(200);
-/// Time for other daemons to learn of the shutdown before the last stream may end.
+/// Time for other daemons to learn of the shutdown; the daemon exits no sooner, even if its last
+/// open request has ended.
 constexpr auto kDeregistrationDelay = std::chrono::milliseconds(500);
 
 volatile std::sig_atomic_t stop_signal = 0;
--- a/src/gateway/metrics/gateway_metrics.cpp
+++ b/src/gateway/metrics/gateway_metrics.cpp
@@ -146,7 +146,7 @@
   setGauge("requests_in_progress", "Requests being read or answered.",
            number(state.requests_in_progress));
   setGauge("engine_looks", "Engines that choices of one have looked at, ever.",
-           number(state.engines_examined));
+           number(state.engines_checked_for_selection));
   setGauge("engine_connections_opened", "Connections opened to engines, ever.",
            number(state.engine_connections_opened));
   setGauge("log_lines_dropped", "Log lines dropped, ever.", number(state.log_lines_dropped));
@@ -190,11 +190,11 @@
   setGauge("jobs_refused", "Jobs refused, ever.", number(state.jobs_refused));
   setGauge("jobs_taken_over", "Jobs taken over from others, ever.", number(state.jobs_taken_over));
   setGauge("jobs_waiting_for_home", "Jobs that no daemon at home takes up.",
-           number(state.jobs_awaiting_residency));
+           number(state.jobs_without_eligible_owner));
   setGauge("jobs_refused_for_home", "Jobs refused for want of an engine at home, ever.",
            number(state.jobs_refused_for_residency));
   setGauge("jobs_given_to_home", "Jobs given up by this daemon since it is not at home, ever.",
-           number(state.jobs_released_for_residency));
+           number(state.jobs_handed_over_for_residency));
   setProcessMetrics();
   return prometheus::TextSerializer().Serialize(registry_.Collect());
 }
--- a/src/gateway/metrics/gateway_metrics.h
+++ b/src/gateway/metrics/gateway_metrics.h
@@ -19,8 +19,9 @@
 /// Recently started engines of one service.
 struct ColdEngines {
   std::size_t count = 0;
-  std::size_t sent = 0;      ///< Requests from this daemon to them in the last window.
-  std::size_t max_sent = 0;  ///< Maximum per engine.
+  /// Requests that this daemon sent to them within the sliding window of the cold-engine limiter.
+  std::size_t sent = 0;
+  std::size_t max_sent = 0;  ///< The largest number of these requests to a single engine.
 };
 
 /// State at the time of a scrape.
@@ -46,14 +47,16 @@
   std::size_t client_connections = 0;
   std::size_t requests_in_progress = 0;
   std::uint64_t engine_connections_opened = 0;
-  std::uint64_t engines_examined = 0;
+  /// Engines checked in all selections of an engine for a request.
+  std::uint64_t engines_checked_for_selection = 0;
   std::uint64_t log_lines_dropped = 0;
   bool lease_valid = false;
   std::size_t order_locks_held = 0;
   std::uint64_t usage_requests_counted = 0;
+  /// Requests counted for a usage window that had already been summed.
   std::uint64_t usage_requests_late = 0;
   std::uint64_t usage_windows_reported = 0;
-  /// Active engines of scaled services, by service, zone and kind.
+  /// Active engines of scaled services, by service, zone and purchase option (metric label `kind`).
   std::map<std::array<std::string, 3>, std::size_t> engines_present;
   /// Last ordered number of engines, by the same keys; empty unless this daemon holds the scaling
   /// lock.
@@ -68,9 +71,12 @@
   std::uint64_t jobs_accepted = 0;
   std::uint64_t jobs_refused = 0;
   std::uint64_t jobs_taken_over = 0;
-  std::size_t jobs_awaiting_residency = 0;
+  /// Jobs that no daemon within their data residency has taken over yet.
+  std::size_t jobs_without_eligible_owner = 0;
+  /// Jobs refused because no engine is within their data residency.
   std::uint64_t jobs_refused_for_residency = 0;
-  std::uint64_t jobs_released_for_residency = 0;
+  /// Jobs that this daemon, being outside their data residency, handed over to another.
+  std::uint64_t jobs_handed_over_for_residency = 0;
   std::uint64_t item_attempts = 0;
   std::uint64_t items_scored = 0;
   std::uint64_t scorings_failed = 0;
--- a/src/gateway/service/cold_engines_monitor.cpp
+++ b/src/gateway/service/cold_engines_monitor.cpp
@@ -10,7 +10,9 @@
 
 namespace {
 
-/** Log lines per report on engines with refused requests; each line gives the total. */
+/** Maximum log lines per report, one per engine that requests were refused for; each line also
+ * gives the number of such engines.
+ */
 constexpr std::size_t kMaxRefusalLines = 5;
 
 }  // namespace
@@ -18,7 +20,8 @@
 void cold_engines_monitor::updateSenders(std::size_t owners_wanted, bool owns_work) {
   const std::size_t others = this->leases_.candidates(steadyNow()).size();
   engines::cold_senders senders;
-  // New owners may send before their leases are read here, so the target size is a lower bound.
+  // Counts at least the target number of owners, since a new owner may send requests before its
+  // lease is read here.
   senders.count = std::max(others + 1, owners_wanted);
   senders.self = owns_work;
   if (senders == this->registry_.coldLimiter().senders()) return;
--- a/src/gateway/service/cold_engines_monitor.h
+++ b/src/gateway/service/cold_engines_monitor.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /** @file
- * Updates the cold-engine budget with the number of gateways that may send to recently started
- * engines, logs which engines became cold or warm and which requests were kept from them, and
- * exports metrics. Stateless: the state is in the registry's budget and in the lease table.
+ * Tells the cold-engine limiter how many gateways share the request limit of a recently started
+ * (cold) engine, logs which engines became cold or warm and which requests the limiter refused, and
+ * exports metrics. Stateless: the state is in the limiter and in the lease table.
  */
 
 #include <cstddef>
@@ -22,13 +22,13 @@
   cold_engines_monitor(engines::engine_registry& registry, const lease::lease_table& leases)
       : registry_(registry), leases_(leases) {}
 
-  /** Updates the number of gateways that share the cold-engine budget.
+  /** Updates the number of gateways that share the limit of a cold engine.
    * @param owners_wanted target number of gateways that own work.
    * @param owns_work whether this gateway owns work or is a candidate for it.
    */
   void updateSenders(std::size_t owners_wanted, bool owns_work);
-  /** Logs changes since the last call.
-   * @param feed engine feed; the time of its last answer bounds the age of the known start times.
+  /** Logs the engines that became cold or warm since the last call, and the refused requests.
+   * @param feed engine feed; the engine records are current as of its last answer.
    */
   void report(Instant now, const table::TableWatcher& feed);
   void collectMetrics(metrics::GatewayState& state, Instant now) const;
--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -55,7 +55,7 @@
       suspected.emplace(key.substr(table::kSuspectPrefix.size()));
     }
   }
-  this->handlers_.orders.onTableRead();
+  this->handlers_.rollouts.onTableRead();
   this->handlers_.usage.onTableRead();
   this->handlers_.scaling.onTableRead();
   this->handlers_.suspects.onTableRead(suspected, this->watcher_.revision());
@@ -64,13 +64,13 @@
 void coordination_feed::onChange(const table::RowChange& change) {
   const std::string key = table::keyWithoutTable(change.row);
   const auto suffixAfter = [&key](const std::string& prefix) { return key.substr(prefix.size()); };
-  auto& [batches, orders, usage, scaling, suspect_requests] = this->handlers_;
+  auto& [batches, rollouts, usage, scaling, suspect_requests] = this->handlers_;
   if (key.starts_with(table::kJobPrefix)) {
     const JobId id(suffixAfter(table::kJobPrefix));
     change.removed ? batches.onRecordRemoved(id) : batches.onRecordRow(id, change.row);
   } else if (key.starts_with(table::kServiceLockPrefix)) {
     const ServiceName service(suffixAfter(table::kServiceLockPrefix));
-    change.removed ? orders.onLockRemoved(service) : orders.onLockRow(service, change.row);
+    change.removed ? rollouts.onLockRemoved(service) : rollouts.onLockRow(service, change.row);
   } else if (key.starts_with(table::kSuspectPrefix)) {
     const suspects::request_key suspect(suffixAfter(table::kSuspectPrefix));
     change.removed ? suspect_requests.onRowGone(suspect, change.row.revision)
--- a/src/gateway/service/coordination_feed.h
+++ b/src/gateway/service/coordination_feed.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Watches the coordination table (jobs, leader locks, suspect requests and the clock of usage
- * windows) and passes each row to the component that handles it.
+ * Watches the coordination table (jobs, leader locks, suspect requests and the cluster
+ * time that usage windows are measured by) and passes each row to the component that handles it.
  */
 
 #include <functional>
@@ -21,7 +21,7 @@
  public:
   struct row_handlers {
     batch::batch_service& batches;
-    versions::rollout_service& orders;
+    versions::rollout_service& rollouts;
     usage::usage_service& usage;
     scaling::scaling_service& scaling;
     suspects::suspect_service& suspects;
--- a/src/gateway/service/engine_change_log.h
+++ b/src/gateway/service/engine_change_log.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Bounded log of recently changed engine entries. A gateway that answers a peer without store
- * access sends these instead of the full engine list.
+ * Bounded log of recently changed engine entries. When a peer that cannot reach the store
+ * asks for engines, the gateway sends only these entries instead of the full engine list.
  */
 
 #include <cstddef>
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -17,15 +17,16 @@
  * engines within two seconds.
  */
 constexpr Duration kIdleCoalesceInterval = std::chrono::milliseconds(500);
-/** Limits the log lines on single engines during large rollouts. */
+/** Limits the log lines about single engines during large rollouts. */
 constexpr std::uint32_t kLogLinesPerSecond = 10;
-constexpr std::uint32_t kLogSampleInterval = 20;
+/** Beyond that rate, one in this many changes is logged. */
+constexpr std::uint32_t kChangesPerSampledLogLine = 20;
 
 }  // namespace
 
 engine_feed::engine_feed(dependencies deps, std::uint64_t seed)
     : deps_(std::move(deps)),
-      log_sampler_(kLogLinesPerSecond, kLogSampleInterval),
+      change_log_sampler_(kLogLinesPerSecond, kChangesPerSampledLogLine),
       watcher_(deps_.loop, deps_.platform.table(), deps_.platform.engineTable(),
                watcherOptions(*this, seed), listener(*this)) {}
 
@@ -108,7 +109,7 @@
   // New engines and weight updates are only counted: a starting fleet produces thousands at every
   // gateway.
   const bool begins_draining = record.draining && !was_draining;
-  if (!begins_draining || !this->log_sampler_.admit(steadyNow())) {
+  if (!begins_draining || !this->change_log_sampler_.admit(steadyNow())) {
     ++this->unlogged_changes_;
     return;
   }
@@ -133,7 +134,7 @@
     return;
   }
   const auto address = this->removeEngine(id);
-  if (this->log_sampler_.admit(steadyNow())) {
+  if (this->change_log_sampler_.admit(steadyNow())) {
     LogEvent("engines", address ? "gone" : "lapsed")
         .text("engine", id.str())
         .number("revision", static_cast<std::int64_t>(change.row.revision));
@@ -150,7 +151,7 @@
   }
 }
 
-void engine_feed::logSummary() {
+void engine_feed::logUnloggedChanges() {
   if (this->unlogged_changes_ == 0) return;
   LogEvent("engines", "updated")
       .number("entries", static_cast<std::int64_t>(this->unlogged_changes_));
--- a/src/gateway/service/engine_feed.h
+++ b/src/gateway/service/engine_feed.h
@@ -2,8 +2,8 @@
 
 /** @file
  * Watches the platform's engine table and applies it to the engine registry. While the store is
- * unavailable, the rows come from peers; it also fills the snapshots for peers. Closes pooled
- * connections to engines that are removed or restarted.
+ * unavailable, the engines come from the snapshots of peers; for peers, the feed adds the engines
+ * to this gateway's snapshots. Closes pooled connections to engines that are removed or restarted.
  */
 
 #include <functional>
@@ -50,15 +50,16 @@
   /** Applies the engines of a peer's snapshot. */
   void applySnapshot(const PeerSnapshot& snapshot);
   /** Logs the number of changes since the last call that had no log line of their own. */
-  void logSummary();
+  void logUnloggedChanges();
 
  private:
   static table::TableWatcher::Listener listener(engine_feed& feed);
   static table::WatcherOptions watcherOptions(const engine_feed& feed, std::uint64_t seed);
 
   void onRow(const table::RowChange& change);
-  /** Handle one row and the end of a full read of the table. */
+  /** Handles one row of a full read of the table. */
   void onFullReadRow(const table::Row& row);
+  /** Handles the end of a full read: engines that were not in it are removed. */
   void onFullReadEnd(Revision revision);
   /** Waits a grace period after a store outage, then removes the engines whose expired entries were
    * not written again.
@@ -78,8 +79,8 @@
   engine_change_log changes_;
   std::set<EngineId> listed_ids_;  ///< Ids seen in the full read in progress.
   std::uint64_t unlogged_changes_ = 0;
-  logging::SuccessSampler log_sampler_;
-  Revision peer_revision_ = 0;  ///< Of the last applied peer snapshot.
+  logging::SuccessSampler change_log_sampler_;  ///< Limits the log lines about single engines.
+  Revision peer_revision_ = 0;  ///< Engine table revision of the last applied peer snapshot.
   bool loaded_ = false;
   table::TableWatcher watcher_;
 };
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-constexpr Duration kSweepInterval = std::chrono::seconds(1);
-constexpr std::uint64_t kSweepsPerSummary = 10;
+constexpr Duration kMaintenanceInterval = std::chrono::seconds(1);
+/** The engine feed reports its unlogged changes once in this many maintenance runs. */
+constexpr std::uint64_t kMaintenanceRunsPerChangeReport = 10;
 /** Time for the platform's readiness probes to detect the shutdown and stop sending new clients. */
 constexpr Duration kDeregistrationDelay = std::chrono::milliseconds(3200);
 /** Reserved for process exit within the shutdown timeout. */
@@ -28,7 +29,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(since_1970).count();
 }
 
-versions::rollout_service_options orderOptions(const GatewaySettings& settings) {
+versions::rollout_service_options rolloutOptions(const GatewaySettings& settings) {
   versions::rollout_service_options options;
   options.handover = settings.handover;
   options.rollout = settings.rollout;
@@ -77,17 +78,18 @@
                 platform.batchCodec(),
                 forwarder_,
                 suspects_,
-                [this] { return operator_feed_.routes(); }},
+                [this] { return operator_feed_.configuration(); }},
                settings.batch),
-      orders_({loop, registry_, platform.table(), leases_, keeper_, owner_pool_, platform.orders(),
-               [this] { return operator_feed_.routes(); }, [this] { return batches_.openWork(); },
-               settings.id.str(), [this](Instant now) { return leases_.awaited(now); }},
-              orderOptions(settings)),
+      rollouts_({loop, registry_, platform.table(), leases_, keeper_, owner_pool_,
+                 platform.orders(), [this] { return operator_feed_.configuration(); },
+                 [this] { return batches_.openWork(); }, settings.id.str(),
+                 [this](Instant now) { return leases_.awaited(now); }},
+                rolloutOptions(settings)),
       scaling_({{loop, platform.table(), leases_, keeper_, owner_pool_},
                 platform.scaling(),
                 settings.id.str(),
                 registry_,
-                [this] { return operator_feed_.routes(); },
+                [this] { return operator_feed_.configuration(); },
                 [this] { return batches_.openWork(); },
                 [this] { return engine_feed_.loaded() && engine_feed_.watcher().healthy(); },
                 [this](EngineId engine, Address address) {
@@ -99,7 +101,7 @@
       operator_feed_(loop, platform, closed_zones_,
                      {[this](const routing::Configuration& routes) { onConfiguration(routes); },
                       [this](const PublishedVersion& published) {
-                        orders_.onVersionAnnounced(published.model, published.version);
+                        rollouts_.onVersionAnnounced(published.model, published.version);
                       },
                       [this] { store_monitor_.onStoreReachable(); }},
                      hash64(settings.id.str(), 1)),
@@ -107,7 +109,7 @@
                     [this] { store_monitor_.onStoreReachable(); }},
                    hash64(settings.id.str(), 2)),
       coordination_feed_(
-          loop, platform.table(), {batches_, orders_, usage_, scaling_, suspects_},
+          loop, platform.table(), {batches_, rollouts_, usage_, scaling_, suspects_},
           {[this] { return ownsWork(); },
            [this](bool healthy) { store_monitor_.onCoordinationHealth(healthy); },
            [this](std::int64_t clock_ms) { keeper_.onStoreClock(steadyNow(), clock_ms); }},
@@ -145,12 +147,12 @@
                    }),
       metrics_exporter_(metrics, {operator_feed_, engine_feed_, coordination_feed_, registry_,
                                   cold_engines_, engine_pool, request_server_, keeper_, batches_,
-                                  orders_, scaling_, usage_, suspects_}) {
+                                  rollouts_, scaling_, usage_, suspects_}) {
   registry_.coldLimiter().onStart(steadyNow());
   registry_.coldLimiter().setLimitOptions(settings.cold);
   registry_.setHeartbeat(settings.engine_heartbeat);
   registry_.setLayout(settings.layout);
-  forwarder_.setResidencySource([this] { return operator_feed_.routes(); });
+  forwarder_.setResidencySource([this] { return operator_feed_.configuration(); });
 }
 
 Findings Gateway::start() {
@@ -169,7 +171,7 @@
   keeper_.setAwaited([this] { return batches_.criticalEngines(); });
   keeper_.start([this] { return ownsWork(); });
   batches_.start();
-  orders_.start();
+  rollouts_.start();
   usage_.start();
   scaling_.start();
   suspects_.start();
@@ -209,10 +211,10 @@
   registry_.setHeartbeat(changed.engine_heartbeat);
   settings_.layout = changed.layout;
   registry_.setLayout(changed.layout);
-  if (operator_feed_.routes())
-    owner_demand_ = computeOwnerDemand(*operator_feed_.routes(), settings_.layout);
+  if (operator_feed_.configuration())
+    owner_demand_ = computeOwnerDemand(*operator_feed_.configuration(), settings_.layout);
   batches_.setOptions(changed.batch);
-  orders_.setOptions(orderOptions(changed));
+  rollouts_.setOptions(rolloutOptions(changed));
   LogEvent("settings", "applied")
       .text("store", toString(changed.store_address))
       .number("seeds", static_cast<std::int64_t>(changed.seed_peers.size()))
@@ -221,7 +223,8 @@
 
 bool Gateway::ready() const {
   // Without the list of suspect requests, the first requests could crash engines again.
-  return operator_feed_.routes() && engine_feed_.loaded() && suspects_.loaded() && !stopping_;
+  return operator_feed_.configuration() && engine_feed_.loaded() && suspects_.loaded() &&
+         !stopping_;
 }
 
 Task<void> Gateway::handleReadiness(http::Request& request, http::ResponseWriter& writer) {
@@ -231,10 +234,10 @@
   co_await writer.send(std::move(response));
 }
 
-void Gateway::onConfiguration(const routing::Configuration& routes) {
-  owner_demand_ = computeOwnerDemand(routes, settings_.layout);
-  request_server_.setLimits(routes.limits);
-  registry_.setServices(routes.services);
+void Gateway::onConfiguration(const routing::Configuration& configuration) {
+  owner_demand_ = computeOwnerDemand(configuration, settings_.layout);
+  request_server_.setLimits(configuration.limits);
+  registry_.setServices(configuration.services);
 }
 
 void Gateway::onLeasesRead(bool answered) {
@@ -254,7 +257,7 @@
 }
 
 bool Gateway::ownsWork() const {
-  return owner_pool_.isCandidate() || batches_.ownsOpenJobs() || orders_.holdsAny() ||
+  return owner_pool_.isCandidate() || batches_.ownsOpenJobs() || rollouts_.holdsAny() ||
          usage_.holdsLock() || scaling_.holdsLock();
 }
 
@@ -265,13 +268,13 @@
 }
 
 Task<void> Gateway::maintenanceLoop() {
-  for (std::uint64_t sweeps = 1;; ++sweeps) {
-    co_await sleepFor(loop_, kSweepInterval);
+  for (std::uint64_t runs = 1;; ++runs) {
+    co_await sleepFor(loop_, kMaintenanceInterval);
     const Instant now = steadyNow();
     engine_pool_.sweep(now);
     cold_engines_.report(now, engine_feed_.watcher());
     registry_.sweep(now);
-    if (sweeps % kSweepsPerSummary == 0) engine_feed_.logSummary();
+    if (runs % kMaintenanceRunsPerChangeReport == 0) engine_feed_.logUnloggedChanges();
   }
 }
 
@@ -287,7 +290,7 @@
       .number("connections", static_cast<std::int64_t>(request_server_.connections()));
   request_server_.beginDrain();
   co_await batches_.handOver();
-  co_await orders_.handOver();
+  co_await rollouts_.handOver();
   co_await usage_.handOver();
   co_await scaling_.handOver();
   co_await keeper_.stop();
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -57,9 +57,11 @@
   Address metricsAddress() const { return this->metrics_server_.address(); }
 
  private:
-  /** Logs a failure to bind; the gateway serves requests without metrics or peers. */
+  /** Starts listening for metrics scrapes and peers. A failure to bind is only logged; the gateway
+   * then serves requests without that listener.
+   */
   void listenForMetricsAndPeers();
-  void onConfiguration(const routing::Configuration& routes);
+  void onConfiguration(const routing::Configuration& configuration);
   void onLeasesRead(bool answered);
   void updateColdSenders();
   /** @return whether this gateway owns jobs or a leader lock, or is a candidate for them. */
@@ -86,7 +88,7 @@
   suspects::suspect_service suspects_;
   forward::forwarder forwarder_;
   batch::batch_service batches_;
-  versions::rollout_service orders_;
+  versions::rollout_service rollouts_;
   scaling::scaling_service scaling_;
   closed_zones_monitor closed_zones_;
   cold_engines_monitor cold_engines_;
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -40,7 +40,7 @@
   lease::machine_limits machine;
   std::size_t max_row_bytes = 65536;                    ///< Largest value of a store row.
   Duration shutdown_timeout = std::chrono::seconds(8);  ///< From the stop signal to process exit.
-  lease::handover_options handover;                     ///< Of leader locks between gateways.
+  lease::handover_options handover;  ///< Handover of leader locks between gateways.
   versions::rollout_options rollout;
   batch::batch_options batch;
   engines::cold_limit_options cold;  ///< Load limits for recently started engines.
--- a/src/gateway/service/metrics_exporter.cpp
+++ b/src/gateway/service/metrics_exporter.cpp
@@ -5,12 +5,12 @@
 namespace linenpier::gateway {
 
 void metrics_exporter::collectScaling(metrics::GatewayState& state) const {
-  const routing::ConfigurationPtr routes = this->sources_.operators.routes();
+  const routing::ConfigurationPtr configuration = this->sources_.operator_feed.configuration();
   for (const auto& [id, engine] : this->sources_.engines.all()) {
     const engines::engine_record& record = engine.record;
-    if (!routes || record.draining) continue;
-    const auto service = routes->services.find(record.service);
-    if (service == routes->services.end() || !service->second.scaling) continue;
+    if (!configuration || record.draining) continue;
+    const auto service = configuration->services.find(record.service);
+    if (service == configuration->services.end() || !service->second.scaling) continue;
     const auto purchase =
         record.spot ? fleet::PurchaseOption::kSpot : fleet::PurchaseOption::kOnDemand;
     ++state.engines_present[{record.service.str(), record.zone.str(), fleet::toText(purchase)}];
@@ -35,9 +35,9 @@
 }
 
 void metrics_exporter::collectFeeds(Instant now, metrics::GatewayState& state) const {
-  state.config_version = this->sources_.operators.configurationVersion();
+  state.config_version = this->sources_.operator_feed.configurationVersion();
   const std::map<std::string, const table::TableWatcher*> watchers = {
-      {"operator", &this->sources_.operators.watcher()},
+      {"operator", &this->sources_.operator_feed.watcher()},
       {"engines", &this->sources_.engine_feed.watcher()},
       {"coordination", &this->sources_.coordination.watcher()}};
   for (const auto& [name, watcher] : watchers) {
@@ -59,7 +59,7 @@
   }
   this->sources_.cold_engines.collectMetrics(state, now);
   state.zones_closed = engines.closedZones().all().size();
-  state.engines_examined = engines.examined();
+  state.engines_checked_for_selection = engines.examined();
   state.engine_connections_opened = this->sources_.engine_connections.opened();
 }
 
@@ -71,7 +71,7 @@
   state.items_running = workload.running;
   state.items_awaiting_score = workload.unscored;
   state.items_in_closed_zones = workload.in_closed_zones;
-  state.jobs_awaiting_residency = workload.awaiting_residency;
+  state.jobs_without_eligible_owner = workload.awaiting_residency;
   const batch::batch_counts& counts = this->sources_.batches.counts();
   state.items_completed = counts.completed;
   state.items_terminated = counts.terminated;
@@ -82,14 +82,14 @@
   state.jobs_refused = counts.refused;
   state.jobs_taken_over = counts.taken_over;
   state.jobs_refused_for_residency = counts.refused_for_residency;
-  state.jobs_released_for_residency = counts.handed_over_for_residency;
+  state.jobs_handed_over_for_residency = counts.handed_over_for_residency;
 }
 
 void metrics_exporter::collectLeadership(Instant now, metrics::GatewayState& state) const {
   state.lease_valid = this->sources_.keeper.valid(now);
-  state.order_locks_held = this->sources_.orders.locksHeld();
-  state.orders_sent = this->sources_.orders.counts().sent;
-  state.orders_unanswered = this->sources_.orders.counts().unanswered;
+  state.order_locks_held = this->sources_.rollouts.locksHeld();
+  state.orders_sent = this->sources_.rollouts.counts().sent;
+  state.orders_unanswered = this->sources_.rollouts.counts().unanswered;
   state.usage_requests_counted = this->sources_.usage.totals().counted;
   state.usage_requests_late = this->sources_.usage.totals().late;
   state.usage_windows_reported = this->sources_.usage.totals().reported;
--- a/src/gateway/service/metrics_exporter.h
+++ b/src/gateway/service/metrics_exporter.h
@@ -24,7 +24,7 @@
 class metrics_exporter {
  public:
   struct sources {
-    const operator_feed& operators;
+    const gateway::operator_feed& operator_feed;
     const gateway::engine_feed& engine_feed;
     const coordination_feed& coordination;
     const engines::engine_registry& engines;
@@ -33,7 +33,7 @@
     const http::Server& requests;
     const lease::lease_keeper& keeper;
     const batch::batch_service& batches;
-    const versions::rollout_service& orders;
+    const versions::rollout_service& rollouts;
     const scaling::scaling_service& scaling;
     const usage::usage_service& usage;
     const suspects::suspect_service& suspects;
--- a/src/gateway/service/operator_feed.cpp
+++ b/src/gateway/service/operator_feed.cpp
@@ -76,15 +76,15 @@
     LogEvent("config", "rejected").text("findings", describe(parsed.error()));
     return;
   }
-  if (this->routes_ && parsed->version <= this->routes_->version) return;
+  if (this->configuration_ && parsed->version <= this->configuration_->version) return;
   LogEvent("config", "in_force")
       .number("version", static_cast<std::int64_t>(parsed->version))
       .number("before", static_cast<std::int64_t>(this->configurationVersion()))
       .number("routes", static_cast<std::int64_t>(parsed->routes.size()))
       .number("tenants", static_cast<std::int64_t>(parsed->tenants.all().size()));
-  this->configuration_ = this->platform_.hashApiKeys(value);
-  this->routes_ = std::make_shared<const routing::Configuration>(std::move(*parsed));
-  this->listener_.on_configuration(*this->routes_);
+  this->configuration_with_hashed_keys_ = this->platform_.hashApiKeys(value);
+  this->configuration_ = std::make_shared<const routing::Configuration>(std::move(*parsed));
+  this->listener_.on_configuration(*this->configuration_);
 }
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/operator_feed.h
+++ b/src/gateway/service/operator_feed.h
@@ -32,15 +32,19 @@
 
   void start() { this->watcher_.start(); }
   /** @return the current configuration; null before the first. */
-  const routing::ConfigurationPtr& routes() const { return this->routes_; }
+  const routing::ConfigurationPtr& configuration() const { return this->configuration_; }
   /** @return 0 before the first configuration. */
-  std::uint64_t configurationVersion() const { return this->routes_ ? this->routes_->version : 0; }
+  std::uint64_t configurationVersion() const {
+    return this->configuration_ ? this->configuration_->version : 0;
+  }
   /** @return the text of the current configuration, with API keys replaced by their digests. */
-  const std::string& configurationWithHashedKeys() const { return this->configuration_; }
+  const std::string& configurationWithHashedKeys() const {
+    return this->configuration_with_hashed_keys_;
+  }
   /** @return whether the operator table is being watched successfully, so that an unknown route or
    *     key can be reported as nonexistent.
    */
-  bool authoritative() const { return this->routes_ && this->watcher_.healthy(); }
+  bool authoritative() const { return this->configuration_ && this->watcher_.healthy(); }
   /** @return the operator table revision that the closed zones reflect. */
   Revision zonesRevision() const;
   table::TableWatcher& watcher() { return this->watcher_; }
@@ -60,8 +64,8 @@
   PlatformPort& platform_;
   closed_zones_monitor& zones_;
   listener listener_;
-  routing::ConfigurationPtr routes_;
-  std::string configuration_;
+  routing::ConfigurationPtr configuration_;
+  std::string configuration_with_hashed_keys_;
   table::TableWatcher watcher_;
 };
 
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -10,12 +10,12 @@
 
 /** Owners beyond one per model: one for the engine order lock, and one standby. */
 constexpr std::size_t kSpareOwners = 2;
-/** Standby owners per residency constraint. */
-constexpr std::size_t kSpareOwnersPerPlace = 1;
+/** Standby owners within the zones of each zone requirement. */
+constexpr std::size_t kSpareOwnersPerZoneRequirement = 1;
 
-std::size_t modelCount(const routing::Configuration& table, const routing::Route& route) {
-  const auto service = table.services.find(route.services.front().service);
-  return service == table.services.end() ? 0 : service->second.models.size();
+std::size_t modelCount(const routing::Configuration& configuration, const routing::Route& route) {
+  const auto service = configuration.services.find(route.services.front().service);
+  return service == configuration.services.end() ? 0 : service->second.models.size();
 }
 
 std::set<ZoneName> allowedZones(const fleet::fleet_layout& layout,
@@ -27,15 +27,15 @@
   return zones;
 }
 
-/** Adds a residency constraint, or raises the demand of an equal one. */
-void mergePlace(std::vector<zone_requirement>& places, std::set<ZoneName> zones,
-                std::size_t min_candidates) {
+/** Adds a zone requirement, or raises the minimum of the one for the same zones. */
+void mergeZoneRequirement(std::vector<zone_requirement>& requirements, std::set<ZoneName> zones,
+                          std::size_t min_candidates) {
   if (zones.empty()) return;
   const auto known =
-      std::find_if(places.begin(), places.end(),
+      std::find_if(requirements.begin(), requirements.end(),
                    [&zones](const zone_requirement& each) { return each.zones == zones; });
-  if (known == places.end()) {
-    places.push_back({std::move(zones), min_candidates});
+  if (known == requirements.end()) {
+    requirements.push_back({std::move(zones), min_candidates});
   } else {
     known->min_candidates = std::max(known->min_candidates, min_candidates);
   }
@@ -47,19 +47,22 @@
   return {kSpareOwners, {}};
 }
 
-lease::pool_requirements computeOwnerDemand(const routing::Configuration& table,
+lease::pool_requirements computeOwnerDemand(const routing::Configuration& configuration,
                                             const fleet::fleet_layout& layout) {
   lease::pool_requirements demand = defaultOwnerDemand();
-  for (const auto& [name, service] : table.services) demand.min_candidates += service.models.size();
-  for (const routing::Route& route : table.routes) {
+  for (const auto& [name, service] : configuration.services)
+    demand.min_candidates += service.models.size();
+  for (const routing::Route& route : configuration.routes) {
     if (route.kind != routing::RequestKind::kBatch) continue;
-    const std::size_t min_candidates = modelCount(table, route) + kSpareOwnersPerPlace;
+    const std::size_t min_candidates =
+        modelCount(configuration, route) + kSpareOwnersPerZoneRequirement;
     const auto add = [&](const fleet::data_residency& residency) {
       if (residency.isRestricted())
-        mergePlace(demand.zone_requirements, allowedZones(layout, residency), min_candidates);
+        mergeZoneRequirement(demand.zone_requirements, allowedZones(layout, residency),
+                             min_candidates);
     };
     add(route.residency);
-    for (const routing::tenant& each : table.tenants.all())
+    for (const routing::tenant& each : configuration.tenants.all())
       add(route.residency.intersect(each.residency));
   }
   return demand;
--- a/src/gateway/service/owner_demand.h
+++ b/src/gateway/service/owner_demand.h
@@ -13,7 +13,7 @@
 /** @return one owner per model plus spares and, for each data residency constraint on batch jobs,
  *     one owner per model and one spare within the allowed zones.
  */
-lease::pool_requirements computeOwnerDemand(const routing::Configuration& table,
+lease::pool_requirements computeOwnerDemand(const routing::Configuration& configuration,
                                             const fleet::fleet_layout& layout);
 
 /** @return the demand before a configuration is loaded. */
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -14,11 +14,14 @@
 namespace {
 
 constexpr Duration kFetchInterval = std::chrono::milliseconds(300);
-/** Covers the owner pool and the seeds within a second, so that revoked keys are disabled in time.
+/** Peers fetched from per interval; enough to reach the owner pool and the seed peers within a
+ * second, so that a revoked key is disabled in time.
  */
 constexpr std::size_t kPeersPerInterval = 3;
 constexpr Duration kFetchTimeout = std::chrono::milliseconds(300);
-/** For a full engine list: 4 MB for ten thousand engines, fetched over a slow and shared link. */
+/** Timeout of fetching a full engine list: 4 MB for ten thousand engines, fetched over a slow and
+ * shared link.
+ */
 constexpr Duration kFullFetchTimeout = std::chrono::milliseconds(1500);
 constexpr Duration kWriteTimeout = std::chrono::milliseconds(400);
 /** A feed without an answer for this long counts as down even if no call failed, as when the store
@@ -35,7 +38,9 @@
   return feed.healthy() && steadyNow() - feed.lastAnswer() < kFeedStaleAfter;
 }
 
-/** Only usage counts, clock samples and suspects: no lock or lease depends on them. */
+/** @return whether this gateway may write the row for a peer. Only usage counters, clock samples
+ * and suspect requests qualify, as no lock or lease depends on them.
+ */
 bool isForwardable(const table::Put& put) {
   return put.key.starts_with(table::kUsageTable + "/" + table::kUsageRowPrefix) ||
          put.key.starts_with(table::kClockTable + "/") ||
@@ -101,8 +106,9 @@
 
 Task<void> peer_exchange::sendSnapshot(const std::string& target, http::ResponseWriter& writer) {
   http::Response response;
-  const operator_feed& operators = this->deps_.operators;
-  if (operators.routes() && this->deps_.engines.loaded() && this->deps_.suspects.loaded()) {
+  const operator_feed& operators = this->deps_.operator_feed;
+  if (operators.configuration() && this->deps_.engine_feed.loaded() &&
+      this->deps_.suspects.loaded()) {
     const KnownRevisions known = parseSnapshotTarget(target);
     PeerSnapshot snapshot;
     snapshot.config_version = operators.configurationVersion();
@@ -110,7 +116,7 @@
     if (newer) snapshot.configuration = operators.configurationWithHashedKeys();
     snapshot.zones_revision = operators.zonesRevision();
     snapshot.closed_zones = this->deps_.zones.closed().all();
-    this->deps_.engines.fillSnapshot(snapshot, known.engines_revision);
+    this->deps_.engine_feed.fillSnapshot(snapshot, known.engines_revision);
     snapshot.suspects = this->deps_.suspects.rows();
     response.body() = encodeSnapshot(snapshot);
   } else {
@@ -123,12 +129,12 @@
   std::size_t next = 0;
   for (;;) {
     co_await sleepFor(this->deps_.loop, kFetchInterval);
-    const bool all_known = isFresh(this->deps_.operators.watcher()) &&
-                           isFresh(this->deps_.engines.watcher()) &&
+    const bool all_known = isFresh(this->deps_.operator_feed.watcher()) &&
+                           isFresh(this->deps_.engine_feed.watcher()) &&
                            isFresh(this->deps_.coordination) && this->deps_.suspects.loaded();
     if (all_known || this->deps_.stopping()) continue;
     // Avoids fetching several full engine lists at once.
-    if (!this->deps_.engines.loaded() && this->pending_fetches_ > 0) continue;
+    if (!this->deps_.engine_feed.loaded() && this->pending_fetches_ > 0) continue;
     const std::vector<Address> peers = this->peerAddresses();
     for (std::size_t i = 0; i < std::min(kPeersPerInterval, peers.size()); ++i) {
       const Address peer = peers[next++ % peers.size()];
@@ -147,9 +153,9 @@
 
 Task<void> peer_exchange::fetchSnapshot(Address peer) {
   ++this->pending_fetches_;
-  const bool engines_known = this->deps_.engines.loaded();
-  const KnownRevisions known{this->deps_.operators.configurationVersion(),
-                             engines_known ? this->deps_.engines.revision() : 0};
+  const bool engines_known = this->deps_.engine_feed.loaded();
+  const KnownRevisions known{this->deps_.operator_feed.configurationVersion(),
+                             engines_known ? this->deps_.engine_feed.revision() : 0};
   http::Request request(boost::beast::http::verb::get, snapshotTarget(known), 11);
   request.set(boost::beast::http::field::host, "peer");
   const Instant deadline = steadyNow() + (engines_known ? kFetchTimeout : kFullFetchTimeout);
@@ -164,8 +170,8 @@
 }
 
 void peer_exchange::applySnapshot(const PeerSnapshot& snapshot, const Address& peer) {
-  operator_feed& operators = this->deps_.operators;
-  engine_feed& engines = this->deps_.engines;
+  operator_feed& operators = this->deps_.operator_feed;
+  engine_feed& engines = this->deps_.engine_feed;
   const std::uint64_t version_before = operators.configurationVersion();
   // Zones first: requests may be sent as soon as routes and engines are known.
   if (snapshot.zones_revision > operators.zonesRevision()) {
--- a/src/gateway/service/peer_exchange.h
+++ b/src/gateway/service/peer_exchange.h
@@ -28,8 +28,8 @@
     http::ConnectionPool& connections;
     table::AsyncTable& table;
     lease::lease_table& leases;
-    operator_feed& operators;
-    engine_feed& engines;
+    gateway::operator_feed& operator_feed;
+    gateway::engine_feed& engine_feed;
     closed_zones_monitor& zones;
     suspects::suspect_service& suspects;
     table::TableWatcher& coordination;
--- a/src/gateway/service/request_dispatcher.cpp
+++ b/src/gateway/service/request_dispatcher.cpp
@@ -17,18 +17,19 @@
 Task<void> request_dispatcher::handle(http::Request& request, Instant received,
                                       http::ResponseWriter& writer) {
   const auto call = this->deps_.platform.parseBatchCall(request);
-  const routing::ConfigurationPtr routes = this->deps_.operators.routes();
+  const routing::ConfigurationPtr configuration = this->deps_.operator_feed.configuration();
   const std::string id = http::fieldText(request, this->deps_.platform.fieldNames().request_id);
-  const tenants::caller from = routes ? tenants::authenticate(*routes, request) : tenants::caller{};
-  // Without a configuration it is unknown whether the job needs a key, so the call is rejected
-  // below.
-  if (call && (routes || this->deps_.batches.isPublic(call->job))) {
+  const tenants::caller from =
+      configuration ? tenants::authenticate(*configuration, request) : tenants::caller{};
+  // Without a configuration, keys cannot be checked: calls for public jobs, which need no key, are
+  // handled here, and all others are rejected below for want of a route.
+  if (call && (configuration || this->deps_.batches.isPublic(call->job))) {
     co_await this->handleBatchCall(*call, from, id, writer);
     co_return;
   }
   const std::string path(request.target().substr(0, request.target().find('?')));
   const routing::Route* route =
-      routes ? routes->find(http::fieldText(request, "Host"), path) : nullptr;
+      configuration ? configuration->find(http::fieldText(request, "Host"), path) : nullptr;
   if (route == nullptr) {
     co_await this->rejectPath(path, id, writer);
     co_return;
@@ -40,7 +41,7 @@
   if (route->kind == routing::RequestKind::kBatch) {
     co_await this->deps_.batches.submit(*route, from, request, received, writer);
   } else {
-    co_await this->deps_.forwarder.serve(routes, *route, from, request, received, writer);
+    co_await this->deps_.forwarder.serve(configuration, *route, from, request, received, writer);
   }
 }
 
@@ -68,13 +69,13 @@
 
 Task<void> request_dispatcher::rejectCaller(const tenants::caller& from, const std::string& id,
                                             http::ResponseWriter& writer) {
-  const operator_feed& operators = this->deps_.operators;
-  const unsigned status = operators.authoritative() ? kUnauthorized : kUnavailable;
+  const operator_feed& feed = this->deps_.operator_feed;
+  const unsigned status = feed.authoritative() ? kUnauthorized : kUnavailable;
   this->deps_.metrics.onKeyRefused(tenants::toText(from.key_status));
   LogEvent("tenants", "key_refused")
       .text("request", id)
       .text("key", tenants::toText(from.key_status))
-      .number("config", static_cast<std::int64_t>(operators.configurationVersion()))
+      .number("config", static_cast<std::int64_t>(feed.configurationVersion()))
       .number("status", status);
   http::Response response = this->deps_.forwarder.localReply(status, id);
   if (status == kUnauthorized) tenants::addChallenge(from.key_status, response);
@@ -83,12 +84,12 @@
 
 Task<void> request_dispatcher::rejectPath(const std::string& path, const std::string& id,
                                           http::ResponseWriter& writer) {
-  const operator_feed& operators = this->deps_.operators;
-  const unsigned status = operators.authoritative() ? kNotFound : kUnavailable;
+  const operator_feed& feed = this->deps_.operator_feed;
+  const unsigned status = feed.authoritative() ? kNotFound : kUnavailable;
   LogEvent("forward", "no_route")
       .text("request", id)
       .text("path", path)
-      .number("config", static_cast<std::int64_t>(operators.configurationVersion()))
+      .number("config", static_cast<std::int64_t>(feed.configurationVersion()))
       .number("status", status);
   http::Response response = this->deps_.forwarder.localReply(status, id);
   co_await writer.send(std::move(response));
--- a/src/gateway/service/request_dispatcher.h
+++ b/src/gateway/service/request_dispatcher.h
@@ -20,7 +20,7 @@
  public:
   struct dependencies {
     PlatformPort& platform;
-    const operator_feed& operators;
+    const gateway::operator_feed& operator_feed;
     forward::forwarder& forwarder;
     batch::batch_service& batches;
     metrics::GatewayMetrics& metrics;
--- a/src/gateway/service/store_monitor.cpp
+++ b/src/gateway/service/store_monitor.cpp
@@ -15,7 +15,9 @@
  * outage. Even a store sixty times slower than normal answers within 0.25 s.
  */
 constexpr Duration kMinStaleAge = std::chrono::milliseconds(300);
-/** A write takes longer than the single-row read of a probe. */
+/** Factor from the duration of a probe, which reads a single row, to the age at which other calls
+ * count as stale; a write takes longer than such a read.
+ */
 constexpr int kProbeTimeFactor = 3;
 constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
 /** Interval of checks while no probes are needed. */
@@ -80,9 +82,10 @@
   const Instant begun = steadyNow();
   const auto page = co_await this->deps_.table.read(range);
   if (!page || this->deps_.leases.storeHealthy()) co_return;
-  // A slow store gets time in proportion to the probe's duration.
-  const Duration answer = kProbeTimeFactor * (steadyNow() - begun);
-  this->onStoreReachable(std::max(kMinStaleAge, answer));
+  // If the store is slow, calls count as stale only at an age in proportion to the probe's
+  // duration.
+  const Duration stale_after = kProbeTimeFactor * (steadyNow() - begun);
+  this->onStoreReachable(std::max(kMinStaleAge, stale_after));
 }
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/store_monitor.h
+++ b/src/gateway/service/store_monitor.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /** @file
- * Tracks whether the store is available for owned work, and speeds up recovery after an outage:
+ * Tracks whether the store is available for the jobs and leader locks that this gateway owns (its
+ * owned work), and speeds up recovery after an outage:
  * calls sent during the outage are aborted, and the feeds and the lease read retry at once.
  *
  * Takeovers need both the leases and the coordination feed, so the lease table is marked healthy
--- a/src/gateway/trace/step_table.cpp
+++ b/src/gateway/trace/step_table.cpp
@@ -33,7 +33,7 @@
   } else if (event == "job_active") {
     setIfEmpty(step.active, line.time_ms);
     step.model = stringField(line, "model");
-    step.step = numberField(line, "step");
+    step.step_number = numberField(line, "step");
     step.owner = line.node;
     ++step.owners;
   } else if (event == "first_event") {
@@ -85,17 +85,17 @@
 }  // namespace
 
 std::vector<step_timeline> collectSteps(const Trace& trace) {
-  std::map<std::string, step_timeline> by_batch;
+  std::map<std::string, step_timeline> by_job;
   for (const TraceLine& line : trace.lines) {
-    const std::string batch = stringField(line, "batch");
-    if (batch.empty()) continue;
-    step_timeline& step = by_batch[batch];
-    step.batch = batch;
+    const std::string job_id = stringField(line, "batch");
+    if (job_id.empty()) continue;
+    step_timeline& step = by_job[job_id];
+    step.job_id = job_id;
     recordEvent(step, line, stringField(line, "event"));
   }
   const std::vector<version_timeline> versions = collectVersions(trace);
   std::vector<step_timeline> steps;
-  for (auto& [batch, step] : by_batch) {
+  for (auto& [job_id, step] : by_job) {
     for (const version_timeline& version : versions) {
       const bool next =
           version.model == step.model && step.ended && version.published >= *step.ended;
@@ -117,7 +117,8 @@
       "    ended    named  engines owners model\n";
   for (const step_timeline& step : steps) {
     char head[48];
-    std::snprintf(head, sizeof(head), "%-16s %4.0f  ", step.batch.c_str(), step.step.value_or(-1));
+    std::snprintf(head, sizeof(head), "%-16s %4.0f  ", step.job_id.c_str(),
+                  step.step_number.value_or(-1));
     text += head;
     for (const auto* moment : {&step.submitted, &step.accepted, &step.active, &step.first_event,
                                &step.complete, &step.results_published, &step.first_read,
--- a/src/gateway/trace/step_table.h
+++ b/src/gateway/trace/step_table.h
@@ -13,18 +13,20 @@
 
 namespace linenpier::logging {
 
-/** Times of one batch job in milliseconds; empty if no log line gives them. */
+/** Timeline of one batch job, which runs one training step. Times are in milliseconds, and empty if
+ * no log line gives them.
+ */
 struct step_timeline {
-  std::string batch;
+  std::string job_id;
   std::string model;
-  std::string owner;  ///< Last owner.
-  std::optional<double> step;
-  std::optional<double> submitted;  ///< First attempt.
+  std::string owner;                  ///< Last owner.
+  std::optional<double> step_number;  ///< Number of the training step, not a time.
+  std::optional<double> submitted;    ///< Start of the first attempt to submit the job.
   std::optional<double> accepted;
-  std::optional<double> active;             ///< On the first owner.
+  std::optional<double> active;             ///< The first owner started the job.
   std::optional<double> first_event;        ///< First event of any item.
   std::optional<double> complete;           ///< All groups that the trainer waits for are complete.
-  std::optional<double> results_published;  ///< Their results are in the store.
+  std::optional<double> results_published;  ///< The results of these groups are in the store.
   std::optional<double> first_read;         ///< First read after `results_published`.
   std::optional<double> ended;
   std::optional<double> next_version;     ///< Next version of the model was published.
--- a/tests/gateway/trace/step_table_test.cpp
+++ b/tests/gateway/trace/step_table_test.cpp
@@ -39,7 +39,7 @@
   const logging::step_timeline& step = steps[0];
   cr_assert_eq(step.model, "m");
   cr_assert_eq(step.owner, "b");
-  cr_assert_eq(*step.step, 4);
+  cr_assert_eq(*step.step_number, 4);
   cr_assert_eq(*step.submitted, 950);
   cr_assert_eq(*step.accepted, 1000);
   cr_assert_eq(*step.first_event, 1100);
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -4,7 +4,7 @@
 #include "engine_document.h"
 #include "gateway/tenants/residency.h"
 
-// Criterion's macros clash with Boost's headers that come after it.
+// Included last, since Criterion's macros break Boost headers that are included after them.
 // clang-format off
 #include <criterion/criterion.h>
 // clang-format on
