--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -34,13 +34,13 @@
   std::vector<Address> seed_peers;  ///< Initial peer addresses; may be out of date.
   Address store_address;
   /// Platform service that takes usage reports and scaling orders; none if empty.
-  std::optional<Address> duties_address;
+  std::optional<Address> control_plane_address;
   usage::usage_options usage;
   scaling::scaling_options scaling;
   lease::machine_limits machine;
   std::size_t max_row_bytes = 65536;                    ///< Largest value of a store row.
   Duration shutdown_timeout = std::chrono::seconds(8);  ///< From the stop signal to process exit.
-  lease::handover_options handover;                     ///< Of leader locks between gateways.
+  lease::handover_options handover;  ///< Handover of leader locks between gateways.
   versions::rollout_options rollout;
   batch::batch_options batch;
   engines::cold_limit_options cold;  ///< Load limits for recently started engines.
