--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -21,9 +21,9 @@
 
 namespace linenpier::batch {
 
-/// Successful attempts logged per second; of those beyond, one in `kSampleOneIn` is logged.
-inline constexpr std::uint32_t kUnsampledLogsPerSecond = 60;
-inline constexpr std::uint32_t kSampleOneIn = 10;
+/// Successful attempts logged per second; of those beyond, one in `kSampleInterval` is logged.
+inline constexpr std::uint32_t kUnsampledLinesPerSecond = 60;
+inline constexpr std::uint32_t kSampleInterval = 10;
 
 /** Owns the length statistics and the reward requests in flight. Engine calls in flight are kept in
  * `active_job`. Must be used from the event loop thread only.
@@ -92,7 +92,7 @@
 
   dependencies deps_;
   length_estimator lengths_;
-  logging::SuccessSampler sampler_{kUnsampledLogsPerSecond, kSampleOneIn};
+  logging::SuccessSampler sampler_{kUnsampledLinesPerSecond, kSampleInterval};
   item_scorer scorer_;
   run_reader reader_;
 };
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -18,15 +18,15 @@
  */
 constexpr Duration kIdleCoalesceInterval = std::chrono::milliseconds(500);
 /** Limits the log lines about single engines during large rollouts. */
-constexpr std::uint32_t kLogLinesPerSecond = 10;
+constexpr std::uint32_t kUnsampledLinesPerSecond = 10;
 /** Beyond that rate, one in this many changes is logged. */
-constexpr std::uint32_t kChangesPerSampledLogLine = 20;
+constexpr std::uint32_t kSampleInterval = 20;
 
 }  // namespace
 
 engine_feed::engine_feed(dependencies deps, std::uint64_t seed)
     : deps_(std::move(deps)),
-      change_log_sampler_(kLogLinesPerSecond, kChangesPerSampledLogLine),
+      change_log_sampler_(kUnsampledLinesPerSecond, kSampleInterval),
       watcher_(deps_.loop, deps_.platform.table(), deps_.platform.engineTable(),
                watcherOptions(*this, seed), listener(*this)) {}
 
