--- a/apps/linenpier_soak.cpp
+++ b/apps/linenpier_soak.cpp
@@ -26,7 +26,8 @@
                    refusal: engines report requests that they ran as not run;
                    text: events of a stream repeat the text of the event before;
                    job: accepted jobs are deleted from the store;
-                   ends: requests that crash engines differ each time, so none is recognized.
+                   ends: requests that crash engines differ each time, so none is recognized;
+                   entry: the engine whose table entry should be invalid gets a valid one.
 
 Prints "signal NAME INDEX" for each signal that scripts/soak must send to a gateway process.
 Exit codes: 0 no violation, 1 a violation was found.
