--- a/src/gateway/batch/active_job.h
+++ b/src/gateway/batch/active_job.h
@@ -23,7 +23,7 @@
 
 namespace linenpier::batch {
 
-/** Must be used from the event loop thread only. */
+/** The class must be used from the event loop thread only. */
 struct active_job {
   active_job(boost::asio::io_context& loop, job_record row, batch_job job, run_rules rules,
              result_timing_options timing)
@@ -38,7 +38,7 @@
     std::size_t position = 0;
     std::vector<ItemIndex> items;
     std::vector<stored_result> results;
-    /// New value of `published`, if the append publishes results.
+    /// New number of published results, if the append publishes results.
     std::optional<std::size_t> publish;
 
     bool empty() const { return results.empty() && !publish; }
@@ -79,7 +79,7 @@
     logging::LogEvent("batch", "first_event").text("batch", record.id.str());
   }
 
-  /** @param item the item that finished last. */
+  /** @param item the item of the job that finished last. */
   void logStepComplete(ItemIndex item) {
     if (step_complete_logged || !run.stepComplete()) return;
     step_complete_logged = true;
--- a/src/gateway/batch/batch_options.h
+++ b/src/gateway/batch/batch_options.h
@@ -36,9 +36,9 @@
   /// daemon fetches results that are stored but not published yet, so that few are left to fetch
   /// when they are published.
   Duration read_ahead_interval = std::chrono::milliseconds(300);
-  /// Time limit for storing a job, from its receipt.
+  /// Time from the receipt of a job within which it must be stored.
   Duration accept_timeout = std::chrono::milliseconds(2500);
-  /// Time limit for storing that a job has ended, from the receipt of the request to end it.
+  /// Time from the receipt of a request to end a job within which the end must be stored.
   Duration end_timeout = std::chrono::milliseconds(3500);
   /// How long the results of an ended job stay in memory, where jobs of the trainer's next steps
   /// can reuse them.
@@ -57,12 +57,12 @@
   /// events.
   std::size_t max_open_items = 1000;
   /// Maximum number of requests per slot of an engine, including those of other daemons. An item is
-  /// not started on an engine where it would exceed this.
+  /// not started on an engine where it would exceed this limit.
   double requests_per_slot = 1.0;
   run_move_rules move_rules;
   zone_drain_options zone_drain;              ///< How runs are moved out of closed zones.
   std::size_t max_page_bytes = 900 * 1024;    ///< Maximum size of a page's results.
-  std::size_t max_append_bytes = 640 * 1024;  ///< Maximum size of an append.
+  std::size_t max_append_bytes = 640 * 1024;  ///< Maximum size of the results in an append.
   /// Results that are stored but not published are published as soon as their size reaches this
   /// limit. It is below `max_page_bytes`, so that they usually fit in one page.
   std::size_t max_unpublished_bytes = 640 * 1024;
@@ -75,8 +75,8 @@
   std::uint64_t jobs_accepted = 0;
   std::uint64_t jobs_refused = 0;
   std::uint64_t jobs_taken_over = 0;
-  std::uint64_t jobs_lost = 0;  ///< Running jobs that were stopped because of another owner.
-  /// Part of `jobs_refused`: no engine within the job's residency.
+  std::uint64_t jobs_lost = 0;  ///< Running jobs stopped because another daemon owns them.
+  /// Jobs counted in `jobs_refused` because no engine is within their residency.
   std::uint64_t jobs_refused_for_residency = 0;
   /// Jobs handed over because this daemon is outside their residency.
   std::uint64_t jobs_handed_over_for_residency = 0;
--- a/src/gateway/batch/batch_run.cpp
+++ b/src/gateway/batch/batch_run.cpp
@@ -22,8 +22,8 @@
   }
 }
 
-/** Reused groups first, since the step always waits for them; then the longest items first, since
- * they determine when the step ends.
+/** Orders items by priority: reused groups first, since the step always waits for them; then the
+ * longest items first, since they determine when the step ends.
  */
 void batch_run::orderItems() {
   this->order_.resize(this->job_.items.size());
--- a/src/gateway/batch/batch_run.h
+++ b/src/gateway/batch/batch_run.h
@@ -15,11 +15,11 @@
 
 using ItemIndex = std::size_t;
 
-/** Rules of the job's route. */
+/** Rules that the job's route sets for its runs. */
 struct run_rules {
-  int max_failures = 3;         ///< Failed runs after which an item is terminated.
-  bool single_version = false;  ///< All events of a text must come from one version.
-  Instant terminate_at{};       ///< Items that are not finished by then are terminated.
+  int max_failures = 3;         ///< Number of failed runs after which an item is terminated.
+  bool single_version = false;  ///< Whether all events of a text must come from one weight version.
+  Instant terminate_at{};       ///< Time at which unfinished items are terminated.
 };
 
 enum class ItemState {
@@ -37,17 +37,17 @@
  */
 struct item_progress {
   ItemState state = ItemState::kWaiting;
-  /// Attempts whose engine call has not returned, including one that is being aborted; at most one.
+  /// Number of attempts (0 or 1) whose engine call has not returned, even if it is being aborted.
   int attempts_running = 0;
   std::uint64_t last_event = 0;
   std::string text;
-  /// Incremented when the text is replaced. With an unchanged revision, the text only grows.
+  /// Revision of the text, incremented when it is replaced. With the same revision, it only grows.
   std::uint32_t text_revision = 0;
   std::set<WeightVersion> versions;
   int failures = 0;
   std::string score;
   int score_failures = 0;
-  /// Consecutive runs stopped because the first event did not arrive in time.
+  /// Number of consecutive runs stopped because their first event did not arrive in time.
   int first_event_timeouts = 0;
   Instant not_before{};
   Instant last_progress{};
@@ -55,10 +55,10 @@
   ResultState outcome = ResultState::kCompleted;
 };
 
-/** Whether an event was added to the item's text. */
+/** Tells whether an event was added to an item's text. */
 enum class EventVerdict {
   kAccepted,
-  kRejected,  ///< Not the next event, or of a version that is not allowed: the run must be stopped.
+  kRejected,  ///< The event is out of order or its version is not allowed: the run must be stopped.
 };
 
 class batch_run {
@@ -69,7 +69,7 @@
   const item_progress& progress(ItemIndex item) const { return this->progress_[item]; }
   void setRules(const run_rules& rules) { this->rules_ = rules; }
 
-  /** Marks an item that an earlier owner has appended. */
+  /** Marks an item whose result an earlier owner has appended. */
   void onAlreadyAppended(ItemIndex item);
 
   /** Restores text from a checkpoint, if its versions are allowed and it is longer than the current
@@ -96,7 +96,7 @@
   std::size_t running() const;
 
   void onStarted(Instant now, ItemIndex item, const EngineId& engine);
-  /** @param version the version that generated the event. */
+  /** @param version the weight version that generated the event. */
   EventVerdict onEvent(Instant now, ItemIndex item, std::uint64_t event, const std::string& data,
                        WeightVersion version);
   /** The engine sent the item's last event. The item is finished, or waits for its score. */
@@ -124,7 +124,7 @@
   void onFailed(Instant now, ItemIndex item);
   /** The engine reported that the item cannot be processed. */
   void onRejected(ItemIndex item);
-  /** Discards the text, which no available engine can resume. */
+  /** Discards the item's text, because no available engine can resume it. */
   void discardText(ItemIndex item);
   /** Terminates all unfinished items after the deadline. @return whether there were any. */
   bool terminateExpired(Instant now);
@@ -133,7 +133,7 @@
   /** @return finished items that are not appended, in the order in which they finished. */
   const std::vector<ItemIndex>& finished() const { return this->finished_; }
   batch_result result(ItemIndex item) const;
-  /** The item's result is stored: its text is released. */
+  /** Releases the item's text, because its result is stored. */
   void onAppended(ItemIndex item);
   bool allAppended() const { return this->appended_ == this->progress_.size(); }
 
@@ -158,7 +158,7 @@
   std::vector<item_group> groups_;
   std::vector<std::size_t> group_of_;  ///< Index into `groups_`, by item.
   std::vector<ItemIndex> order_;       ///< Items by priority, highest first.
-  std::vector<ItemIndex> finished_;    ///< Not yet appended, in the order in which they finished.
+  std::vector<ItemIndex> finished_;    ///< Finished items that are not appended, oldest first.
   std::size_t appended_ = 0;
 };
 
--- a/src/gateway/batch/batch_service.cpp
+++ b/src/gateway/batch/batch_service.cpp
@@ -6,7 +6,7 @@
 namespace linenpier::batch {
 
 namespace {
-/// Shorter than the time that an engine takes per event, so that free slots are filled soon.
+/// Poll interval of a daemon that owns open jobs or is a candidate for owning jobs.
 constexpr Duration kPollInterval = std::chrono::milliseconds(50);
 /// Poll interval of a daemon that owns no open job and is not a candidate for owning jobs. Limits
 /// wakeups in large fleets.
--- a/src/gateway/batch/batch_service.h
+++ b/src/gateway/batch/batch_service.h
@@ -43,7 +43,8 @@
 
 namespace linenpier::batch {
 
-/** Owns all components and their options. Must be used from the event loop thread only. */
+/** Owns all components and their options. The class must be used from the event loop thread only.
+ */
 class batch_service {
  public:
   struct dependencies {
@@ -56,7 +57,7 @@
     const batch_codec& codec;
     forward::internal_requests& rewards;
     suspects::suspect_tracker& suspects;
-    /// The newest table; null before the first one is loaded.
+    /// Returns the newest routing table; null before the first one is loaded.
     std::function<routing::ConfigurationPtr()> routes;
   };
 
@@ -72,7 +73,7 @@
     this->zone_drainer_.setOptions(options.zone_drain);
   }
 
-  /** See `job_acceptance` and `job_reader`. */
+  /** Handlers of API calls; described in `job_acceptance` and `job_reader`. */
   Task<void> submit(const routing::Route& route, tenants::caller from, const http::Request& request,
                     Instant received, http::ResponseWriter& writer) {
     return this->acceptance_.submit(route, std::move(from), request, received, writer);
@@ -117,7 +118,7 @@
     std::size_t waiting = 0;
     std::size_t running = 0;
     std::size_t unscored = 0;
-    std::size_t in_closed_zones = 0;  ///< Part of `running`.
+    std::size_t in_closed_zones = 0;  ///< Runs on engines of closed zones; included in `running`.
     /// Known jobs that are waiting for a daemon within their residency to take them over.
     std::size_t awaiting_owner = 0;
   };
--- a/src/gateway/batch/batch_types.h
+++ b/src/gateway/batch/batch_types.h
@@ -41,10 +41,10 @@
   std::vector<std::pair<std::string, std::string>> fields;  ///< HTTP header fields, in order.
   std::string body;
   GroupId group;
-  ModelName model;                       ///< Empty: not specified.
+  ModelName model;                       ///< Model of the item; empty if not specified.
   double tokens = 0;                     ///< Prompt tokens plus the maximum of generated tokens.
   std::uint64_t length_hint = 0;         ///< Expected number of generated tokens; 0: unknown.
-  std::optional<reward_request> scorer;  ///< Absent: the text is not scored.
+  std::optional<reward_request> scorer;  ///< Request that scores the text, if it is to be scored.
 };
 
 /** A job as submitted. */
@@ -63,13 +63,13 @@
   ResultState state = ResultState::kCompleted;
   std::string text;
   std::set<WeightVersion> versions;
-  std::string score;  ///< Empty if the item has no scorer.
+  std::string score;  ///< Score of the text; empty if the item has no scorer.
 };
 
 /** A job's row, which is known to all daemons. */
 struct job_record {
   JobId id;
-  LeaseId owner;     ///< Empty: none; any daemon may take the job over.
+  LeaseId owner;     ///< Owner of the job; empty: any daemon may take the job over.
   std::string host;  ///< Host of the route that the job was submitted to.
   std::string path;
   ModelName model;  ///< Model of the items; empty if not specified.
--- a/src/gateway/batch/call_status.cpp
+++ b/src/gateway/batch/call_status.cpp
@@ -3,7 +3,7 @@
 namespace linenpier::batch {
 
 namespace {
-/// In seconds. Short, since it is usually unknown when the call will succeed.
+/// Value of the `Retry-After` field, in seconds.
 constexpr const char* kRetryAfter = "0.3";
 }  // namespace
 
--- a/src/gateway/batch/checkpoint.h
+++ b/src/gateway/batch/checkpoint.h
@@ -16,14 +16,14 @@
 namespace linenpier::batch {
 
 struct item_checkpoint {
-  std::size_t item_index = 0;  ///< In the job that the checkpoint belongs to.
+  std::size_t item_index = 0;  ///< Index of the item in the checkpoint's job.
   std::uint64_t last_event = 0;
   std::set<WeightVersion> versions;        ///< Versions that generated the events.
   std::string text;                        ///< Data of the events up to `last_event`.
-  bool finished = false;                   ///< The text is complete, but not appended.
-  std::optional<reward_score> score = {};  ///< Set only for a complete text.
-  /// In an incremental part: the text starts after this event and extends the text of the parts
-  /// before. 0: this is the full text.
+  bool finished = false;                   ///< Whether the text is complete, but not appended.
+  std::optional<reward_score> score = {};  ///< Score of the text; set only if it is complete.
+  /// Event after which `text` starts; 0: `text` is the full text. In an incremental part, `text`
+  /// extends the text of the earlier parts.
   std::uint64_t after_event = 0;
 
   bool operator==(const item_checkpoint&) const = default;
--- a/src/gateway/batch/checkpoint_rows.cpp
+++ b/src/gateway/batch/checkpoint_rows.cpp
@@ -10,11 +10,11 @@
 // The value of each row starts with "NUMBER/COUNT:", such as "2/3:" for the second of three pieces.
 constexpr char kCountSeparator = '/';
 constexpr char kHeaderEnd = ':';
-constexpr std::size_t kHeaderBytes = 32;  ///< Upper limit of the header's size.
+constexpr std::size_t kHeaderBytes = 32;  ///< Maximum size of the "NUMBER/COUNT:" header.
 
 /** A piece of an encoded part, as stored in one row. */
 struct row_piece {
-  std::size_t number = 0;  ///< Starts at 1; 0: the value is malformed.
+  std::size_t number = 0;  ///< Number of the piece, from 1; 0: the value is malformed.
   std::size_t count = 0;
   std::string bytes;
 };
--- a/src/gateway/batch/checkpoint_tracker.cpp
+++ b/src/gateway/batch/checkpoint_tracker.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Shorter texts are generated again as fast as they are read from the store.
+/// Minimum number of events of a checkpointed text. Shorter ones are generated again instead.
 constexpr std::uint64_t kMinCheckpointEvents = 5;
 /// Number of parts, including the last full one, after which a full part is written. Bounds the
 /// number of rows to read when resuming a job.
--- a/src/gateway/batch/checkpoint_tracker.h
+++ b/src/gateway/batch/checkpoint_tracker.h
@@ -18,7 +18,7 @@
 struct checkpoint_part {
   item_checkpoints texts;
   std::vector<std::uint32_t> revisions;  ///< `item_progress::text_revision` of each text.
-  /// The part holds the full text of each item and makes earlier parts obsolete.
+  /// Whether the part holds the full text of each item and makes earlier parts obsolete.
   bool full = false;
   std::uint64_t events = 0;  ///< Number of events that are new in this part.
 };
@@ -30,9 +30,9 @@
    */
   checkpoint_part next(const batch_run& run) const;
 
-  /** The part was written: the next one extends it. */
+  /** Records that a part was written; the next part extends it. */
   void onWritten(const checkpoint_part& part);
-  /** The part may or may not have been written: the next one must be full. */
+  /** Records that the outcome of a write is unknown; the next part must be full. */
   void onWriteUnknown() { this->written_.reset(); }
 
  private:
@@ -40,7 +40,7 @@
   struct written_text {
     std::uint64_t last_event = 0;
     std::size_t bytes = 0;
-    std::uint32_t revision = 0;  ///< See `item_progress::text_revision`.
+    std::uint32_t revision = 0;  ///< Value of `item_progress::text_revision`.
     bool finished = false;
     bool scored = false;
   };
@@ -48,7 +48,7 @@
 
   std::optional<item_checkpoint> delta(const batch_run& run, ItemIndex item, bool full) const;
 
-  std::optional<written_texts> written_;  ///< Absent: unknown, the next part must be full.
+  std::optional<written_texts> written_;  ///< Checkpointed text; absent if unknown.
   std::size_t parts_ = 0;                 ///< Number of parts since the last full one, inclusive.
 };
 
--- a/src/gateway/batch/checkpoint_writer.cpp
+++ b/src/gateway/batch/checkpoint_writer.cpp
@@ -20,7 +20,7 @@
 }
 
 Task<void> checkpoint_writer::write(active_job_ptr active, Condition condition) {
-  // The outcome of the write in progress is unknown, so this part must be full.
+  // The outcome of the write in progress is unknown, so the next part must be full.
   if (active->checkpoint_in_progress) active->checkpointed.onWriteUnknown();
   const checkpoint_part part = active->checkpointed.next(active->run);
   const bool enough_new = part.events >= this->deps_.options.min_checkpoint_events;
--- a/src/gateway/batch/checkpoint_writer.h
+++ b/src/gateway/batch/checkpoint_writer.h
@@ -12,7 +12,7 @@
 namespace linenpier::batch {
 
 /** The checkpointed state is kept in `active_job`. Each write is conditional on the job's fence.
- * Must be used from the event loop thread only.
+ * The class must be used from the event loop thread only.
  */
 class checkpoint_writer {
  public:
@@ -21,10 +21,10 @@
     job_store& store;
     const batch_options& options;
   };
-  /** When a checkpoint is written. */
+  /** Conditions under which a checkpoint is written. */
   enum class Condition {
-    kAnyChange,        ///< If there are changes since the last one.
-    kEnoughNewEvents,  ///< If there are at least `batch_options::min_checkpoint_events` new events.
+    kAnyChange,        ///< There are changes since the last checkpoint.
+    kEnoughNewEvents,  ///< `batch_options::min_checkpoint_events` or more events are new.
   };
 
   explicit checkpoint_writer(dependencies deps) : deps_(deps) {}
--- a/src/gateway/batch/critical_runs.h
+++ b/src/gateway/batch/critical_runs.h
@@ -15,7 +15,7 @@
 inline constexpr std::size_t kMaxCriticalRuns = 3;
 
 /** @return the running items with the longest expected remaining time, at most `kMaxCriticalRuns`,
- *     without those that need less than half of the longest.
+ *     without those that need less than half of the longest time.
  */
 std::vector<ItemIndex> criticalRuns(const batch_run& run, const length_estimator& lengths);
 
--- a/src/gateway/batch/engine_requirements_builder.h
+++ b/src/gateway/batch/engine_requirements_builder.h
@@ -13,7 +13,7 @@
 
 namespace linenpier::batch {
 
-/** Stateless. Must be used from the event loop thread only. */
+/** The class is stateless and must be used from the event loop thread only. */
 class engine_requirements_builder {
  public:
   struct dependencies {
--- a/src/gateway/batch/item_placement.h
+++ b/src/gateway/batch/item_placement.h
@@ -24,8 +24,8 @@
                                               double max_per_slot);
 
 struct item_placement {
-  const engines::engine_state* engine = nullptr;  ///< Null: no engine admits the item.
-  /// No engine can resume the text: the item must be started again.
+  const engines::engine_state* engine = nullptr;  ///< Null if no engine admits the item.
+  /// Whether the item must be started again, because no engine can resume its text.
   bool discard_text = false;
 };
 
--- a/src/gateway/batch/item_runner.cpp
+++ b/src/gateway/batch/item_runner.cpp
@@ -15,8 +15,8 @@
 using logging::LogEvent;
 
 namespace {
-// A suspect is an item during whose earlier attempts engines crashed. It may run on only one engine
-// at a time, in an isolated run; see `suspect_tracker`.
+// A suspect is an item whose earlier attempts ended with an engine crash. It may run on only one
+// engine at a time, in an isolated run; see `suspect_tracker`.
 
 /// Poll interval for a suspect while an isolated run of the same request is in progress.
 constexpr Duration kSuspectRunningPoll = std::chrono::milliseconds(100);
@@ -103,7 +103,7 @@
   if (placement.discard_text) active->run.discardText(item);
   if (placement.engine == nullptr) return false;
   const auto admission = this->admitItem(*active, item);
-  if (!admission) return true;  // The item is on hold; other items of the job may start.
+  if (!admission) return true;  // The item must wait, other items may start.
   const auto call = std::make_shared<forward::engine_call>(
       this->deps_.engines, *placement.engine,
       itemRequest(*active, item, this->deps_.engines.names, this->deps_.routes()));
--- a/src/gateway/batch/item_runner.h
+++ b/src/gateway/batch/item_runner.h
@@ -21,12 +21,13 @@
 
 namespace linenpier::batch {
 
-/// Successful attempts logged per second; of those beyond, one in `kSampleInterval` is logged.
+/// Number of successful attempts per second that are all logged. Of further attempts within the
+/// second, one in `kSampleInterval` is logged.
 inline constexpr std::uint32_t kUnsampledLinesPerSecond = 60;
 inline constexpr std::uint32_t kSampleInterval = 10;
 
 /** Owns the length statistics and the reward requests in flight. Engine calls in flight are kept in
- * `active_job`. Must be used from the event loop thread only.
+ * `active_job`. The class must be used from the event loop thread only.
  */
 class item_runner {
  public:
@@ -60,7 +61,7 @@
     active_job_ptr active;
     ItemIndex item = 0;
     std::shared_ptr<forward::engine_call> call;
-    ModelName model;  ///< Empty: not specified.
+    ModelName model;  ///< Model of the item; empty if not specified.
     suspects::sent_attempt sent;
   };
 
@@ -79,8 +80,8 @@
                               bool engine_crashed);
   void finishAttempt(const item_attempt& attempt, forward::AttemptOutcome outcome,
                      const run_report& report);
-  /** Updates the state of the item.
-   * @param status of the response; 0: there is none.
+  /** Updates the state of the item after an attempt.
+   * @param status status code of the response; 0: there was no response.
    * @param events number of events that the item has.
    */
   void applyOutcome(Instant now, const item_attempt& attempt, forward::AttemptOutcome outcome,
--- a/src/gateway/batch/item_scorer.cpp
+++ b/src/gateway/batch/item_scorer.cpp
@@ -10,14 +10,15 @@
 namespace {
 /// Time limit of a reward request, after which it is sent again. Reward requests are idempotent.
 constexpr Duration kRewardTimeout = std::chrono::milliseconds(1500);
-constexpr std::size_t kMaxInFlight = 64;  ///< Limit per daemon.
+/// Maximum number of reward requests in flight per daemon.
+constexpr std::size_t kMaxInFlight = 64;
 /// Share of an engine's slots available to reward requests; the rest is left to interactive
 /// requests.
 constexpr double kDefaultShare = 0.67;
-/// After this time, a waiting reward request may use all slots.
+/// Time after which a waiting reward request may use all slots of an engine.
 constexpr Duration kFullShareDelay = std::chrono::milliseconds(300);
 constexpr double kFullShare = 1.0;
-/// Retry delay if no engine had a free slot.
+/// Retry delay of a reward request for which no engine had a free slot.
 constexpr Duration kNoEngineDelay = std::chrono::milliseconds(20);
 /// Upper limit of the retry delay for requests that crashed engines. Another daemon may report in
 /// the meantime that the request is harmless.
--- a/src/gateway/batch/item_scorer.h
+++ b/src/gateway/batch/item_scorer.h
@@ -19,7 +19,7 @@
 struct active_job;
 using active_job_ptr = std::shared_ptr<active_job>;
 
-/** Must be used from the event loop thread only. */
+/** The class must be used from the event loop thread only. */
 class item_scorer {
  public:
   struct dependencies {
@@ -40,13 +40,14 @@
  private:
   Task<void> scoreItem(active_job_ptr active, ItemIndex item,
                        std::shared_ptr<http::Cancellation> cancellation);
-  /** @param max_failures failed attempts after which the item is terminated; 0: unlimited. */
+  /** @param max_failures number of failed attempts after which the item is terminated; 0:
+   * unlimited. */
   void applyOutcome(active_job& active, ItemIndex item, const forward::internal_outcome& outcome,
                     int max_failures);
   http::Request rewardRequest(const reward_request& scorer) const;
 
   dependencies deps_;
-  std::size_t in_flight_ = 0;  ///< Number of reward requests.
+  std::size_t in_flight_ = 0;  ///< Number of reward requests in flight.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/job_acceptance.cpp
+++ b/src/gateway/batch/job_acceptance.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr int kMaxPutAttempts = 2;  ///< Attempts to store a job as an object.
-/// Time limit of the check whether the store responds. Many times its usual response time.
+/// Time limit of the check whether the store responds.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(150);
 
 /** @return the job's row, if it is known and need not be read from the store. */
@@ -77,7 +77,7 @@
   std::vector<table::Put> body = this->deps_.store.bodyRows(call.id, call.request.body());
   if (body.empty()) {
     const bool stored = co_await this->storeObject(call.id, call.request.body(), call.deadline);
-    // The object alone is harmless: a job exists only if its row does.
+    // An object that was stored without a row has no effect: a job exists only if its row does.
     if (!stored) co_return submission_outcome{"object_not_stored", kUnavailable};
   }
   call.record.body_rows = body.size();
--- a/src/gateway/batch/job_acceptance.h
+++ b/src/gateway/batch/job_acceptance.h
@@ -25,7 +25,7 @@
 
 namespace linenpier::batch {
 
-/** Holds no state of individual calls. Must be used from the event loop thread only. */
+/** Holds no state of individual calls. The class must be used from the event loop thread only. */
 class job_acceptance {
  public:
   struct dependencies {
@@ -47,13 +47,13 @@
 
   explicit job_acceptance(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** The job belongs to the tenant that submits it. The caller keeps route, request and writer
-   * alive until the call returns.
+  /** Handles a request to submit a job, which belongs to the tenant of the request. The caller
+   * keeps route, request and writer alive until the call returns.
    */
   Task<void> submit(const routing::Route& route, tenants::caller from, const http::Request& request,
                     Instant received, http::ResponseWriter& writer);
   Task<void> end(JobId id, tenants::caller from, http::ResponseWriter& writer);
-  /** Rejects all jobs from now on. */
+  /** Rejects all jobs that are submitted afterwards. */
   void stop() { this->stopping_ = true; }
 
  private:
@@ -65,7 +65,7 @@
     JobId id;
     Instant received;
     Instant deadline;        ///< Time limit for writing the job to the store.
-    job_record record = {};  ///< The owner is set once it is selected.
+    job_record record = {};  ///< Record of the job; its owner is set when selected.
     std::optional<batch_job> job = {};
   };
   /** Outcome of a submission, for the log and the response. */
--- a/src/gateway/batch/job_activation.h
+++ b/src/gateway/batch/job_activation.h
@@ -14,7 +14,7 @@
 
 namespace linenpier::batch {
 
-/** Stateless. Must be used from the event loop thread only. */
+/** The class is stateless and must be used from the event loop thread only. */
 class job_activation {
  public:
   struct dependencies {
--- a/src/gateway/batch/job_ownership.cpp
+++ b/src/gateway/batch/job_ownership.cpp
@@ -239,8 +239,8 @@
   job_entry* at = this->deps_.jobs.find(id);
   const bool still_owned = at != nullptr && this->isOwn(*at);
   if (still_owned) {
-    // The write failed. `checkResidency` retries it, or resumes the job if the residency has
-    // changed back by then.
+    // The release of the job failed. `checkResidency` retries it, or resumes the job if the
+    // residency has changed back by then.
     at->resume_when_in_residency = true;
     co_await sleepFor(this->deps_.loop, this->deps_.options.store_retry_delay);
   }
@@ -285,8 +285,8 @@
   const active_job_ptr active = at->active;
   if (active && !active->stopped) {
     active->stop(steadyNow());
-    // Required even if another checkpoint write is in progress: that write fails if the job is
-    // released before it is committed.
+    // This write is required even if another checkpoint write is in progress, because the
+    // other write fails if the job is released before that write is committed.
     co_await this->deps_.checkpoints.write(active, checkpoint_writer::Condition::kAnyChange);
   }
   const fenced_write_result answer = co_await this->deps_.store.putRecord(record, fence, {});
--- a/src/gateway/batch/job_ownership.h
+++ b/src/gateway/batch/job_ownership.h
@@ -22,8 +22,8 @@
 namespace linenpier::batch {
 
 /** Owns the ownership fields of `job_entry`. Leases tell which owners are lost; `owner_pool`
- * determines how long each daemon waits before it takes over. Must be used from the event loop
- * thread only.
+ * determines how long each daemon waits before it takes over. The class must be used from the event
+ * loop thread only.
  */
 class job_ownership {
  public:
@@ -68,11 +68,11 @@
   void considerTakeover(Instant now, const JobId& id, job_entry& job);
   Task<void> takeOver(JobId id);
 
-  /** Starts to resume a job whose row names this daemon as its owner. */
+  /** Starts resuming a job whose row names this daemon as its owner. */
   void startResume(const JobId& id, job_entry& job);
   /** Reads the job and its progress from the store, and activates it. */
   Task<void> resume(JobId id);
-  /** @return stored results and checkpoints of earlier owners. */
+  /** @return the job's results and checkpoints that earlier owners stored. */
   Task<CallResult<stored_progress>> readProgress(job_record record);
   void deactivate(job_entry& job, const char* reason);
 
@@ -91,7 +91,7 @@
 
   dependencies deps_;
   std::size_t awaiting_owner_ = 0;
-  /// When the next log entry about a job that is waiting for an owner is due.
+  /// Time from which a job that waits for an owner may be logged again.
   Instant next_wait_log_{};
   bool stopping_ = false;
 };
--- a/src/gateway/batch/job_reader.h
+++ b/src/gateway/batch/job_reader.h
@@ -23,7 +23,7 @@
 namespace linenpier::batch {
 
 /** Owns only the number of waiting readers; results are read from the job registry or the store.
- * Must be used from the event loop thread only.
+ * The class must be used from the event loop thread only.
  */
 class job_reader {
  public:
@@ -48,7 +48,7 @@
 
   /** @return whether readers wait at this daemon for results to be published. */
   bool hasWaitingReaders() const { return this->waiting_readers_ > 0; }
-  /** Waiting readers receive the results available now. */
+  /** Answers waiting readers with the results that are available now. */
   void stop() { this->stopping_ = true; }
 
  private:
--- a/src/gateway/batch/job_registry.h
+++ b/src/gateway/batch/job_registry.h
@@ -4,8 +4,8 @@
  * Registry of the batch jobs known to this daemon: their rows, and the state of those that it owns.
  *
  * Every daemon follows the rows of all jobs. Rows come from the feed of the table, and from
- * responses of the store to reads and conditional writes. The newest revision is kept. Must be used
- * from the event loop thread only.
+ * responses of the store to reads and conditional writes. The newest revision is kept. The registry
+ * must be used from the event loop thread only.
  */
 
 #include <functional>
@@ -25,8 +25,8 @@
 struct job_entry {
   job_record record;
   Revision revision = 0;  ///< Revision of `record`; 0: no row was read yet.
-  /// Set while this daemon runs the job, and for some time afterwards: results are served from it,
-  /// and later jobs reuse its texts.
+  /// State of the job, set while this daemon runs it and for some time afterwards. Results are
+  /// served from this state, and later jobs reuse its texts.
   active_job_ptr active;
   std::shared_ptr<Signal> changed;  ///< Notified when the row has changed; set while readers wait.
 
@@ -36,7 +36,7 @@
   /// Owned by `job_ownership`: this daemon owns the job, but does not run it before it is known to
   /// be within the job's residency.
   bool resume_when_in_residency = false;
-  /// Owned by `job_ownership`: when the job's owner was first seen to be lost.
+  /// Owned by `job_ownership`: time at which the job's owner was first seen to be lost.
   Instant orphaned_at{};
 };
 
--- a/src/gateway/batch/job_removal.h
+++ b/src/gateway/batch/job_removal.h
@@ -15,7 +15,7 @@
 
 namespace linenpier::batch {
 
-/** Must be used from the event loop thread only. */
+/** The class must be used from the event loop thread only. */
 class job_removal {
  public:
   struct dependencies {
@@ -30,7 +30,7 @@
   explicit job_removal(dependencies deps) : deps_(deps) {}
 
   void start();
-  /** Starts no further removals. */
+  /** Prevents further removals of jobs from starting. */
   void stop() { this->stopping_ = true; }
 
  private:
--- a/src/gateway/batch/job_residency.h
+++ b/src/gateway/batch/job_residency.h
@@ -30,7 +30,7 @@
 std::set<RouteName> otherRoutes(const routing::Configuration& table, const routing::Route& route,
                                 const std::string& host, const batch_job& job);
 
-/** Stateless. Must be used from the event loop thread only. */
+/** The class is stateless and must be used from the event loop thread only. */
 class job_residency {
  public:
   struct dependencies {
--- a/src/gateway/batch/job_rules.cpp
+++ b/src/gateway/batch/job_rules.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 /// Added to the route's target finish time to get the time at which results are due. A step that
-/// completes this shortly after the target still counts as on time, and can be read in one page.
+/// completes within this time after the target is still on time and can be read in one page.
 constexpr Duration kDueGrace = std::chrono::milliseconds(450);
 /// Added to the route's queue limit to get the time after which unfinished items are terminated.
 constexpr Duration kTerminationSlack = std::chrono::milliseconds(1500);
-constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);  ///< Without a route.
+/// Queue limit of a job without a route.
+constexpr Duration kDefaultQueueLimit = std::chrono::seconds(30);
 }  // namespace
 
 const routing::Route* routeOf(const job_record& record, const routing::ConfigurationPtr& table) {
--- a/src/gateway/batch/job_rules.h
+++ b/src/gateway/batch/job_rules.h
@@ -14,7 +14,7 @@
 /** @return the route that the job was submitted to; nullptr without a table or such a route. */
 const routing::Route* routeOf(const job_record& record, const routing::ConfigurationPtr& table);
 
-/** @param route nullptr: use defaults.
+/** @param route route of the job; nullptr: defaults are used.
  * @param accepted_at when the job was accepted, by this daemon's clock.
  */
 run_rules rulesFor(const routing::Route* route, Instant accepted_at);
--- a/src/gateway/batch/job_store.h
+++ b/src/gateway/batch/job_store.h
@@ -23,11 +23,11 @@
 
 struct stored_result {
   std::size_t item_index = 0;  ///< Index of the item in the job.
-  std::string encoded;         ///< As returned to readers.
+  std::string encoded;         ///< Encoded result, as returned to readers.
 };
 
 struct stored_results {
-  std::vector<stored_result> results;  ///< From the requested position on, without gaps.
+  std::vector<stored_result> results;  ///< Results from the requested position on, without gaps.
   std::int64_t clock_ms = 0;
 };
 
@@ -35,21 +35,21 @@
 struct stored_checkpoint {
   item_checkpoints texts;
   std::size_t first_row = 0;
-  std::size_t next_row = 0;  ///< The row after the last one.
+  std::size_t next_row = 0;  ///< Number of the row after the checkpoint's last row.
 };
 
 /** Everything that the owners of a job have stored. */
 struct stored_progress {
-  std::vector<stored_result> results;  ///< By position, starting at 0.
+  std::vector<stored_result> results;  ///< Results by position, starting at 0.
   stored_checkpoint checkpoint;
   std::int64_t clock_ms = 0;  ///< The store's clock at the time of reading.
 };
 
 /** A part of a checkpoint to write. */
 struct checkpoint_write {
-  std::vector<std::string> rows;  ///< See `toRows`.
-  std::size_t first_row = 0;      ///< Number of the first row.
-  /// Rows from this one up to `first_row` are removed after the part is written.
+  std::vector<std::string> rows;  ///< Values of the part's rows, from `toRows`.
+  std::size_t first_row = 0;      ///< Number of the part's first row.
+  /// First of the rows before `first_row` that are removed after the part is written.
   std::size_t obsolete_from = 0;
 };
 
@@ -57,8 +57,8 @@
 enum class FencedWriteOutcome {
   kCommitted,
   kFenceLost,     ///< The job's row has another revision.
-  kNotCommitted,  ///< Certainly not committed; may be retried.
-  kUnknown,       ///< May still be committed; only the identical write may be retried.
+  kNotCommitted,  ///< The write was not committed and may be retried.
+  kUnknown,       ///< The write may be committed; only the identical write may be retried.
 };
 
 struct fenced_write_result {
@@ -95,7 +95,7 @@
                                       std::vector<table::Put> also);
   /** @return whether the store responds in time. */
   Task<bool> isReachable(JobId id, Duration timeout);
-  /** @return the row; revision 0 if there is none. */
+  /** @return the job's row; its revision is 0 if there is none. */
   Task<CallResult<table::Row>> getRecord(JobId id);
 
   /** Appends results at `position` under the fence.
@@ -113,7 +113,7 @@
    * @return whether everything is removed.
    */
   Task<bool> removeJob(JobId id, Revision fence);
-  /** @return the merged checkpoint; empty if there is none. */
+  /** @return the job's merged checkpoint; empty if the job has none. */
   Task<CallResult<stored_checkpoint>> getCheckpoint(JobId id);
   /** Reads results from `position` on, at most `limit` rows (0: as many as one response holds). */
   Task<CallResult<stored_results>> results(JobId id, std::size_t position, std::size_t limit);
@@ -130,7 +130,7 @@
 
   table::AsyncTable& table_;
   table::AsyncObjects& objects_;
-  std::size_t row_bytes_;  ///< Larger values are stored as objects.
+  std::size_t row_bytes_;  ///< Maximum size of a row's value; larger ones are stored as objects.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/new_job_owner.cpp
+++ b/src/gateway/batch/new_job_owner.cpp
@@ -55,7 +55,7 @@
   const std::vector<LeaseId>& from = idle.empty() ? eligible : idle;
   if (from.empty()) return inputs.candidates.front().lease;
   // The first jobs of several models may be submitted concurrently at daemons that do not know of
-  // each other's choice. The model's index distributes them.
+  // each other's choice. Selecting by the model's index distributes these jobs.
   return from[inputs.model_index % from.size()];
 }
 
--- a/src/gateway/batch/new_job_owner.h
+++ b/src/gateway/batch/new_job_owner.h
@@ -20,12 +20,12 @@
   /// Owner of the latest job of the model, if it is alive. It has connections to the engines and
   /// recent results in memory. Empty: none.
   LeaseId previous;
-  ZoneName previous_zone;          ///< Empty: unknown.
+  ZoneName previous_zone;          ///< Zone of the previous owner; empty if unknown.
   std::size_t previous_items = 0;  ///< Items of open jobs owned by `previous`.
   std::size_t items = 0;           ///< Items of the new job.
   std::set<LeaseId> busy;          ///< Owners of open jobs of other models.
   std::size_t model_index = 0;     ///< Index of the model in the configuration.
-  std::size_t max_open_items = 0;  ///< Limit per owner.
+  std::size_t max_open_items = 0;  ///< Maximum number of items of open jobs per owner.
 };
 
 /** @return the inputs without daemons outside the residency. A daemon of an unknown zone is outside
--- a/src/gateway/batch/partial_result_reuse.cpp
+++ b/src/gateway/batch/partial_result_reuse.cpp
@@ -43,7 +43,7 @@
                        [this](const batch_item& item) { return wanted.contains(item.id); });
   }
 
-  /** @param texts of the earlier job's items that are not appended.
+  /** @param texts texts of those items of the earlier job that are not appended.
    * @param appended results of the earlier job. Completed ones of the wanted items are used, too.
    */
   void add(const batch_job& earlier, item_checkpoints texts,
--- a/src/gateway/batch/partial_result_reuse.h
+++ b/src/gateway/batch/partial_result_reuse.h
@@ -17,7 +17,7 @@
 namespace linenpier::batch {
 
 /** Reads earlier jobs from memory if this daemon ran them, otherwise from the store. Owns only the
- * searches in progress. Must be used from the event loop thread only.
+ * searches in progress. The class must be used from the event loop thread only.
  */
 class partial_result_reuse {
  public:
@@ -34,7 +34,7 @@
 
   explicit partial_result_reuse(dependencies deps) : deps_(std::move(deps)) {}
 
-  /** Starts to search earlier jobs for text of the job's items. */
+  /** Starts searching earlier jobs for text of the job's items. */
   void start(const active_job_ptr& active);
 
  private:
--- a/src/gateway/batch/partial_results.h
+++ b/src/gateway/batch/partial_results.h
@@ -17,7 +17,7 @@
 class partial_results {
  public:
   /** Adds an earlier job. Of several texts of an item, the longest is kept.
-   * @param checkpoint text of its items, finished or not.
+   * @param checkpoint text of the earlier job's items, finished or not.
    */
   void addJob(const batch_job& earlier, const item_checkpoints& checkpoint);
 
--- a/src/gateway/batch/planned_moves.h
+++ b/src/gateway/batch/planned_moves.h
@@ -20,7 +20,7 @@
   bool exhausted() const { return this->remaining_ == 0; }
   /** @return engines without slots left for further moves. */
   const std::set<EngineId>& fullEngines() const { return this->full_; }
-  /** @param room free slots of the target before any of these moves. */
+  /** @param room number of free slots of the target engine before the planned moves. */
   void add(const EngineId& target, double room) {
     if (this->remaining_ > 0) --this->remaining_;
     if (++this->planned_[target] + 1 > room) this->full_.insert(target);
--- a/src/gateway/batch/result_schedule.h
+++ b/src/gateway/batch/result_schedule.h
@@ -36,12 +36,12 @@
   void onAppended(Instant now) { this->appended_at_ = now; }
   void onPublished(Instant now) { this->published_at_ = now; }
 
-  /** @param urgent readers wait for the finished results.
+  /** @param urgent whether readers wait for the finished results.
    * @return when to publish the finished results; not before `now`.
    */
   Instant publishAt(Instant now, bool urgent) const;
 
-  /** @param full the finished results fill an append.
+  /** @param full whether the finished results reach the limits of an append.
    * @return when to append the finished results; not before `now`.
    */
   Instant appendAt(Instant now, bool full) const;
--- a/src/gateway/batch/result_writer.cpp
+++ b/src/gateway/batch/result_writer.cpp
@@ -11,7 +11,8 @@
 using logging::LogEvent;
 
 namespace {
-constexpr Duration kIdleWait = std::chrono::seconds(1);  ///< Pause while nothing is finished.
+/// Time between checks while no item is finished.
+constexpr Duration kIdleWait = std::chrono::seconds(1);
 }  // namespace
 
 void result_writer::start(const active_job_ptr& active) {
@@ -79,7 +80,7 @@
     pending.items.push_back(item);
     pending.results.push_back(std::move(result));
   }
-  // If one write cannot take all results, the rest follows at once, and only the last write
+  // If one write cannot take all results, further writes follow at once, and only the last one
   // publishes.
   const bool takes_all = pending.items.size() == active.run.finished().size();
   if (takes_all && this->nextPublishAt(active, now) <= now) {
--- a/src/gateway/batch/result_writer.h
+++ b/src/gateway/batch/result_writer.h
@@ -15,7 +15,7 @@
 namespace linenpier::batch {
 
 /** Results are kept in `active_job`. The store writes each position only once and only under the
- * job's fence. Must be used from the event loop thread only.
+ * job's fence. The class must be used from the event loop thread only.
  */
 class result_writer {
  public:
@@ -36,13 +36,13 @@
 
  private:
   Task<void> appendLoop(active_job_ptr active);
-  /** @return whether the finished results fill an append. */
+  /** @return whether the finished results reach the limits of an append. */
   bool fillsAppend(const batch_run& run) const;
   bool shouldPublishNow(const active_job& active) const;
   /** @return when to publish results; if all are published, when to check again. */
   Instant nextPublishAt(const active_job& active, Instant now) const;
   Instant nextAppendAt(const active_job& active, Instant now) const;
-  /** Prepares the next append. It stays unchanged until its outcome is known. */
+  /** Prepares the next append, which stays unchanged until its outcome is known. */
   void preparePending(active_job& active, Instant now) const;
   /** @return whether the pending write is committed. */
   Task<bool> writePending(active_job_ptr active);
--- a/src/gateway/batch/run_move_rules.h
+++ b/src/gateway/batch/run_move_rules.h
@@ -17,9 +17,9 @@
   /// Minimum time that a move is expected to save. Exceeds the cost of processing the prompt and
   /// text again.
   Duration min_saving = std::chrono::milliseconds(250);
-  /// Runs that started more recently are not moved.
+  /// Minimum age of a run that may be moved.
   Duration min_run_time = std::chrono::milliseconds(1000);
-  std::size_t max_moves_per_poll = 6;  ///< Limit per daemon.
+  std::size_t max_moves_per_poll = 6;  ///< Maximum number of moves per daemon and poll.
 };
 
 }  // namespace linenpier::batch
--- a/src/gateway/batch/run_moves.h
+++ b/src/gateway/batch/run_moves.h
@@ -28,7 +28,8 @@
   double events_left = 0;
   /// The current engine's time per event, relative to the median of its service.
   double latency_ratio = 1;
-  double target_latency_ratio = 1;  ///< The same for the target engine.
+  /// The target engine's time per event, relative to the median of its service.
+  double target_latency_ratio = 1;
 };
 
 /** @return the runs that may be moved, those with the longest expected texts first. */
--- a/src/gateway/batch/run_reader.cpp
+++ b/src/gateway/batch/run_reader.cpp
@@ -16,8 +16,8 @@
   const ModelName& model;
   WeightVersion version;  ///< Version that generates the current events.
   Instant started;
-  Instant last;       ///< When the last events arrived.
-  bool first = true;  ///< No event has arrived yet.
+  Instant last;       ///< Time at which the last events arrived.
+  bool first = true;  ///< Whether no event has arrived yet.
 };
 
 void run_reader::reportVersion(const read_context& run) {
--- a/src/gateway/batch/run_reader.h
+++ b/src/gateway/batch/run_reader.h
@@ -22,8 +22,8 @@
   bool engine_crashed = false;  ///< The engine crashed during the run.
 };
 
-/** Stateless; reports versions and event times to the engine registry. Must be used from the event
- * loop thread only.
+/** Stateless; reports versions and event times to the engine registry. The class must be used from
+ * the event loop thread only.
  */
 class run_reader {
  public:
@@ -45,9 +45,9 @@
  private:
   struct read_context;
 
-  /** @return whether all events were accepted; if not, the run must be stopped. */
+  /** Adds events to the item's text. @return false if one was rejected: the run must be stopped. */
   bool takeEvents(Instant now, read_context& run, const std::vector<forward::stream_event>& events);
-  /** Records the arrival of at least one event. */
+  /** Records the arrival time of one or more events of a run. */
   void recordEventTimes(Instant now, read_context& run, std::size_t events, run_report& report);
   void reportVersion(const read_context& run);
   Duration eventTimeout(const read_context& run, Duration first_limit) const;
--- a/src/gateway/batch/run_timeouts.h
+++ b/src/gateway/batch/run_timeouts.h
@@ -12,16 +12,16 @@
 namespace linenpier::batch {
 
 struct run_timeouts {
-  /// Timeout for the first event. Several times what an engine with a free slot takes.
+  /// Timeout for the first event of a run.
   Duration first_event = std::chrono::milliseconds(600);
   /// Maximum timeout for the first event. The timeout is doubled each time it expires: if all
   /// engines are full, a run that is sent elsewhere loses its place in the queue.
   Duration max_first_event = std::chrono::milliseconds(2500);
-  /// Minimum timeout between events.
+  /// Minimum timeout between two events of a run.
   Duration min_gap = std::chrono::milliseconds(450);
-  /// Maximum timeout between events.
+  /// Maximum timeout between two events of a run.
   Duration max_gap = std::chrono::milliseconds(1200);
-  /// Timeout between events, as a multiple of the engine's time per event.
+  /// Timeout between two events, as a multiple of the engine's time per event.
   double gap_event_times = 5;
 
   bool operator==(const run_timeouts&) const = default;
--- a/src/gateway/batch/slow_run_mover.h
+++ b/src/gateway/batch/slow_run_mover.h
@@ -15,7 +15,7 @@
 
 namespace linenpier::batch {
 
-/** Stateless. Must be used from the event loop thread only. */
+/** The class is stateless and must be used from the event loop thread only. */
 class slow_run_mover {
  public:
   struct dependencies {
--- a/src/gateway/batch/zone_drainer.h
+++ b/src/gateway/batch/zone_drainer.h
@@ -16,7 +16,7 @@
 
 namespace linenpier::batch {
 
-/** Owns the progress of draining. Must be used from the event loop thread only. */
+/** Owns the progress of draining. The class must be used from the event loop thread only. */
 class zone_drainer {
  public:
   struct dependencies {
@@ -39,7 +39,7 @@
 
   /** @param located receives the jobs and items of the returned runs, in the same order. */
   std::vector<placed_run> runsInClosedZones(Instant now, std::vector<located_run>& located) const;
-  /** Stops the run, so that it resumes elsewhere. @return whether there was a free engine. */
+  /** Stops a run, so that it resumes on another engine. @return whether one was free. */
   bool moveRun(Instant now, const located_run& run, planned_moves& moves);
 
   dependencies deps_;
