--- a/src/gateway/engines/active_engines.h
+++ b/src/gateway/engines/active_engines.h
@@ -2,7 +2,8 @@
 
 /** @file
  * Engines that this daemon has requests in flight at, or whose event time it measured recently.
- * They are few even in a large service, which keeps means and medians cheap.
+ * Even a large service has few of these engines, so that their means and medians are cheap to
+ * compute.
  */
 
 #include <set>
@@ -14,8 +15,8 @@
 
 namespace linenpier::engines {
 
-/** Holds pointers to engines of an `engine_table`, which must remove an engine here before it
- * erases it.
+/** Active engines of one `engine_table`. Holds pointers to the engines, so the table must remove an
+ * engine from this set before erasing the engine.
  */
 class active_engines {
  public:
--- a/src/gateway/engines/admission_failure.h
+++ b/src/gateway/engines/admission_failure.h
@@ -11,7 +11,8 @@
 
 namespace linenpier::engines {
 
-/** In the order of the checks of `engine_admission::admit`. */
+/** Reason why an engine is not admitted for a request. The values have the order of the checks of
+ * `engine_admission::admit`. */
 enum class AdmissionFailure {
   kNone,          ///< The engine may be sent the request.
   kWrongService,  ///< The engine belongs to another service.
@@ -19,17 +20,17 @@
   kZoneClosed,        ///< The operator closed the zone of the engine.
   kOutsideResidency,  ///< The request may not be served in the region of the engine.
   kVersionMismatch,   ///< The engine does not hold the weights that the request needs.
-  kCold,              ///< The share of this daemon at a cold engine is used up.
-  kLoading,           ///< The engine is loading weights of the requested model.
-  kFull,              ///< The engine has reached the load limit of the request.
-  kEjected,           ///< The engine failed recently.
-  kExcluded,          ///< The request excludes the engine, as after an earlier attempt there.
+  kCold,      ///< The engine is cold and this daemon has used up its share of requests to it.
+  kLoading,   ///< The engine is loading weights of the requested model.
+  kFull,      ///< The engine has reached the load limit of the request.
+  kEjected,   ///< The engine failed recently.
+  kExcluded,  ///< The request excludes the engine, as after an earlier attempt at that engine.
 };
 
 inline constexpr std::size_t kAdmissionFailures =
     static_cast<std::size_t>(AdmissionFailure::kExcluded) + 1;
 
-/** @return the name in log lines. */
+/** @return the name of the failure in log lines. */
 const char* toText(AdmissionFailure failure);
 
 /** Counts the engines of a service that were rejected in one selection, by reason. */
--- a/src/gateway/engines/cold_engine_limiter.cpp
+++ b/src/gateway/engines/cold_engine_limiter.cpp
@@ -54,7 +54,8 @@
   const auto [at, is_new] = this->engines_.try_emplace(engine);
   engine_entry& state = at->second;
   const bool cold = this->isCold(now, state);
-  // A record that is received again, from a peer or after an outage, is no newer than before.
+  // A record that is received again, from a peer or after a store outage, contains no new remaining
+  // time.
   const bool repeated = !is_new && cold && cold_remaining == state.last_cold_remaining;
   state.last_cold_remaining = cold_remaining;
   state.recorded_at = now;
@@ -159,7 +160,7 @@
                                   const EngineId& engine) const {
   const std::size_t bound = this->totalLimit(service);
   if (bound == 0) return true;
-  // Called for every candidate engine, hence a single lookup.
+  // This function is called for every candidate engine, hence a single lookup.
   const engine_entry* state = this->find(engine);
   const std::size_t sent = state == nullptr ? 0 : this->sent(now, *state);
   return sent < this->allowance(now, state, bound).requests;
--- a/src/gateway/engines/cold_engine_limiter.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -25,11 +25,11 @@
 
 namespace linenpier::engines {
 
-/** All daemons together may send a cold engine `cold_per_second` (of its service) x `bound_factor`
- * + `extra_per_second` requests a second. From the settings.
+/** Settings of the limit for a cold engine. All daemons together may send the engine
+ * `cold_per_second` (of its service) x `bound_factor` + `extra_per_second` requests a second.
  */
 struct cold_limit_options {
-  double bound_factor = 0;  ///< 0: no limit.
+  double bound_factor = 0;  ///< Factor of `cold_per_second`; 0: no limit.
   double extra_per_second = 0;
 
   bool operator==(const cold_limit_options&) const = default;
@@ -37,8 +37,8 @@
 
 /** The daemons that may send to cold engines: those that own work, according to their leases. */
 struct cold_senders {
-  std::size_t count = 0;  ///< Live senders, including this daemon; 0: not known yet.
-  bool self = false;      ///< This daemon is one of them.
+  std::size_t count = 0;  ///< Number of live senders, including this daemon; 0: not known yet.
+  bool self = false;      ///< Whether this daemon is one of the senders.
 
   bool operator==(const cold_senders&) const = default;
 };
@@ -50,12 +50,11 @@
    */
   Duration window = std::chrono::milliseconds(1300);
   Duration heartbeat = kDefaultEngineHeartbeat;  ///< Heartbeat interval of an engine.
-  /** Records are stale once the watch has not answered for this many heartbeats: engines may have
-   * turned cold since. With the default heartbeat these are 3 s, while a working watch answers
-   * within 2.7 s.
+  /** Number of heartbeat intervals without an answer of the watch after which the engine records
+   * are stale. Engines may have turned cold in this time.
    */
   double stale_after_heartbeats = 2.5;
-  /** How long the state of an engine is kept after its last record, if it is no longer listed. An
+  /** How long the state of an unlisted engine is kept after the last record of the engine. An
    * engine that restarts after a crash has the same id, and the requests before the crash count.
    */
   Duration forget_after = std::chrono::seconds(60);
@@ -63,37 +62,38 @@
 
 /** The rule that limits the requests to an engine. */
 enum class ColdLimit {
-  kUnbounded,       ///< The service has no limit.
-  kWarm,            ///< Warm as of its last record; it may have turned cold since.
-  kStale,           ///< As kWarm, but the records are stale or this daemon has just started.
-  kShared,          ///< Cold: the limit is divided among the senders.
-  kJustTurnedCold,  ///< Turned cold within the last window; others may have used up the limit.
-  kRestarted,       ///< Cold, and this daemon may have sent to it before it restarted.
-  kNotSender,       ///< Cold, and this daemon owns no work.
+  kUnbounded,  ///< The service has no limit.
+  kWarm,       ///< The last record of the engine says warm; the engine may have turned cold since.
+  kStale,      ///< The engine is warm, but its record is stale or this daemon has just started.
+  kShared,     ///< The engine is cold; the limit is divided among the senders.
+  kJustTurnedCold,  ///< The engine turned cold within the last window; other daemons may have used
+                    ///< up the limit.
+  kRestarted,  ///< The engine is cold, and this daemon may have sent it requests before restarting.
+  kNotSender,  ///< The engine is cold, and this daemon owns no work.
 };
 
-/** @return the name in log lines. */
+/** @return the name of the rule in log lines. */
 const char* toText(ColdLimit limit);
 
 /** How many requests an engine may be sent within a window. */
 struct cold_allowance {
   ColdLimit limit = ColdLimit::kUnbounded;
-  std::size_t requests = 0;  ///< Unused for kUnbounded.
+  std::size_t requests = 0;  ///< Number of requests; unused if the rule is kUnbounded.
 };
 
 /** An engine that turned cold or warm. */
 struct cold_change {
   EngineId engine;
   bool cold = false;
-  Duration left{};        ///< Remaining time until it is warm.
-  Duration record_age{};  ///< Time since its last record was received.
+  Duration left{};        ///< Remaining time until the engine is warm.
+  Duration record_age{};  ///< Time since the last record of the engine was received.
 };
 
 /** Requests withheld from one engine since the last `takeRefusals`. */
 struct cold_refusals {
   EngineId engine;
-  cold_allowance allowance;  ///< As of the last refusal.
-  std::size_t sent = 0;      ///< Within the window before the last refusal.
+  cold_allowance allowance;  ///< Allowance at the time of the last refusal.
+  std::size_t sent = 0;      ///< Requests sent within the window before the last refusal.
   std::uint64_t refused = 0;
 };
 
@@ -113,14 +113,14 @@
   void setServices(const std::map<ServiceName, routing::Service>& services);
   bool limitsAnyService() const { return !this->cold_per_second_.empty(); }
   void setHeartbeat(Duration heartbeat) { this->timing_.heartbeat = heartbeat; }
-  /** Adds a listed engine that has no entry yet. If a later record says that it is cold, it counts
-   * as having turned cold, and not as a new engine that nobody has sent a request to.
+  /** Adds a listed engine that has no entry yet. If a later record says that the engine is cold,
+   * the engine counts as having turned cold, and not as a new engine without requests.
    */
   void track(const EngineId& engine) { this->engines_.try_emplace(engine); }
   void setSenders(const cold_senders& senders) { this->senders_ = senders; }
   const cold_senders& senders() const { return this->senders_; }
 
-  /** The watch on the records answered: all known records are current as of `at`. */
+  /** Handles an answer of the watch on engine records: all known records are current as of `at`. */
   void onWatchAnswered(Instant at) {
     this->watch_answered_at_ = std::max(this->watch_answered_at_, at);
   }
@@ -133,7 +133,7 @@
   void onRefused(Instant now, const ServiceName& service, const EngineId& engine);
 
   bool isCold(Instant now, const EngineId& engine) const;
-  /** @return requests sent to the engine within the last window. */
+  /** @return the number of requests sent to the engine within the last window. */
   std::size_t sent(Instant now, const EngineId& engine) const;
   cold_allowance allowance(Instant now, const ServiceName& service, const EngineId& engine) const;
   bool hasRoom(Instant now, const ServiceName& service, const EngineId& engine) const;
@@ -153,19 +153,22 @@
     Instant recorded_at{};
     Instant cold_until{};
     Instant cold_since{};
-    /** It was known before it turned cold: other daemons may have sent to it while it was warm. */
+    /** Whether the engine was known before it turned cold, so that other daemons may have sent it
+     * requests while it was warm. */
     bool was_warm = false;
-    bool reported_cold = false;      ///< As of the last `takeChanges`.
-    Duration last_cold_remaining{};  ///< From its last record, to detect a repeated record.
+    bool reported_cold = false;      ///< Whether the last `takeChanges` found the engine cold.
+    Duration last_cold_remaining{};  ///< Value in the last record of the engine; detects a repeated
+                                     ///< record.
     std::deque<Instant> sent;
   };
 
   const engine_entry* find(const EngineId& engine) const;
   bool isCold(Instant now, const engine_entry& state) const { return now < state.cold_until; }
   std::size_t sent(Instant now, const engine_entry& state) const;
-  /** @return requests a second that all daemons together may send to a cold engine; 0: no limit. */
+  /** @return the number of requests a second that all daemons together may send to a cold engine;
+   * 0: no limit. */
   std::size_t totalLimit(const ServiceName& service) const;
-  /** @param state nullptr if the engine is not known. */
+  /** @param state state of the engine; nullptr if the engine is not known. */
   cold_allowance allowance(Instant now, const engine_entry* state, std::size_t bound) const;
   cold_allowance coldAllowance(Instant now, const engine_entry& state, std::size_t bound) const;
   cold_allowance warmAllowance(Instant now, std::size_t bound) const;
@@ -174,10 +177,11 @@
   cold_limit_options limit_;
   cold_senders senders_;
   Instant started_at_{};
-  Instant watch_answered_at_{};                    ///< Last answer of the watch on the records.
-  std::map<ServiceName, double> cold_per_second_;  ///< Of the services with a limit.
+  Instant watch_answered_at_{};  ///< Time of the last answer of the watch on engine records.
+  std::map<ServiceName, double> cold_per_second_;  ///< Requests a second that a cold engine can
+                                                   ///< serve, for each service with a limit.
   std::map<EngineId, engine_entry> engines_;
-  std::map<EngineId, cold_refusals> refusals_;  ///< Since the last `takeRefusals`.
+  std::map<EngineId, cold_refusals> refusals_;  ///< Refusals since the last `takeRefusals`.
   std::uint64_t refused_ = 0;
 };
 
--- a/src/gateway/engines/engine_admission.h
+++ b/src/gateway/engines/engine_admission.h
@@ -16,7 +16,8 @@
 
 namespace linenpier::engines {
 
-/** Created for a single call; holds references only. */
+/** Admission checks of engines. Holds references only, so an object must be used for a single call.
+ */
 class engine_admission {
  public:
   engine_admission(const fleet::closed_zones& closed, const fleet::fleet_layout& layout,
--- a/src/gateway/engines/engine_health.h
+++ b/src/gateway/engines/engine_health.h
@@ -11,21 +11,21 @@
 
 /** How an attempt at an engine ended, from the point of view of outlier detection. */
 enum class HealthOutcome {
-  /** Success, or cancelled by the gateway (the caller disconnected, the item moved). Resets the
-   * failure count.
+  /** The attempt succeeded, or the gateway cancelled it (the caller disconnected, the item moved).
+   * Resets the failure count.
    */
   kSuccess,
-  /** Rejected by the engine (full or loading weights), or withheld by the gateway. Neither a
-   * failure nor a success.
+  /** The engine (full or loading weights) rejected the attempt, or the gateway withheld it. Counts
+   * neither as a failure nor as a success.
    */
   kRejected,
   kUnreachable,  ///< Failure: no connection.
   /** Failure: the response is truncated, malformed or lacks the engine's signature, or its status
-   * is 500 or above. The only failure that does not eject the engine the first time.
+   * is 500 or above. The first consecutive failure of this kind does not eject the engine.
    */
   kBroken,
   kTimeout,      ///< Failure: no response in time.
-  kWrongEngine,  ///< Failure: another engine has the address. Ejects for `max_ejection`.
+  kWrongEngine,  ///< Failure: another engine has the address. Ejects the engine for `max_ejection`.
 };
 
 struct health_options {
@@ -34,8 +34,8 @@
    */
   Duration first_ejection = std::chrono::milliseconds(700);
   Duration max_ejection = std::chrono::seconds(6);
-  /** Failures within this time after a counted one are ignored: an engine that resets all its
-   * requests at once, as when it changes weights, has failed once.
+  /** Time after a counted failure in which further failures are ignored: an engine that resets all
+   * its requests at once, as when it changes weights, has failed once.
    */
   Duration failure_burst = std::chrono::milliseconds(500);
 };
@@ -49,7 +49,7 @@
   void onAttemptEnded(Instant now, HealthOutcome outcome, const health_options& options);
 
   bool isEjected(Instant now) const { return now < this->ejected_until_; }
-  /** @return consecutive failures; a burst counts once. */
+  /** @return the number of consecutive failures; a burst of failures counts once. */
   int failures() const { return this->failures_; }
 
  private:
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -19,20 +19,21 @@
 
 struct engine_state;
 
-/** Holds pointers to engines of an `engine_table`. The table must remove an engine before it
- * changes its service or versions, and add it again afterwards.
+/** Indexes of the engines of one `engine_table`, as pointers. The table must remove an engine from
+ * the indexes before changing its service or versions, and add the engine again afterwards.
  */
 class engine_index {
  public:
   struct entry {
-    std::uint64_t seeded_hash = 0;  ///< Of the engine id; determines the order.
+    std::uint64_t seeded_hash = 0;  ///< Hash of the engine id; determines the order of engines.
     const engine_state* engine = nullptr;
   };
   struct by_seeded_hash {
     bool operator()(const entry& left, const entry& right) const;
   };
   using engine_order = std::set<entry, by_seeded_hash>;
-  /** Newest first, so that a bounded selection prefers the newest weights. */
+  /** Engines by weight version, newest version first, so that a bounded selection prefers the
+   * newest weights. */
   using version_index = std::map<WeightVersion, engine_order, std::greater<>>;
 
   /** @param seed seed of this daemon's order. */
@@ -42,8 +43,8 @@
   void remove(const engine_state& engine);
 
   const engine_order& ofService(const ServiceName& service) const;
-  /** @return the engines of the service by the version of the model that they hold. Built at the
-   *     first call for a model and updated incrementally from then on.
+  /** @return the engines of the service by the version of the model that they hold. The index of a
+   * model is built at the first call for the model and updated incrementally from then on.
    */
   const version_index& byVersion(const ServiceName& service, const ModelName& model);
 
@@ -55,7 +56,7 @@
   std::uint64_t seed_;
   std::map<ServiceName, engine_order> services_;
   std::map<ServiceName, indexes_by_model>
-      models_;  ///< Only models for which `byVersion` was called.
+      models_;  ///< Engines by model and version; only models for which `byVersion` was called.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_latency.cpp
+++ b/src/gateway/engines/engine_latency.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::engines {
 
 namespace {
-/// Upper bound of the ratio; an engine this slow loses any comparison.
+/// Upper bound of the ratio of an engine's event time to the median of its service.
 constexpr double kMaxLatencyRatio = 8;
 }  // namespace
 
--- a/src/gateway/engines/engine_load.h
+++ b/src/gateway/engines/engine_load.h
@@ -19,7 +19,8 @@
 };
 
 struct load_options {
-  Duration load_lifetime = std::chrono::milliseconds(1500);  ///< Validity of a report.
+  Duration load_lifetime =
+      std::chrono::milliseconds(1500);  ///< Time for which a load report is valid.
 };
 
 class engine_load {
@@ -29,20 +30,21 @@
   /** @param tokens memory that an attempt is expected to need; negative when it ends. */
   void addExpectedTokens(double tokens);
   void onReport(Instant now, const load_report& report);
-  /** Discards the last report. Attempts before the restart stay in flight until their connections
-   * close.
+  /** Discards the last load report after a restart of the engine. Attempts from before the restart
+   * stay in flight until their connections close.
    */
   void onRestarted();
 
-  /** @return attempts of this daemon in flight. */
+  /** @return the number of attempts of this daemon in flight. */
   std::uint32_t inFlight() const { return this->in_flight_; }
   /** @return memory that the attempts in flight are expected to need, in tokens. */
   double expectedTokens() const { return this->expected_tokens_; }
-  /** @return requests of other daemons as of the last report. */
+  /** @return the number of requests of other daemons in the last load report. */
   double otherRequests() const { return this->other_requests_; }
-  /** @return time of the last report; the epoch if there was none. */
+  /** @return the time of the last load report; the epoch without a report. */
   Instant reportedAt() const { return this->reported_at_; }
-  /** @return requests at the engine, including those of other daemons while the report is valid. */
+  /** @return the number of requests at the engine, including those of other daemons while the last
+   * load report is valid. */
   double total(Instant now, const load_options& options) const {
     const bool recent = now - this->reported_at_ < options.load_lifetime;
     return this->in_flight_ + (recent ? this->other_requests_ : 0);
--- a/src/gateway/engines/engine_record.h
+++ b/src/gateway/engines/engine_record.h
@@ -22,7 +22,8 @@
  */
 using model_versions = boost::container::flat_map<ModelName, WeightVersion>;
 
-/** An engine that restarts keeps its id, but has a new start time and none of its former state.
+/** Record of an engine. An engine that restarts keeps its id, but has a new start time and none of
+ * its former state.
  */
 struct engine_record {
   EngineId id;
@@ -30,12 +31,15 @@
   ServiceName service;
   Address address;
   ZoneName zone;
-  std::uint32_t slots = 1;             ///< Requests that it runs concurrently.
-  bool draining = false;               ///< Finishes its requests and accepts no new ones.
-  bool spot = false;                   ///< A spot instance, which the platform may reclaim.
-  std::optional<Duration> reclaim_in;  ///< Time until the platform reclaims it, as of this record.
-  Duration cold_remaining{};           ///< Remaining time until it is warm, as of this record.
-  model_versions models;               ///< Weights that it holds; lags behind its responses.
+  std::uint32_t slots = 1;  ///< Number of requests that the engine runs concurrently.
+  bool draining =
+      false;          ///< Whether the engine only finishes its requests and accepts no new ones.
+  bool spot = false;  ///< Whether the engine is a spot instance, which the platform may reclaim.
+  std::optional<Duration>
+      reclaim_in;             ///< Time from this record until the platform reclaims the engine.
+  Duration cold_remaining{};  ///< Time from this record until the engine is warm.
+  model_versions
+      models;  ///< Weights that the engine holds; may be older than those seen in its responses.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_registry.cpp
+++ b/src/gateway/engines/engine_registry.cpp
@@ -6,7 +6,8 @@
   const bool before = this->cold_limiter_.limitsAnyService();
   this->cold_limiter_.setServices(services);
   if (before || !this->cold_limiter_.limitsAnyService()) return;
-  // A limit has been added: register the present engines, so that they count as previously warm.
+  // When a limit is added, the present engines are registered, so that they count as previously
+  // warm.
   for (const auto& [id, engine] : this->table_.all()) this->cold_limiter_.track(id);
 }
 
--- a/src/gateway/engines/engine_registry.h
+++ b/src/gateway/engines/engine_registry.h
@@ -39,7 +39,7 @@
 class engine_registry {
  public:
   /** @param zone the zone of this daemon.
-   * @param seed seed of its order of engines and of its tie breaks.
+   * @param seed seed of this daemon's order of engines and of its tie breaks.
    */
   engine_registry(ZoneName zone, registry_options options, std::uint64_t seed)
       : options_(options),
@@ -90,10 +90,12 @@
   void onAttemptEnded(Instant now, const EngineId& id, HealthOutcome outcome);
   /** @param tokens memory that an attempt is expected to need; negative when it ends. */
   void addExpectedTokens(const EngineId& id, double tokens);
-  /** The engine rejected a request for the model or did not answer it, as while it loads weights.
+  /** Handles a request for the model that the engine rejected or did not answer, as while the
+   * engine loads weights.
    */
   void onRequestRejected(Instant now, const EngineId& id, const ModelName& model);
-  /** The engine reset a run of the model, as when it starts to load weights. */
+  /** Handles a run of the model that the engine reset, as when the engine starts to load weights.
+   */
   void onRunReset(Instant now, const EngineId& id, const ModelName& model);
   void onLoadReport(Instant now, const EngineId& id, const load_report& report);
   /** @param duration time between two events of a stream, or time of a response without a stream.
@@ -133,15 +135,15 @@
 
   // --- Load and latency ---
 
-  /** @return free slots of the engine, counting requests of other daemons; negative if it is
-   *     overloaded.
+  /** @return the number of free slots of the engine, considering requests of other daemons;
+   * negative if the engine is overloaded.
    */
   double freeSlots(Instant now, const EngineId& id) const;
-  /** @return the engine's event time relative to the median of its service. If either
-   *     is unknown, the long-term ratio from `latency_history`, which is 1 by default.
+  /** @return the engine's event time relative to the median of its service. If the event time or
+   * the median is unknown, the long-term ratio from `latency_history`, which is 1 by default.
    */
   double latencyRatio(Instant now, const EngineId& id) const;
-  /** Avoids computing the median again for each of many engines. */
+  /** Overload for callers that query many engines and compute the median only once. */
   double latencyRatio(Instant now, const engine_state& engine, double median_event_time) const {
     return engine.latency.ratio(now, median_event_time, this->options_.score.latency);
   }
--- a/src/gateway/engines/engine_scorer.cpp
+++ b/src/gateway/engines/engine_scorer.cpp
@@ -5,24 +5,27 @@
 namespace linenpier::engines {
 
 namespace {
-/// Slowdown per request already present, for engines that process requests one by one.
+/// Slowdown per request already at the engine, for engines that process requests one by one.
 constexpr double kLoadWeight = 0.5;
 /// Slowdown of a full batch, for engines that batch requests.
 constexpr double kBatchWeight = 0.12;
 /// Fraction of an engine's memory in use above which the score grows.
 constexpr double kMemoryThreshold = 0.7;
 constexpr double kMaxMemoryFactor = 4;
-/// For an engine with an older version, if the request prefers the newest.
+/// Factor of the expected wait at an engine with an older version, if the request prefers the
+/// newest.
 constexpr double kOlderVersionFactor = 1.5;
-/// For an excluded engine, and for an ejected one; both may apply.
+/// Factor of the expected wait at an excluded engine, and at an ejected engine. Applies twice to an
+/// engine that is both.
 constexpr double kLastResortFactor = 8;
 constexpr double kColdFactor = 2;
-/// For a cold engine with a rate limit, so that it is used only when the others are full.
+/// Factor of the expected wait at a cold engine with a rate limit, so that the engine is used only
+/// when the others are full.
 constexpr double kBoundedColdFactor = 4;
-/// For an engine of a large service that this daemon has not used recently, as it has to connect
-/// first. Larger than any random factor of `engine_selector::jitter`, so that a daemon with few
-/// requests reuses its connections, but smaller than the slowdown by one request at an engine that
-/// processes requests one by one.
+/// Factor of the expected wait at an engine of a large service that this daemon has not used
+/// recently, as the daemon has to connect first. The factor is larger than any random factor of
+/// `engine_selector::jitter`, so that a daemon with few requests reuses its connections, but
+/// smaller than the slowdown by one request at an engine that processes requests one by one.
 constexpr double kNewConnectionFactor = 1.06;
 }  // namespace
 
@@ -34,7 +37,7 @@
   wait *=
       engine.latency.ratio(this->now_, this->context_.median_event_time, this->options_.latency);
   wait *= this->memoryFactor(engine);
-  // Without a free slot the request queues behind the present ones.
+  // Without a free slot, the request waits for the requests already at the engine.
   if (per_slot >= 1) wait *= 1 + per_slot;
   const bool remote = engine.record.zone != this->zone_;
   if (remote && !this->request_.batching) wait *= this->options_.remote_factor;
--- a/src/gateway/engines/engine_scorer.h
+++ b/src/gateway/engines/engine_scorer.h
@@ -15,17 +15,19 @@
 namespace linenpier::engines {
 
 struct score_options {
-  double remote_factor = 1.15;  ///< Factor for engines of other zones.
+  double remote_factor = 1.15;  ///< Factor of the expected wait for engines of other zones.
   load_options load;
   latency_options latency;
 };
 
 /** Inputs that are the same for all candidates of one selection. */
 struct score_context {
-  double median_event_time = 0;  ///< Over the service's engines, in seconds; 0: unknown.
-  double mean_tokens = 0;     ///< Mean of this daemon's requests in flight; 0: unknown or unused.
-  bool many_engines = false;  ///< The service has more engines than a selection compares.
-  WeightVersion newest = 0;   ///< Newest version that any engine holds; 0: irrelevant.
+  double median_event_time =
+      0;  ///< Median event time over the service's engines in seconds; 0: unknown.
+  double mean_tokens =
+      0;  ///< Mean tokens of this daemon's requests in flight; 0: unknown or unused.
+  bool many_engines = false;  ///< Whether the service has more engines than a selection compares.
+  WeightVersion newest = 0;   ///< Newest weight version that any engine holds; 0: not used.
 };
 
 /** Scores engines for one request at one point in time. Holds references only. */
--- a/src/gateway/engines/engine_selector.h
+++ b/src/gateway/engines/engine_selector.h
@@ -23,8 +23,8 @@
 namespace linenpier::engines {
 
 struct selection_options {
-  /** Admitted engines that a selection compares. Bounds the cost of a selection in a large service;
-   * more candidates hardly improve the result.
+  /** Maximum number of admitted engines that a selection compares. Bounds the cost of a selection
+   * in a large service.
    */
   std::size_t max_candidates = 64;
 };
@@ -56,7 +56,7 @@
     const engine_scorer& scorer;
     cold_engine_limiter& cold;
     const engine_state* best = nullptr;
-    double wait = 0;  ///< Expected wait at `best`.
+    double wait = 0;  ///< Expected wait of the request at the engine `best`.
     std::size_t compared = 0;
   };
 
--- a/src/gateway/engines/engine_start.h
+++ b/src/gateway/engines/engine_start.h
@@ -9,10 +9,10 @@
 
 namespace linenpier::engines {
 
-/** Unix time in milliseconds, as reported by the engine; 0: unknown. */
+/** Start time of an engine as reported by the engine: Unix time in milliseconds; 0: unknown. */
 using engine_start = std::int64_t;
 
-/** @return whether both are known and `one` came first. */
+/** @return whether both start times are known and `one` is earlier. */
 inline bool startedBefore(engine_start one, engine_start other) {
   return one != 0 && other != 0 && one < other;
 }
--- a/src/gateway/engines/engine_state.h
+++ b/src/gateway/engines/engine_state.h
@@ -21,16 +21,18 @@
   engine_latency latency;
   engine_health health;
   model_loading loading;
-  /** Versions from responses; an entry is dropped when the record changes the version of its model.
+  /** Weight versions seen in responses, by model. The entry of a model is removed when the engine's
+   * record changes the version of that model.
    */
   std::map<ModelName, WeightVersion> seen_versions;
-  /** Its record disappeared around a store outage; the engine is removed unless the record returns.
+  /** Whether the engine's record disappeared around a store outage. The engine is removed unless
+   * the record returns.
    */
   bool expired = false;
 
   /** @return the version that the engine holds; 0: none. */
   WeightVersion versionOf(const ModelName& model) const;
-  /** Discards the state from before the restart, except for the attempts in flight. */
+  /** Discards the state from before a restart of the engine, except for the attempts in flight. */
   void onRestarted();
   /** Replaces the record. If the new record lists another version of a model than the old one, that
    * version overrides the one seen in responses.
--- a/src/gateway/engines/engine_table.cpp
+++ b/src/gateway/engines/engine_table.cpp
@@ -111,8 +111,8 @@
 
 void engine_table::onVersionSeen(const EngineId& id, const ModelName& model,
                                  WeightVersion version) {
-  // A malformed response may lack the version. Stored as 0, the oldest version, it would exclude
-  // the engine until its record changes.
+  // A malformed response may lack the version. A stored version 0, the oldest, would exclude the
+  // engine until its record changes.
   if (version == 0) return;
   engine_state* engine = this->find(id);
   if (engine == nullptr || engine->versionOf(model) == version) return;
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -25,21 +25,21 @@
   kNew,
   kUpdated,
   kRestarted,  ///< The engine restarted under its id; its former state was discarded.
-  kOutdated,   ///< From before the last restart of the engine; ignored.
+  kOutdated,   ///< The record is from before the last restart of the engine and is ignored.
 };
 
-/** Engines can't renew their records during a store outage: the records expire and are deleted just
- * after the store is back, although the engines are still serving.
+/** Options for the handling of expired records. Engines can't renew their records during a store
+ * outage: the records expire and are deleted just after the store is back, although the engines are
+ * still serving.
  */
 struct record_expiry_options {
-  /** Time after the outage within which an engine must renew its record. Slightly less than the two
-   * seconds that the platform specifies.
+  /** Time after a store outage within which an engine must renew its record.
    */
   Duration expiry_grace = std::chrono::milliseconds(1900);
   Duration heartbeat = kDefaultEngineHeartbeat;  ///< Heartbeat interval of an engine.
-  /** Shortest outage, in heartbeat intervals, in which a record can expire. A record expires after
-   * three missed heartbeats. The first of them may be due just after the outage begins, so that the
-   * outage may last less than three intervals.
+  /** Shortest store outage, in heartbeat intervals, in which a record can expire. A record expires
+   * after three missed heartbeats. The first missed heartbeat may be due just after the outage
+   * begins, so an outage of less than three intervals can suffice.
    */
   double min_expiry_heartbeats = 2.5;
 };
@@ -76,7 +76,8 @@
   std::optional<Address> onRemoved(Instant now, const EngineId& id);
   /** @param outage how long the store was unavailable. */
   void onStoreReconnected(Instant now, Duration outage);
-  /** Removes engines whose records did not return in time. @return their records. */
+  /** Removes engines whose expired records were not renewed in time. @return the records of the
+   * removed engines. */
   std::vector<engine_record> removeExpired(Instant now);
   /** @param version the version in a response of the engine; 0: none. */
   void onVersionSeen(const EngineId& id, const ModelName& model, WeightVersion version);
@@ -117,11 +118,12 @@
   record_expiry_options options_;
   fleet::closed_zones closed_;
   engine_map engines_;
-  /** The members below point into `engines_`. */
+  /** Indexes of the engines, with pointers into `engines_`. */
   engine_index index_;
-  std::map<ServiceName, engine_list> available_;  ///< See `availableEngines`.
+  std::map<ServiceName, engine_list>
+      available_;  ///< Engines of each service that are neither draining nor in a closed zone.
   active_engines active_;
-  Instant expiry_ends_at_{};  ///< Records that disappear before this may have expired.
+  Instant expiry_ends_at_{};  ///< Records that disappear before this time may have expired.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/latency_history.cpp
+++ b/src/gateway/engines/latency_history.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::engines {
 
 namespace {
-/// Enough samples for a mean that is exact to a few per cent.
+/// Minimum number of event times in a window.
 constexpr std::size_t kMinEventsPerWindow = 16;
 /// Minimum length of a window, so that the history outlasts a slowdown of some seconds.
 constexpr Duration kMinWindow = std::chrono::seconds(1);
@@ -13,8 +13,8 @@
 /// Highest ratio that different hardware within a service can cause. An engine with a higher ratio
 /// has a fault, which may clear at any time, so its long-term ratio is not used.
 constexpr double kMaxHardwareRatio = 2;
-/// An engine that is avoided because of its ratio is not measured. Its ratio expires after this
-/// time, so that it is tried again.
+/// Time after which the ratio of an engine expires. An engine that is avoided because of its ratio
+/// is not measured, so it is tried again after this time.
 constexpr Duration kRatioLifetime = std::chrono::seconds(60);
 }  // namespace
 
--- a/src/gateway/engines/model_loading.h
+++ b/src/gateway/engines/model_loading.h
@@ -12,11 +12,14 @@
 
 namespace linenpier::engines {
 
-/** How long requests for the model avoid the engine. */
+/** How long requests for a model avoid an engine that is presumably loading it. */
 struct loading_options {
-  Duration full_backoff = std::chrono::milliseconds(120);     ///< For a rejection by a full engine.
-  Duration loading_backoff = std::chrono::milliseconds(350);  ///< For one despite free slots.
-  Duration reset_backoff = std::chrono::milliseconds(900);    ///< For a run that was reset.
+  Duration full_backoff =
+      std::chrono::milliseconds(120);  ///< Backoff after a rejection by a full engine.
+  Duration loading_backoff =
+      std::chrono::milliseconds(350);  ///< Backoff after a rejection by an engine with free slots.
+  Duration reset_backoff =
+      std::chrono::milliseconds(900);  ///< Backoff after the engine reset a run.
 };
 
 class model_loading {
--- a/src/gateway/fleet/closed_zone_tracker.h
+++ b/src/gateway/fleet/closed_zone_tracker.h
@@ -22,14 +22,14 @@
 
 class closed_zone_tracker {
  public:
-  /** Replaces the set by a complete read of the operator's table. A zone that is missing was
-   * opened, possibly while the watch was interrupted.
-   * @param revision revision of the read; ignored if older than the known one.
+  /** Replaces the set of closed zones by a complete read of the operator's table of closed zones. A
+   * zone that is missing was opened, possibly while the watch was interrupted.
+   * @param revision revision of the read. A read that is older than the known revision is ignored.
    * @param closed closed zones with the revision of the row that closed each.
    */
   zone_changes onSnapshot(Revision revision, const std::map<ZoneName, Revision>& closed);
-  /** Applies one row; rows must come in the order of their revisions. A row that a snapshot already
-   * covers has no effect.
+  /** Applies one row of the operator's table of closed zones. Rows must be applied in the order of
+   * their revisions. A row that a snapshot already covers has no effect.
    */
   zone_changes onClosed(const ZoneName& zone, Revision revision);
   zone_changes onOpened(const ZoneName& zone, Revision revision);
--- a/src/gateway/fleet/closed_zones.h
+++ b/src/gateway/fleet/closed_zones.h
@@ -13,7 +13,7 @@
 class closed_zones {
  public:
   closed_zones() = default;
-  /** @param zones closed zones with the revision of the row that closed each. */
+  /** @param zones closed zones, each with the revision at which the operator closed it. */
   explicit closed_zones(std::map<ZoneName, Revision> zones) : zones_(std::move(zones)) {}
 
   bool contains(const ZoneName& zone) const { return this->zones_.contains(zone); }
--- a/src/gateway/fleet/data_residency.h
+++ b/src/gateway/fleet/data_residency.h
@@ -15,20 +15,22 @@
 
 class data_residency {
  public:
-  /** No restriction. */
+  /** Constructs a residency without a restriction. */
   data_residency() = default;
-  /** Restricts to these regions; an empty set allows none. */
+  /** Constructs a residency that allows only these regions; an empty set allows no region. */
   explicit data_residency(std::set<RegionName> regions) : regions_(std::move(regions)) {}
 
   bool isRestricted() const { return this->regions_.has_value(); }
-  /** @param region empty: unknown, allowed only without a restriction. */
+  /** @param region region to check. An empty name is an unknown region, allowed only without a
+   * restriction. */
   bool allows(const RegionName& region) const {
     return !this->regions_ || this->regions_->contains(region);
   }
   /** @return the allowed regions; empty without a restriction. */
   std::set<RegionName> regions() const { return this->regions_.value_or(std::set<RegionName>{}); }
 
-  /** @return the regions that both allow, such as the residency of a route and that of its caller.
+  /** @return the regions that both residencies allow, such as the residency of a route and that of
+   * its caller.
    */
   data_residency intersect(const data_residency& other) const {
     if (!this->isRestricted()) return other;
--- a/src/gateway/fleet/scaling_bounds.h
+++ b/src/gateway/fleet/scaling_bounds.h
@@ -16,7 +16,7 @@
 /** How an engine is paid for. */
 enum class PurchaseOption {
   kOnDemand,
-  kSpot,  ///< Cheaper; may be reclaimed, possibly all in a zone at once.
+  kSpot,  ///< Cheaper engines that the platform may reclaim, possibly all of a zone at once.
 };
 
 const char* toText(PurchaseOption purchase);
@@ -31,10 +31,10 @@
 using group_counts = std::map<engine_group, std::size_t>;
 
 struct scaling_bounds {
-  std::size_t min_engines = 0;             ///< In a zone, both purchase options together.
-  std::size_t max_engines = 0;             ///< In a zone, both purchase options together.
-  Duration boot_time{};                    ///< From the order of an engine until it is ready.
-  double spot_price = 1;                   ///< Relative to an on-demand engine.
+  std::size_t min_engines = 0;  ///< Minimum engines in a zone, both purchase options together.
+  std::size_t max_engines = 0;  ///< Maximum engines in a zone, both purchase options together.
+  Duration boot_time{};         ///< Time from the order of an engine until the engine is ready.
+  double spot_price = 1;        ///< Price of a spot engine relative to an on-demand engine.
   std::map<ZoneName, double> zone_prices;  ///< Price factor by zone; 1 by default.
 
   double priceOf(const engine_group& group) const {
--- a/src/gateway/routing/configuration.h
+++ b/src/gateway/routing/configuration.h
@@ -23,13 +23,13 @@
 
 /** Whether requests of a route may be repeated, and how they are answered. */
 enum class RequestKind {
-  kIdempotent,     ///< May run several times, even concurrently.
-  kNonIdempotent,  ///< May run at most once.
-  kStreaming,      ///< Answered with events; repeated only if resumable.
-  kBatch,          ///< Batch jobs are submitted under this route.
+  kIdempotent,     ///< A request may run several times, even concurrently.
+  kNonIdempotent,  ///< A request may run at most once.
+  kStreaming,  ///< A request is answered with events and repeated only if the route is resumable.
+  kBatch,      ///< Batch jobs are submitted under this route.
 };
 
-/** @return the name in logs and metrics. */
+/** @return the name of the request kind in logs and metrics. */
 const char* toText(RequestKind kind);
 
 struct WeightedService {
@@ -42,21 +42,23 @@
   std::string host;
   std::string path_prefix;  ///< Begins and ends with a slash.
   RequestKind kind = RequestKind::kNonIdempotent;
-  std::vector<WeightedService> services;  ///< At least one.
+  std::vector<WeightedService> services;  ///< Services that serve the route; at least one.
   Duration timeout = std::chrono::seconds(30);
-  Duration target_latency = std::chrono::seconds(1);  ///< A hedge starts after half of it.
+  Duration target_latency =
+      std::chrono::seconds(1);      ///< A hedged attempt starts after half of this time.
   Duration target_finish{};         ///< Batch: deadline of all results after submission.
   Duration max_item_age{};          ///< Batch: age after which an item may be dropped.
   fleet::data_residency residency;  ///< Where requests may be served, cached and stored.
-  int priority = 5;                 ///< 0 is the highest. Overridden by the priority of a tenant.
-  /** Attempts per request. Unreachable engines do not count; `forward::attempt_policy` limits them
-   * separately.
+  int priority =
+      5;  ///< Priority of requests; 0 is the highest. The priority of a tenant overrides it.
+  /** Maximum number of attempts per request. Attempts at unreachable engines do not count;
+   * `forward::attempt_policy` limits those separately.
    */
   int max_attempts = 1;
   bool sticky = false;          ///< Accepted in the configuration, but not implemented.
-  bool resumable = false;       ///< Streaming: may be resumed at another engine.
+  bool resumable = false;       ///< Streaming: a request may be resumed at another engine.
   bool single_version = false;  ///< Batch: a single weight version generates all of an item.
-  bool is_public = false;       ///< Requires no key.
+  bool is_public = false;       ///< Whether requests need no key.
 
   /** @return whether a request may be sent again after an engine may have run it. */
   bool repeatable() const {
@@ -67,13 +69,14 @@
 struct Service {
   ServiceName name;
   std::string health_path;
-  std::uint32_t max_connections = 100;  ///< Per engine, over all daemons.
+  std::uint32_t max_connections = 100;  ///< Maximum connections to an engine, over all daemons.
   /** Requests a second that a cold engine can serve; 0: no limit. */
   double cold_per_second = 0;
   Duration cold_time{};           ///< How long an engine is cold after its start.
   double memory_tokens = 0;       ///< Capacity of an engine's memory in tokens; 0: unknown.
-  std::vector<ModelName> models;  ///< Empty for services without models.
-  std::optional<fleet::scaling_bounds> scaling;  ///< Absent: no automatic scaling.
+  std::vector<ModelName> models;  ///< Models of the service; empty for a service without models.
+  std::optional<fleet::scaling_bounds>
+      scaling;  ///< Bounds of the automatic scaling; absent: no automatic scaling.
 };
 
 /** One version of the operator's configuration. Versions increase. */
--- a/src/gateway/routing/tenant_table.cpp
+++ b/src/gateway/routing/tenant_table.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::string_view kDigits = "0123456789abcdef";
 
-/** Index key of a digest. The whole digests are compared in constant time. */
+/** @return the index key of a digest. The index only narrows the search; whole digests are compared
+ * in constant time. */
 std::uint64_t prefixOf(const key_digest& digest) {
   std::uint64_t prefix = 0;
   std::memcpy(&prefix, digest.data(), sizeof(prefix));
--- a/src/gateway/routing/tenant_table.h
+++ b/src/gateway/routing/tenant_table.h
@@ -24,14 +24,14 @@
 
 key_digest digestOf(std::string_view key);
 std::string toHex(const key_digest& digest);
-/** @return nothing unless the text is a digest in lower-case hexadecimal digits. */
+/** @return the digest; no value if the text is not a digest in lower-case hexadecimal digits. */
 std::optional<key_digest> digestFromHex(std::string_view text);
 
 struct tenant {
   TenantId name;
-  std::optional<int> priority;           ///< Overrides the priority of a route; 0 is the highest.
-  std::vector<key_digest> keys;          ///< Any of them is accepted; may be empty.
-  fleet::data_residency residency = {};  ///< Applies in addition to the residency of a route.
+  std::optional<int> priority;   ///< Priority that overrides that of a route; 0 is the highest.
+  std::vector<key_digest> keys;  ///< Digests of the accepted keys; may be empty.
+  fleet::data_residency residency = {};  ///< Residency that applies in addition to that of a route.
 
   bool operator==(const tenant&) const = default;
 };
@@ -39,7 +39,7 @@
 /** The tenants of one configuration. Invariant: a key belongs to one tenant. */
 class tenant_table {
  public:
-  /** An empty table: no request requires a key. */
+  /** Constructs an empty table, with which no request requires a key. */
   tenant_table() = default;
 
   /** @return the table, or an error for each duplicate name or key. */
--- a/src/gateway/routing/weighted_round_robin.cpp
+++ b/src/gateway/routing/weighted_round_robin.cpp
@@ -16,7 +16,7 @@
                     });
 }
 
-/** Exclusive upper bound of the turns that are skipped initially. */
+/** Exclusive upper bound of the number of turns that a daemon skips initially. */
 constexpr std::uint64_t kMaxInitialTurns = 97;
 
 }  // namespace
@@ -39,8 +39,8 @@
   if (!sameServices(state.services, route.services)) {
     state.services = route.services;
     state.credits.assign(route.services.size(), 0);
-    // Skip some turns, so that the daemons don't all start with the same service: that would skew
-    // the shares at low load.
+    // Each daemon skips some turns at first, so that the daemons don't all start with the same
+    // service, which would skew the shares of the services at low load.
     const std::uint64_t skipped = hash64(route.name.str(), this->start_) % kMaxInitialTurns;
     for (std::uint64_t i = 0; i < skipped; ++i) pickService(state, total);
   }
--- a/src/gateway/routing/weighted_round_robin.h
+++ b/src/gateway/routing/weighted_round_robin.h
@@ -17,14 +17,15 @@
  */
 class weighted_round_robin {
  public:
-  /** @param start differs between daemons, so that they start with different services. */
+  /** @param start number that differs between daemons, so that the daemons start with different
+   * services. */
   explicit weighted_round_robin(std::uint64_t start) : start_(start) {}
 
   ServiceName next(const Route& route);
 
  private:
   struct route_state {
-    std::vector<WeightedService> services;  ///< As of the last reset of the credits.
+    std::vector<WeightedService> services;  ///< Services at the last reset of the credits.
     std::vector<double> credits;
   };
   /** @return the index of the next service. */
--- a/src/gateway/tenants/caller.cpp
+++ b/src/gateway/tenants/caller.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kScheme = "Bearer ";
 
-/** @return the bearer token, or an empty string. */
+/** @return the bearer token of the request, or an empty string. */
 std::string bearerToken(const http::Fields& fields) {
   const auto at = fields.find(field::authorization);
   if (at == fields.end()) return {};
--- a/src/gateway/tenants/caller.h
+++ b/src/gateway/tenants/caller.h
@@ -17,16 +17,16 @@
   kNotNeeded,  ///< No tenants are configured.
   kKnown,
   kMissing,
-  kUnknown,  ///< Belongs to no tenant of the configuration.
+  kUnknown,  ///< The key belongs to no tenant of the configuration.
 };
 
-/** @return the name in logs and metrics. */
+/** @return the name of the key status in logs and metrics. */
 const char* toText(KeyStatus status);
 
 /** Sender of a request, without its key. */
 struct caller {
   KeyStatus key_status = KeyStatus::kNotNeeded;
-  TenantId tenant;              ///< Empty unless the key is known.
+  TenantId tenant;              ///< Tenant of the key; empty unless the key is known.
   std::optional<int> priority;  ///< Priority of the tenant.
 
   /** @return whether the sender may use routes that require a key. */
--- a/src/gateway/tenants/residency.h
+++ b/src/gateway/tenants/residency.h
@@ -9,9 +9,9 @@
 
 namespace linenpier::tenants {
 
-/** @param route nullptr: no restriction by route.
- * @param tenant empty or unknown: no restriction by tenant.
- * @return the regions that both allow.
+/** @param route route of the request; nullptr: no restriction by route.
+ * @param tenant tenant of the request; empty or unknown: no restriction by tenant.
+ * @return the regions that both the route and the tenant allow.
  */
 fleet::data_residency residencyOf(const routing::Configuration& configuration,
                                   const routing::Route* route, const TenantId& tenant);
