--- a/src/gateway/engines/cold_engine_limiter.h
+++ b/src/gateway/engines/cold_engine_limiter.h
@@ -45,7 +45,7 @@
 
 struct cold_limit_timing {
   /** Length of the sliding window: one second, to which the limit applies, plus 0.3 s, the longest
-   * delay between counting a request and sending it (0.2 s to connect, 0.1 s for a late event
+   * delay between counting a request and sending it (0.2 s to connect, 0.1 s for a delayed event
    * loop).
    */
   Duration window = std::chrono::milliseconds(1300);
@@ -156,9 +156,9 @@
     /** Whether the engine was known before it turned cold, so that other daemons may have sent it
      * requests while it was warm. */
     bool was_warm = false;
-    bool reported_cold = false;      ///< Whether the last `takeChanges` found the engine cold.
-    Duration last_cold_remaining{};  ///< Value in the last record of the engine; detects a repeated
-                                     ///< record.
+    bool reported_cold = false;  ///< Whether the last `takeChanges` found the engine cold.
+    /** Remaining cold time in the last record of the engine; detects a repeated record. */
+    Duration last_cold_remaining{};
     std::deque<Instant> sent;
   };
 
@@ -178,8 +178,8 @@
   cold_senders senders_;
   Instant started_at_{};
   Instant watch_answered_at_{};  ///< Time of the last answer of the watch on engine records.
-  std::map<ServiceName, double> cold_per_second_;  ///< Requests a second that a cold engine can
-                                                   ///< serve, for each service with a limit.
+  /** Requests a second that a cold engine can serve, for each service with a limit. */
+  std::map<ServiceName, double> cold_per_second_;
   std::map<EngineId, engine_entry> engines_;
   std::map<EngineId, cold_refusals> refusals_;  ///< Refusals since the last `takeRefusals`.
   std::uint64_t refused_ = 0;
--- a/src/gateway/engines/engine_health.h
+++ b/src/gateway/engines/engine_health.h
@@ -21,7 +21,7 @@
   kRejected,
   kUnreachable,  ///< Failure: no connection.
   /** Failure: the response is truncated, malformed or lacks the engine's signature, or its status
-   * is 500 or above. The first consecutive failure of this kind does not eject the engine.
+   * is 500 or above. A single failure of this kind does not eject the engine.
    */
   kBroken,
   kTimeout,      ///< Failure: no response in time.
--- a/src/gateway/engines/engine_index.h
+++ b/src/gateway/engines/engine_index.h
@@ -56,7 +56,7 @@
   std::uint64_t seed_;
   std::map<ServiceName, engine_order> services_;
   std::map<ServiceName, indexes_by_model>
-      models_;  ///< Engines by model and version; only models for which `byVersion` was called.
+      models_;  ///< Indexes of the models that `byVersion` was called for.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_load.h
+++ b/src/gateway/engines/engine_load.h
@@ -19,8 +19,7 @@
 };
 
 struct load_options {
-  Duration load_lifetime =
-      std::chrono::milliseconds(1500);  ///< Time for which a load report is valid.
+  Duration load_lifetime = std::chrono::milliseconds(1500);  ///< How long a load report is valid.
 };
 
 class engine_load {
--- a/src/gateway/engines/engine_record.h
+++ b/src/gateway/engines/engine_record.h
@@ -32,14 +32,11 @@
   Address address;
   ZoneName zone;
   std::uint32_t slots = 1;  ///< Number of requests that the engine runs concurrently.
-  bool draining =
-      false;          ///< Whether the engine only finishes its requests and accepts no new ones.
+  bool draining = false;    ///< Whether the engine accepts no new requests.
   bool spot = false;  ///< Whether the engine is a spot instance, which the platform may reclaim.
-  std::optional<Duration>
-      reclaim_in;             ///< Time from this record until the platform reclaims the engine.
-  Duration cold_remaining{};  ///< Time from this record until the engine is warm.
-  model_versions
-      models;  ///< Weights that the engine holds; may be older than those seen in its responses.
+  std::optional<Duration> reclaim_in;  ///< Time from this record until the engine is reclaimed.
+  Duration cold_remaining{};           ///< Time from this record until the engine is warm.
+  model_versions models;  ///< Weights that the engine holds; may lag behind its responses.
 };
 
 }  // namespace linenpier::engines
--- a/src/gateway/engines/engine_scorer.h
+++ b/src/gateway/engines/engine_scorer.h
@@ -22,10 +22,10 @@
 
 /** Inputs that are the same for all candidates of one selection. */
 struct score_context {
-  double median_event_time =
-      0;  ///< Median event time over the service's engines in seconds; 0: unknown.
-  double mean_tokens =
-      0;  ///< Mean tokens of this daemon's requests in flight; 0: unknown or unused.
+  /** Median event time over the service's engines in seconds; 0: unknown. */
+  double median_event_time = 0;
+  /** Mean tokens of this daemon's requests in flight; 0: unknown or unused. */
+  double mean_tokens = 0;
   bool many_engines = false;  ///< Whether the service has more engines than a selection compares.
   WeightVersion newest = 0;   ///< Newest weight version that any engine holds; 0: not used.
 };
--- a/src/gateway/engines/engine_table.h
+++ b/src/gateway/engines/engine_table.h
@@ -33,7 +33,8 @@
  * still serving.
  */
 struct record_expiry_options {
-  /** Time after a store outage within which an engine must renew its record.
+  /** Time after a store outage within which an engine must renew its record. Slightly less than the
+   * two seconds that the platform specifies.
    */
   Duration expiry_grace = std::chrono::milliseconds(1900);
   Duration heartbeat = kDefaultEngineHeartbeat;  ///< Heartbeat interval of an engine.
@@ -120,8 +121,7 @@
   engine_map engines_;
   /** Indexes of the engines, with pointers into `engines_`. */
   engine_index index_;
-  std::map<ServiceName, engine_list>
-      available_;  ///< Engines of each service that are neither draining nor in a closed zone.
+  std::map<ServiceName, engine_list> available_;  ///< Engines returned by `availableEngines`.
   active_engines active_;
   Instant expiry_ends_at_{};  ///< Records that disappear before this time may have expired.
 };
--- a/src/gateway/engines/latency_history.cpp
+++ b/src/gateway/engines/latency_history.cpp
@@ -5,7 +5,7 @@
 namespace linenpier::engines {
 
 namespace {
-/// Minimum number of event times in a window.
+/// Minimum number of event times in a window, enough for a mean that is exact to a few per cent.
 constexpr std::size_t kMinEventsPerWindow = 16;
 /// Minimum length of a window, so that the history outlasts a slowdown of some seconds.
 constexpr Duration kMinWindow = std::chrono::seconds(1);
--- a/src/gateway/engines/model_loading.h
+++ b/src/gateway/engines/model_loading.h
@@ -14,12 +14,12 @@
 
 /** How long requests for a model avoid an engine that is presumably loading it. */
 struct loading_options {
-  Duration full_backoff =
-      std::chrono::milliseconds(120);  ///< Backoff after a rejection by a full engine.
-  Duration loading_backoff =
-      std::chrono::milliseconds(350);  ///< Backoff after a rejection by an engine with free slots.
-  Duration reset_backoff =
-      std::chrono::milliseconds(900);  ///< Backoff after the engine reset a run.
+  /** Backoff after a full engine rejected a request. */
+  Duration full_backoff = std::chrono::milliseconds(120);
+  /** Backoff after an engine with free slots rejected a request. */
+  Duration loading_backoff = std::chrono::milliseconds(350);
+  /** Backoff after the engine reset a run. */
+  Duration reset_backoff = std::chrono::milliseconds(900);
 };
 
 class model_loading {
@@ -31,7 +31,7 @@
    */
   void onReset(Instant now, const ModelName& model, const loading_options& options);
 
-  /** @param model empty: the request accepts any model.
+  /** @param model model of the request; empty: the request accepts any model.
    * @return whether requests for the model avoid the engine; false for an empty model.
    */
   bool isLoading(Instant now, const ModelName& model) const;
--- a/src/gateway/fleet/closed_zone_tracker.h
+++ b/src/gateway/fleet/closed_zone_tracker.h
@@ -25,7 +25,7 @@
   /** Replaces the set of closed zones by a complete read of the operator's table of closed zones. A
    * zone that is missing was opened, possibly while the watch was interrupted.
    * @param revision revision of the read. A read that is older than the known revision is ignored.
-   * @param closed closed zones with the revision of the row that closed each.
+   * @param closed closed zones, each with the revision at which the operator closed it.
    */
   zone_changes onSnapshot(Revision revision, const std::map<ZoneName, Revision>& closed);
   /** Applies one row of the operator's table of closed zones. Rows must be applied in the order of
--- a/src/gateway/routing/configuration.h
+++ b/src/gateway/routing/configuration.h
@@ -44,18 +44,16 @@
   RequestKind kind = RequestKind::kNonIdempotent;
   std::vector<WeightedService> services;  ///< Services that serve the route; at least one.
   Duration timeout = std::chrono::seconds(30);
-  Duration target_latency =
-      std::chrono::seconds(1);      ///< A hedged attempt starts after half of this time.
+  Duration target_latency = std::chrono::seconds(1);  ///< Hedging starts after half of this time.
   Duration target_finish{};         ///< Batch: deadline of all results after submission.
   Duration max_item_age{};          ///< Batch: age after which an item may be dropped.
   fleet::data_residency residency;  ///< Where requests may be served, cached and stored.
-  int priority =
-      5;  ///< Priority of requests; 0 is the highest. The priority of a tenant overrides it.
+  int priority = 5;                 ///< Priority if the tenant has none; 0 is the highest.
   /** Maximum number of attempts per request. Attempts at unreachable engines do not count;
    * `forward::attempt_policy` limits those separately.
    */
   int max_attempts = 1;
-  bool sticky = false;          ///< Accepted in the configuration, but not implemented.
+  bool sticky = false;          ///< The option is accepted, but not implemented.
   bool resumable = false;       ///< Streaming: a request may be resumed at another engine.
   bool single_version = false;  ///< Batch: a single weight version generates all of an item.
   bool is_public = false;       ///< Whether requests need no key.
@@ -75,8 +73,7 @@
   Duration cold_time{};           ///< How long an engine is cold after its start.
   double memory_tokens = 0;       ///< Capacity of an engine's memory in tokens; 0: unknown.
   std::vector<ModelName> models;  ///< Models of the service; empty for a service without models.
-  std::optional<fleet::scaling_bounds>
-      scaling;  ///< Bounds of the automatic scaling; absent: no automatic scaling.
+  std::optional<fleet::scaling_bounds> scaling;  ///< Absent if scaling is not automatic.
 };
 
 /** One version of the operator's configuration. Versions increase. */
--- a/src/gateway/tenants/caller.h
+++ b/src/gateway/tenants/caller.h
@@ -47,7 +47,7 @@
 /** Replaces the client's key in a request to an engine by the name of the tenant. Overwrites a name
  * that the client sent. Does nothing without tenants.
  * @param tenant_field name of the header field.
- * @param tenant empty: none, as on a public route.
+ * @param tenant tenant of the request; empty: none, as on a public route.
  */
 void setTenantField(const routing::Configuration& configuration, const std::string& tenant_field,
                     const TenantId& tenant, http::Fields& fields);
