--- a/src/gateway/forward/attempt_admission.cpp
+++ b/src/gateway/forward/attempt_admission.cpp
@@ -10,7 +10,7 @@
   const suspects::request_key key = keyOf(forwarded, *forwarded.request);
   forwarded.admission = this->suspects_.admissionOf(key, suspects::RequestSource::kCaller);
   if (forwarded.admission.state == suspects::AdmissionState::kNotSuspect) co_return attempt;
-  // A hedged attempt could crash a second engine.
+  // A hedged attempt of a suspect request could crash a second engine.
   if (!exclusive) co_return std::nullopt;
   forwarded.admission = co_await this->suspects_.beginIsolatedRun(
       key, suspects::RequestSource::kCaller, forwarded.id);
--- a/src/gateway/forward/attempt_admission.h
+++ b/src/gateway/forward/attempt_admission.h
@@ -16,7 +16,8 @@
  public:
   explicit attempt_admission(suspects::suspect_tracker& suspects) : suspects_(suspects) {}
 
-  /** Decides whether an attempt may be sent. Suspends only if the request is a suspect.
+  /** Decides whether an attempt may be sent. The coroutine suspends only if the request is a
+   * suspect.
    * @param exclusive true if no other attempt of the request is in flight. A suspect runs on one
    *     engine at a time.
    * @return nullopt if the attempt must not be sent; `forwarded.admission` holds the reason. For an
@@ -24,10 +25,12 @@
    */
   Task<std::optional<suspects::sent_attempt>> admit(forwarded_request& forwarded, bool exclusive);
 
-  /** Called for an admitted attempt that was not sent. */
+  /** To be called for an admitted attempt that was not sent. */
   void onNotSent(const forwarded_request& forwarded, const suspects::sent_attempt& attempt);
 
-  /** @param engine_crashed whether the engine process crashed during the attempt. */
+  /** To be called when an admitted attempt has ended.
+   * @param engine_crashed whether the engine process crashed during the attempt.
+   */
   void onEnded(forwarded_request& forwarded, const engine_call& call, AttemptOutcome outcome,
                const suspects::sent_attempt& attempt, bool engine_crashed);
 
--- a/src/gateway/forward/attempt_group.h
+++ b/src/gateway/forward/attempt_group.h
@@ -14,12 +14,14 @@
 
 namespace linenpier::forward {
 
-/** Must be owned by a shared_ptr: aborted attempts may finish after the reply was sent. */
+/** The concurrent attempts of one request. A group must be owned by a shared_ptr, since aborted
+ * attempts may finish after the reply was sent.
+ */
 class attempt_group : public std::enable_shared_from_this<attempt_group> {
  public:
   struct result {
     AttemptOutcome outcome = AttemptOutcome::kBroken;
-    http::Response response;  ///< Complete if `outcome` is kAnswered.
+    http::Response response;  ///< Engine response; complete if `outcome` is kAnswered.
   };
 
   attempt_group(const forwarding_context& context, std::shared_ptr<forwarded_request> forwarded)
@@ -44,7 +46,7 @@
   forwarding_context context_;
   std::shared_ptr<forwarded_request> forwarded_;
   Signal changed_;
-  std::vector<result> results_;  ///< Not yet returned by `takeResults`.
+  std::vector<result> results_;  ///< Results not yet returned by `takeResults`.
   std::vector<std::shared_ptr<engine_call>> running_;
   std::set<EngineId> tried_;
 };
--- a/src/gateway/forward/attempt_policy.cpp
+++ b/src/gateway/forward/attempt_policy.cpp
@@ -5,9 +5,9 @@
 namespace linenpier::forward {
 
 namespace {
-/** Connection failures after which a request is not retried. */
+/** Number of connection failures after which a request is not retried. */
 constexpr int kMaxUnreachable = 4;
-/** No attempt starts with less than this time left before the deadline. */
+/** Minimum time before the deadline that is needed to start an attempt. */
 constexpr Duration kMinAttemptTime = std::chrono::milliseconds(10);
 }  // namespace
 
--- a/src/gateway/forward/attempt_policy.h
+++ b/src/gateway/forward/attempt_policy.h
@@ -43,7 +43,7 @@
 
   /** @return whether another attempt may start now, in addition to those in flight. */
   bool canStart(Instant now) const;
-  /** @return when to call `canStart` again; not later than the deadline. */
+  /** @return the time at which to call `canStart` again; not later than the deadline. */
   Instant nextCheck() const;
   /** @return whether a 5xx response is retried on another engine instead of being forwarded. */
   bool retriesServerErrors(Instant now) const;
@@ -56,17 +56,17 @@
  private:
   bool hasAttemptsLeft() const;
 
-  /** The request may be retried after an attempt that may have executed it. */
+  /** Whether the request may be retried after an attempt that may have executed it. */
   bool retryable_after_run_;
   bool idempotent_;
   int max_attempts_;
   Duration hedge_delay_;
   Instant deadline_;
   Instant last_start_{};
-  int started_ = 0;      ///< Attempts, except those whose engine was unreachable.
+  int started_ = 0;      ///< Attempts started, except those that failed to connect.
   int unreachable_ = 0;  ///< Attempts that failed to connect.
   int running_ = 0;
-  bool may_have_run_ = false;  ///< A finished attempt may have executed the request.
+  bool may_have_run_ = false;  ///< Whether a finished attempt may have executed the request.
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/engine_call.cpp
+++ b/src/gateway/forward/engine_call.cpp
@@ -11,10 +11,10 @@
 namespace {
 /** Maximum size of a response body. */
 constexpr std::size_t kMaxResponseBytes = 64 * 1024 * 1024;
-/** Misdirected Request: the request names another engine. */
+/** HTTP status "Misdirected Request": the request names another engine. */
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
-/** Time for a host to accept or refuse a connection; many times the round trip. */
+/** Maximum time for a host to accept or refuse a connection. */
 constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(100);
 }  // namespace
 
--- a/src/gateway/forward/engine_call.h
+++ b/src/gateway/forward/engine_call.h
@@ -22,13 +22,13 @@
 enum class AttemptOutcome {
   kAnswered,     ///< The engine responded. The body may not have been read yet.
   kNotExecuted,  ///< The engine rejected the request without executing it.
-  kUnreachable,  ///< No connection, or the request was not sent.
-  kBroken,       ///< Connection lost, or response malformed or unsigned.
-  kTimedOut,     ///< No data before the deadline; the request may still be running.
-  kAborted,      ///< Aborted by the gateway.
+  kUnreachable,  ///< The connection failed, or the request was not sent.
+  kBroken,       ///< The connection was lost, or the response is malformed or unsigned.
+  kTimedOut,     ///< No data arrived before the deadline; the request may still be running.
+  kAborted,      ///< The gateway aborted the attempt.
 };
 
-/** @return the outcome's name in log lines and metrics. */
+/** @return the name of the outcome in log lines and metrics. */
 const char* toText(AttemptOutcome outcome);
 
 /** @return whether an attempt with this outcome may have executed the request. */
@@ -42,20 +42,20 @@
 
 struct attempt_limits {
   Instant connect_deadline;
-  Instant deadline;  ///< For reading the response header.
+  Instant deadline;  ///< Time by which the response header must be read.
   bool fresh_connection = false;
-  /** Outcome reported to the registry if the deadline passes. Must not count as a failure, like
-   * kRejected, if the deadline may be shorter than the response time of a healthy engine.
+  /** Outcome reported to the engine registry if the deadline passes. If a healthy engine may take
+   * longer than the deadline, use an outcome that is not a failure, such as kRejected.
    */
   engines::HealthOutcome timeout_outcome = engines::HealthOutcome::kTimeout;
 };
 
-/** Event loop thread only; must be owned by a shared_ptr. Counts as in flight on its engine until
- * it ends.
+/** An attempt on one engine. The engine counts the attempt as in flight until the attempt ends. An
+ * `engine_call` must be owned by a shared_ptr and used on the event loop thread only.
  */
 class engine_call : public std::enable_shared_from_this<engine_call> {
  public:
-  /** @param request complete except for the target engine field, which is set here. */
+  /** @param request the message to send; the constructor sets its target engine field. */
   engine_call(engine_call_context context, const engines::engine_state& engine,
               http::Request request);
   ~engine_call();
@@ -73,9 +73,9 @@
   Task<AttemptOutcome> readEvents(event_parser& parser, std::vector<stream_event>& events,
                                   Instant deadline);
   void abort();
-  /** To be called after the connection was lost.
-   * @return true if the engine's address refuses connections, that is, if its process has exited.
-   *     False if it does not respond: it may be partitioned or hanging.
+  /** Checks whether the engine process has exited. To be called after the connection was lost.
+   * @return true if the engine's address refuses connections; false if the address does not
+   *     respond, since the engine may then be partitioned or hanging.
    */
   Task<bool> engineHasCrashed();
 
@@ -91,9 +91,9 @@
 
  private:
   AttemptOutcome checkHeader();
-  /** Maps the exchange status to an outcome and reports it to the registry. */
+  /** Maps the exchange status to an outcome and reports the outcome to the engine registry. */
   AttemptOutcome reportExchangeEnd(http::ExchangeStatus status);
-  /** Reports the end of the attempt to the registry, at most once. */
+  /** Reports the end of the attempt to the engine registry, at most once. */
   void reportEnd(engines::HealthOutcome end);
   void reportLoad();
 
--- a/src/gateway/forward/engine_picker.h
+++ b/src/gateway/forward/engine_picker.h
@@ -20,15 +20,16 @@
                 routing::weighted_round_robin& round_robin)
       : registry_(registry), names_(names), round_robin_(round_robin) {}
 
-  /** Sets the source of the newest route table. Its data residency rules also apply to requests
-   * that arrived under an older table.
+  /** Sets the source of the newest route table. The data residency rules of that table also apply
+   * to requests that arrived under an older table.
    */
   void setResidencySource(std::function<routing::ConfigurationPtr()> newest) {
     this->residency_source_ = std::move(newest);
   }
 
-  /** Tries the next service by weighted round robin, then the route's other services. For the first
-   * attempt of a request, tries all services again with ejected engines admitted.
+  /** Selects an engine. Tries the next service by weighted round robin, then the route's other
+   * services. If no engine is found for the first attempt of a request, tries all services again
+   * with ejected engines admitted.
    * @param tried engines to exclude.
    * @return nullptr if no engine is admitted; `forwarded.refusals` holds the reasons.
    */
--- a/src/gateway/forward/event_parser.h
+++ b/src/gateway/forward/event_parser.h
@@ -15,13 +15,13 @@
 namespace linenpier::forward {
 
 struct stream_event {
-  std::string raw;  ///< All bytes, including the terminating empty line.
+  std::string raw;  ///< All bytes of the event, including the terminating empty line.
   std::optional<std::uint64_t> id;
-  std::string data;                      ///< Data lines joined by line feeds.
-  std::optional<WeightVersion> version;  ///< Weight version, if the event changes it.
+  std::string data;                      ///< Data lines of the event, joined by line feeds.
+  std::optional<WeightVersion> version;  ///< New weight version, if the event carries one.
 };
 
-/** Buffers at most one incomplete event. */
+/** Parser for one event stream. Buffers at most one incomplete event. */
 class event_parser {
  public:
   /** @param version_field name of the field that carries a new weight version; case-insensitive. */
@@ -36,7 +36,7 @@
   stream_event parse(std::string raw) const;
   void parseLine(std::string_view line, stream_event& event, bool& has_data) const;
 
-  std::string version_field_;  ///< Lower case.
+  std::string version_field_;  ///< Field name in lower case.
   std::string pending_;
   std::size_t line_start_ = 0;  ///< Offset of the unfinished line in `pending_`.
 };
--- a/src/gateway/forward/forwarded_request.h
+++ b/src/gateway/forward/forwarded_request.h
@@ -18,23 +18,23 @@
 
 /** State of one request, shared by its attempts.
  *
- * An aborted attempt may finish after the reply was sent, when `request` is no longer valid. It
- * must use its own copy of the message, `engine_call::request`.
+ * An aborted attempt may finish after the reply was sent, when `request` is no longer valid, so it
+ * must use the copy of the message in `engine_call::request`.
  */
 struct forwarded_request {
-  routing::ConfigurationPtr table;         ///< Keeps `route` alive.
-  const routing::Route* route = nullptr;   ///< Points into `table`.
-  const http::Request* request = nullptr;  ///< Valid until the reply was sent.
+  routing::ConfigurationPtr table;         ///< Route table that owns `route`.
+  const routing::Route* route = nullptr;   ///< Route of the request, owned by `table`.
+  const http::Request* request = nullptr;  ///< Request message; valid until the reply was sent.
   tenants::caller caller;
   std::string id;
   Instant received{};
   Instant deadline{};
   double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0 means unlimited.
-  bool internal = false;    ///< Sent by the gateway itself, not by a client.
-  bool run_reported = false;  ///< The usage recorder was notified of the execution.
+  bool internal = false;    ///< Whether the gateway itself sends the request, not a client.
+  bool run_reported = false;  ///< Whether the usage recorder was notified of the execution.
   /** Reasons why the last unsuccessful engine selection found no engine. */
   engines::admission_failure_counts refusals;
-  std::optional<suspects::request_key> key;  ///< Computed on first use.
+  std::optional<suspects::request_key> key;  ///< Key of the request; computed on first use.
   suspects::suspect_admission admission;     ///< Result of the last suspect check.
 };
 
--- a/src/gateway/forward/forwarder.h
+++ b/src/gateway/forward/forwarder.h
@@ -17,13 +17,13 @@
 
 namespace linenpier::forward {
 
-/** Event loop thread only. */
+/** Entry point for forwarding requests; to be used on the event loop thread only. */
 class forwarder : public internal_requests {
  public:
   forwarder(boost::asio::io_context& loop, engine_call_context engines,
             routing::weighted_round_robin& round_robin, metrics::GatewayMetrics& metrics,
             usage::usage_recorder& recorder, suspects::suspect_tracker& suspects);
-  /** Not copyable: the context refers to other members. */
+  /** A forwarder is not copyable, since `context_` refers to its other members. */
   forwarder(const forwarder&) = delete;
   forwarder& operator=(const forwarder&) = delete;
 
@@ -33,7 +33,7 @@
   }
 
   /** Sends exactly one response, unless the client disconnects.
-   * @param caller the authenticated sender; it is not authenticated again while a stream is open.
+   * @param caller the authenticated sender, who is not authenticated again while a stream is open.
    */
   Task<void> serve(routing::ConfigurationPtr table, const routing::Route& route,
                    tenants::caller caller, const http::Request& request, Instant received,
@@ -52,7 +52,7 @@
   local_replies replies_;
   request_log log_;
   run_reporter runs_;
-  forwarding_context context_;  ///< Refers to the members above.
+  forwarding_context context_;  ///< References to the members declared above.
   unary_forwarder unary_;
 };
 
--- a/src/gateway/forward/internal_requests.h
+++ b/src/gateway/forward/internal_requests.h
@@ -16,17 +16,17 @@
 
 struct internal_request {
   routing::ConfigurationPtr table;
-  const routing::Route* route = nullptr;  ///< Points into `table`.
+  const routing::Route* route = nullptr;  ///< Route of the request, owned by `table`.
   http::Request message;
   TenantId tenant;          ///< Tenant that the request is sent for; may be empty.
-  Duration timeout{};       ///< Upper limit; the route may set a shorter timeout.
+  Duration timeout{};       ///< Upper limit of the timeout; the route may set a shorter one.
   double max_per_slot = 0;  ///< Engines with more requests per slot are skipped; 0 means unlimited.
-  std::shared_ptr<http::Cancellation> cancellation;  ///< Aborts the request.
+  std::shared_ptr<http::Cancellation> cancellation;  ///< Allows the sender to abort the request.
 };
 
 struct internal_outcome {
   unsigned status = 0;    ///< Status of a complete, signed response; 0 if there was none.
-  std::string signature;  ///< Signature of that response.
+  std::string signature;  ///< Signature of the response.
   int failures = 0;       ///< Attempts that engines answered with status 500.
   int attempts = 0;
   Duration retry_after{};  ///< Time until the request may run, if it is a suspect.
--- a/src/gateway/forward/local_replies.h
+++ b/src/gateway/forward/local_replies.h
@@ -14,12 +14,13 @@
 struct local_reply_options {
   Duration retry_after = std::chrono::milliseconds(250);
   /** Retry-After if the operator has closed the engines' zones, so that no requests are sent to
-   * them. Zones stay closed for at least some seconds; an earlier retry would be rejected again.
+   * the engines. Zones stay closed for at least some seconds, so an earlier retry would be
+   * rejected.
    */
   Duration retry_after_closed = std::chrono::seconds(1);
 };
 
-/** @return the HTTP status for the reply. */
+/** @return the HTTP status of a local reply. */
 unsigned statusOf(LocalReply reply);
 
 class local_replies {
--- a/src/gateway/forward/request_log.h
+++ b/src/gateway/forward/request_log.h
@@ -13,7 +13,9 @@
 
 namespace linenpier::forward {
 
-/** Number of successes logged per second. Of further ones, one in `kSampleInterval` is logged. */
+/** Number of successful requests per second that are all logged. Of further successful requests,
+ * one in `kSampleInterval` is logged.
+ */
 inline constexpr std::uint32_t kUnsampledLinesPerSecond = 50;
 inline constexpr std::uint32_t kSampleInterval = 20;
 
@@ -29,8 +31,8 @@
                       bool engine_crashed);
 
   /** Logs a finished request; successes are sampled.
-   * @param outcome such as "answered" or "client_gone".
-   * @param status sent to the caller; 0 if none was sent.
+   * @param outcome name of the outcome, such as "answered" or "client_gone".
+   * @param status HTTP status sent to the caller; 0 if no status was sent.
    */
   void onRequestEnded(const forwarded_request& forwarded, const char* outcome, unsigned status,
                       const attempt_policy& policy);
--- a/src/gateway/forward/run_reporter.cpp
+++ b/src/gateway/forward/run_reporter.cpp
@@ -20,8 +20,8 @@
       return true;
     case AttemptOutcome::kTimedOut:
     case AttemptOutcome::kAborted: {
-      // An engine that reported load after the attempt started was reachable, so it received the
-      // request, too.
+      // An engine that reported load after the attempt started was reachable, so the engine also
+      // received the request.
       const engines::engine_state* engine = this->registry_.find(call.engine());
       return engine != nullptr && engine->load.reportedAt() > call.startedAt();
     }
--- a/src/gateway/forward/run_reporter.h
+++ b/src/gateway/forward/run_reporter.h
@@ -17,8 +17,8 @@
   run_reporter(const engines::engine_registry& registry, usage::usage_recorder& recorder)
       : registry_(registry), recorder_(recorder) {}
 
-  /** Called when an engine starts to execute the request. Internal requests and those without a
-   * tenant are not reported.
+  /** Called when an engine starts to execute the request. Internal requests and requests without
+   * a tenant are not reported.
    */
   void onRun(forwarded_request& forwarded, Instant at);
 
--- a/src/gateway/forward/stream_session.cpp
+++ b/src/gateway/forward/stream_session.cpp
@@ -48,7 +48,7 @@
     const EngineId chosen = engine->record.id;
     const auto attempt = co_await this->context_.admission.admit(this->forwarded_, true);
     if (!attempt) break;
-    // The engine may have been removed while waiting for admission.
+    // The engine may have been removed while the attempt waited for admission.
     engine = this->context_.engines.registry.find(chosen);
     if (engine == nullptr || this->cancelled()) {
       this->context_.admission.onNotSent(this->forwarded_, *attempt);
@@ -66,7 +66,8 @@
 const engines::engine_state* stream_session::pickEngine() {
   const engines::engine_state* engine = this->context_.picker.pick(this->forwarded_, this->tried_);
   if (engine != nullptr || this->tried_.size() <= 1) return engine;
-  // All engines were tried. Allow all but the last one again, since they may have recovered.
+  // All engines were tried. Allow all engines but the last one again, since they may have
+  // recovered.
   this->tried_ = {this->latest_call_->engine()};
   return this->context_.picker.pick(this->forwarded_, this->tried_);
 }
--- a/src/gateway/forward/stream_session.h
+++ b/src/gateway/forward/stream_session.h
@@ -19,10 +19,12 @@
 
 namespace linenpier::forward {
 
-/** Must outlive `run`. Runs one attempt at a time. */
+/** Session that serves one client stream, with one attempt at a time. The session must outlive the
+ * coroutine `run`.
+ */
 class stream_session {
  public:
-  /** Resumes after the event that the request's Last-Event-ID field names, if any. */
+  /** If the request has a Last-Event-ID field, the stream resumes after the event of that id. */
   stream_session(const forwarding_context& context, forwarded_request& forwarded,
                  http::ResponseWriter& writer);
 
@@ -34,19 +36,21 @@
  private:
   /** @return whether an engine response was relayed to its end. */
   Task<bool> runAttempts();
-  /** @return nullptr if no engine is admitted. */
+  /** @return the engine for the next attempt; nullptr if no engine is admitted. */
   const engines::engine_state* pickEngine();
   void startCall(Instant now, const engines::engine_state& engine);
-  /** Relays the response of the current call and reports the outcome. */
+  /** Relays the response of the current engine call and reports the outcome of the attempt. */
   Task<AttemptOutcome> runCall(suspects::sent_attempt attempt);
-  /** Relays the response of the current call. */
+  /** Relays the response of the current engine call. */
   Task<AttemptOutcome> relay();
   Task<AttemptOutcome> relayEvents(engine_call& call);
   /** Relays a response that is not a stream, such as an error. */
   Task<AttemptOutcome> relayUnary(engine_call& call);
   /** Appends events to `bytes`. @return false if the event ids are not consecutive. */
   bool appendEvents(const std::vector<stream_event>& events, std::string& bytes);
-  /** Sends the response header unless already sent. @return false if the client disconnected. */
+  /** Sends the response header unless it was already sent.
+   * @return false if the client disconnected.
+   */
   Task<bool> ensureStreamBegun(engine_call& call);
   /** Ends a request whose response was not relayed to its end. */
   Task<void> endWithoutResponse();
@@ -60,10 +64,11 @@
   attempt_policy policy_;
   const bool resumable_;
   bool head_sent_ = false;
-  /** Last event sent to the client, in this or an earlier request. */
+  /** Id of the last event sent to the client, in this or an earlier request. */
   std::optional<std::uint64_t> last_event_id_;
   std::set<EngineId> tried_;
-  std::shared_ptr<engine_call> latest_call_;  ///< Remains set after the attempt ended.
+  /** Latest attempt; remains set after the attempt ended. */
+  std::shared_ptr<engine_call> latest_call_;
 };
 
 }  // namespace linenpier::forward
--- a/src/gateway/forward/unary_forwarder.cpp
+++ b/src/gateway/forward/unary_forwarder.cpp
@@ -80,7 +80,7 @@
     Instant next_check = policy.nextCheck();
     if (policy.canStart(now)) {
       const bool started = co_await this->startAttempt(forwarded, *group, policy, cancellation);
-      // If none could start, another may start only after an attempt in flight has ended.
+      // If no attempt could start, the next one may start only after an attempt in flight ended.
       next_check = started ? policy.nextCheck() : forwarded->deadline;
     }
     if (policy.running() == 0) break;
@@ -108,7 +108,7 @@
                                          http::Cancellation& cancellation) {
   const auto attempt = co_await this->context_.admission.admit(*forwarded, policy.running() == 0);
   if (!attempt) co_return false;
-  // Time may have passed while waiting for admission.
+  // The deadline may have passed while the attempt waited for admission.
   const bool over = cancellation.requested() || steadyNow() >= forwarded->deadline;
   if (over || !group.start(*attempt)) {
     this->context_.admission.onNotSent(*forwarded, *attempt);
--- a/src/gateway/forward/unary_forwarder.h
+++ b/src/gateway/forward/unary_forwarder.h
@@ -22,18 +22,19 @@
 
   /** Sends the client an engine response or a local reply, unless the client disconnects. */
   Task<void> serve(std::shared_ptr<forwarded_request> forwarded, http::ResponseWriter& writer);
-  /** Sends an internal request with the same retry policy. */
+  /** Sends an internal request with the retry policy of client requests. */
   Task<internal_outcome> send(internal_request request);
 
  private:
   /** Result of all attempts of one request. */
   struct attempts_outcome {
-    std::optional<http::Response> response;  ///< Complete and signed.
+    std::optional<http::Response> response;  ///< Complete, signed engine response.
     int failures = 0;                        ///< Attempts that engines answered with status 500.
   };
 
   std::shared_ptr<forwarded_request> makeInternal(const internal_request& request) const;
-  /** Runs attempts until there is a response to forward, or none is in flight and none may start.
+  /** Runs attempts until there is a response to forward, or until no attempt is in flight and no
+   * further attempt may start.
    */
   Task<attempts_outcome> runAttempts(std::shared_ptr<forwarded_request> forwarded,
                                      attempt_policy& policy, http::Cancellation& cancellation);
@@ -42,7 +43,7 @@
    */
   void processResults(attempt_group& group, attempt_policy& policy,
                       attempts_outcome& outcome) const;
-  /** @return false if the attempt was not admitted or no engine was found. */
+  /** Starts an attempt. @return false if it was not admitted or no engine was found. */
   Task<bool> startAttempt(std::shared_ptr<forwarded_request> forwarded, attempt_group& group,
                           attempt_policy& policy, http::Cancellation& cancellation);
 
--- a/src/gateway/http/client_exchange.cpp
+++ b/src/gateway/http/client_exchange.cpp
@@ -17,11 +17,11 @@
 constexpr std::size_t kReadChunkBytes = 16 * 1024;
 constexpr std::size_t kMaxBodyBytes = 64 * 1024 * 1024;
 constexpr int kMaxStaleResponses = 3;
-/// Shorter suspensions of the machine are ignored: `machine_clock::suspended` is the difference of
-/// two clocks that are read one after the other.
+/// Longest suspension of the machine that is ignored. `machine_clock::suspended` is inexact, since
+/// it is the difference of two clocks that are read one after the other.
 constexpr Duration kSuspensionTolerance = std::chrono::milliseconds(50);
-/// Reuse of a connection ends this long before the peer closes it, so that no request is sent on a
-/// connection that is being closed.
+/// Time before the idle timeout of the peer at which reuse of a connection ends, so that no request
+/// is sent on a connection that is being closed.
 constexpr Duration kIdleTimeoutMargin = std::chrono::milliseconds(600);
 
 /// @return the idle timeout from the Keep-Alive field, less a margin.
@@ -33,7 +33,7 @@
   return std::max<Duration>(seconds - kIdleTimeoutMargin, Duration::zero());
 }
 
-/// Closes immediately, even during a write.
+/// Closes the connection immediately, even during a write.
 void close(ClientConnection& connection) {
   boost::system::error_code ignored;
   connection.stream.socket().close(ignored);
--- a/src/gateway/http/client_exchange.h
+++ b/src/gateway/http/client_exchange.h
@@ -16,10 +16,10 @@
 /// Result of an exchange or of one of its steps.
 enum class ExchangeStatus {
   kOk,
-  kNotConnected,  ///< Connection failed; nothing was sent.
+  kNotConnected,  ///< The connection failed; nothing was sent.
   kWithheld,      ///< The `sendOnlyIf` condition was false; nothing was sent.
-  kBroken,        ///< Closed, reset or malformed; the request may have been processed.
-  kTimedOut,      ///< Deadline passed; the request may have been processed.
+  kBroken,        ///< Lost connection or malformed response; the request may have been processed.
+  kTimedOut,      ///< The deadline passed; the request may have been processed.
   kAborted,       ///< `abort` was called.
 };
 
@@ -31,8 +31,9 @@
   std::string value;
 };
 
-/// Writes and reads concurrently, since peers may respond before they have read the whole body.
-/// Event loop thread only; must be owned by a shared_ptr.
+/// One request and its response. The exchange writes and reads concurrently, since peers may
+/// respond before they have read the whole request body. An exchange must be owned by a shared_ptr
+/// and used on the event loop thread only.
 ///
 /// Invariant: the connection returns to the pool only if the request was written and the response
 /// read completely, the buffer is empty and both sides allow keep-alive.
@@ -40,11 +41,11 @@
  public:
   ClientExchange(ConnectionPool& pool, Address peer, Request request);
 
-  /// Sets a condition that is checked after the connection was established. If it is false, the
-  /// request is not sent.
+  /// Sets a condition that is checked after the connection was established. If the condition is
+  /// false, the request is not sent.
   void sendOnlyIf(std::function<bool()> condition) { may_send_ = std::move(condition); }
   /// Connects, sends the request and reads the response header.
-  /// @param force_new_connection ignore idle connections.
+  /// @param force_new_connection whether to ignore idle connections of the pool.
   Task<ExchangeStatus> start(Instant connect_deadline, Instant deadline,
                              std::optional<ExpectedEcho> echo, bool force_new_connection);
   /// Appends a part of the body to `out`.
@@ -75,14 +76,15 @@
   ConnectionPool& pool_;
   Address peer_;
   Request request_;
-  std::function<bool()> may_send_;  ///< Empty: unconditional.
-  ClientConnectionPtr connection_;  ///< Null before connecting and after the end.
+  /// Condition for sending; if empty, the request is always sent.
+  std::function<bool()> may_send_;
+  ClientConnectionPtr connection_;  ///< Null before connecting and after the end of the exchange.
   std::optional<Parser> parser_;
   bool sent_ = false;
   bool write_done_ = false;
   bool complete_ = false;
   bool aborted_ = false;
-  bool stale_response_seen_ = false;  ///< The connection must not be reused.
+  bool stale_response_seen_ = false;  ///< If true, the connection must not be reused.
 };
 
 /// Result of `call`. `sent` tells whether the request may have been processed.
@@ -93,9 +95,9 @@
 };
 /// Sends a request and reads the complete response.
 Task<CallOutcome> call(ConnectionPool& pool, Address peer, Request request, Instant deadline);
-/// The same for an exchange that the caller can abort.
+/// Sends the request of an exchange, which the caller can abort, and reads the complete response.
 Task<CallOutcome> call(std::shared_ptr<ClientExchange> exchange, Instant deadline);
-/// The same with a separate deadline for connecting.
+/// Sends a request, with a separate deadline for connecting, and reads the complete response.
 Task<CallOutcome> call(ConnectionPool& pool, Address peer, Request request,
                        Instant connect_deadline, Instant deadline);
 
--- a/src/gateway/http/connection_pool.h
+++ b/src/gateway/http/connection_pool.h
@@ -20,10 +20,10 @@
   explicit ClientConnection(boost::asio::io_context& loop) : stream(loop) {}
 
   boost::beast::tcp_stream stream;
-  boost::beast::flat_buffer buffer;  ///< Received, not yet parsed.
+  boost::beast::flat_buffer buffer;  ///< Bytes received but not yet parsed.
   Address peer;
-  Instant usable_until{};  ///< End of the idle timeout.
-  bool reused = false;     ///< It was in the pool before.
+  Instant usable_until{};  ///< Time at which the idle timeout ends.
+  bool reused = false;     ///< Whether the connection was in the pool before.
 
   /// Sets the deadline of reads and writes. The stream's timer uses the steady clock.
   void expireAt(Instant deadline) { stream.expires_after(deadline - steadyNow()); }
@@ -40,10 +40,11 @@
 
 struct ConnectionPoolOptions {
   std::size_t max_idle_per_peer = 32;
-  Duration idle_timeout = std::chrono::seconds(4);  ///< If the peer sends no Keep-Alive timeout.
+  /// Idle timeout of a connection if the peer sends no Keep-Alive timeout.
+  Duration idle_timeout = std::chrono::seconds(4);
 };
 
-/// Idle connections by peer. Event loop thread only.
+/// Pool of idle connections by peer; to be used on the event loop thread only.
 class ConnectionPool {
  public:
   ConnectionPool(boost::asio::io_context& loop, ConnectionPoolOptions options)
@@ -57,7 +58,7 @@
   /// probes of one peer share a connection: an engine that loads weights resets all connections,
   /// and all requests on them probe the engine at the same time.
   Task<PeerState> probe(Address peer, Instant deadline);
-  /// Adds a connection that has no exchange in progress.
+  /// Adds a connection that has no exchange in progress to the pool.
   void release(Instant now, ClientConnectionPtr connection, Duration idle_timeout);
   /// Closes the idle connections to a peer.
   void closeIdle(const Address& peer) { idle_.erase(peer); }
@@ -81,9 +82,10 @@
 
   boost::asio::io_context& loop_;
   ConnectionPoolOptions options_;
-  std::map<Address, std::vector<ClientConnectionPtr>> idle_;  ///< Newest last.
+  /// Idle connections by peer, newest last.
+  std::map<Address, std::vector<ClientConnectionPtr>> idle_;
   std::map<Address, std::shared_ptr<Probe>> probes_;
-  std::uint64_t opened_ = 0;  ///< Total, for metrics.
+  std::uint64_t opened_ = 0;  ///< Total number of connections opened, for metrics.
 };
 
 }  // namespace linenpier::http
--- a/src/gateway/http/http_types.h
+++ b/src/gateway/http/http_types.h
@@ -24,10 +24,11 @@
   return at == fields.end() ? std::string() : std::string(at->value());
 }
 
-/// Copies the end-to-end fields. Omits hop-by-hop fields and those that frame the body.
+/// Copies the end-to-end fields. Omits hop-by-hop fields and fields that frame the body.
 void copyEndToEndFields(const Fields& from, Fields& to);
 
-/// Cancels a request in progress. Has one observer; event loop thread only.
+/// Cancels a request in progress. A cancellation has one observer and is used on the event loop
+/// thread only.
 class Cancellation {
  public:
   bool requested() const { return requested_; }
--- a/src/gateway/http/server.h
+++ b/src/gateway/http/server.h
@@ -20,15 +20,19 @@
 struct ServerLimits {
   std::uint32_t max_header_bytes = 16 * 1024;
   std::uint64_t max_body_bytes = 32ULL * 1024 * 1024;
-  Duration header_timeout = std::chrono::seconds(3);  ///< Starts at the first byte.
-  Duration body_timeout = std::chrono::seconds(10);   ///< Starts at the end of the header.
-  Duration idle_timeout = std::chrono::seconds(15);   ///< Between requests.
+  /// Time to read a request header, counted from the first byte.
+  Duration header_timeout = std::chrono::seconds(3);
+  /// Time to read a request body, counted from the end of the header.
+  Duration body_timeout = std::chrono::seconds(10);
+  /// Maximum time between two requests of a connection.
+  Duration idle_timeout = std::chrono::seconds(15);
 };
 
 class ServerSession;
 
 /// Sends the response of a request. A handler must call `send`, or `beginStream` and `endStream`,
-/// or `abortConnection`. If it returns without any of them, the connection is closed.
+/// or `abortConnection`. If the handler returns without one of these calls, the
+/// connection is closed.
 class ResponseWriter {
  public:
   explicit ResponseWriter(ServerSession& session) : session_(session) {}
@@ -44,7 +48,7 @@
   bool started() const { return started_; }
   bool ended() const { return ended_; }
 
-  /// Requested when the client disconnects before the end of the response.
+  /// @return the cancellation that is requested if the client disconnects before the response ends.
   Cancellation& cancellation() { return cancellation_; }
 
  private:
@@ -57,13 +61,13 @@
 
 using Handler = std::function<Task<void>(Request&, Instant received, ResponseWriter&)>;
 
-/// Listens on one address until `shutDown`.
+/// HTTP server that listens on one address until `shutDown` is called.
 class Server {
  public:
   Server(boost::asio::io_context& loop, Handler handler)
       : loop_(loop), acceptor_(loop), handler_(std::move(handler)) {}
 
-  /// @return nullopt, or the error.
+  /// Starts to listen. @return the error, or nullopt on success.
   std::optional<Finding> listen(const Address& address);
   /// @return the bound address, with the port assigned by the system if port 0 was requested.
   Address address() const;
@@ -84,7 +88,7 @@
   Handler handler_;
   ServerLimits limits_;
   std::set<ServerSession*> sessions_;  ///< All open connections.
-  /// Requests between their first byte and the end of their response.
+  /// Number of requests whose first byte has arrived and whose response has not ended.
   std::size_t active_requests_ = 0;
   bool draining_ = false;
 };
--- a/src/gateway/http/server_session.cpp
+++ b/src/gateway/http/server_session.cpp
@@ -67,8 +67,8 @@
   co_return true;
 }
 
-/// Cancels reads after a timeout. Unlike the stream's own timeout it keeps the connection open, so
-/// that an error response can be sent.
+/// Cancels reads after a timeout. Unlike the timeout of the TCP stream, this timeout keeps the
+/// connection open, so that an error response can be sent.
 class ServerSession::ReadTimeout {
  public:
   ReadTimeout(boost::beast::tcp_stream& stream, Duration limit)
@@ -91,7 +91,7 @@
   struct State {
     explicit State(boost::beast::tcp_stream& limited)
         : stream(limited), timer(limited.get_executor()) {}
-    boost::beast::tcp_stream& stream;  ///< Must not be used once `done`.
+    boost::beast::tcp_stream& stream;  ///< Stream that must not be used once `done` is true.
     machine_timer timer;
     bool expired = false;
     bool done = false;
@@ -135,7 +135,7 @@
   Response response(status, 11);
   keep_alive_ = false;
   co_await writeResponse(std::move(response));
-  // Drain input before closing, or a TCP reset could discard the error response.
+  // Read the remaining input before closing; otherwise a TCP reset could discard the response.
   boost::system::error_code error;
   stream_.socket().shutdown(asio::ip::tcp::socket::shutdown_send, error);
   stream_.expires_after(std::chrono::milliseconds(500));
--- a/src/gateway/http/server_session.h
+++ b/src/gateway/http/server_session.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One client connection. Used by the server only.
+/// One client connection of the HTTP server.
 
 #include <boost/beast/http/parser.hpp>
 
@@ -23,7 +23,7 @@
   class ReadTimeout;
   using Parser = beast_http::request_parser<beast_http::string_body>;
 
-  /// Waits for the first byte of a request. @return false if none arrived.
+  /// Waits for the first byte of a request. @return false if no byte arrived.
   Task<bool> waitForRequest();
   /// Reads a complete request. @return false if the connection must be closed.
   Task<bool> readRequest(Parser& parser);
@@ -38,7 +38,7 @@
   Server& server_;
   boost::beast::tcp_stream stream_;
   boost::beast::flat_buffer buffer_;
-  ResponseWriter* writer_ = nullptr;  ///< Of the request in progress.
+  ResponseWriter* writer_ = nullptr;  ///< Response writer of the request in progress.
   std::uint64_t request_number_ = 0;  ///< Detects notifications for earlier requests.
   bool in_request_ = false;
   bool closed_ = false;
--- a/src/gateway/suspects/request_key.cpp
+++ b/src/gateway/suspects/request_key.cpp
@@ -7,7 +7,9 @@
 namespace linenpier::suspects {
 
 namespace {
-/** Prefixes the length, so that different splits into host and target get different hashes. */
+/** Prefixes a part with its length, so that moving characters from one part to the next changes the
+ * hash.
+ */
 std::string lengthPrefixed(std::string_view part) {
   return std::to_string(part.size()) + ":" + std::string(part);
 }
--- a/src/gateway/suspects/request_key.h
+++ b/src/gateway/suspects/request_key.h
@@ -17,7 +17,8 @@
 using request_key = Id<struct request_key_tag>;
 
 /** @return 48 hexadecimal digits: a 16-digit hash of the tenant, so that a tenant cannot craft a
- * collision with another tenant's request, and a 32-digit hash of the rest.
+ * collision with another tenant's request, and a 32-digit hash of the host,
+ * path, query and body.
  */
 request_key keyOf(const TenantId& tenant, std::string_view host, std::string_view target,
                   std::string_view body);
--- a/src/gateway/suspects/suspect_admission.h
+++ b/src/gateway/suspects/suspect_admission.h
@@ -20,7 +20,7 @@
    */
   int item_crash_threshold = 5;
   /** Longest time from the sending of an attempt to a crash that counts. A request that crashes
-   * engines does so when its execution starts.
+   * engines crashes them when its execution starts.
    */
   Duration max_run_before_crash = std::chrono::seconds(3);
   /** Delay before a caller's request may run again after its second crash. Long enough for crashed
@@ -33,34 +33,36 @@
   Duration item_retry_interval = std::chrono::seconds(4);
   /** Duration after which an isolated run no longer blocks other runs of the request. */
   Duration isolated_run_timeout = std::chrono::seconds(3);
-  /** Time after the last crash, or after the end of the bar, until a suspect is removed. */
+  /** Time until a suspect is removed, counted from its last crash or, if the suspect is barred,
+   * from the time at which it is no longer barred.
+   */
   Duration retention = std::chrono::minutes(10);
-  /** Duration of the bar, counted from the last crash; doubled for each crash beyond
+  /** Time for which a suspect is barred, counted from the last crash; doubled for each crash beyond
    * `crash_threshold`.
    */
   Duration initial_bar = std::chrono::minutes(10);
   int max_bar_doublings = 6;
-  /** Maximum number of suspects, of about 0.5 KB each. Those with the fewest crashes are evicted
-   * first.
+  /** Maximum number of suspects, of about 0.5 KB each. The suspects with the fewest crashes are
+   * evicted first.
    */
   std::size_t max_entries = 4096;
 };
 
 enum class AdmissionState {
   kNotSuspect,
-  kMayRunAlone,  ///< May run on one engine at a time.
-  kRunning,      ///< An isolated run is in progress on some daemon.
-  kBackingOff,   ///< Waiting after a recent crash; below the threshold.
-  kBarred,       ///< Reached the threshold.
+  kMayRunAlone,  ///< The request may run on one engine at a time.
+  kRunning,      ///< A daemon is running the request isolated.
+  kBackingOff,   ///< The request must wait after a recent crash but is not barred.
+  kBarred,       ///< The request must not run, since its crashes reached the threshold.
 };
 
-/** @return the state's name in log events. */
+/** @return the name of the admission state in log events. */
 const char* toText(AdmissionState value);
 
 struct suspect_admission {
   AdmissionState state = AdmissionState::kNotSuspect;
   int crashes = 0;
-  Duration retry_after{};       ///< Time until the request may be admitted; zero if it may run.
+  Duration retry_after{};       ///< Time until the request may run; zero if it may run now.
   Duration since_last_crash{};  ///< Time since the last crash.
 };
 
--- a/src/gateway/suspects/suspect_record.h
+++ b/src/gateway/suspects/suspect_record.h
@@ -13,13 +13,13 @@
 
 namespace linenpier::suspects {
 
-/** Maximum number of engine ids in a record, for diagnosis. The first ones are kept. */
+/** Maximum number of engine ids in a record, for diagnosis. The ids recorded first are kept. */
 inline constexpr std::size_t kMaxEnginesKept = 8;
 
-/** Content of a row in the store. */
+/** Content of a suspect's row in the store. */
 struct suspect_record {
-  /** Number of crashes. Those during concurrent attempts count once: a zone that loses power stops
-   * many engines that run the same request.
+  /** Number of crashes. Crashes during concurrent attempts count once: a zone that loses power
+   * stops many engines that run the same request.
    */
   int crashes = 0;
   std::vector<EngineId> engines;   ///< Engines that crashed; at most `kMaxEnginesKept`.
@@ -31,7 +31,7 @@
 };
 
 std::string encodeSuspect(const suspect_record& record);
-/** @return nullopt if the text is malformed. */
+/** Parses a stored record. @return nullopt if the text is malformed. */
 std::optional<suspect_record> decodeSuspect(const std::string& text);
 
 }  // namespace linenpier::suspects
--- a/src/gateway/suspects/suspect_registry.cpp
+++ b/src/gateway/suspects/suspect_registry.cpp
@@ -181,7 +181,7 @@
     this->entries_.erase(at);
     return;
   }
-  // Another daemon cleared the request, but a later crash here is not stored yet; it counts.
+  // Another daemon cleared the request. A later crash on this daemon is not stored yet but counts.
   at->second.crashes = 1;
   at->second.revision = 0;
 }
--- a/src/gateway/suspects/suspect_registry.h
+++ b/src/gateway/suspects/suspect_registry.h
@@ -20,7 +20,9 @@
 
 namespace linenpier::suspects {
 
-/** Event loop thread only. The caller supplies the time. */
+/** Suspects known to one daemon. To be used on the event loop thread only; the caller supplies the
+ * time.
+ */
 class suspect_registry {
  public:
   explicit suspect_registry(suspect_rules rules = {}) : rules_(rules) {}
@@ -35,17 +37,17 @@
   /** @return the number of crashes of the request. Senders store it in `sent_attempt::crashes`. */
   int crashesOf(const request_key& key) const;
 
-  /** An engine crashed during an attempt.
+  /** Records that an engine crashed during an attempt.
    * @param known number of crashes known when the attempt was sent. Attempts with the same number
    * ran concurrently, possibly on several daemons, and count once.
    * @return whether the number of crashes increased.
    */
   bool onEngineCrashed(Instant now, const request_key& key, const EngineId& engine, int known);
-  /** Removes the suspect: an engine completed the request.
-   * @return the revision of the suspect's row; 0 if there is none.
+  /** Removes a suspect whose request was completed by an engine.
+   * @return the revision of the suspect's row in the store; 0 if the suspect has no row.
    */
   Revision onCleared(const request_key& key);
-  /** The daemon `self` starts or ends an isolated run of the request. */
+  /** Records that the daemon `self` starts or ends an isolated run of the request. */
   void onIsolatedRun(Instant now, const request_key& key, const std::string& self);
   void onIsolatedRunEnded(const request_key& key, const std::string& self);
 
@@ -55,22 +57,22 @@
   void onRow(Instant now, std::int64_t clock_ms, const request_key& key, Revision revision,
              const suspect_record& record);
   void onRowGone(const request_key& key, Revision revision);
-  /** The whole table was read: rows not in `present` were removed before `as_of`. */
+  /** Handles a read of the whole table: rows not in `present` were removed before `as_of`. */
   void onTableRead(const std::set<request_key>& present, Revision as_of);
-  /** Merges a peer's record, which may be newer than the row. */
+  /** Merges a peer's record, which may be newer than the suspect's row in the store. */
   void onPeerRow(Instant now, std::int64_t clock_ms, const request_key& key, Revision revision,
                  const suspect_record& record);
-  /** The store committed the record `written`. */
+  /** Records that the store committed the record `written`. */
   void onWritten(const request_key& key, Revision revision, const suspect_record& written);
 
-  /** @return the record to be stored. */
+  /** @return the suspect's record to be stored. */
   suspect_record record(Instant now, std::int64_t clock_ms, const request_key& key) const;
   Revision revisionOf(const request_key& key) const;
   /** @return the lease id of the daemon that runs the request isolated; empty if none. */
   std::string isolatedBy(const request_key& key) const;
   /** @return up to `max_count` requests whose rows must be written, most crashes first. */
   std::vector<request_key> unwritten(std::size_t max_count) const;
-  /** Marks the suspect to be stored, so that other daemons know it. */
+  /** Marks the suspect to be stored, so that other daemons learn of the suspect. */
   void setShared(const request_key& key);
   /** @return up to `max_count` rows for a daemon that cannot reach the store, most crashes first.
    * @param prefix prefix of the row keys.
@@ -91,8 +93,8 @@
     std::string isolated_by;  ///< Lease id of the daemon that runs the request isolated; or empty.
     Instant isolated_until{};
     Revision revision = 0;  ///< Revision of the stored row; 0 if unknown.
-    bool shared = false;    ///< The row must be stored.
-    bool written = false;   ///< The stored row is up to date.
+    bool shared = false;    ///< Whether the suspect must be stored.
+    bool written = false;   ///< Whether the stored row is up to date.
   };
 
   bool isBarred(int crashes, RequestSource source) const;
@@ -103,7 +105,7 @@
   void addEngines(entry& into, const std::vector<EngineId>& engines) const;
   /** Evicts the suspect with the fewest crashes. */
   void evictOne();
-  /** @return up to `max_count` matching requests, most crashes first. */
+  /** @return up to `max_count` requests that match the predicate, most crashes first. */
   template <typename Predicate>
   std::vector<request_key> withMostCrashes(std::size_t max_count, Predicate matches) const;
 
--- a/src/gateway/suspects/suspect_service.cpp
+++ b/src/gateway/suspects/suspect_service.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Maximum wait for a claim. A slow store must not delay innocent requests. */
+/** Maximum wait for a claim. A slow store must not delay requests that do not crash engines. */
 constexpr Duration kClaimTimeout = std::chrono::milliseconds(100);
 constexpr int kMaxClaimAttempts = 3;
 /** Interval of checks for rows to write if no change was notified. */
@@ -20,9 +20,9 @@
 /** Delay before writing again if the store did not respond. */
 constexpr Duration kStoreRetryDelay = std::chrono::milliseconds(200);
 constexpr int kMaxRemoveAttempts = 3;
-/** Number of rows, those with the most crashes, that are written before rows are selected again. */
+/** Number of rows that are selected and written at a time, most crashes first. */
 constexpr std::size_t kWriteBatchSize = 32;
-/** Limits a response to a peer to about 80 KB. */
+/** Maximum number of rows in a response to a peer, which limits the response to about 80 KB. */
 constexpr std::size_t kMaxPeerRows = 256;
 constexpr Duration kSweepInterval = std::chrono::seconds(10);
 constexpr std::size_t kMaxRemovedPerSweep = 20;
@@ -202,7 +202,7 @@
     this->onRow(key, row);
     return;
   }
-  // The row was removed. Crashes that it did not contain are written as a new row.
+  // The suspect's row was removed. Crashes that the row did not contain are written as a new row.
   this->registry_.onRowGone(key, this->registry_.revisionOf(key) + 1);
 }
 
@@ -223,8 +223,8 @@
   }
   if (!answer) {
     // The row is written by way of a peer at once. Until it is written, other daemons could send
-    // the request, so this does not wait until the store counts as lost. The record is made again
-    // to include newer crashes.
+    // the request, so do not wait until the store counts as lost. Make the record again to include
+    // newer crashes.
     record = this->registry_.record(steadyNow(), this->clock(), key);
     answer = co_await this->deps_.write_by_peer(this->writeOf(key, record));
   }
--- a/src/gateway/suspects/suspect_service.h
+++ b/src/gateway/suspects/suspect_service.h
@@ -8,7 +8,7 @@
  * - A daemon that reaches the store learns of a crash after one write and one update of the watch.
  * Suspects in the store survive a restart of all daemons.
  * - A daemon that cannot reach the store exchanges suspects with its peers.
- * - A daemon that reaches neither applies the rules to its own observations.
+ * - A daemon that reaches neither the store nor a peer applies the rules to its own observations.
  */
 
 #include <functional>
@@ -24,17 +24,19 @@
 
 namespace linenpier::suspects {
 
-/** Number of refusals logged per second. Of further ones, one in `kSampleInterval` is logged. */
+/** Number of refusals per second that are all logged. Of further refusals, one in
+ * `kSampleInterval` is logged.
+ */
 inline constexpr std::uint32_t kUnsampledRefusalsPerSecond = 20;
 inline constexpr std::uint32_t kSampleInterval = 50;
 
 struct suspect_totals {
-  std::uint64_t engine_crashes = 0;  ///< Crashes during this daemon's attempts that counted.
+  std::uint64_t engine_crashes = 0;  ///< Counted crashes during this daemon's attempts.
   std::uint64_t refused = 0;
-  std::uint64_t cleared = 0;  ///< Suspects cleared by a response received here.
+  std::uint64_t cleared = 0;  ///< Suspects cleared by a response to this daemon.
 };
 
-/** Event loop thread only. */
+/** Service that shares suspects; to be used on the event loop thread only. */
 class suspect_service : public suspect_tracker {
  public:
   struct dependencies {
@@ -61,11 +63,11 @@
   void onAnswered(const request_key& key) override;
   void onInconclusive(const request_key& key) override;
 
-  /** Changes read from the store. */
+  /** Handles a changed row read from the store. */
   void onRow(const request_key& key, const table::Row& row);
   void onRowGone(const request_key& key, Revision revision);
   void onTableRead(const std::set<request_key>& present, Revision as_of);
-  /** Rows received from a peer while the store is unreachable. */
+  /** Handles rows received from a peer while the store is unreachable. */
   void onPeerRows(const std::vector<table::Row>& rows);
   /** @return whether existing suspects were read from the store or a peer. Until then, the daemon
    * is not ready, since it could send known suspects without isolation.
@@ -83,12 +85,12 @@
   Task<void> writeLoop();
   Task<void> sweepLoop();
   table::Write writeOf(const request_key& key, const suspect_record& record) const;
-  /** Writes one row from the registry; by way of a peer if the store does not respond. */
+  /** Writes a suspect's row to the store, by way of a peer if the store does not respond. */
   Task<WriteOutcome> writeRow(request_key key);
-  /** Starts `writeRow` and waits for at most `kClaimTimeout`; the write continues after that. */
+  /** Starts `writeRow` and waits for at most `kClaimTimeout`; the write continues afterwards. */
   Task<WriteOutcome> claim(request_key key);
   Task<void> removeRow(request_key key, Revision revision);
-  /** Merges the store's row after a write conflict. */
+  /** Merges the row in the store after a write conflict. */
   void onConflict(const request_key& key, const std::vector<table::Row>& rows);
   std::int64_t clock() const { return this->deps_.keeper.storeClock(steadyNow()); }
   std::string self() const { return this->deps_.leases.own().str(); }
--- a/src/gateway/suspects/suspect_tracker.h
+++ b/src/gateway/suspects/suspect_tracker.h
@@ -12,20 +12,20 @@
 
 namespace linenpier::suspects {
 
-/** State of the request when the attempt was sent. */
+/** State of a request when one of its attempts was sent. */
 struct sent_attempt {
   int crashes = 0;        ///< Engine crashes known for the request.
-  bool isolated = false;  ///< This is an isolated run; its end must be reported.
+  bool isolated = false;  ///< Whether the attempt is an isolated run, whose end must be reported.
 };
 
-/** Event loop thread only. */
+/** Interface for admission of suspects; to be used on the event loop thread only. */
 class suspect_tracker {
  public:
   virtual ~suspect_tracker() = default;
 
   /** @return whether there are any suspects. If not, callers can skip computing the request key. */
   virtual bool hasSuspects() const = 0;
-  /** @return the admission by the suspects that this daemon knows; mostly kNotSuspect. */
+  /** @return the admission of a request according to the suspects that this daemon knows. */
   virtual suspect_admission admissionOf(const request_key& key, RequestSource source) const = 0;
   /** Claims the fleet-wide right to run a suspect. Writes the claim to the store if it is
    * reachable.
@@ -41,15 +41,15 @@
   virtual suspect_admission beginLocalIsolatedRun(const request_key& key, RequestSource source,
                                                   const std::string& id) = 0;
 
-  /** The engine process crashed during an attempt.
+  /** Records that the engine process crashed during an attempt.
    * @param id request id for the log.
    */
   virtual void onEngineCrashed(const sent_attempt& attempt, const request_key& key,
                                const EngineId& engine, Instant sent_at, RequestSource source,
                                const std::string& id) = 0;
-  /** An engine completed the request, with any status: it does not crash engines. */
+  /** Clears a suspect whose request an engine completed, with any response status. */
   virtual void onAnswered(const request_key& key) = 0;
-  /** An isolated run ended without a result: rejected, aborted or timed out. */
+  /** Ends an isolated run without a result: one that was rejected, aborted or timed out. */
   virtual void onInconclusive(const request_key& key) = 0;
 };
 
