--- a/src/gateway/lease/capacity_estimator.h
+++ b/src/gateway/lease/capacity_estimator.h
@@ -23,7 +23,7 @@
  public:
   explicit capacity_estimator(machine_limits limits) : limits_(limits) {}
 
-  /** Records that a timer ran this long after it was due. */
+  /** Records by how much a timer was late. */
   void onTimerLateness(Duration lateness) {
     const double seconds = toSeconds(std::max(lateness - kIdleLateness, Duration::zero()));
     this->lateness_ += kNewestWeight * (seconds - this->lateness_);
@@ -37,20 +37,20 @@
   }
 
  private:
-  /// Lateness of timers on an idle machine; it does not lower the capacity.
+  /// Lateness of timers on an idle machine, which does not lower the capacity.
   static constexpr Duration kIdleLateness = std::chrono::milliseconds(5);
-  /// Excess lateness that halves the capacity: it delays each step of an item's run about as much
-  /// as a machine of half the speed would.
+  /// Lateness beyond `kIdleLateness` that halves the capacity. A machine of half the speed would
+  /// delay each step of an item's run about as much.
   static constexpr Duration kHalvingLateness = std::chrono::milliseconds(20);
   /// Weight of the newest sample in the moving average. One sample is taken per renewal interval,
   /// so the average covers about two seconds.
   static constexpr double kNewestWeight = 0.2;
-  /// Bandwidth that one processor can use. Assumes that encoding results takes a processor about as
-  /// long as sending them over a link of this bandwidth.
+  /// Bandwidth that one processor can use. Encoding results is assumed to take a processor about as
+  /// long as sending the results over a link of this bandwidth.
   static constexpr double kMbpsPerProcessor = 1000;
 
   machine_limits limits_;
-  double lateness_ = 0;  ///< Moving average, in seconds.
+  double lateness_ = 0;  ///< Moving average of the timer lateness, in seconds.
 };
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -12,10 +12,10 @@
 
 /// The lock is confirmed this long before a lease renewal is due, so that one write serves as both.
 constexpr Duration kConfirmLead = std::chrono::milliseconds(60);
-/// Wait before the next confirmation after a write without a response.
+/// Wait before the next confirmation if the store did not respond to the last one.
 constexpr Duration kConfirmBackoff = std::chrono::milliseconds(120);
-/// Added to the time of the last action, because a slow response makes the estimate of the store's
-/// clock lag.
+/// Added to the published time of the leader's last action, because the estimate of the store's
+/// clock may be too low.
 constexpr std::int64_t kClockLagMs = 500;
 /// Separates the leader's lease from the time of the last action in the lock's row.
 constexpr char kActionSeparator = '|';
--- a/src/gateway/lease/leader_lock.h
+++ b/src/gateway/lease/leader_lock.h
@@ -67,18 +67,19 @@
   /** Called when this daemon acquires or loses the lock. */
   using on_change = std::function<void(bool held)>;
 
-  /** @param name used in the log and to compute takeover delays.
-   * @param key of the lock's row.
+  /** @param name name of the lock, used in the log and to compute takeover delays.
+   * @param key key of the lock's row.
    */
   leader_lock(const dependencies& deps, std::string name, std::string key,
               handover_options handover, on_change callback);
 
-  /** Handles the row from a feed or a write conflict. Ignores rows older than the known one. */
+  /** Handles the lock's row from a feed or a write conflict. Ignores outdated rows. */
   void onRow(const table::Row& row);
-  /** The row was removed from the store. */
+  /** Handles the removal of the lock's row from the store. */
   void onRowRemoved();
-  /** Confirms the lock when due; acquires it if it is free and the takeover delay has passed.
-   * @param row_known whether the row, if there is one, has been received.
+  /** Confirms the lock when a confirmation is due; acquires the lock if it is free and the takeover
+   * delay has passed.
+   * @param row_known whether the lock's row, if the store has one, has been received.
    */
   void onTick(Instant now, bool row_known);
 
@@ -89,11 +90,11 @@
   /** @return until when the leader may act without another confirmation. */
   Instant mayActUntil() const;
   FencingToken token() const { return this->revision_; }
-  /** @return a check that the lock is still held, for writes that must fail otherwise. */
+  /** @return a check for writes that must fail if this daemon has lost the lock. */
   table::Check condition() const { return {this->key_, this->revision_}; }
   /** Must be called before each call made under the lock. */
   void recordAction(Instant now) { this->own_last_action_at_ = now; }
-  /** Releases the lock, so that another daemon need not wait for this one's lease to expire. */
+  /** Releases the lock, so that another daemon need not wait for the lease to expire. */
   Task<void> handOver();
 
  private:
@@ -112,18 +113,21 @@
   std::string name_;
   std::string key_;
   handover_options handover_;
-  Instant started_at_;  ///< Of this incarnation; an earlier one may have acted until then.
+  /// Start of this daemon; its previous incarnation may have acted until this time.
+  Instant started_at_;
   on_change on_change_;
-  Revision revision_ = 0;  ///< Of the row; the fencing token while `owner_` is this daemon.
-  LeaseId owner_;          ///< As of `revision_`.
+  /// Revision of the lock's row; the fencing token while this daemon is the leader.
+  Revision revision_ = 0;
+  LeaseId owner_;  ///< The leader's lease at `revision_`; empty if the lock was released.
   bool acquiring_ = false;
   bool confirming_ = false;
   bool stopping_ = false;
-  /// When the last committed confirmation was sent, not when its response arrived: the lock may
-  /// have been lost in between.
+  /// When the last committed confirmation was sent. The lock may have been lost between the sending
+  /// and the response.
   Instant confirmed_at_{};
-  Instant vacant_since_{};  ///< Since when the lock is known to be free; zero: it is not.
-  Instant may_act_at_{};    ///< End of the handover pause.
+  /// When the lock was first seen to be free; zero: the lock is not free.
+  Instant vacant_since_{};
+  Instant may_act_at_{};  ///< End of the handover pause.
   /// `leader_lock_row::last_action_ms` of the last known row.
   std::int64_t previous_leader_action_ms_ = 0;
   Instant own_last_action_at_{};  ///< When this daemon last acted; zero: never.
--- a/src/gateway/lease/lease_keeper.cpp
+++ b/src/gateway/lease/lease_keeper.cpp
@@ -81,7 +81,7 @@
 Task<void> lease_keeper::stop() {
   this->stopping_ = true;
   if (this->renewed_at_ != Instant{}) {
-    // If this fails, other daemons remove the row (`lease_table::removable`).
+    // If this removal fails, other daemons remove the row (`lease_table::removable`).
     co_await this->removeRow();
   }
 }
--- a/src/gateway/lease/lease_keeper.h
+++ b/src/gateway/lease/lease_keeper.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Renews this daemon's lease while it owns anything or is a candidate owner, and removes the row
- * otherwise. Also keeps the estimate of the store's clock (`store_clock`).
+ * Renews this daemon's lease while the daemon owns anything or is a candidate owner, and removes
+ * the lease's row otherwise. Also keeps the estimate of the store's clock (`store_clock`).
  */
 
 #include <functional>
@@ -24,7 +24,7 @@
 
   /** @param needed returns whether this daemon needs a lease now. */
   void start(std::function<bool()> needed);
-  /** Sets the address for peers, published with each renewal. */
+  /** Sets the address for requests from other daemons, which each renewal publishes. */
   void setPeerAddress(const Address& peer) { this->peer_ = peer; }
   /** @param awaited returns the engines that are running an item whose result a step is waiting
    * for; published with each renewal.
@@ -32,10 +32,10 @@
   void setAwaited(std::function<std::set<EngineId>()> awaited) {
     this->awaited_ = std::move(awaited);
   }
-  /** Stops renewing and tries once to remove the row. */
+  /** Stops renewing the lease and tries once to remove its row. */
   Task<void> stop();
 
-  /** @return the put that renews the lease, for use in another write. */
+  /** @return a put that renews the lease, to be added to any write. */
   table::Put renewal() const;
   /** Records that a write containing the renewal, sent at `sent_at`, was committed. */
   void onRenewed(Instant sent_at);
@@ -43,7 +43,7 @@
    * unconditional, so it proves that the store is reachable, not that anything is owned.
    */
   bool valid(Instant now) const { return now - this->renewed_at_ < this->leases_.times().validity; }
-  /** @return the estimate of the store's clock at that time, in ms; 0 before the first response. */
+  /** @return the estimate of the store's clock at `at`, in ms; 0 before the first response. */
   std::int64_t storeClock(Instant at) const { return this->clock_.at(at); }
   /** Handles the store's clock from a response received at `now`. */
   void onStoreClock(Instant now, std::int64_t clock_ms) { this->clock_.onAnswer(now, clock_ms); }
@@ -52,12 +52,12 @@
    * @return whether the store responded and the lease was not renewed since it was last seen.
    */
   Task<bool> confirmNotRenewed(LeaseId lease);
-  /** Renews at once. @return whether the renewal was committed. */
+  /** Renews the lease at once. @return whether the renewal was committed. */
   Task<bool> renew();
 
  private:
   Task<void> run();
-  /** @return whether the removal was committed. */
+  /** Removes the lease's row. @return whether the removal was committed. */
   Task<bool> removeRow();
 
   boost::asio::io_context& loop_;
@@ -67,7 +67,7 @@
   std::function<bool()> needed_;
   std::optional<Address> peer_;
   std::function<std::set<EngineId>()> awaited_;
-  Instant renewed_at_{};  ///< When the last committed renewal was sent; zero: there is no row.
+  Instant renewed_at_{};  ///< When the last committed renewal was sent; zero: the lease has no row.
   store_clock clock_;
   bool stopping_ = false;
 };
--- a/src/gateway/lease/lease_poller.cpp
+++ b/src/gateway/lease/lease_poller.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr std::uint64_t kJitterSteps = 1000;
-/// All daemons see the same stale rows, so each tries to remove them only after one of this many
-/// reads on average.
+/// Average number of reads of a daemon per attempt to remove stale rows. All daemons see the same
+/// stale rows, so not every read needs an attempt.
 constexpr std::uint64_t kReadsPerRemoval = 10;
-constexpr std::size_t kMaxRowsRemoved = 50;  ///< Per write.
+constexpr std::size_t kMaxRowsRemoved = 50;  ///< Maximum number of rows removed by one write.
 
 }  // namespace
 
--- a/src/gateway/lease/lease_poller.h
+++ b/src/gateway/lease/lease_poller.h
@@ -18,11 +18,13 @@
 
 namespace linenpier::lease {
 
-/** Intervals are means, with a jitter of one third to either side to desynchronize the daemons. */
+/** Mean intervals between two reads of the leases, with a jitter of one third to either side to
+ * desynchronize the daemons.
+ */
 struct lease_poller_options {
   Duration interval = std::chrono::seconds(1);
-  /// Used while an owner misses renewals or the store does not respond, and always at a candidate
-  /// owner.
+  /// Interval while an owner misses renewals or the store does not respond. A candidate owner
+  /// always uses this interval.
   Duration suspect_interval = std::chrono::milliseconds(350);
 };
 
@@ -45,14 +47,14 @@
    * rate-limited read.
    */
   void start(std::function<void(bool healthy)> on_health);
-  /** Reads at once, because the store is known to respond to other calls. */
+  /** Reads the leases at once. Called when the store has responded to another call. */
   void retryNow() { this->retry_now_.notifyAll(); }
 
  private:
   Task<void> run();
-  /** @return whether the store is reachable. */
+  /** Reads all leases. @return whether the store is reachable. */
   Task<bool> readAll();
-  /** Removes rows of leases that expired long ago. */
+  /** Removes the rows of leases that `lease_table::removable` returns. */
   Task<void> removeStaleRows();
   /** @return the time until the next read. */
   Duration nextInterval(bool answered);
--- a/src/gateway/lease/lease_row.h
+++ b/src/gateway/lease/lease_row.h
@@ -22,7 +22,7 @@
   Revision revision = 0;             ///< Increases with each renewal; 0: the row was never seen.
   double capacity = 0;               ///< See `capacity_estimator::value`; 0: unknown.
   std::optional<Address> peer = {};  ///< Address for requests from other daemons.
-  ZoneName zone = {};                ///< Of the daemon; empty: unknown.
+  ZoneName zone = {};                ///< Zone of the daemon; empty: unknown.
   std::set<EngineId> awaited = {};   ///< See `lease_table::awaited`.
 
   bool operator==(const lease_row&) const = default;
@@ -35,7 +35,7 @@
  */
 lease_row decodeLeaseRow(Revision revision, const std::string& value);
 
-/** @param incarnation unique to one run of the daemon. */
+/** @param incarnation an id that is unique to one run of the daemon. */
 LeaseId makeLeaseId(const std::string& daemon, const std::string& incarnation);
 /** @return the name of the daemon that the lease belongs to. */
 std::string daemonOf(const LeaseId& lease);
--- a/src/gateway/lease/lease_table.cpp
+++ b/src/gateway/lease/lease_table.cpp
@@ -10,9 +10,10 @@
 
 /// The takeover delay increases with the daemon's uptime until the uptime reaches this value.
 constexpr Duration kMaxCountedUptime = std::chrono::seconds(60);
-/// Takeover delay at that uptime, without the jitter.
+/// Takeover delay, without the jitter, of a daemon whose uptime is `kMaxCountedUptime` or more.
 constexpr Duration kMaxUptimeDelay = std::chrono::milliseconds(300);
-/// A hash of daemon and subject adds up to this, so that daemons of the same uptime differ.
+/// Maximum jitter of the takeover delay. It is computed from a hash of daemon and subject, so that
+/// daemons with equal uptimes have different delays.
 constexpr Duration kMaxJitter = std::chrono::milliseconds(80);
 constexpr std::int64_t kJitterSteps = 100;
 
@@ -45,7 +46,7 @@
     seen.row = row;
     seen.row.revision = newest;
   }
-  // Leases that never had a row are kept: their expiry counts from the first query.
+  // Leases that never had a row are kept, because their expiry counts from the first query.
   std::erase_if(this->rows_, [&](const auto& each) {
     return each.second.row.revision > 0 && !rows.contains(each.first);
   });
@@ -53,7 +54,7 @@
   const Duration excess = std::max(now - sent_at - this->times_.tolerated_delay, Duration::zero());
   const Duration wanted =
       std::min(excess * this->times_.allowance_factor, this->times_.max_allowance);
-  // A single fast response among slow ones must not reset the allowance.
+  // The allowance at most halves per read, so that a single fast response does not reset it.
   this->allowance_ = std::max(wanted, this->allowance_ / 2);
 }
 
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -39,7 +39,7 @@
   lease_table(LeaseId own, lease_times times, Instant started_at)
       : own_(std::move(own)), times_(times), started_at_(started_at) {}
 
-  /** Handles a lease's row read at this revision. */
+  /** Handles a lease's row that was read from the store. */
   void onRow(Instant now, const LeaseId& lease, Revision revision);
   /** Handles a read of all rows that was sent at `sent_at` and answered at `now`, and adapts
    * `allowance()` to the delay of the read.
@@ -75,7 +75,7 @@
    */
   std::vector<Address> peers() const;
   /** @return engines that are running an item whose result a step is waiting for, as published by
-   * live owners. May lag by one renewal interval plus one read interval.
+   * live owners. The set may lag by one renewal interval plus one read interval.
    */
   std::set<EngineId> awaited(Instant now) const;
   /** @return leases whose rows may be removed from the store: those of previous incarnations of
@@ -85,8 +85,9 @@
   /** @return the revision of the lease's row as last seen; 0 if it was never seen. */
   Revision seenRevision(const LeaseId& lease) const;
 
-  /** @return how long this daemon waits before it takes over `subject`. Increases with its uptime:
-   * in a rolling restart, recently started daemons are not about to be restarted.
+  /** @return how long this daemon waits before it takes over `subject`. The delay increases with
+   * the daemon's uptime, because a rolling restart is not about to restart a recently started
+   * daemon.
    */
   Duration takeoverDelay(Instant now, const std::string& subject) const;
   /** @return the extension of the expiry that accounts for a slow store. */
@@ -96,15 +97,15 @@
 
  private:
   struct observation {
-    lease_row row;         ///< Its revision never decreases.
-    Instant changed_at{};  ///< When the revision last increased, by this daemon's clock.
+    lease_row row;         ///< The row as last seen; its revision never decreases.
+    Instant changed_at{};  ///< When the row's revision last increased, by this daemon's clock.
   };
 
   LeaseId own_;
   lease_times times_;
   Instant started_at_{};
-  /// As last read. A lease without a row has revision 0 and counts as unchanged since it was first
-  /// queried.
+  /// The leases as last read. A lease without a row has revision 0 and counts as unchanged since it
+  /// was first queried.
   std::map<LeaseId, observation> rows_;
   Duration allowance_{};
   Instant read_at_{};                           ///< When the last successful read was sent.
--- a/src/gateway/lease/lease_times.h
+++ b/src/gateway/lease/lease_times.h
@@ -15,7 +15,7 @@
  */
 struct lease_times {
   Duration renewal_interval = std::chrono::milliseconds(400);
-  /// A leader acts only this long after sending its last committed confirmation.
+  /// Time after sending its last committed confirmation during which a leader may act.
   Duration validity = std::chrono::milliseconds(1000);
   /// Time without a renewal after which others may take over.
   Duration expiry = std::chrono::milliseconds(1500);
--- a/src/gateway/lease/owner_pool.cpp
+++ b/src/gateway/lease/owner_pool.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-/// Extra takeover delay of daemons outside the pool. Longer than any delay within the pool, so that
-/// they take over only if no member does.
+/// Extra takeover delay of daemons outside the pool. It exceeds all takeover delays of members, so
+/// that other daemons take over only if no member does.
 constexpr Duration kNonCandidateDelay = std::chrono::milliseconds(600);
-/// Capacities are compared in logarithmic steps, so that timer jitter does not change the ranking.
+/// Number of steps per doubling of the capacity. Capacities are compared in these logarithmic
+/// steps, so that timer jitter does not change the ranking.
 constexpr double kStepsPerDoubling = 2;
 constexpr double kMinCapacity = 1e-6;  ///< Lower bound for the logarithm.
 
-/// Joins to a pool that lacks members are spread over this time, so that most daemons of a large
-/// fleet see it full before their turn.
+/// Time over which the joins to a pool that lacks members are spread, so that most daemons of a
+/// large fleet see a full pool before they would join.
 constexpr Duration kJoinSpread = std::chrono::seconds(12);
-/// Daemons with less capacity than the best member join proportionally later, but at most by this
-/// factor, so that a fleet of slow machines still gets owners.
+/// Maximum factor by which a daemon with less capacity than the best member joins later. The factor
+/// is limited, so that a fleet of slow machines still gets owners.
 constexpr double kMaxJoinFactor = 4;
 constexpr std::uint64_t kJoinSteps = 1000;
 
--- a/src/gateway/lease/owner_pool.h
+++ b/src/gateway/lease/owner_pool.h
@@ -28,7 +28,7 @@
     bool operator==(const zone_requirement&) const = default;
   };
 
-  std::size_t min_candidates = 0;  ///< In the whole fleet, whatever their zones.
+  std::size_t min_candidates = 0;  ///< Candidates required in the whole fleet.
   std::vector<zone_requirement> zone_requirements = {};
 
   bool operator==(const pool_requirements&) const = default;
@@ -39,21 +39,21 @@
  */
 class owner_pool {
  public:
-  /** @param zone of this daemon; empty: unknown. */
+  /** @param zone zone of this daemon; empty: unknown. */
   owner_pool(const lease_table& leases, machine_limits limits, ZoneName zone = {})
       : leases_(leases), zone_(std::move(zone)), capacity_(limits) {}
 
   /** Records that a timer of this daemon ran this long after it was due. */
   void onTimerLateness(Duration lateness) { this->capacity_.onTimerLateness(lateness); }
-  /** Decides after a read of the leases whether this daemon is a candidate. @return whether that
-   * changed.
+  /** Decides after a read of the leases whether this daemon is a candidate. @return whether the
+   * decision changed.
    */
   bool onLeasesRead(Instant now, const pool_requirements& wanted);
 
   bool isCandidate() const { return this->candidate_; }
   double capacity() const { return this->capacity_.value(); }
   const ZoneName& zone() const { return this->zone_; }
-  /** @return the live candidates, best first, including this daemon if it is one. */
+  /** @return the live candidates, best first, including this daemon if it is a candidate. */
   std::vector<owner_candidate> ranked(Instant now) const;
   /** @return how long this daemon waits before it takes over `subject`. */
   Duration takeoverDelay(Instant now, const std::string& subject) const;
@@ -71,7 +71,8 @@
   ZoneName zone_;
   capacity_estimator capacity_;
   bool candidate_ = false;
-  /// Since when every read has shown missing members.
+  /// Time of the first of the successive reads that showed missing members; empty if none is
+  /// missing.
   std::optional<Instant> members_missing_since_;
 };
 
--- a/src/gateway/lease/store_clock.h
+++ b/src/gateway/lease/store_clock.h
@@ -25,8 +25,8 @@
   std::int64_t at(Instant at) const;
 
  private:
-  std::int64_t clock_ms_ = 0;  ///< From the most accurate response.
-  Instant read_at_{};          ///< When that response arrived.
+  std::int64_t clock_ms_ = 0;  ///< Clock value of the most accurate response.
+  Instant read_at_{};          ///< When the most accurate response arrived.
 };
 
 }  // namespace linenpier::lease
--- a/src/gateway/lease/store_delay.h
+++ b/src/gateway/lease/store_delay.h
@@ -12,8 +12,8 @@
 
 namespace linenpier::lease {
 
-/** Limit of the excess delay. A longer one is assumed to be caused by the store itself; it affects
- * all daemons, so it must not change their ranking.
+/** Limit of the excess delay. A longer delay is assumed to be caused by the store itself, which
+ * affects all daemons and must not change their ranking.
  */
 inline constexpr Duration kMaxExcessStoreDelay = std::chrono::milliseconds(40);
 
--- a/src/gateway/scaling/peak_demand.h
+++ b/src/gateway/scaling/peak_demand.h
@@ -14,7 +14,7 @@
 class peak_demand {
  public:
   /** @param items open items of active jobs now.
-   * @param slots of one engine.
+   * @param slots slots of one engine.
    * @return engines needed for the peak within the window; nothing until a whole window was
    * observed, so that a new leader does not mistake a pause between two jobs for the end of all
    * work.
@@ -23,8 +23,8 @@
                                          std::size_t items, std::uint32_t slots);
 
  private:
-  Instant started_at_{};  ///< Of the first observation; zero: none yet.
-  /// Observations larger than all later ones, hence in decreasing order.
+  Instant started_at_{};  ///< Time of the first observation; zero: there was none.
+  /// Numbers of open items that exceed all later observations, and hence decrease with time.
   std::map<Instant, std::size_t> items_;
 };
 
--- a/src/gateway/scaling/scaling_options.h
+++ b/src/gateway/scaling/scaling_options.h
@@ -22,7 +22,7 @@
   /// Engines that disappear from the list without draining count as lost after this time. Most of
   /// those that only missed heartbeats reappear sooner.
   Duration loss_timeout = std::chrono::seconds(3);
-  /// Added to the boot time before a missing engine is ordered again.
+  /// Time in excess of the boot time after which a missing engine is ordered again.
   Duration boot_slack = std::chrono::seconds(3);
   /// Scale-down stabilization window; longer than a burst of work plus the warm-up of new engines.
   Duration stabilization_window = std::chrono::seconds(10);
--- a/src/gateway/scaling/scaling_policy.cpp
+++ b/src/gateway/scaling/scaling_policy.cpp
@@ -139,7 +139,8 @@
   const group_state& state = this->states_.at(candidate.group);
   if (now - since < this->options_.stabilization_window) return std::nullopt;
   if (now - state.scaled_down_at < this->options_.scale_down_interval) return std::nullopt;
-  // One engine at a time; engines that were ordered but have not started are cancelled at once.
+  // A scale-down stops one running engine at a time, but cancels at once all engines that were
+  // ordered and have not started.
   const std::size_t step = candidate.have >= candidate.before ? 1 : 0;
   const std::size_t fewer = candidate.have - std::min(step, candidate.have);
   candidate.wanted = std::max(candidate.wanted, fewer);
@@ -152,7 +153,7 @@
                                                           scaling_decision candidate) const {
   const group_state& state = this->states_.at(candidate.group);
   candidate.reason = OrderReason::kRepeat;
-  // An order without a response may have been executed after newer ones.
+  // An order without a response may have been executed after newer orders.
   if (candidate.have > candidate.before && state.unanswered_at != Instant{}) {
     return this->scaleDownDue(now, state.surplus_since, candidate);
   }
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -22,7 +22,7 @@
 
 class scaling_policy {
  public:
-  /** @param record as stored by the previous leader. */
+  /** @param record the record that the previous leader stored. */
   scaling_policy(const scaling_options& options, Instant now, scaling_record record);
 
   const scaling_record& record() const { return this->record_; }
@@ -34,7 +34,7 @@
   /** @return the orders that are due, scale-ups first; none without a baseline. */
   std::vector<scaling_decision> decide(Instant now, const fleet::scaling_bounds& bounds,
                                        const scaling_view& view);
-  /** Records that `record` was stored. */
+  /** Replaces the record after the caller has stored it. */
   void onRecord(scaling_record record) { this->record_ = std::move(record); }
   /** @return the record with the order added. */
   scaling_record withOrder(const scaling_decision& decision) const;
@@ -53,8 +53,8 @@
     /// When an order last got no response. It may still be executed, even after a later order was
     /// accepted.
     Instant unanswered_at{};
-    Instant paused_until{};       ///< No order is sent before then.
-    Instant no_capacity_until{};  ///< The group counts as without capacity until then.
+    Instant paused_until{};       ///< No order for the group is sent before this time.
+    Instant no_capacity_until{};  ///< The group counts as without capacity until this time.
     Instant missing_since{};      ///< Since when fewer engines are listed than ordered.
     Instant surplus_since{};      ///< Since when more engines are listed than ordered.
     int refusals = 0;             ///< Consecutive orders rejected with `kFenced`.
--- a/src/gateway/scaling/scaling_port.h
+++ b/src/gateway/scaling/scaling_port.h
@@ -24,8 +24,8 @@
  public:
   virtual ~scaling_port() = default;
 
-  /** @return kFenced also if the platform lacks capacity, because its response does not distinguish
-   * the two.
+  /** @return the result of the order; kFenced for an outdated token or a lack of capacity, which
+   * the platform's response does not distinguish.
    */
   virtual Task<usage::FencedCallResult> setEngineCount(scaling_order order,
                                                        usage::fenced_call_context context) = 0;
--- a/src/gateway/scaling/scaling_record.h
+++ b/src/gateway/scaling/scaling_record.h
@@ -25,7 +25,7 @@
 };
 
 std::string encodeRecord(const scaling_record& record);
-/** @return nothing if the text is malformed. */
+/** @return the record; nothing if the text is malformed. */
 std::optional<scaling_record> decodeRecord(const std::string& text);
 
 }  // namespace linenpier::scaling
--- a/src/gateway/scaling/scaling_service.cpp
+++ b/src/gateway/scaling/scaling_service.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< At the leader.
-/// At the other daemons, which check whether the lock is free.
+/// Time between two ticks of the leader.
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
+/// Time between two ticks of a daemon that is not the leader and checks whether the lock is free.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
-/// Between two decisions; much shorter than the platform's reclaim notice.
+/// Time between two decisions; much shorter than the platform's reclaim notice.
 constexpr Duration kDecisionInterval = std::chrono::milliseconds(200);
-/// After a failed read of the rows.
+/// Wait after a failed read of the scaling records.
 constexpr Duration kReadBackoff = std::chrono::milliseconds(300);
 constexpr char kLockName[] = "scaling";
 
@@ -201,7 +202,7 @@
         .text("service", name.str())
         .number("token", static_cast<std::int64_t>(token))
         .text("outcome", answer ? "conflict" : "no_answer");
-    // The outcome may be unknown, so the rows are read before the next decision.
+    // The outcome of the write may be unknown, so the records are read before the next decision.
     this->records_read_ = false;
     co_return false;
   }
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -23,7 +23,8 @@
 
 struct scaling_totals {
   std::uint64_t sent = 0;
-  std::uint64_t refused = 0;  ///< For lack of capacity, a newer token or rate limiting.
+  /// Orders refused for lack of capacity, a newer token or rate limiting.
+  std::uint64_t refused = 0;
   std::uint64_t unanswered = 0;
 };
 
@@ -40,7 +41,8 @@
     std::string holder;  ///< Name of this daemon in orders.
     const engines::engine_registry& registry;
     std::function<routing::ConfigurationPtr()> routes;
-    std::function<versions::open_work_by_model()> open_work;  ///< Of active jobs.
+    /// Returns the open work of active jobs.
+    std::function<versions::open_work_by_model()> open_work;
     std::function<bool()> engine_list_current;  ///< Whether the list of engines is up to date.
     load_query load;
   };
@@ -48,10 +50,10 @@
                   const lease::handover_options& handover);
 
   void start();
-  /** Handles the lock's row from the feed. */
+  /** Handles the row of the scaling lock from the feed. */
   void onLockRow(const table::Row& row) { this->lock_.onRow(row); }
   void onLockRemoved() { this->lock_.onRowRemoved(); }
-  /** Records that the table of locks was read. If the lock has no row by now, it is free. */
+  /** Records that the table of locks was read, after which a lock without a row is free. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsLock() const { return this->lock_.held(); }
   Task<void> handOver();
@@ -61,7 +63,7 @@
 
  private:
   struct service_state {
-    Revision revision = 0;  ///< Of the service's row; 0: there is none.
+    Revision revision = 0;  ///< Revision of the service's row; 0: there is no row.
     scaling_policy policy;
     peak_demand demand;
   };
@@ -73,7 +75,7 @@
   Task<void> decideFor(routing::Service service);
   /** @return whether all services' rows were read and this daemon is still the leader. */
   Task<bool> readRecords();
-  /** @return whether the list of engines has been up to date for long enough. */
+  /** @return whether the list of engines has been up to date for the settle time. */
   bool engineListSettled(Instant now);
   scaling_view viewOf(const routing::Service& service, peak_demand& demand) const;
   Task<void> writeBaseline(ServiceName name, scaling_record learned);
@@ -95,8 +97,8 @@
   /// outcome; no decision is made until the rows are read.
   bool records_read_ = false;
   std::map<ServiceName, service_state> services_;
-  Instant
-      list_current_since_{};  ///< Since when the list of engines is up to date; zero: it is not.
+  /// Since when the list of engines is up to date; zero: the list is outdated.
+  Instant list_current_since_{};
   bool table_read_ = false;
 };
 
--- a/src/gateway/scaling/scaling_targets.h
+++ b/src/gateway/scaling/scaling_targets.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * Computes how many engines each group of a service should have, regardless of when to order them.
- * Does no I/O.
+ * Computes how many engines each group of a service should have, regardless of when the engines are
+ * ordered. Does no I/O.
  *
  * Every group should have its baseline. Engines that are unavailable because the zone is closed or
  * lost, or because the platform lacks capacity, are replaced in the remaining groups: on-demand
@@ -27,7 +27,7 @@
 };
 
 struct scaling_targets {
-  fleet::group_counts wanted;  ///< Without the groups of unavailable zones.
+  fleet::group_counts wanted;  ///< Wanted counts, without the groups of unavailable zones.
   std::size_t to_replace = 0;  ///< Missing engines to be replaced in other groups.
 };
 
--- a/src/gateway/scaling/scaling_view.h
+++ b/src/gateway/scaling/scaling_view.h
@@ -16,7 +16,7 @@
 struct observed_engines {
   std::size_t serving = 0;
   std::size_t draining = 0;
-  std::size_t reclaimed = 0;  ///< Of the draining ones, those reclaimed by the platform.
+  std::size_t reclaimed = 0;  ///< Draining engines that the platform reclaims.
 
   bool operator==(const observed_engines&) const = default;
 };
@@ -24,7 +24,7 @@
 /** The leader's current view of a service. */
 struct scaling_view {
   std::map<fleet::engine_group, observed_engines> groups;
-  std::set<ZoneName> closed;  ///< Closed by the operator.
+  std::set<ZoneName> closed;  ///< Zones closed by the operator.
   /// Engines that the open work needs; empty if unknown or not required by the mode.
   std::optional<std::size_t> engines_for_work;
 
@@ -33,9 +33,9 @@
 
 enum class OrderReason {
   kReplace,  ///< Replaces engines missing in other groups.
-  kWork,     ///< The open work needs more.
+  kWork,     ///< The open work needs more engines.
   kRepeat,   ///< The listed engines differ from the last order.
-  kSurplus,  ///< No longer needed.
+  kSurplus,  ///< The group has more engines than needed.
 };
 
 const char* toText(OrderReason reason);
--- a/src/gateway/table/async_table.h
+++ b/src/gateway/table/async_table.h
@@ -17,7 +17,7 @@
 /// A consistent snapshot of rows.
 struct RowPage {
   std::vector<Row> rows;      ///< Ascending by key.
-  bool has_more = false;      ///< More rows follow the last one.
+  bool has_more = false;      ///< Whether more rows follow the last row of the page.
   Revision revision = 0;      ///< The latest revision of the whole store.
   std::int64_t clock_ms = 0;  ///< The store's steady clock.
 };
@@ -29,20 +29,20 @@
 };
 
 struct ChangeBatch {
-  std::vector<RowChange> changes;  ///< In order of revision.
-  Revision revision = 0;           ///< Where to continue.
+  std::vector<RowChange> changes;  ///< Changes in the order of their revisions.
+  Revision revision = 0;           ///< Revision after which the next call continues.
   bool history_truncated = false;  ///< The table must be read again.
 };
 
 struct RowRange {
   std::string table;
-  std::string from;       ///< Key without its table; inclusive.
-  std::string until;      ///< Exclusive; empty: to the table's end.
-  std::size_t limit = 0;  ///< 0: the store's limit.
-  Duration timeout{};     ///< For the response; zero: the default timeout.
+  std::string from;       ///< First key of the range, without its table.
+  std::string until;      ///< Key after the range; empty: the range ends with the table.
+  std::size_t limit = 0;  ///< Maximum number of rows; 0: the store's limit.
+  Duration timeout{};     ///< Timeout of the response; zero: the default timeout.
 };
 
-/// @return the range that contains only this row.
+/// @return the range that contains only the row with the key.
 inline RowRange singleRow(const std::string& table, const std::string& key) {
   return {table, key, key + '\x01', 1, Duration::zero()};
 }
@@ -70,7 +70,7 @@
   /// Waits at most `wait` for changes of the table's rows after the revision `after`.
   virtual Task<CallResult<ChangeBatch>> watch(std::string table, Revision after, Duration wait) = 0;
   /// Cancels reads and writes that have been pending for longer than `age`; they fail as if their
-  /// responses were lost. After an outage the store never responds to calls sent during it.
+  /// responses were lost. The store never responds to calls that were sent during its outage.
   virtual void cancelOlderThan(Duration age) = 0;
 };
 
--- a/src/gateway/table/store_keys.h
+++ b/src/gateway/table/store_keys.h
@@ -19,7 +19,7 @@
 inline const std::string kCheckpointTable = "checkpoints";
 inline const std::string kBodyTable = "bodies";
 inline const std::string kJobPrefix = "job/";
-/// Leader locks of services, whose holders order engines to load versions.
+/// Key prefix of the leader locks of services, whose holders order engines to load versions.
 inline const std::string kServiceLockPrefix = "order/";
 
 /// @return the row's key without its table.
@@ -36,17 +36,17 @@
 inline std::string serviceLockKey(const ServiceName& service) {
   return kCoordinationTable + "/" + kServiceLockPrefix + service.str();
 }
-inline const std::string kLockPrefix = "right/";  ///< Leader locks other than those of services.
+inline const std::string kLockPrefix = "right/";  ///< Key prefix of all other leader locks.
 inline const std::string kUsageTable = "usage";
 inline const std::string kClockTable = "clocks";
-/// One row per service: its scaling record.
+/// Table with the scaling record of each service.
 inline const std::string kScalingTable = "scaling";
-/// In the usage table: the last report.
+/// Key of the last report in the usage table.
 inline const std::string kUsageProgress = "progress";
-/// In the coordination table: the offset of cluster time.
+/// Key of the offset of cluster time in the coordination table.
 inline const std::string kClusterTimeName = "clock";
 
-/// In the coordination table: requests during which engines crashed.
+/// Key prefix of requests during which engines crashed, in the coordination table.
 inline const std::string kSuspectPrefix = "suspect/";
 
 /// @param request the key of a request.
--- a/src/gateway/table/table_watcher.cpp
+++ b/src/gateway/table/table_watcher.cpp
@@ -62,7 +62,7 @@
     }
     const bool first_page = revision == 0;
     if (first_page) revision = page->revision;
-    // The page is older than changes already reported.
+    // The page is older than the changes that were already reported, so it is discarded.
     if (page->revision < revision_) co_return false;
     if (listener_.on_clock) listener_.on_clock(page->clock_ms);
     const bool more = advancePast(*page, range);
--- a/src/gateway/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -16,8 +16,8 @@
 
 struct WatcherOptions {
   Duration wait = std::chrono::seconds(2);  ///< Maximum wait of one call.
-  /// Maximum wait of a call while unhealthy; short, because its response shows that the store has
-  /// recovered.
+  /// Maximum wait of a call while the store is unhealthy. The wait is short, because the response
+  /// shows that the store has recovered.
   Duration wait_while_unhealthy = std::chrono::milliseconds(20);
   /// Returns how long to wait after a response with changes before the next call, so that further
   /// changes arrive in one response; unset: no wait. Called after each response with changes,
@@ -26,20 +26,20 @@
   /// Initial and maximum backoff after a failed call.
   Duration retry_pause = std::chrono::milliseconds(150);
   Duration max_retry_pause = std::chrono::milliseconds(600);
-  std::uint64_t seed = 1;  ///< Of the backoff's jitter.
+  std::uint64_t seed = 1;  ///< Seed of the backoff's jitter.
 };
 
 /// Runs on the loop thread only.
 class TableWatcher {
  public:
   struct Listener {
-    /// All rows, as of one revision or later.
+    /// Receives all rows of the table, as of one revision or later.
     std::function<void(const std::vector<Row>&)> on_snapshot;
     /// If set, receives the rows page by page as they are read, and `on_snapshot` receives none, so
     /// that a large table is not held in memory twice.
     std::function<void(const std::vector<Row>&, bool first_page)> on_page;
     std::function<void(const RowChange&)> on_change;
-    std::function<void(bool healthy)> on_health;          ///< Called on each change only.
+    std::function<void(bool healthy)> on_health;          ///< Called when the health changes.
     std::function<void(std::int64_t clock_ms)> on_clock;  ///< May be empty.
   };
 
@@ -54,7 +54,7 @@
         retry_now_(loop) {}
 
   void start();
-  /// Retries at once, because the store responded to another call.
+  /// Retries a failed call at once. Called when the store has responded to another call.
   void retryNow() { retry_now_.notifyAll(); }
   bool healthy() const { return healthy_; }
   /// @return whether the table was read at least once.
@@ -63,7 +63,7 @@
   Revision revision() const { return revision_; }
   /// @return when the store last responded for this table.
   Instant lastAnswer() const { return last_answer_; }
-  /// @return the duration of the last outage, as of its end.
+  /// @return the duration of the last outage of the store, set when the outage ends.
   Duration lastOutage() const { return last_outage_; }
 
  private:
@@ -81,8 +81,8 @@
   Listener listener_;
   retry_backoff backoff_;
   Signal retry_now_;
-  Revision revision_ = 0;  ///< All changes up to here were reported.
-  /// Whether changes can be watched from `revision_`; if not, the table is read first.
+  Revision revision_ = 0;  ///< Revision up to which all changes were reported.
+  /// Whether changes can be watched from `revision_` without reading the table first.
   bool can_watch_ = false;
   bool ever_read_ = false;
   bool healthy_ = false;
--- a/src/gateway/usage/cluster_clock.cpp
+++ b/src/gateway/usage/cluster_clock.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr Duration kClockCheckInterval = std::chrono::seconds(10);  ///< Between two corrections.
+/// Time between two comparisons of cluster time with the daemons' samples.
+constexpr Duration kClockCheckInterval = std::chrono::seconds(10);
 
 }  // namespace
 
--- a/src/gateway/usage/cluster_clock.h
+++ b/src/gateway/usage/cluster_clock.h
@@ -45,8 +45,8 @@
   const lease::lease_keeper& keeper_;
   usage_options options_;
   std::optional<std::int64_t> offset_ms_;  ///< Agreed offset: cluster time minus the store's clock.
-  Revision revision_ = 0;                  ///< Of the row; 0: none.
-  Instant checked_at_{};                   ///< When the samples were last read.
+  Revision revision_ = 0;  ///< Revision of the row with the offset; 0: there is no row.
+  Instant checked_at_{};   ///< When the samples were last read.
 };
 
 }  // namespace linenpier::usage
--- a/src/gateway/usage/cluster_time.h
+++ b/src/gateway/usage/cluster_time.h
@@ -29,7 +29,7 @@
 
 /** @return the value of the sample's row. */
 std::string encodeSample(const clock_sample& sample);
-/** @return nothing if the text is malformed. */
+/** @return the sample; nothing if the text is malformed. */
 std::optional<clock_sample> decodeSample(const std::string& text);
 
 /** @return the median offset of the samples taken at or after `since_ms`; nothing if there are
--- a/src/gateway/usage/usage_counter.cpp
+++ b/src/gateway/usage/usage_counter.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Limits the memory for requests whose window is unknown because this daemon has not reached the
-/// store since its start.
+/// Maximum number of requests kept while their window is unknown because this daemon has not
+/// reached the store since its start.
 constexpr std::size_t kMaxUnassigned = 20000;
 
 }  // namespace
--- a/src/gateway/usage/usage_counter.h
+++ b/src/gateway/usage/usage_counter.h
@@ -20,7 +20,7 @@
 
 /** @return the value of a row of counts. */
 std::string encodeCounts(const tenant_counts& counts);
-/** @return nothing if the text is malformed. */
+/** @return the counts; nothing if the text is malformed. */
 std::optional<tenant_counts> decodeCounts(const std::string& text);
 /** Adds `more` to `sum`. */
 void addCounts(const tenant_counts& more, tenant_counts& sum);
@@ -33,7 +33,7 @@
  */
 struct window_counts {
   tenant_counts counts;
-  Revision revision = 0;     ///< Of the row; 0: none yet.
+  Revision revision = 0;     ///< Revision of the window's row; 0: there is no row.
   std::uint64_t total = 0;   ///< Sum of the counts.
   std::uint64_t stored = 0;  ///< How many requests of `total` are stored.
 
@@ -48,12 +48,12 @@
   /** Counts a started request. @return false if too many requests are waiting for their window.
    */
   bool onRequestStarted(Instant at, const TenantId& tenant);
-  /** Assigns waiting requests to their windows, as far as these are known. */
+  /** Assigns the requests whose window was unknown to their windows, as far as now known. */
   void assign(const window_finder& find);
   /** @return the windows with counts that are not stored, oldest first. */
   std::vector<window_number> unsaved() const;
   window_counts& of(window_number window) { return this->windows_[window]; }
-  /** Discards windows before this one whose counts are all stored. */
+  /** Discards the windows before `window` whose counts are all stored. */
   void discardBefore(window_number window);
   /** @return whether no request is waiting to be assigned or stored. */
   bool idle() const;
--- a/src/gateway/usage/usage_port.h
+++ b/src/gateway/usage/usage_port.h
@@ -17,13 +17,13 @@
 enum class FencedCallResult {
   kAccepted,  ///< The platform accepted the call.
   kFenced,    ///< The platform has seen a higher token for the same subject.
-  kRefused,   ///< Not executed; may be retried later.
+  kRefused,   ///< The platform did not execute the call, which may be retried later.
   kUnknown,   ///< No response: the call may still be executed.
 };
 
 const char* toText(FencedCallResult answer);
 
-/** The leader's identity and deadline for such a call. */
+/** The leader's identity and the deadline for a platform call that carries a fencing token. */
 struct fenced_call_context {
   std::string holder;  ///< The leader's name, called holder in the platform's API.
   FencingToken token = 0;
--- a/src/gateway/usage/usage_progress.cpp
+++ b/src/gateway/usage/usage_progress.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr char kCountsSeparator = ' ';  ///< Between the window's number and its counts.
+constexpr char kCountsSeparator = ' ';  ///< Separates the window's number from its counts.
 
 }  // namespace
 
--- a/src/gateway/usage/usage_progress.h
+++ b/src/gateway/usage/usage_progress.h
@@ -11,12 +11,12 @@
 namespace linenpier::usage {
 
 struct usage_progress {
-  Revision revision = 0;  ///< Of the row; 0: no report yet.
+  Revision revision = 0;  ///< Revision of the progress row; 0: there was no report.
   usage_report report;
   bool accepted = false;  ///< The platform accepted the report from this leader; not stored.
 };
 
-/** @return the row's value. */
+/** @return the value of the progress row for the report. */
 std::string encodeProgress(const usage_report& report);
 /** @return the progress; without counts if they are malformed. */
 usage_progress decodeProgress(Revision revision, const std::string& value);
--- a/src/gateway/usage/usage_reporter.cpp
+++ b/src/gateway/usage/usage_reporter.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 constexpr char kLockName[] = "usage";
-constexpr Duration kTickInterval = std::chrono::milliseconds(100);  ///< At the leader.
-/// At the other daemons, which check whether the lock is free.
+/// Time between two ticks of the leader.
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
+/// Time between two ticks of a daemon that is not the leader and checks whether the lock is free.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(500);
 /// Wait after a report that the platform did not accept.
 constexpr Duration kRefusedBackoff = std::chrono::milliseconds(300);
-/// The store accepts 100 entries per write.
+/// Maximum number of rows removed by one write. The store accepts 100 entries per write.
 constexpr std::size_t kMaxRemovedAtOnce = 90;
 
 }  // namespace
@@ -51,8 +52,8 @@
                       this->lock_.held() ? kTickInterval : kIdleTickInterval);
     const Instant now = steadyNow();
     const bool able = this->lock_.mayAct(now);
-    // A leader that could not confirm its lock did not reach the store; other daemons may have been
-    // affected, too.
+    // A leader that could not confirm its lock did not reach the store. Other daemons may not have
+    // reached the store either.
     if (able && !this->could_act_) this->store_recovered_at_ = now;
     this->could_act_ = able;
     if (able) {
@@ -156,7 +157,7 @@
                        : answer ? "conflict"
                                 : "no_answer");
   if (!done) {
-    // The outcome may be unknown, so the row is read before the next report.
+    // The outcome of the write may be unknown, so the progress row is read before the next report.
     this->progress_.reset();
     co_return;
   }
@@ -176,7 +177,7 @@
     keys.resize(first);
     const auto answer = co_await this->deps_.lock.table.write(std::move(write));
     if (!answer) {
-      // The next window's report removes them.
+      // The report of the next window removes the remaining rows.
       LogEvent("usage", "rows_not_removed").number("rows", static_cast<std::int64_t>(first));
       co_return;
     }
--- a/src/gateway/usage/usage_reporter.h
+++ b/src/gateway/usage/usage_reporter.h
@@ -32,10 +32,10 @@
   usage_reporter(dependencies deps, const usage_options& options);
 
   void start();
-  /** Handles the lock's row from the feed. */
+  /** Handles the row of the reporting lock from the feed. */
   void onLockRow(const table::Row& row) { this->lock_.onRow(row); }
   void onLockRemoved() { this->lock_.onRowRemoved(); }
-  /** Records that the table of locks was read. If the lock has no row by now, it is free. */
+  /** Records that the table of locks was read, after which a lock without a row is free. */
   void onTableRead() { this->table_read_ = true; }
   bool holdsLock() const { return this->lock_.held(); }
   Task<void> handOver();
@@ -46,32 +46,32 @@
   /** The sum of a window's rows. */
   struct window_sum {
     usage_report report;
-    std::size_t daemons = 0;            ///< Rows summed.
+    std::size_t daemons = 0;            ///< Number of daemons whose rows were summed.
     std::vector<std::string> obsolete;  ///< Keys of rows of earlier windows.
   };
 
   Task<void> lockLoop();
   Task<void> reportLoop();
-  /** Takes the next action that is due. */
+  /** Synchronizes cluster time if due, then sends the pending report or commits the next one. */
   Task<void> reportNext();
   Task<bool> readProgress();
   /** @return whether the window's rows have had time to arrive, so that it can be summed. */
   bool due(Instant now, window_number window) const;
   /** Sums a window, stores the report and sends it. */
   Task<void> commitReport(window_number window);
-  /** @return nothing if the store did not respond. */
+  /** @return the sum of the window's rows; nothing if the store did not respond. */
   Task<std::optional<window_sum>> sumWindow(window_number window);
-  /** Removes obsolete rows. */
+  /** Removes the rows of usage counts with these keys. */
   Task<void> removeRows(std::vector<std::string> keys);
   Task<void> send();
 
   dependencies deps_;
   usage_options options_;
   lease::leader_lock lock_;
-  std::optional<usage_progress> progress_;  ///< Empty until this leader has read the row.
+  std::optional<usage_progress> progress_;  ///< Progress row; empty until this leader has read it.
   Instant acquired_at_{};                   ///< When this daemon became the leader.
-  /// Since when the store has responded and this leader has been able to act. Counts that could not
-  /// be stored before may still be arriving.
+  /// Since when the store has responded and this leader has been able to act. Counts from before
+  /// that time may still be arriving.
   Instant store_recovered_at_{};
   bool could_act_ = false;  ///< Whether this leader could act at the last tick.
   bool table_read_ = false;
--- a/src/gateway/usage/usage_service.h
+++ b/src/gateway/usage/usage_service.h
@@ -16,8 +16,9 @@
 
 struct usage_totals {
   std::uint64_t counted = 0;
-  std::uint64_t dropped = 0;   ///< Not counted: too many were waiting for the store's clock.
-  std::uint64_t late = 0;      ///< Counted for a window that had already been summed.
+  /// Requests not counted because too many were waiting for the store's clock.
+  std::uint64_t dropped = 0;
+  std::uint64_t late = 0;      ///< Requests counted for a window that had already been summed.
   std::uint64_t reported = 0;  ///< Windows that the platform accepted from this daemon.
 };
 
@@ -40,10 +41,10 @@
   /** Handles the reporting lock's row from the feed. */
   void onLockRow(const table::Row& row) { this->reporter_.onLockRow(row); }
   void onLockRemoved() { this->reporter_.onLockRemoved(); }
-  /** Records that the table of locks was read. If the lock has no row by now, it is free. */
+  /** Records that the table of locks was read, after which a lock without a row is free. */
   void onTableRead() { this->reporter_.onTableRead(); }
   bool holdsLock() const { return this->reporter_.holdsLock(); }
-  /** Releases the lock; counts are still written. */
+  /** Releases the reporting lock. This daemon still writes its counts. */
   Task<void> handOver() { return this->reporter_.handOver(); }
   /** @return whether counts are waiting to be stored. */
   bool unsaved() const { return this->writer_.unsaved(); }
--- a/src/gateway/usage/usage_writer.cpp
+++ b/src/gateway/usage/usage_writer.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// Without counts to write, how often to check whether a clock sample is due.
+/// Time between two checks for a due clock sample while there are no counts to write.
 constexpr Duration kIdleWriteInterval = std::chrono::seconds(1);
 /// The store accepts 100 entries per write: a check and a put for each window, and a sample.
 constexpr std::size_t kMaxWindowsAtOnce = 20;
-/// Windows kept in memory for writes whose response is delayed.
+/// Number of windows kept in memory for writes whose response is delayed.
 constexpr window_number kKeptWindows = 4;
 
 }  // namespace
@@ -119,7 +119,7 @@
                                 [&key](const table::Row& each) { return each.key == key; });
   const bool present = row != answer.conflicts.end();
   if (!present && counts.revision > 0) {
-    // The window was summed and its rows were removed.
+    // The row is missing because the window was summed and its rows were removed.
     const std::uint64_t missed = counts.total - counts.stored;
     this->total_late_ += missed;
     counts.stored = counts.total;
--- a/src/gateway/usage/usage_writer.h
+++ b/src/gateway/usage/usage_writer.h
@@ -23,7 +23,9 @@
 /** Runs on the loop thread only; must live as long as the loop runs. */
 class usage_writer {
  public:
-  /** Performs a write through another daemon. @return nothing if none could. */
+  /** Performs a write through another daemon. @return the store's response; nothing if no daemon
+   * could perform the write.
+   */
   using write_by_peer = std::function<Task<std::optional<table::TransactionAnswer>>(table::Write)>;
 
   struct dependencies {
@@ -53,14 +55,16 @@
   /** A window in a pending write. */
   struct written_window {
     window_number window = 0;
-    std::uint64_t total = 0;  ///< Requests counted in it when the write was sent.
+    std::uint64_t total = 0;  ///< Requests counted in the window when the write was sent.
   };
 
   Task<void> writeLoop();
   Task<void> writeCounts();
   /** Adds the rows of windows with unsaved counts to the write. */
   std::vector<written_window> addUnsaved(table::Write& write);
-  /** Adds a sample of this daemon's wall clock to the write if due. @return whether it did. */
+  /** Adds a sample of this daemon's wall clock to the write if one is due. @return whether
+   * a sample was added.
+   */
   bool addSample(Instant now, table::Write& write);
   void onWritten(const std::vector<written_window>& written,
                  const table::TransactionAnswer& answer);
--- a/src/gateway/versions/engine_assignment.cpp
+++ b/src/gateway/versions/engine_assignment.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// A model releases engines only when it has more than this multiple of what it can use, so that
-/// fluctuating demand moves none.
+/// fluctuating demand moves no engines.
 constexpr std::size_t kSurplusFactor = 2;
 
 }  // namespace
--- a/src/gateway/versions/engine_assignment.h
+++ b/src/gateway/versions/engine_assignment.h
@@ -28,7 +28,7 @@
  */
 class engine_assignment {
  public:
-  /** @param engines of the service that are not draining.
+  /** @param engines engines of the service that are not draining.
    * @param wanted engines for each model that needs any now. A model gets at most this many; if
    * there are too few, the models get equal numbers.
    * @param newest_versions the newest version of each model.
@@ -59,10 +59,10 @@
              const std::map<ModelName, WeightVersion>& newest_versions);
   /** Assigns free engines, spread over the zones if possible. */
   void assignFree(const engines::engine_list& engines, const engines_wanted& wanted);
-  /** Moves engines from the model with the most to those with too few. */
+  /** Moves engines from the model with the most engines to models with too few. */
   void balance(const engines::engine_list& engines, const engines_wanted& wanted);
-  /** @return of the models that can use another engine, the one with the fewest; empty if there is
-   * none.
+  /** @return the model with the fewest engines among those that can use another one; empty if there
+   * is none.
    */
   ModelName modelWithFewestEngines(const engines_wanted& wanted) const;
   /** @return the model with the most engines; `wanted` must not be empty. */
@@ -70,10 +70,10 @@
   /** @return whether the model already has its share of engines in the zone. */
   bool hasEnoughIn(const ZoneName& zone, const ModelName& model, std::size_t wanted) const;
 
-  std::map<EngineId, ModelName> model_of_;  ///< Of the assigned engines.
+  std::map<EngineId, ModelName> model_of_;  ///< Model of each assigned engine.
   std::map<ModelName, std::set<EngineId>> by_model_;
   std::map<ModelName, std::map<ZoneName, std::size_t>> by_zone_;
-  std::map<EngineId, ZoneName> zones_;  ///< Of the assigned engines.
+  std::map<EngineId, ZoneName> zones_;  ///< Zone of each assigned engine.
   std::set<ZoneName> all_zones_;        ///< Zones in which engines of the service were seen.
   EngineId next_;                       ///< The search for a free engine resumes here.
   bool adopted_ = false;                ///< Whether adopt() has run.
--- a/src/gateway/versions/engine_order_port.h
+++ b/src/gateway/versions/engine_order_port.h
@@ -20,7 +20,7 @@
    */
   virtual Task<OrderResult> send(version_order order, std::string holder, FencingToken token,
                                  Instant send_by) = 0;
-  /** @return nothing if the engine did not respond. */
+  /** @return the engine's report; nothing if the engine did not respond. */
   virtual Task<std::optional<order_report>> report(EngineId engine, Address address) = 0;
 };
 
--- a/src/gateway/versions/load_demand.h
+++ b/src/gateway/versions/load_demand.h
@@ -17,7 +17,7 @@
   /// Lower limit of engines per model. Services with no more engines than this load each version on
   /// all of them.
   std::size_t min_engines = 24;
-  /// Engines needed, as a multiple of those that the open items would fill.
+  /// Ratio of the engines needed to the engines that the open items would fill.
   double headroom = 1.25;
   /// A model is assigned this many times the engines that should load its newest version, so that a
   /// new version is loaded on idle engines while runs under earlier versions finish on others.
--- a/src/gateway/versions/rollout_service.cpp
+++ b/src/gateway/versions/rollout_service.cpp
@@ -15,7 +15,8 @@
 /// Tick interval of a daemon that holds no lock and is not a candidate owner. It acquires a lock
 /// only if no candidate does.
 constexpr Duration kIdleTickInterval = std::chrono::milliseconds(250);
-/// While a fleet starts there are no leaders or candidates yet, so no daemon counts as idle.
+/// Time after its start during which a daemon does not count as idle, because a starting fleet has
+/// no leaders or candidates.
 constexpr Duration kStartupTime = std::chrono::seconds(5);
 
 }  // namespace
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -38,9 +38,9 @@
     const lease::owner_pool& pool;
     engine_order_port& orders;
     std::function<routing::ConfigurationPtr()> routes;
-    std::function<open_work_by_model()> open_work;  ///< Of active jobs.
+    std::function<open_work_by_model()> open_work;  ///< Returns the open work of active jobs.
     std::string holder;                             ///< Name of this daemon in orders.
-    /// Engines with a run that a step waits for. May be unset.
+    /// Returns the engines with a run that a step waits for. May be unset.
     std::function<std::set<EngineId>(Instant now)> awaited;
   };
   rollout_service(dependencies deps, rollout_service_options options)
--- a/src/gateway/versions/version_order.h
+++ b/src/gateway/versions/version_order.h
@@ -15,9 +15,9 @@
 
 /** What happens to the model's runs on an engine that changes its weights. */
 enum class LoadMode {
-  kWait,    ///< The engine finishes them first.
-  kCancel,  ///< They are cancelled; their owners resume them on other engines.
-  kRetain,  ///< They pause during the load and continue under the new version.
+  kWait,    ///< The engine finishes the runs before it loads.
+  kCancel,  ///< The runs are cancelled; their owners resume them on other engines.
+  kRetain,  ///< The runs pause during the load and continue under the new version.
 };
 
 /** An order that an engine load a version. */
@@ -44,12 +44,12 @@
   kUnknown,        ///< No response: the order may still be executed.
 };
 
-/** An engine's report of its state; slightly outdated on arrival. */
+/** An engine's report of its state; the report is slightly outdated on arrival. */
 struct order_report {
   engines::engine_start start = 0;
-  std::uint64_t accepted_orders = 0;  ///< Since the start of the engine.
+  std::uint64_t accepted_orders = 0;  ///< Orders accepted since the engine started.
   bool busy = false;                  ///< An order is in progress.
-  std::uint32_t load = 0;             ///< Running and waiting requests.
+  std::uint32_t load = 0;             ///< Number of running and waiting requests.
 };
 
 const char* toText(LoadMode mode);
