--- a/src/gateway/lease/leader_lock.cpp
+++ b/src/gateway/lease/leader_lock.cpp
@@ -14,8 +14,8 @@
 constexpr Duration kConfirmLead = std::chrono::milliseconds(60);
 /// Wait before the next confirmation if the store did not respond to the last one.
 constexpr Duration kConfirmBackoff = std::chrono::milliseconds(120);
-/// Added to the published time of the leader's last action, because the estimate of the store's
-/// clock may be too low.
+/// Time added to the published time of the leader's last action, because the estimate of the
+/// store's clock may be too low.
 constexpr std::int64_t kClockLagMs = 500;
 /// Separates the leader's lease from the time of the last action in the lock's row.
 constexpr char kActionSeparator = '|';
@@ -192,7 +192,7 @@
           : this->deps_.keeper.storeClock(this->own_last_action_at_) + kClockLagMs;
   write.transaction.puts.push_back({this->key_, encodeLockRow({{}, last_action_ms})});
   this->owner_ = LeaseId();
-  // If the store does not respond, the lock is taken over as from a crashed leader.
+  // If the store does not respond, another daemon takes over the lock as from a crashed leader.
   co_await this->deps_.table.write(std::move(write));
 }
 
--- a/src/gateway/lease/lease_row.h
+++ b/src/gateway/lease/lease_row.h
@@ -20,10 +20,10 @@
 /** The decoded row of a lease. */
 struct lease_row {
   Revision revision = 0;             ///< Increases with each renewal; 0: the row was never seen.
-  double capacity = 0;               ///< See `capacity_estimator::value`; 0: unknown.
+  double capacity = 0;               ///< Capacity of the daemon in processors; 0: unknown.
   std::optional<Address> peer = {};  ///< Address for requests from other daemons.
   ZoneName zone = {};                ///< Zone of the daemon; empty: unknown.
-  std::set<EngineId> awaited = {};   ///< See `lease_table::awaited`.
+  std::set<EngineId> awaited = {};   ///< Engines running an item that a step waits for.
 
   bool operator==(const lease_row&) const = default;
 };
--- a/src/gateway/lease/lease_table.h
+++ b/src/gateway/lease/lease_table.h
@@ -27,8 +27,8 @@
 /** A live daemon that is a candidate for owning jobs and leader locks. */
 struct owner_candidate {
   LeaseId lease;
-  double capacity = 0;  ///< See `capacity_estimator::value`.
-  ZoneName zone = {};   ///< Empty: unknown.
+  double capacity = 0;  ///< Capacity of the daemon in processors.
+  ZoneName zone = {};   ///< Zone of the daemon; empty: unknown.
 
   bool operator==(const owner_candidate&) const = default;
 };
--- a/src/gateway/scaling/scaling_policy.h
+++ b/src/gateway/scaling/scaling_policy.h
@@ -55,8 +55,8 @@
     Instant unanswered_at{};
     Instant paused_until{};       ///< No order for the group is sent before this time.
     Instant no_capacity_until{};  ///< The group counts as without capacity until this time.
-    Instant missing_since{};      ///< Since when fewer engines are listed than ordered.
-    Instant surplus_since{};      ///< Since when more engines are listed than ordered.
+    Instant missing_since{};      ///< Since when the group has fewer engines listed than ordered.
+    Instant surplus_since{};      ///< Since when the group has more engines listed than ordered.
     int refusals = 0;             ///< Consecutive orders rejected with `kFenced`.
     int repeats = 0;              ///< Consecutive repetitions of the same order.
     /// The platform did not accept the last order, or it is unknown whether it did.
--- a/src/gateway/scaling/scaling_service.h
+++ b/src/gateway/scaling/scaling_service.h
@@ -93,8 +93,8 @@
   scaling_options options_;
   lease::leader_lock lock_;
   scaling_totals totals_;
-  /// Whether `services_` matches the rows. False at a new leader and after a write with an unknown
-  /// outcome; no decision is made until the rows are read.
+  /// Whether `services_` matches the services' rows in the store. False at a new leader and after a
+  /// write with an unknown outcome; no decision is made before the rows have been read.
   bool records_read_ = false;
   std::map<ServiceName, service_state> services_;
   /// Since when the list of engines is up to date; zero: the list is outdated.
--- a/src/gateway/table/table_watcher.h
+++ b/src/gateway/table/table_watcher.h
@@ -39,8 +39,9 @@
     /// that a large table is not held in memory twice.
     std::function<void(const std::vector<Row>&, bool first_page)> on_page;
     std::function<void(const RowChange&)> on_change;
-    std::function<void(bool healthy)> on_health;          ///< Called when the health changes.
-    std::function<void(std::int64_t clock_ms)> on_clock;  ///< May be empty.
+    std::function<void(bool healthy)> on_health;  ///< Called when the health changes.
+    /// Receives the store's clock; may be empty.
+    std::function<void(std::int64_t clock_ms)> on_clock;
   };
 
   TableWatcher(boost::asio::io_context& loop, AsyncTable& table, std::string name,
--- a/src/gateway/versions/engine_assignment.h
+++ b/src/gateway/versions/engine_assignment.h
@@ -76,7 +76,7 @@
   std::map<EngineId, ZoneName> zones_;  ///< Zone of each assigned engine.
   std::set<ZoneName> all_zones_;        ///< Zones in which engines of the service were seen.
   EngineId next_;                       ///< The search for a free engine resumes here.
-  bool adopted_ = false;                ///< Whether adopt() has run.
+  bool adopted_ = false;                ///< Whether adopt() has run since the last reset.
 };
 
 }  // namespace linenpier::versions
--- a/src/gateway/versions/rollout_service.h
+++ b/src/gateway/versions/rollout_service.h
@@ -83,7 +83,7 @@
   std::map<ServiceName, std::unique_ptr<service_leadership>> services_;
   std::map<ModelName, WeightVersion> newest_versions_;
   rollout_counts counts_;
-  bool table_read_ = false;  ///< Whether a lock without a known row is free.
+  bool table_read_ = false;  ///< Whether the table of locks was read.
   bool stopping_ = false;
 };
 
--- a/src/gateway/versions/version_rollout.h
+++ b/src/gateway/versions/version_rollout.h
@@ -48,9 +48,9 @@
   Duration load_time = std::chrono::milliseconds(900);  ///< Assumed duration of a load.
   /// How long an engine's own response overrides discovery, which lags behind it.
   Duration confirmation_lifetime = std::chrono::milliseconds(3500);
-  /// Wait after an engine reported that it is busy.
+  /// Wait before the next order to an engine that reported that it is busy.
   Duration busy_backoff = std::chrono::milliseconds(250);
-  /// Wait after an order without a response.
+  /// Wait before the next order to an engine that did not respond to the last one.
   Duration unknown_backoff = std::chrono::milliseconds(400);
   Duration rejected_backoff = std::chrono::seconds(2);  ///< Wait after a rejected or fenced order.
 };
