--- a/src/gateway/lease/lease_row.h
+++ b/src/gateway/lease/lease_row.h
@@ -20,10 +20,10 @@
 /** The decoded row of a lease. */
 struct lease_row {
   Revision revision = 0;             ///< Increases with each renewal; 0: the row was never seen.
-  double capacity = 0;               ///< See `capacity_estimator::value`; 0: unknown.
+  double capacity = 0;               ///< Capacity of the daemon in processors; 0: unknown.
   std::optional<Address> peer = {};  ///< Address for requests from other daemons.
-  ZoneName zone = {};                ///< Of the daemon; empty: unknown.
-  std::set<EngineId> awaited = {};   ///< See `lease_table::awaited`.
+  ZoneName zone = {};                ///< Zone of the daemon; empty: unknown.
+  std::set<EngineId> awaited = {};   ///< Engines running an item that a step waits for.
 
   bool operator==(const lease_row&) const = default;
 };
@@ -35,7 +35,7 @@
  */
 lease_row decodeLeaseRow(Revision revision, const std::string& value);
 
-/** @param incarnation unique to one run of the daemon. */
+/** @param incarnation an id that is unique to one run of the daemon. */
 LeaseId makeLeaseId(const std::string& daemon, const std::string& incarnation);
 /** @return the name of the daemon that the lease belongs to. */
 std::string daemonOf(const LeaseId& lease);
