--- a/src/gateway/metrics/gateway_metrics.h
+++ b/src/gateway/metrics/gateway_metrics.h
@@ -16,21 +16,26 @@
 
 namespace linenpier::metrics {
 
-/// Recently started engines of one service.
+/// Metrics of the recently started (cold) engines of one service.
 struct ColdEngines {
   std::size_t count = 0;
-  /// Requests that this daemon sent to them within the sliding window of the cold-engine limiter.
+  /// Requests that this daemon sent to cold engines within the sliding window of the cold-engine
+  /// limiter.
   std::size_t sent = 0;
-  std::size_t max_sent = 0;  ///< The largest number of these requests to a single engine.
+  /// Largest number of requests sent to a single cold engine within the sliding window.
+  std::size_t max_sent = 0;
 };
 
-/// State at the time of a scrape.
+/// State of the gateway at the time of a metrics scrape.
 struct GatewayState {
   std::uint64_t config_version = 0;
-  std::map<std::string, bool> feeds_healthy;       ///< By table.
-  std::map<std::string, double> feed_age_seconds;  ///< Seconds since the store's last answer.
-  std::map<std::string, std::map<std::string, int>> engines;  ///< By service, by state.
-  std::map<std::string, ColdEngines> cold_engines;  ///< By service; only services with a limit.
+  std::map<std::string, bool> feeds_healthy;  ///< Health of each feed, by table.
+  /// Seconds since the store's last answer to each feed.
+  std::map<std::string, double> feed_age_seconds;
+  /// Number of engines, by service and state.
+  std::map<std::string, std::map<std::string, int>> engines;
+  /// Cold engines, by service; only for services with a limit for cold engines.
+  std::map<std::string, ColdEngines> cold_engines;
   std::uint64_t cold_refusals = 0;
   std::size_t suspects_known = 0;
   std::size_t suspects_blocked = 0;
@@ -47,19 +52,19 @@
   std::size_t client_connections = 0;
   std::size_t requests_in_progress = 0;
   std::uint64_t engine_connections_opened = 0;
-  /// Engines checked in all selections of an engine for a request.
+  /// Total number of engines checked while selecting engines for requests.
   std::uint64_t engines_checked_for_selection = 0;
   std::uint64_t log_lines_dropped = 0;
   bool lease_valid = false;
   std::size_t order_locks_held = 0;
   std::uint64_t usage_requests_counted = 0;
-  /// Requests counted for a usage window that had already been summed.
+  /// Requests that were counted too late, after their usage window had been summed.
   std::uint64_t usage_requests_late = 0;
   std::uint64_t usage_windows_reported = 0;
   /// Active engines of scaled services, by service, zone and purchase option (metric label `kind`).
   std::map<std::array<std::string, 3>, std::size_t> engines_present;
-  /// Last ordered number of engines, by the same keys; empty unless this daemon holds the scaling
-  /// lock.
+  /// Number of engines last ordered, by service, zone and purchase option; empty unless this daemon
+  /// holds the scaling lock.
   std::map<std::array<std::string, 3>, std::size_t> engines_ordered;
   std::uint64_t scaling_orders_sent = 0;
   std::uint64_t scaling_orders_refused = 0;
@@ -71,31 +76,32 @@
   std::uint64_t jobs_accepted = 0;
   std::uint64_t jobs_refused = 0;
   std::uint64_t jobs_taken_over = 0;
-  /// Jobs that no daemon within their data residency has taken over yet.
+  /// Jobs that no daemon within the zones of their data residency has taken over yet.
   std::size_t jobs_without_eligible_owner = 0;
-  /// Jobs refused because no engine is within their data residency.
+  /// Jobs refused because no engine is within the zones of their data residency.
   std::uint64_t jobs_refused_for_residency = 0;
-  /// Jobs that this daemon, being outside their data residency, handed over to another.
+  /// Jobs that this daemon handed over to another because it is outside the zones of their data
+  /// residency.
   std::uint64_t jobs_handed_over_for_residency = 0;
   std::uint64_t item_attempts = 0;
   std::uint64_t items_scored = 0;
   std::uint64_t scorings_failed = 0;
 };
 
-/// Loop thread only.
+/// Used only on the event loop thread.
 class GatewayMetrics {
  public:
   GatewayMetrics();
 
-  /// @param kind kind of the route, such as "idempotent".
+  /// @param kind kind of the request's route, such as "idempotent".
   void onRequestEnded(const std::string& kind, const std::string& service,
                       const std::string& outcome, int attempts, Duration took);
   void onAttemptEnded(const std::string& service, const std::string& verdict);
-  /// @param reason why the key was refused, such as "unknown".
+  /// @param reason why the API key was refused, such as "unknown".
   void onKeyRefused(const std::string& reason);
-  /// @param call kind of call, such as "write", "read" or "watch".
+  /// @param call kind of store call, such as "write", "read" or "watch".
   void onStoreCall(const std::string& call, const std::string& result, Duration took);
-  /// @return all metrics in text format.
+  /// @return all metrics in the Prometheus text format.
   std::string render(const GatewayState& state);
 
  private:
--- a/src/gateway/service/closed_zones_monitor.h
+++ b/src/gateway/service/closed_zones_monitor.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /** @file
- * Applies the operator's zone closures: once a closure is known, engines in that zone get no new
- * requests. Holds the set of closed zones and the revision of the operator table it reflects.
- * Updated from the operator feed, or from a peer while that feed is down.
+ * Applies the operator's zone closures: engines in a closed zone get no new requests. Holds the set
+ * of closed zones and the operator table revision that the set reflects. The set is updated from
+ * the operator feed, or from a peer while the operator feed is down.
  */
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class closed_zones_monitor {
  public:
   /** @param count_runs returns the number of batch items running in a zone; used for logging only.
@@ -23,15 +23,15 @@
                        std::function<std::size_t(const ZoneName&)> count_runs)
       : registry_(registry), count_runs_(std::move(count_runs)) {}
 
-  /** Replaces the set of closed zones by that of a table revision.
-   * @param source "store" or "peer", for the log.
+  /** Replaces the set of closed zones by the set at a revision of the operator table.
+   * @param source origin of the set, "store" or "peer"; used for logging only.
    */
   void onSnapshot(Revision revision, const std::map<ZoneName, Revision>& closed,
                   const char* source);
   void onZoneClosed(const ZoneName& zone, Revision revision);
   void onZoneOpened(const ZoneName& zone, Revision revision);
 
-  /** @return the operator table revision that the set reflects. */
+  /** @return the operator table revision that the set of closed zones reflects. */
   Revision revision() const { return this->closings_.revision(); }
   /** @return the closed zones, each with the revision of the row that closed it. */
   fleet::closed_zones closed() const { return this->closings_.zones(); }
--- a/src/gateway/service/cold_engines_monitor.cpp
+++ b/src/gateway/service/cold_engines_monitor.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/** Maximum log lines per report, one per engine that requests were refused for; each line also
- * gives the number of such engines.
+/** Maximum number of log lines per report about engines for which requests were refused. Each line
+ * is about one engine and also gives the total number of these engines.
  */
 constexpr std::size_t kMaxRefusalLines = 5;
 
@@ -20,8 +20,8 @@
 void cold_engines_monitor::updateSenders(std::size_t owners_wanted, bool owns_work) {
   const std::size_t others = this->leases_.candidates(steadyNow()).size();
   engines::cold_senders senders;
-  // Counts at least the target number of owners, since a new owner may send requests before its
-  // lease is read here.
+  // The count is at least the target number of owners, since a new owner may send requests before
+  // this gateway has read its lease.
   senders.count = std::max(others + 1, owners_wanted);
   senders.self = owns_work;
   if (senders == this->registry_.coldLimiter().senders()) return;
--- a/src/gateway/service/cold_engines_monitor.h
+++ b/src/gateway/service/cold_engines_monitor.h
@@ -3,7 +3,8 @@
 /** @file
  * Tells the cold-engine limiter how many gateways share the request limit of a recently started
  * (cold) engine, logs which engines became cold or warm and which requests the limiter refused, and
- * exports metrics. Stateless: the state is in the limiter and in the lease table.
+ * exports metrics. The monitor itself has no state: the state is in the limiter and the lease
+ * table.
  */
 
 #include <cstddef>
@@ -16,18 +17,19 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class cold_engines_monitor {
  public:
   cold_engines_monitor(engines::engine_registry& registry, const lease::lease_table& leases)
       : registry_(registry), leases_(leases) {}
 
-  /** Updates the number of gateways that share the limit of a cold engine.
-   * @param owners_wanted target number of gateways that own work.
-   * @param owns_work whether this gateway owns work or is a candidate for it.
+  /** Updates the number of gateways that share the request limit of a cold engine.
+   * @param owners_wanted target number of gateways that own jobs or leader locks.
+   * @param owns_work whether this gateway owns jobs or leader locks, or is a candidate for them.
    */
   void updateSenders(std::size_t owners_wanted, bool owns_work);
-  /** Logs the engines that became cold or warm since the last call, and the refused requests.
+  /** Logs the engines that became cold or warm, and the requests refused, since the last call of
+   * this function.
    * @param feed engine feed; the engine records are current as of its last answer.
    */
   void report(Instant now, const table::TableWatcher& feed);
--- a/src/gateway/service/coordination_feed.cpp
+++ b/src/gateway/service/coordination_feed.cpp
@@ -12,7 +12,9 @@
  * results.
  */
 constexpr Duration kActiveCoalesceInterval = std::chrono::milliseconds(20);
-/** Batching interval of changes at all other gateways. */
+/** Batching interval of changes at a gateway that cannot be assigned a job and has no readers
+ * waiting for results.
+ */
 constexpr Duration kIdleCoalesceInterval = std::chrono::milliseconds(80);
 
 }  // namespace
--- a/src/gateway/service/coordination_feed.h
+++ b/src/gateway/service/coordination_feed.h
@@ -16,7 +16,7 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class coordination_feed {
  public:
   struct row_handlers {
@@ -27,7 +27,8 @@
     suspects::suspect_service& suspects;
   };
   struct listener {
-    std::function<bool()> owns_work;  ///< Whether this gateway owns work or is a candidate for it.
+    /// Whether this gateway owns jobs or leader locks, or is a candidate for owning them.
+    std::function<bool()> owns_work;
     std::function<void(bool healthy)> on_health;
     std::function<void(std::int64_t clock_ms)> on_store_clock;
   };
--- a/src/gateway/service/engine_change_log.h
+++ b/src/gateway/service/engine_change_log.h
@@ -21,10 +21,11 @@
    */
   explicit engine_change_log(std::size_t capacity = 2000) : capacity_(capacity) {}
 
-  /** Clears the log; it is complete for changes after this revision. */
+  /** Clears the log and marks it as complete for all changes after `revision`. */
   void reset(Revision revision);
-  /** Records an entry that was written, removed or became unreadable.
-   * @param revision 0 if unknown; such a change is part of every answer.
+  /** Records that an engine's table entry was written, was removed or became invalid.
+   * @param revision table revision of the change; 0 if unknown. A change of unknown revision is
+   * part of every result of `changedSince`.
    */
   void record(const EngineId& engine, Revision revision);
   /** @return the engines whose entries changed after `since`, or nothing if the log does not reach
@@ -39,7 +40,7 @@
   };
 
   std::size_t capacity_;
-  Revision complete_since_ = 0;  ///< The log holds all changes after this revision.
+  Revision complete_since_ = 0;  ///< Revision after which the log holds all changes.
   std::deque<change> changes_;
 };
 
--- a/src/gateway/service/engine_feed.cpp
+++ b/src/gateway/service/engine_feed.cpp
@@ -11,15 +11,17 @@
 
 namespace {
 
-/** Batching interval of changes at a gateway that runs batch items or manages engine versions. */
+/** Batching interval of engine changes at a gateway that runs batch items or manages engine
+ * versions.
+ */
 constexpr Duration kActiveCoalesceInterval = std::chrono::milliseconds(150);
-/** Batching interval at a gateway that only forwards requests; short enough to learn of draining
- * engines within two seconds.
+/** Batching interval of engine changes at a gateway that only forwards requests; short enough to
+ * learn of draining engines within two seconds.
  */
 constexpr Duration kIdleCoalesceInterval = std::chrono::milliseconds(500);
-/** Limits the log lines about single engines during large rollouts. */
+/** Number of log lines per second about single engines that are written without sampling. */
 constexpr std::uint32_t kUnsampledLinesPerSecond = 10;
-/** Beyond that rate, one in this many changes is logged. */
+/** Number of engine changes per log line above the rate `kUnsampledLinesPerSecond`. */
 constexpr std::uint32_t kSampleInterval = 20;
 
 }  // namespace
@@ -106,8 +108,8 @@
     this->deps_.connections.closeIdle(*before);
     LogEvent("engines", "restarted").text("engine", record.id.str()).number("start", record.start);
   }
-  // New engines and weight updates are only counted: a starting fleet produces thousands at every
-  // gateway.
+  // New engines and weight updates are counted but not logged individually, since starting many
+  // engines would produce thousands of log lines at every gateway.
   const bool begins_draining = record.draining && !was_draining;
   if (!begins_draining || !this->change_log_sampler_.admit(steadyNow())) {
     ++this->unlogged_changes_;
@@ -183,7 +185,7 @@
 }
 
 void engine_feed::applySnapshot(const PeerSnapshot& snapshot) {
-  // A delta that starts after the local revision would leave a gap.
+  // A partial list that starts after the local revision would omit the changes in between.
   if (snapshot.engines_since && *snapshot.engines_since > this->revision()) return;
   if (!snapshot.engines_since) this->listed_ids_.clear();
   for (const table::Row& row : snapshot.engines) {
--- a/src/gateway/service/engine_feed.h
+++ b/src/gateway/service/engine_feed.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /** @file
- * Watches the platform's engine table and applies it to the engine registry. While the store is
- * unavailable, the engines come from the snapshots of peers; for peers, the feed adds the engines
- * to this gateway's snapshots. Closes pooled connections to engines that are removed or restarted.
+ * Watches the platform's engine table and applies its rows to the engine registry. While the store
+ * is unavailable, the engines come from the snapshots of peers. The feed also adds the engines to
+ * the snapshots that this gateway sends to peers, and closes pooled connections to engines that are
+ * removed or restarted.
  */
 
 #include <functional>
@@ -20,7 +21,7 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class engine_feed {
  public:
   struct dependencies {
@@ -38,18 +39,18 @@
   void start() { this->watcher_.start(); }
   /** @return whether the engine list has been read from the store or a peer. */
   bool loaded() const { return this->loaded_; }
-  /** @return the table revision that the registry reflects. */
+  /** @return the engine table revision that the engine registry reflects. */
   Revision revision() const;
   table::TableWatcher& watcher() { return this->watcher_; }
   const table::TableWatcher& watcher() const { return this->watcher_; }
 
   /** Adds the engines to a snapshot for a peer.
-   * @param known the revision that the peer has; 0 if none.
+   * @param known engine table revision that the peer already has; 0 if it has none.
    */
   void fillSnapshot(PeerSnapshot& snapshot, Revision known) const;
   /** Applies the engines of a peer's snapshot. */
   void applySnapshot(const PeerSnapshot& snapshot);
-  /** Logs the number of changes since the last call that had no log line of their own. */
+  /** Logs the number of engine changes since the last call that were not logged individually. */
   void logUnloggedChanges();
 
  private:
@@ -57,29 +58,31 @@
   static table::WatcherOptions watcherOptions(const engine_feed& feed, std::uint64_t seed);
 
   void onRow(const table::RowChange& change);
-  /** Handles one row of a full read of the table. */
+  /** Handles one row of a full read of the engine table. */
   void onFullReadRow(const table::Row& row);
-  /** Handles the end of a full read: engines that were not in it are removed. */
+  /** Handles the end of a full read of the engine table: removes the engines that had no row. */
   void onFullReadEnd(Revision revision);
   /** Waits a grace period after a store outage, then removes the engines whose expired entries were
    * not written again.
    */
   Task<void> removeLapsedEngines();
-  /** Parses a row. An engine whose row is invalid is taken out of use.
-   * @return nothing if the row is invalid.
+  /** Parses a row of the engine table. An engine whose row is invalid is taken out of use.
+   * @return the engine, or nothing if the row is invalid.
    */
   std::optional<engines::engine_record> parseRow(const table::Row& row);
   void applyRecord(const engines::engine_record& record, Revision revision);
   /** Handles the removal of an engine's entry.
-   * @return the engine's address if it is now out of use.
+   * @return the engine's address if the engine is now out of use.
    */
   std::optional<Address> removeEngine(const EngineId& id);
 
   dependencies deps_;
   engine_change_log changes_;
-  std::set<EngineId> listed_ids_;  ///< Ids seen in the full read in progress.
+  /// Ids of the engines seen so far in the current full read of the table.
+  std::set<EngineId> listed_ids_;
   std::uint64_t unlogged_changes_ = 0;
-  logging::SuccessSampler change_log_sampler_;  ///< Limits the log lines about single engines.
+  /// Limits the rate of log lines about single engines.
+  logging::SuccessSampler change_log_sampler_;
   Revision peer_revision_ = 0;  ///< Engine table revision of the last applied peer snapshot.
   bool loaded_ = false;
   table::TableWatcher watcher_;
--- a/src/gateway/service/gateway.cpp
+++ b/src/gateway/service/gateway.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr Duration kMaintenanceInterval = std::chrono::seconds(1);
-/** The engine feed reports its unlogged changes once in this many maintenance runs. */
+/** Number of maintenance runs between two reports of unlogged engine changes. */
 constexpr std::uint64_t kMaintenanceRunsPerChangeReport = 10;
 /** Time for the platform's readiness probes to detect the shutdown and stop sending new clients. */
 constexpr Duration kDeregistrationDelay = std::chrono::milliseconds(3200);
-/** Reserved for process exit within the shutdown timeout. */
+/** Part of the shutdown timeout that is reserved for process exit. */
 constexpr Duration kShutdownMargin = std::chrono::milliseconds(900);
 constexpr Duration kShutdownPollInterval = std::chrono::milliseconds(50);
-/** Reserved in a row for its key and encoding. */
+/** Bytes of a store row that are reserved for the key and the encoding. */
 constexpr std::size_t kRowOverheadBytes = 1024;
 constexpr unsigned kOk = 200;
 constexpr unsigned kNotFound = 404;
@@ -222,7 +222,7 @@
 }
 
 bool Gateway::ready() const {
-  // Without the list of suspect requests, the first requests could crash engines again.
+  // Without the list of suspect requests, the gateway could send requests that crash engines.
   return operator_feed_.configuration() && engine_feed_.loaded() && suspects_.loaded() &&
          !stopping_;
 }
--- a/src/gateway/service/gateway.h
+++ b/src/gateway/service/gateway.h
@@ -29,7 +29,7 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class Gateway {
  public:
   /** @param engine_pool connection pool for engines and peers. */
@@ -40,9 +40,11 @@
    * @return findings if a required address cannot be bound.
    */
   Findings start();
-  /** Applies the settings that can change at run time; logs whether others need a restart. */
+  /** Applies the settings that can change at run time, and logs whether any other changed setting
+   * needs a restart.
+   */
   void applySettings(const GatewaySettings& changed);
-  /** Starts a graceful shutdown; stops the event loop when done. */
+  /** Starts a graceful shutdown, which stops the event loop when complete. */
   void stop();
 
   /** @return whether the configuration, the engines and the suspect requests are loaded and no
@@ -64,7 +66,7 @@
   void onConfiguration(const routing::Configuration& configuration);
   void onLeasesRead(bool answered);
   void updateColdSenders();
-  /** @return whether this gateway owns jobs or a leader lock, or is a candidate for them. */
+  /** @return whether this gateway owns jobs or leader locks, or is a candidate for owning them. */
   bool ownsWork() const;
   Task<void> handleReadiness(http::Request& request, http::ResponseWriter& writer);
   /** @return the number of requests that the engine reports, or nothing if it does not answer. */
@@ -78,7 +80,8 @@
   http::ConnectionPool& engine_pool_;
   engines::engine_registry registry_;
   routing::weighted_round_robin round_robin_;
-  lease::pool_requirements owner_demand_ = defaultOwnerDemand();  ///< Target number of work owners.
+  /// Target number of gateways that own jobs or leader locks.
+  lease::pool_requirements owner_demand_ = defaultOwnerDemand();
   lease::lease_table leases_;
   lease::owner_pool owner_pool_;
   lease::lease_keeper keeper_;
--- a/src/gateway/service/gateway_settings.cpp
+++ b/src/gateway/service/gateway_settings.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// Added to the platform's lock handover pause for differences in clock rate.
+/// Time added to the platform's lock handover pause to allow for differences in clock rate.
 constexpr Duration kHandoverMargin = std::chrono::milliseconds(100);
-/// Added to job retention for clock differences between readers, submitters and the store.
+/// Time added to job retention to allow for clock differences between readers, submitters and the
+/// store.
 constexpr Duration kJobRetentionMargin = std::chrono::seconds(30);
 
 /// Entry of `duties.names` that permits this gateway to order a number of engines.
--- a/src/gateway/service/gateway_settings.h
+++ b/src/gateway/service/gateway_settings.h
@@ -25,22 +25,25 @@
   DaemonId id;
   ZoneName zone;
   fleet::fleet_layout layout;  ///< Region of each zone.
-  Address request_address;     ///< Listens for client requests.
-  Address readiness_address;   ///< Listens for readiness probes.
-  /// Listens for metrics scrapes; disabled if empty.
+  Address request_address;     ///< Address to listen on for client requests.
+  Address readiness_address;   ///< Address to listen on for readiness probes.
+  /// Address to listen on for metrics scrapes; no listener if empty.
   std::optional<Address> metrics_address;
-  /// Listens for calls of other gateways; disabled if empty.
+  /// Address to listen on for calls from other gateways; no listener if empty.
   std::optional<Address> peer_address;
   std::vector<Address> seed_peers;  ///< Initial peer addresses; may be out of date.
   Address store_address;
-  /// Platform service that takes usage reports and scaling orders; none if empty.
+  /// Address of the platform service that takes usage reports and scaling orders; empty if there is
+  /// no such service.
   std::optional<Address> control_plane_address;
   usage::usage_options usage;
   scaling::scaling_options scaling;
   lease::machine_limits machine;
-  std::size_t max_row_bytes = 65536;                    ///< Largest value of a store row.
-  Duration shutdown_timeout = std::chrono::seconds(8);  ///< From the stop signal to process exit.
-  lease::handover_options handover;  ///< Handover of leader locks between gateways.
+  /// Maximum size of the value of a store row.
+  std::size_t max_row_bytes = 65536;
+  /// Maximum time from the stop signal to process exit.
+  Duration shutdown_timeout = std::chrono::seconds(8);
+  lease::handover_options handover;  ///< Options for the handover of leader locks between gateways.
   versions::rollout_options rollout;
   batch::batch_options batch;
   engines::cold_limit_options cold;  ///< Load limits for recently started engines.
@@ -50,7 +53,7 @@
   bool log_as_text = false;
 };
 
-/// @return the settings, or all findings, each with file and key.
+/// @return the settings, or all errors found, each with its file and key.
 tl::expected<GatewaySettings, Findings> parseGatewaySettings(const std::string& file,
                                                              const std::string& text);
 
--- a/src/gateway/service/metrics_exporter.h
+++ b/src/gateway/service/metrics_exporter.h
@@ -20,7 +20,7 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class metrics_exporter {
  public:
   struct sources {
--- a/src/gateway/service/operator_feed.cpp
+++ b/src/gateway/service/operator_feed.cpp
@@ -50,7 +50,7 @@
 void operator_feed::onChange(const table::RowChange& change) {
   const auto zone = this->platform_.parseClosedZone(table::keyWithoutTable(change.row));
   if (zone) {
-    // A change is newer than everything the feed delivered before, even if it has no revision.
+    // A change without a revision still counts as newer than all changes delivered before.
     const Revision revision = std::max(change.row.revision, this->watcher_.revision() + 1);
     if (change.removed) {
       this->zones_.onZoneOpened(*zone, revision);
--- a/src/gateway/service/operator_feed.h
+++ b/src/gateway/service/operator_feed.h
@@ -14,10 +14,10 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only.
+/** Used only on the event loop thread.
  *
- * Invariant: the configuration version never decreases during the life of the process, whatever the
- * source.
+ * Invariant: the configuration version never decreases during the life of the process, whether a
+ * configuration comes from the store or from a peer.
  */
 class operator_feed {
  public:
@@ -31,9 +31,10 @@
                 listener listener, std::uint64_t seed);
 
   void start() { this->watcher_.start(); }
-  /** @return the current configuration; null before the first. */
+  /** @return the current configuration; null until the first configuration is loaded. */
   const routing::ConfigurationPtr& configuration() const { return this->configuration_; }
-  /** @return 0 before the first configuration. */
+  /** @return the version of the current configuration; 0 until the first configuration is loaded.
+   */
   std::uint64_t configurationVersion() const {
     return this->configuration_ ? this->configuration_->version : 0;
   }
@@ -50,7 +51,7 @@
   table::TableWatcher& watcher() { return this->watcher_; }
   const table::TableWatcher& watcher() const { return this->watcher_; }
 
-  /** Applies a configuration if its version is newer than the current one. */
+  /** Applies a configuration if its version is newer than that of the current configuration. */
   void onConfiguration(const std::string& value);
 
  private:
--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -8,9 +8,11 @@
 
 using zone_requirement = lease::pool_requirements::zone_requirement;
 
-/** Owners beyond one per model: one for the engine order lock, and one standby. */
+/** Number of owners wanted in addition to one per model: one for the engine order lock, and one
+ * standby.
+ */
 constexpr std::size_t kSpareOwners = 2;
-/** Standby owners within the zones of each zone requirement. */
+/** Number of standby owners wanted within the zones of each zone requirement. */
 constexpr std::size_t kSpareOwnersPerZoneRequirement = 1;
 
 std::size_t modelCount(const routing::Configuration& configuration, const routing::Route& route) {
@@ -27,7 +29,7 @@
   return zones;
 }
 
-/** Adds a zone requirement, or raises the minimum of the one for the same zones. */
+/** Adds a zone requirement, or raises the minimum of an existing requirement for the same zones. */
 void mergeZoneRequirement(std::vector<zone_requirement>& requirements, std::set<ZoneName> zones,
                           std::size_t min_candidates) {
   if (zones.empty()) return;
--- a/src/gateway/service/owner_demand.h
+++ b/src/gateway/service/owner_demand.h
@@ -10,13 +10,13 @@
 
 namespace linenpier::gateway {
 
-/** @return one owner per model plus spares and, for each data residency constraint on batch jobs,
- *     one owner per model and one spare within the allowed zones.
+/** @return the numbers of owners wanted: one per model plus spares and, for each data residency
+ * constraint on batch jobs, one per model and one spare within the allowed zones.
  */
 lease::pool_requirements computeOwnerDemand(const routing::Configuration& configuration,
                                             const fleet::fleet_layout& layout);
 
-/** @return the demand before a configuration is loaded. */
+/** @return the numbers of owners wanted until a configuration is loaded. */
 lease::pool_requirements defaultOwnerDemand();
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/peer_exchange.cpp
+++ b/src/gateway/service/peer_exchange.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 constexpr Duration kFetchInterval = std::chrono::milliseconds(300);
-/** Peers fetched from per interval; enough to reach the owner pool and the seed peers within a
- * second, so that a revoked key is disabled in time.
+/** Number of peers to fetch state from per interval; enough to reach the work owners and the seed
+ * peers within a second, so that a revoked key is disabled in time.
  */
 constexpr std::size_t kPeersPerInterval = 3;
 constexpr Duration kFetchTimeout = std::chrono::milliseconds(300);
-/** Timeout of fetching a full engine list: 4 MB for ten thousand engines, fetched over a slow and
- * shared link.
+/** Timeout of fetching a full engine list, which is 4 MB for ten thousand engines and may be
+ * fetched over a slow, shared link.
  */
 constexpr Duration kFullFetchTimeout = std::chrono::milliseconds(1500);
 constexpr Duration kWriteTimeout = std::chrono::milliseconds(400);
-/** A feed without an answer for this long counts as down even if no call failed, as when the store
- * rate-limits this gateway. A working feed is answered within 2.7 s.
+/** Time without an answer after which a feed counts as down even if no call failed, for example
+ * because the store rate-limits this gateway. The store answers a working feed within 2.7 s.
  */
 constexpr Duration kFeedStaleAfter = std::chrono::milliseconds(2800);
 constexpr std::size_t kMaxWriteAttempts = 3;
@@ -133,7 +133,7 @@
                            isFresh(this->deps_.engine_feed.watcher()) &&
                            isFresh(this->deps_.coordination) && this->deps_.suspects.loaded();
     if (all_known || this->deps_.stopping()) continue;
-    // Avoids fetching several full engine lists at once.
+    // No fetch starts while another may be fetching a full engine list.
     if (!this->deps_.engine_feed.loaded() && this->pending_fetches_ > 0) continue;
     const std::vector<Address> peers = this->peerAddresses();
     for (std::size_t i = 0; i < std::min(kPeersPerInterval, peers.size()); ++i) {
@@ -173,7 +173,8 @@
   operator_feed& operators = this->deps_.operator_feed;
   engine_feed& engines = this->deps_.engine_feed;
   const std::uint64_t version_before = operators.configurationVersion();
-  // Zones first: requests may be sent as soon as routes and engines are known.
+  // Closed zones are applied first, since requests may be sent as soon as routes and engines are
+  // known.
   if (snapshot.zones_revision > operators.zonesRevision()) {
     this->deps_.zones.onSnapshot(snapshot.zones_revision, snapshot.closed_zones, "peer");
   }
--- a/src/gateway/service/peer_exchange.h
+++ b/src/gateway/service/peer_exchange.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /** @file
- * Peer-to-peer fallback during a store outage. A gateway whose feeds are down fetches newer state
- * (configuration, closed zones, engines and suspect requests) from a few peers. A gateway that
- * cannot write has a peer write rows that no lease or leader lock depends on.
+ * Exchange of state between gateways during a store outage. A gateway whose feeds are down fetches
+ * newer state (configuration, closed zones, engines and suspect requests) from a few peers. A
+ * gateway that cannot write to the store asks a peer to write rows that no lease or leader lock
+ * depends on.
  */
 
 #include <functional>
@@ -20,7 +21,7 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class peer_exchange {
  public:
   struct dependencies {
@@ -33,18 +34,19 @@
     closed_zones_monitor& zones;
     suspects::suspect_service& suspects;
     table::TableWatcher& coordination;
-    std::function<std::vector<Address>()> seeds;  ///< Seed peers, without this gateway.
+    /// Addresses of the seed peers, except that of this gateway.
+    std::function<std::vector<Address>()> seeds;
     std::function<bool()> stopping;
   };
 
   peer_exchange(dependencies deps, std::uint64_t seed) : deps_(std::move(deps)), random_(seed) {}
 
-  /** Starts fetching from peers whenever a feed is down. */
+  /** Starts the loop that fetches state from peers while a feed is down. */
   void start();
   /** Handles a request from a peer. */
   Task<void> handle(http::Request& request, http::ResponseWriter& writer);
   /** Tries peers in turn until one performs the write.
-   * @return nothing if none did.
+   * @return the answer to the write, or nothing if no peer performed it.
    */
   Task<std::optional<table::TransactionAnswer>> writeViaPeer(table::Write write);
 
@@ -55,7 +57,7 @@
   Task<void> fetchLoop();
   Task<void> fetchSnapshot(Address peer);
   void applySnapshot(const PeerSnapshot& snapshot, const Address& peer);
-  /** @return peers from the leases and the seed list. */
+  /** @return the addresses of the peers in the lease table and in the seed list. */
   std::vector<Address> peerAddresses() const;
 
   dependencies deps_;
--- a/src/gateway/service/peer_rows.h
+++ b/src/gateway/service/peer_rows.h
@@ -12,7 +12,7 @@
 namespace linenpier::gateway {
 
 nlohmann::json encodeRows(const std::vector<table::Row>& rows);
-/** @throws nlohmann::json::exception if an entry is not a row. */
+/** @throws nlohmann::json::exception if an element of the JSON list is not a row. */
 std::vector<table::Row> decodeRows(const nlohmann::json& entries);
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/peer_snapshot.cpp
+++ b/src/gateway/service/peer_snapshot.cpp
@@ -54,7 +54,7 @@
     PeerSnapshot snapshot;
     snapshot.config_version = document.at("config_version").get<std::uint64_t>();
     snapshot.configuration = document.at("configuration").get<std::string>();
-    // Earlier versions send no zones; revision 0 is never applied.
+    // Gateways of earlier versions send no closed zones. Zones of revision 0 are never applied.
     snapshot.zones_revision = document.value("zones_revision", Revision{0});
     const json closed = document.value("closed_zones", json::object());
     for (const auto& [zone, revision] : closed.items()) {
@@ -66,7 +66,7 @@
       snapshot.engines_since = document["engines_since"].get<Revision>();
       snapshot.removed_engines = document.at("engines_gone").get<std::vector<std::string>>();
     }
-    // Earlier versions send no suspects.
+    // Gateways of earlier versions send no suspect requests.
     snapshot.suspects = decodeRows(document.value("suspects", json::array()));
     return snapshot;
   } catch (const json::exception&) {
--- a/src/gateway/service/peer_snapshot.h
+++ b/src/gateway/service/peer_snapshot.h
@@ -14,37 +14,38 @@
 
 namespace linenpier::gateway {
 
-/// Applied only by a gateway whose own feeds are down, and only where it is newer than the local
-/// state.
+/// State of a gateway that a peer applies only while its own feeds are down, and only the parts
+/// that are newer than its local state.
 struct PeerSnapshot {
   std::uint64_t config_version = 0;
-  /// The operator's row, with API keys replaced by their digests.
+  /// Configuration as written by the operator, with API keys replaced by their digests.
   std::string configuration;
-  Revision zones_revision = 0;  ///< Operator table revision of `closed_zones`.
+  Revision zones_revision = 0;  ///< Operator table revision that `closed_zones` reflects.
   std::map<ZoneName, Revision> closed_zones;
-  Revision engines_revision = 0;  ///< Engine table revision of `engines`.
-  /// All engines or, if `engines_since` is set, those written after that revision.
+  Revision engines_revision = 0;  ///< Engine table revision that `engines` reflects.
+  /// All engines or, if `engines_since` is set, the engines written after that revision.
   std::vector<table::Row> engines;
-  /// Empty if `engines` is the full list.
+  /// Engine table revision after which `engines` lists all changes; empty if `engines` is the full
+  /// list.
   std::optional<Revision> engines_since;
   std::vector<std::string> removed_engines;  ///< Ids of engines removed after `engines_since`.
   std::vector<table::Row> suspects;          ///< Requests suspected of crashing engines.
 };
 
-/// Revisions that the requesting peer already has; 0 if none.
+/// Revisions of the state that the requesting peer already has; 0 if it has no state.
 struct KnownRevisions {
   std::uint64_t config_version = 0;
   Revision engines_revision = 0;
 };
 
-/// @return the request target that asks for newer state. Gateways of earlier versions ignore the
-///     parameters and send everything.
+/// @return the request target that asks for state newer than `known`. Gateways of earlier versions
+/// ignore the parameters and send all state.
 std::string snapshotTarget(const KnownRevisions& known);
-/// @return zero revisions if the target does not give them.
+/// @return the revisions in the request target; 0 for each revision that the target does not give.
 KnownRevisions parseSnapshotTarget(const std::string& target);
 
 std::string encodeSnapshot(const PeerSnapshot& snapshot);
-/// @return nothing if the text is not a valid snapshot.
+/// @return the snapshot, or nothing if the text is not a valid snapshot.
 std::optional<PeerSnapshot> decodeSnapshot(const std::string& text);
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/peer_write.h
+++ b/src/gateway/service/peer_write.h
@@ -12,11 +12,11 @@
 namespace linenpier::gateway {
 
 std::string encodeWrite(const table::Write& write);
-/** @return nothing if the text is not a valid write. */
+/** @return the write, or nothing if the text is not a valid write. */
 std::optional<table::Write> decodeWrite(const std::string& text);
 
 std::string encodeAnswer(const table::TransactionAnswer& answer);
-/** @return nothing if the text is not a valid answer. */
+/** @return the answer, or nothing if the text is not a valid answer. */
 std::optional<table::TransactionAnswer> decodeAnswer(const std::string& text);
 
 }  // namespace linenpier::gateway
--- a/src/gateway/service/platform_port.h
+++ b/src/gateway/service/platform_port.h
@@ -48,7 +48,7 @@
   virtual usage::usage_port& usageReporting() = 0;
   virtual scaling::scaling_port& scaling() = 0;
 
-  /// Tables written by the platform and its operators.
+  /// Name of the table with the configuration, the published weight versions and the closed zones.
   virtual std::string operatorTable() const = 0;
   virtual std::string engineTable() const = 0;
 
@@ -58,19 +58,21 @@
       const std::string& value) const = 0;
   /// @return an equivalent configuration with API keys replaced by their digests.
   virtual std::string hashApiKeys(const std::string& configuration) const = 0;
-  /// @return nothing if the operator's row is of another kind or invalid.
+  /// @return the published weight version, or nothing if the operator's row is invalid or of
+  /// another kind.
   virtual std::optional<PublishedVersion> parsePublishedVersion(const std::string& key,
                                                                 const std::string& value) const = 0;
   /// @return the zone that the operator's row closes, or nothing if the row is of another kind.
   virtual std::optional<ZoneName> parseClosedZone(const std::string& key) const = 0;
-  /// @return the engine, or the reasons why the row is invalid.
+  /// @return the engine, or the reasons why the row of the engine table is invalid.
   virtual tl::expected<engines::engine_record, Findings> parseEngine(
       const std::string& key, const std::string& value) const = 0;
-  /// @return a row value that parses to the same engine, for peers without store access.
+  /// @return a row value that `parseEngine` parses to the given engine, for peers without store
+  /// access.
   virtual std::string encodeEngine(const engines::engine_record& engine) const = 0;
 
   virtual bool isReadinessProbe(const http::Request& request) const = 0;
-  /// @return nothing if the request is not a batch call.
+  /// @return the batch call, or nothing if the request is not a batch call.
   virtual std::optional<BatchCall> parseBatchCall(const http::Request& request) const = 0;
 };
 
--- a/src/gateway/service/request_dispatcher.cpp
+++ b/src/gateway/service/request_dispatcher.cpp
@@ -21,8 +21,8 @@
   const std::string id = http::fieldText(request, this->deps_.platform.fieldNames().request_id);
   const tenants::caller from =
       configuration ? tenants::authenticate(*configuration, request) : tenants::caller{};
-  // Without a configuration, keys cannot be checked: calls for public jobs, which need no key, are
-  // handled here, and all others are rejected below for want of a route.
+  // Without a configuration, API keys cannot be checked. Batch calls for public jobs need no key
+  // and are still handled; all other requests are rejected below since no route is known.
   if (call && (configuration || this->deps_.batches.isPublic(call->job))) {
     co_await this->handleBatchCall(*call, from, id, writer);
     co_return;
--- a/src/gateway/service/request_dispatcher.h
+++ b/src/gateway/service/request_dispatcher.h
@@ -15,7 +15,7 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class request_dispatcher {
  public:
   struct dependencies {
@@ -29,7 +29,8 @@
   explicit request_dispatcher(const dependencies& deps) : deps_(deps) {}
 
   /** Handles one request until its response is complete.
-   * @param received when its header was complete; the request deadline counts from there.
+   * @param received time at which the request header was complete; the request deadline counts from
+   * this time.
    */
   Task<void> handle(http::Request& request, Instant received, http::ResponseWriter& writer);
 
@@ -41,7 +42,7 @@
    */
   Task<void> rejectCaller(const tenants::caller& from, const std::string& id,
                           http::ResponseWriter& writer);
-  /** Responds 404, or 503 while the operator feed is down. */
+  /** Responds 404 to a request without a route, or 503 while the operator feed is down. */
   Task<void> rejectPath(const std::string& path, const std::string& id,
                         http::ResponseWriter& writer);
 
--- a/src/gateway/service/settings_watcher.h
+++ b/src/gateway/service/settings_watcher.h
@@ -13,25 +13,25 @@
 
 namespace linenpier::gateway {
 
-/// @return the settings, or all findings, each with file and key.
+/// @return the settings, or all errors found, each with its file and key.
 tl::expected<GatewaySettings, Findings> readGatewaySettings(const std::string& file);
 
-/// Loop thread only.
+/// Used only on the event loop thread.
 class settings_watcher {
  public:
-  /// Called with the new settings after each valid change.
+  /// Function that is called with the new settings after each valid change of the settings file.
   using settings_callback = std::function<void(const GatewaySettings&)>;
 
   settings_watcher(boost::asio::io_context& loop, std::string file, Duration period,
                    settings_callback callback);
 
   void start();
-  /** Reads the file now. An invalid file is logged and otherwise ignored. */
+  /** Reads the settings file immediately. An invalid file is logged and otherwise ignored. */
   void reload();
   std::uint64_t rejectedReloads() const { return rejected_reloads_; }
 
  private:
-  /// Detects changes of the file without reading it.
+  /// Attributes of the settings file that show a change without reading the content.
   struct file_stamp {
     std::filesystem::file_time_type written_at{};
     std::uintmax_t size = 0;
--- a/src/gateway/service/store_monitor.cpp
+++ b/src/gateway/service/store_monitor.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-/** Calls older than this are aborted when the store recovers, since they were sent during the
- * outage. Even a store sixty times slower than normal answers within 0.25 s.
+/** Minimum age of the store calls that are aborted when the store recovers. Calls of this age were
+ * sent during the outage, since even a store sixty times slower than normal answers within 0.25 s.
  */
 constexpr Duration kMinStaleAge = std::chrono::milliseconds(300);
-/** Factor from the duration of a probe, which reads a single row, to the age at which other calls
- * count as stale; a write takes longer than such a read.
+/** Ratio of the age at which store calls count as stale to the duration of a probe. The ratio is
+ * above 1 since a probe only reads a single row, and a write takes longer.
  */
 constexpr int kProbeTimeFactor = 3;
 constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
-/** Interval of checks while no probes are needed. */
+/** Interval of checks whether probes are needed, while none are. */
 constexpr Duration kIdleCheckInterval = std::chrono::milliseconds(500);
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
 
@@ -71,7 +71,7 @@
     const bool wanted = !this->deps_.leases.storeHealthy() && this->deps_.needs_probes();
     co_await sleepFor(this->deps_.loop, wanted ? kProbeInterval : kIdleCheckInterval);
     if (!wanted) continue;
-    // Probes overlap, since one sent during the outage may never be answered.
+    // Probes overlap, since a probe sent while the store is unavailable may never be answered.
     spawn(this->deps_.loop, [this] { return this->probe(); });
   }
 }
@@ -82,8 +82,8 @@
   const Instant begun = steadyNow();
   const auto page = co_await this->deps_.table.read(range);
   if (!page || this->deps_.leases.storeHealthy()) co_return;
-  // If the store is slow, calls count as stale only at an age in proportion to the probe's
-  // duration.
+  // The age at which calls count as stale grows with the duration of the probe, since a slow store
+  // takes longer to answer every call.
   const Duration stale_after = kProbeTimeFactor * (steadyNow() - begun);
   this->onStoreReachable(std::max(kMinStaleAge, stale_after));
 }
--- a/src/gateway/service/store_monitor.h
+++ b/src/gateway/service/store_monitor.h
@@ -6,8 +6,8 @@
  * calls sent during the outage are aborted, and the feeds and the lease read retry at once.
  *
  * Takeovers need both the leases and the coordination feed, so the lease table is marked healthy
- * only while both succeed. A gateway that owns work probes the store during an outage to detect its
- * return.
+ * only while the lease reads and the coordination feed both succeed. A gateway that owns work
+ * probes the store during an outage to detect when the store is available again.
  */
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace linenpier::gateway {
 
-/** Loop thread only. */
+/** Used only on the event loop thread. */
 class store_monitor {
  public:
   struct dependencies {
@@ -28,7 +28,8 @@
     lease::lease_poller& lease_poller;
     table::TableWatcher& coordination;
     std::vector<table::TableWatcher*> feeds;
-    std::function<bool()> needs_probes;  ///< Whether owned work waits for the store.
+    /// Whether jobs or leader locks of this gateway wait for the store.
+    std::function<bool()> needs_probes;
   };
 
   explicit store_monitor(dependencies deps) : deps_(std::move(deps)) {}
@@ -38,7 +39,9 @@
   void onLeasesRead(bool answered);
   /** Handles a health change of the coordination feed. */
   void onCoordinationHealth(bool healthy);
-  /** Handles a successful store call: all failed readers retry. */
+  /** Handles a successful store call: aborts stale calls, and makes all failed readers retry at
+   * once.
+   */
   void onStoreReachable();
 
  private:
--- a/src/gateway/trace/step_table.cpp
+++ b/src/gateway/trace/step_table.cpp
@@ -49,7 +49,7 @@
   }
 }
 
-/** When a model version was published, and last loaded by an engine. */
+/** Times at which a model version was published and at which an engine last loaded it. */
 struct version_timeline {
   std::string model;
   double published = 0;
--- a/src/gateway/trace/trace_reader.cpp
+++ b/src/gateway/trace/trace_reader.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr double kMinGapMs = 500;
-/// Job events that apply to each of its items.
+/// Events of a batch job that apply to each item of the job.
 const std::set<std::string> kJobWideEvents = {"submitted",  "job_active",  "job_stopped",
                                               "takeover",   "handed_over", "list_failed",
                                               "job_listed", "end_asked"};
-/// Fields of every line; not repeated in the list of event fields.
+/// Fields that every log line has; the list of event fields in the output omits them.
 const std::set<std::string> kCommonFields = {"wall_ms", "steady_ms", "node", "part", "event"};
 
 std::string stringField(const json& fields, const char* name) {
