--- a/src/common/address.h
+++ b/src/common/address.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Network addresses by IP number. Host names are never resolved.
+/// Numeric IPv4 addresses. Host names are never resolved.
 
 #include <netinet/in.h>
 
@@ -28,13 +28,13 @@
 };
 
 /// @param text "127.0.0.1:7000".
-/// @return nothing if the text is not an IPv4 number and a port between 1 and 65535.
+/// @return nothing if the text is not an IPv4 address and a port between 1 and 65535.
 std::optional<Address> parseAddress(const std::string& text);
 /// @return the address as "127.0.0.1:7000".
 std::string toString(const Address& address);
-/// @return the address in the form that sockets take.
+/// @return the address as a socket endpoint.
 sockaddr_in toSocketAddress(const Address& address);
-/// @return only the IP number, as "127.0.0.1".
+/// @return the IP address without the port, as "127.0.0.1".
 std::string ipText(const Address& address);
 
 }  // namespace linenpier
--- a/src/common/error.h
+++ b/src/common/error.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Error values. Functions that may fail return `tl::expected`; nothing throws across modules.
+/// Error values. Functions that may fail return `tl::expected`; exceptions do not cross modules.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -9,25 +9,25 @@
 
 namespace linenpier {
 
-/// One thing that is wrong, with the place where it stands.
+/// A validation error and its location.
 struct Finding {
   std::string place;    ///< File, line and key, or a JSON path.
-  std::string problem;  ///< What is wrong, as a short sentence.
+  std::string problem;  ///< Description of the error.
 };
 
 using Findings = std::vector<Finding>;
 
-/// @return the findings as text, one a line.
+/// @return the findings as text, one per line.
 std::string describe(const Findings& findings);
 
-/// Why an outside system gave no usable answer.
+/// Why a call to an external system failed.
 enum class CallFailure {
   kUnreachable,  ///< No connection: the request was certainly not processed.
-  kRateLimited,  ///< Refused before processing; asking later helps.
+  kRateLimited,  ///< Refused before processing; may be retried later.
   kUnavailable,  ///< Refused before processing because the service is down.
-  kAnswerLost,   ///< Sent, but no whole answer came: the effect is unknown.
-  kBadAnswer,    ///< An answer came but could not be understood: the effect is unknown.
-  kRejected,     ///< Understood and refused for good.
+  kAnswerLost,   ///< Sent, but no complete response was received: the effect is unknown.
+  kBadAnswer,    ///< The response could not be parsed: the effect is unknown.
+  kRejected,     ///< Processed and permanently refused.
 };
 
 /// @return whether the request certainly had no effect.
--- a/src/common/event_log.cpp
+++ b/src/common/event_log.cpp
@@ -25,7 +25,7 @@
 std::uint64_t reported_drops = 0;
 EventLogOptions options;
 
-/// Drops what does not fit into the queue, and counts it. The names are Boost.Log's.
+/// Drops and counts records that do not fit into the queue. Boost.Log requires these names.
 // NOLINTBEGIN(readability-identifier-naming)
 struct DropAndCount {
   template <typename Lock>
@@ -80,9 +80,9 @@
 void reportDrops() {
   const std::uint64_t dropped = dropped_lines.load();
   if (dropped == reported_drops) return;
-  const std::uint64_t news = dropped - reported_drops;
+  const std::uint64_t new_count = dropped - reported_drops;
   reported_drops = dropped;
-  LogEvent("log", "lines_dropped").number("count", static_cast<std::int64_t>(news));
+  LogEvent("log", "lines_dropped").number("count", static_cast<std::int64_t>(new_count));
 }
 
 }  // namespace
--- a/src/common/event_log.h
+++ b/src/common/event_log.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Structured logs: one JSON object a line, through Boost.Log with a bounded queue that drops and
-/// counts instead of waiting.
+/// Structured logs: one JSON object per line, through Boost.Log with a bounded queue that drops and
+/// counts records instead of blocking.
 
 #include <cstdint>
 #include <string>
@@ -12,11 +12,11 @@
 
 namespace linenpier::logging {
 
-/// One line under construction; written when it goes out of scope.
+/// Builds one log line, which is written by the destructor.
 class LogEvent {
  public:
-  /// @param part fixed prefix of the part of the program, such as "forward".
-  /// @param event fixed name of what happened, such as "request_ended".
+  /// @param part fixed name of the component, such as "forward".
+  /// @param event fixed name of the event, such as "request_ended".
   LogEvent(std::string_view part, std::string_view event);
   ~LogEvent();
   LogEvent(const LogEvent&) = delete;
@@ -35,14 +35,14 @@
 struct EventLogOptions {
   std::string node;
   bool enabled = true;
-  bool as_text = false;  ///< Plain sentences instead of JSON.
+  bool as_text = false;  ///< Plain text instead of JSON.
 };
 
-/// Sets up the sink for the whole process. Call once, before the first event.
+/// Sets up the process-wide sink. Call once, before the first event.
 void startEventLog(const EventLogOptions& options);
-/// Writes what is queued, waiting at most a moment.
+/// Flushes the queue with a short timeout.
 void stopEventLog();
-/// @return lines dropped because standard output did not take them.
+/// @return the number of lines dropped because standard output was blocked.
 std::uint64_t droppedLines();
 
 }  // namespace linenpier::logging
--- a/src/common/ids.h
+++ b/src/common/ids.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Identifiers as types of their own, so that an engine id cannot be passed for a daemon id.
+/// Strongly typed identifiers, so that an engine id cannot be passed as a daemon id.
 
 #include <boost/serialization/level.hpp>
 #include <boost/serialization/string.hpp>
@@ -14,7 +14,7 @@
 
 namespace linenpier {
 
-/// A non-interchangeable string identifier. `Tag` only distinguishes the types.
+/// A string identifier. `Tag` distinguishes the types.
 template <typename Tag>
 class Id {
  public:
@@ -31,7 +31,7 @@
   }
 
  private:
-  std::string value_;  ///< Text as received; never interpreted.
+  std::string value_;  ///< Opaque.
 };
 
 template <typename Tag>
@@ -41,19 +41,19 @@
 
 using DaemonId = Id<struct DaemonIdTag>;        ///< One running daemon process.
 using EngineId = Id<struct EngineIdTag>;        ///< One model engine (a sampler).
-using ZoneName = Id<struct ZoneNameTag>;        ///< A failure domain, such as a hall.
+using ZoneName = Id<struct ZoneNameTag>;        ///< A failure domain, such as a data hall.
 using RegionName = Id<struct RegionNameTag>;    ///< A group of zones.
-using TenantId = Id<struct TenantIdTag>;        ///< A paying user of the service.
+using TenantId = Id<struct TenantIdTag>;        ///< A customer of the service.
 using ModelName = Id<struct ModelNameTag>;      ///< A model or adapter that engines serve.
 using TrainerId = Id<struct TrainerIdTag>;      ///< A trainer, unique within its tenant.
-using RequestId = Id<struct RequestIdTag>;      ///< One caller request; unique everywhere.
+using RequestId = Id<struct RequestIdTag>;      ///< One client request; globally unique.
 using ServiceName = Id<struct ServiceNameTag>;  ///< A pool of engines that requests are routed to.
 using RouteName = Id<struct RouteNameTag>;      ///< A route of the operator's configuration.
 using JobId = Id<struct JobIdTag>;              ///< A batch job.
 using ItemId = Id<struct ItemIdTag>;            ///< One request of a batch job.
 using GroupId = Id<struct GroupIdTag>;          ///< Items of a job that belong together.
-using LeaseId = Id<struct LeaseIdTag>;          ///< The lease of one life of a gateway.
-using AttemptId = Id<struct AttemptIdTag>;  ///< One try of a write or dispatch; unique everywhere.
+using LeaseId = Id<struct LeaseIdTag>;          ///< The lease of one run of a gateway process.
+using AttemptId = Id<struct AttemptIdTag>;      ///< One write or dispatch attempt; unique.
 
 /// Version of a model's weights. Trainers publish 1, 2, 3, …; 0 means "none known".
 using WeightVersion = std::uint64_t;
--- a/src/common/log.h
+++ b/src/common/log.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Logging through Boost.Log. Each part of the program logs under its own fixed prefix.
+/// Logging through Boost.Log. Each component logs under its own fixed prefix.
 
 #include <boost/log/trivial.hpp>
 #include <string>
@@ -14,5 +14,5 @@
 
 }  // namespace linenpier
 
-/// Logs one short sentence, for example `LINENPIER_LOG(info, "membership") << "Zone is cut."`.
+/// Logs a message, for example `LINENPIER_LOG(info, "membership") << "zone is unreachable"`.
 #define LINENPIER_LOG(severity, part) BOOST_LOG_TRIVIAL(severity) << "[" part "] "
--- a/src/common/machine_clock.h
+++ b/src/common/machine_clock.h
@@ -1,27 +1,26 @@
 #pragma once
 
 /** @file
- * The clock that all times of this product are measured on. It goes on while the machine is
- * suspended, which the steady clock does not: a lease, a right, a feed's word or a deadline is as
- * old as it seems, also to a daemon that wakes. It never goes back.
+ * The monotonic clock for all time measurements. Unlike the steady clock it includes the time in
+ * which the machine is suspended, so that leases, locks and deadlines expire during a suspension.
  */
 
 #include <chrono>
 
 namespace linenpier {
 
-/** Where the time comes from; tests put their own in place. */
+/** Source of the time, which tests can replace. */
 class clock_source {
  public:
   virtual ~clock_source() = default;
 
-  /** @return the time since the machine started, that in which it was suspended included. */
+  /** @return the time since the machine started, including suspensions. */
   virtual std::chrono::microseconds sinceStart() const = 0;
-  /** @return how long the machine was suspended in all. */
+  /** @return the total time in which the machine was suspended. */
   virtual std::chrono::microseconds suspended() const = 0;
 };
 
-/** In the form that the standard library and Asio ask of a clock. */
+/** Meets the clock requirements of the standard library and Asio. */
 class machine_clock {
  public:
   using duration = std::chrono::microseconds;
@@ -31,9 +30,9 @@
   static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming)
 
   static time_point now();
-  /** What was heard over a time in which this has grown may be older than it seems. */
+  /** If this increases while data is received, the data may be older than it seems. */
   static duration suspended();
-  /** @param source null: the machine's own clock. */
+  /** @param source null: the system clock. */
   static void setSource(const clock_source* source);
 };
 
--- a/src/common/random.h
+++ b/src/common/random.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Randomness that is handed in, so that a run can be repeated from its seed.
+/// Seeded random numbers, so that runs can be reproduced.
 
 #include <cstdint>
 #include <random>
@@ -9,7 +9,7 @@
 
 namespace linenpier {
 
-/// A seeded generator. Not thread-safe: each owner has one of its own.
+/// A seeded generator. Not thread-safe.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
@@ -22,13 +22,13 @@
   double unit() { return std::uniform_real_distribution<double>(0.0, 1.0)(engine_); }
   /// @return 16 hexadecimal digits, for unique ids.
   std::string hex16();
-  /// @return a seed from the operating system's entropy; used by mains only.
+  /// @return a seed from the operating system's entropy. Only for main functions.
   static std::uint64_t seedFromSystem();
 
   std::mt19937_64& engine() { return engine_; }
 
  private:
-  std::mt19937_64 engine_;  ///< Generator state.
+  std::mt19937_64 engine_;
 };
 
 }  // namespace linenpier
--- a/src/common/read_file.h
+++ b/src/common/read_file.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Reading of whole files.
+/// Reads complete files.
 
 #include <string>
 
@@ -9,7 +9,7 @@
 
 namespace linenpier::settings {
 
-/// Reads a file. @return its text or one finding.
+/// @return the contents of the file, or a finding.
 tl::expected<std::string, Findings> readFile(const std::string& path);
 
 }  // namespace linenpier::settings
--- a/src/common/retry_backoff.h
+++ b/src/common/retry_backoff.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * How long to wait before the next try of a call that fails again and again. Pure.
+ * Computes the delay before a failed call is retried. Does no I/O.
  */
 
 #include <algorithm>
@@ -11,30 +11,30 @@
 
 namespace linenpier {
 
-/** Doubles the pause with each failure in a row, and spreads it, so that many callers that failed
- * at the same moment do not come back at the same moment.
+/** Exponential backoff with jitter: doubles the delay with each consecutive failure and randomizes
+ * it, so that callers that failed together do not retry together.
  */
 class retry_backoff {
  public:
-  retry_backoff(Duration shortest, Duration longest, std::uint64_t seed)
-      : shortest_(shortest), longest_(longest), pause_(shortest), random_(seed) {}
+  retry_backoff(Duration min_delay, Duration max_delay, std::uint64_t seed)
+      : min_delay_(min_delay), max_delay_(max_delay), delay_(min_delay), random_(seed) {}
 
-  void onSuccess() { this->pause_ = this->shortest_; }
+  void onSuccess() { this->delay_ = this->min_delay_; }
 
-  /// @return the pause before the next try: between half of and one and a half times the step.
+  /// @return the delay before the next attempt: 0.5 to 1.5 times the current step.
   Duration onFailure() {
-    const Duration step = this->pause_;
-    this->pause_ = std::min(this->pause_ * 2, this->longest_);
-    const auto part = static_cast<std::int64_t>(this->random_.below(kSteps));
-    return step / 2 + step * part / static_cast<std::int64_t>(kSteps);
+    const Duration step = this->delay_;
+    this->delay_ = std::min(this->delay_ * 2, this->max_delay_);
+    const auto fraction = static_cast<std::int64_t>(this->random_.below(kSteps));
+    return step / 2 + step * fraction / static_cast<std::int64_t>(kSteps);
   }
 
  private:
   static constexpr std::uint64_t kSteps = 1000;
 
-  Duration shortest_;
-  Duration longest_;
-  Duration pause_;
+  Duration min_delay_;
+  Duration max_delay_;
+  Duration delay_;
   Random random_;
 };
 
--- a/src/common/success_sampler.h
+++ b/src/common/success_sampler.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Bounds how many lines about successes are written. Failures are always written.
+/// Limits the number of log lines for successes. Failures are always logged.
 
 #include <cstdint>
 
@@ -9,15 +9,15 @@
 
 namespace linenpier::logging {
 
-/// Lets a number of lines a second through, and then one in many. Loop thread only.
+/// Logs a number of successes per second, and a fraction of those beyond. Loop thread only.
 class SuccessSampler {
  public:
   SuccessSampler(std::uint32_t full_per_second, std::uint32_t sample_one_in)
       : full_per_second_(full_per_second), sample_one_in_(sample_one_in) {}
 
-  /// @return whether the line about a success at `now` is to be written.
+  /// @return whether a success at `now` must be logged.
   bool admit(Instant now);
-  /// @return successes that were not written since the last call.
+  /// @return the number of successes that were not logged since the last call.
   std::uint64_t takeSkipped();
 
  private:
--- a/src/common/table_row.h
+++ b/src/common/table_row.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Rows of the platform's transactional table service, and conditional writes of them. Values.
+/// Rows of the platform's transactional table service, and conditional writes.
 
 #include <string>
 #include <vector>
@@ -10,14 +10,14 @@
 
 namespace linenpier::table {
 
-/// A row with its revision. Revisions only grow; 0 means that the row does not exist.
+/// A row with its revision. Revisions only increase; 0 means that the row does not exist.
 struct Row {
   std::string key;
   Revision revision = 0;
   std::string value;  ///< JSON text.
 };
 
-/// The transaction goes through only if `key` still has `revision`.
+/// The transaction is committed only if `key` still has `revision`.
 struct Check {
   std::string key;
   Revision revision = 0;
@@ -28,17 +28,17 @@
   std::string value;
 };
 
-/// All checks and puts take effect together, or none does.
+/// Checks and puts that are applied atomically.
 struct Transaction {
   std::vector<Check> checks;
   std::vector<Put> puts;
 };
 
-/// The service's answer to a transaction it has processed.
+/// The service's response to a processed transaction.
 struct TransactionAnswer {
   bool committed = false;
-  Revision revision = 0;       ///< Revision given to every row written, if committed.
-  std::vector<Row> conflicts;  ///< The rows whose check failed, as they are, if not committed.
+  Revision revision = 0;       ///< Revision of all written rows, if committed.
+  std::vector<Row> conflicts;  ///< Current rows whose checks failed, if not committed.
 };
 
 }  // namespace linenpier::table
--- a/src/common/task.h
+++ b/src/common/task.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Coroutines of the event loop. Everything that uses them runs on one thread, the loop's.
+/// Coroutines of the event loop, which all run on the loop's thread.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/basic_waitable_timer.hpp>
@@ -17,25 +17,25 @@
 
 namespace linenpier {
 
-/// An asynchronous result on the event loop.
+/// A coroutine that runs on the event loop.
 template <typename T>
 using Task = boost::asio::awaitable<T>;
 
-/// Runs `task` on the loop on its own. An exception that escapes it is logged, never fatal.
+/// Starts a detached task on the loop. Exceptions that it does not handle are logged.
 template <typename Function>
 void spawn(boost::asio::io_context& loop, Function function) {
   boost::asio::co_spawn(loop, std::move(function), [](const std::exception_ptr& error) {
     if (!error) return;
     try {
       std::rethrow_exception(error);
-    } catch (const std::exception& escaped) {
-      LINENPIER_LOG(error, "loop") << "A task ended with an exception: " << escaped.what();
+    } catch (const std::exception& exception) {
+      LINENPIER_LOG(error, "loop") << "unhandled exception in a task: " << exception.what();
     }
   });
 }
 
-/// What passed while the machine was suspended is over when it wakes, as soon as the loop looks at
-/// any timer: within the shortest of its periods.
+/// Timers that expire during a suspension fire on resume as soon as the loop checks its timers,
+/// which takes at most the shortest active period.
 using machine_timer = boost::asio::basic_waitable_timer<machine_clock>;
 
 inline Task<void> sleepFor(boost::asio::io_context& loop, Duration duration) {
@@ -45,8 +45,8 @@
   co_await timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, error));
 }
 
-/// Wakes tasks that wait for something to change. A wake-up without a waiter is not remembered:
-/// waiters check their condition first, and nothing else runs between check and wait.
+/// Wakes tasks that wait for a change. Notifications without a waiter are lost: waiters must check
+/// their condition first, with no suspension point between check and wait.
 class Signal {
  public:
   explicit Signal(boost::asio::io_context& loop) : timer_(loop) {}
@@ -56,7 +56,7 @@
   /// Returns after `notifyAll` or after `limit`, whichever comes first.
   Task<void> waitFor(Duration limit) {
     const Instant until = steadyNow() + limit;
-    // Setting the expiry cancels other waiters, which then check again; so it only moves forward.
+    // Changing the expiry cancels other waiters, which check again; so it only moves forward.
     if (waiters_ == 0 || until < timer_.expiry()) timer_.expires_at(until);
     ++waiters_;
     boost::system::error_code error;
--- a/src/common/time.h
+++ b/src/common/time.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Time as the decision code sees it: a value passed in, never read from a clock.
+/// Time types. Decision code gets the time as a parameter and never reads a clock.
 
 #include <chrono>
 
@@ -10,11 +10,11 @@
 namespace linenpier {
 
 using Duration = std::chrono::microseconds;
-/// A point on a monotonic time line. Only differences have a meaning.
+/// A monotonic point in time. Only differences are meaningful.
 using Instant = machine_clock::time_point;
 
-/// @return the present on the machine's monotonic clock, suspensions included; used by shells,
-/// never by decision code.
+/// @return the current time of the monotonic clock, which includes suspensions. Not for decision
+/// code.
 inline Instant steadyNow() {
   return machine_clock::now();
 }
--- a/src/common/toml_reader.cpp
+++ b/src/common/toml_reader.cpp
@@ -88,7 +88,7 @@
   if (const auto address = parseAddress(text)) {
     value = *address;
   } else {
-    report(key, "must be an IP number and a port, such as 127.0.0.1:7000");
+    report(key, "must be an IP address and a port, such as 127.0.0.1:7000");
   }
 }
 
@@ -102,11 +102,11 @@
     const std::string& text = override_value->second;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), read);
     if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) {
-      return report(key, "must be a whole number");
+      return report(key, "must be an integer");
     }
   } else if (node) {
     const auto number = node.value_exact<std::int64_t>();
-    if (!number) return report(key, "must be a whole number");
+    if (!number) return report(key, "must be an integer");
     read = *number;
   }
   if (read < lowest || read > highest) {
--- a/src/common/toml_reader.h
+++ b/src/common/toml_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Reads typed values from TOML by dotted key and collects what is wrong, with file, line and key.
+/// Reads typed values from TOML by dotted key and collects errors with file, line and key.
 
 #include <cstdint>
 #include <map>
@@ -18,7 +18,7 @@
 /// Values given on the command line, by dotted key such as "daemon.zone".
 using Overrides = std::map<std::string, std::string>;
 
-/// One settings file under reading. Keys that are never asked for are reported by `finish`.
+/// Reads one settings file. `finish` reports keys that were never read.
 class TomlReader {
  public:
   TomlReader(std::string file, const std::string& text, Overrides overrides);
@@ -32,7 +32,7 @@
   void readInteger(const std::string& key, std::int64_t& value, std::int64_t lowest,
                    std::int64_t highest);
   void readNumber(const std::string& key, double& value, double lowest, double highest);
-  /// A table of strings under names of the writer's choice, such as zones; may be absent.
+  /// A table of strings with arbitrary keys, such as zones; may be absent.
   void readStrings(const std::string& key, std::map<std::string, std::string>& values);
   /// Reports unknown keys. @return all findings.
   Findings finish();
@@ -42,8 +42,8 @@
   struct Document;
   std::string file_;
   Overrides overrides_;
-  std::unique_ptr<Document> document_;  ///< Parsed text; empty if it could not be parsed.
-  std::set<std::string> known_;         ///< Keys asked for.
+  std::unique_ptr<Document> document_;  ///< Parsed document; empty after a syntax error.
+  std::set<std::string> known_;         ///< Keys that were read.
   Findings findings_;
 };
 
--- a/src/common/toml_table_reader.h
+++ b/src/common/toml_table_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Reads members of TOML tables for the stand-in's and the load tool's files, collecting findings.
+/// Reads values of TOML tables for the test bed tools and collects findings.
 
 #include <toml++/toml.h>
 
@@ -14,7 +14,7 @@
 
 namespace linenpier::settings {
 
-/// One table under reading.
+/// Reads the values of one table.
 class TableReader {
  public:
   TableReader(const toml::table& table, std::string file, Findings& findings)
@@ -26,17 +26,17 @@
     return value.value_or("");
   }
   template <typename Number>
-  Number number(const char* key, Number usual) {
-    if (!table_[key]) return usual;
+  Number number(const char* key, Number default_value) {
+    if (!table_[key]) return default_value;
     const auto value = table_[key].value<Number>();
     if (!value) report(key, "must be a number in range");
-    return value.value_or(usual);
+    return value.value_or(default_value);
   }
   Address address(const char* key, bool required) {
     const auto value = table_[key].value<std::string>();
     if (!value && !required) return {};
     const auto parsed = parseAddress(value.value_or(""));
-    if (!parsed) report(key, "must be an IP number and a port");
+    if (!parsed) report(key, "must be an IP address and a port");
     return parsed.value_or(Address{});
   }
   void report(const std::string& key, const std::string& problem) {
