--- a/tests/compat/earlier_build_test.cpp
+++ b/tests/compat/earlier_build_test.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// What the build before this one wrote is read by this one, and the other way round: while
-/// machines are replaced one after the other both run side by side. The bytes were recorded from
-/// that build's own encoders.
+/// Tests that this build and the previous one read each other's data, as both run during a rolling
+/// upgrade. The data was recorded from the encoders of the previous build.
 
 #include "batch_json_codec.h"
 #include "gateway/batch/checkpoint.h"
@@ -21,7 +20,7 @@
 namespace {
 
 constexpr char kLease[] = "0.480000@north;i-1,i-2|10.1.0.3:8166";
-constexpr char kRight[] = "d-1#0123456789abcdef|98765";
+constexpr char kLeaderLock[] = "d-1#0123456789abcdef|98765";
 constexpr char kJob[] =
     R"({"accepted_ms":1234567,"begun":true,"body_rows":2,"ended":false,"host":"h.example","model":"m",)"
     R"("owner":"d-1#0123456789abcdef","path":"/jobs/x","released":7,"tenant":"","total":208})";
@@ -47,7 +46,7 @@
 
 }  // namespace
 
-Test(earlier_build, its_leases_are_read_and_written_alike) {
+Test(earlier_build, leases_are_compatible) {
   const lease::lease_row read = lease::decodeLeaseRow(5, kLease);
   cr_assert_float_eq(read.capacity, 0.48, 1e-9);
   cr_assert_eq(read.zone.str(), "north");
@@ -59,14 +58,14 @@
   cr_assert_eq(written, kLease);
 }
 
-Test(earlier_build, its_rights_are_read_and_written_alike) {
-  const lease::leader_lock_row right = lease::decodeLockRow(kRight);
-  cr_assert_eq(right.owner.str(), "d-1#0123456789abcdef");
-  cr_assert_eq(right.last_action_ms, 98765);
-  cr_assert_eq(lease::encodeLockRow(right), kRight);
+Test(earlier_build, leader_locks_are_compatible) {
+  const lease::leader_lock_row lock = lease::decodeLockRow(kLeaderLock);
+  cr_assert_eq(lock.owner.str(), "d-1#0123456789abcdef");
+  cr_assert_eq(lock.last_action_ms, 98765);
+  cr_assert_eq(lease::encodeLockRow(lock), kLeaderLock);
 }
 
-Test(earlier_build, its_jobs_are_read_and_written_alike) {
+Test(earlier_build, jobs_are_compatible) {
   const auto job = batch::decodeRecord(JobId("j"), kJob);
   cr_assert(job.has_value());
   cr_assert_eq(job->total, 208U);
@@ -75,34 +74,35 @@
   cr_assert_eq(batch::encodeRecord(*job), kJob);
 }
 
-Test(earlier_build, its_suspects_are_read_and_written_alike) {
+Test(earlier_build, suspects_are_compatible) {
   const auto suspect = suspects::decodeSuspect(kSuspect);
   cr_assert(suspect.has_value());
   cr_assert_eq(suspect->crashes, 2);
   cr_assert_eq(suspects::encodeSuspect(*suspect), kSuspect);
 }
 
-Test(earlier_build, its_kept_texts_are_read_and_written_alike) {
+Test(earlier_build, checkpoints_are_compatible) {
   const std::string bytes = fromHex(kCheckpoint);
-  const auto kept = batch::decodeCheckpoint(bytes);
-  cr_assert(kept.has_value());
-  cr_assert_eq(kept->at(0).text, "a\nb");
-  cr_assert_eq(kept->at(0).after_event, 2U);
-  cr_assert_eq(batch::encodeCheckpoint(*kept), bytes);
+  const auto checkpoint = batch::decodeCheckpoint(bytes);
+  cr_assert(checkpoint.has_value());
+  cr_assert_eq(checkpoint->at(0).text, "a\nb");
+  cr_assert_eq(checkpoint->at(0).after_event, 2U);
+  cr_assert_eq(batch::encodeCheckpoint(*checkpoint), bytes);
 }
 
-Test(earlier_build, its_results_are_read_and_written_alike) {
+Test(earlier_build, results_are_compatible) {
   const platform_adapter::batch_json_codec documents;
   const auto result = documents.decodeResult(kResult);
   cr_assert(result.has_value());
   cr_assert_eq(documents.encodeResult(*result), kResult);
 }
 
-Test(earlier_build, what_its_daemons_tell_is_a_whole_list) {
-  const auto told = gateway::decodeSnapshot(kSnapshot);
-  cr_assert(told.has_value());
-  cr_assert_not(told->engines_since.has_value());
-  cr_assert_eq(told->engines.at(0).key, "servers/i-1");
-  cr_assert_eq(told->closed_zones.at(ZoneName("north")), 6U);
-  cr_assert_eq(gateway::encodeSnapshot(*told), kSnapshot, "its daemons ask for a whole list");
+Test(earlier_build, full_snapshots_are_compatible) {
+  const auto snapshot = gateway::decodeSnapshot(kSnapshot);
+  cr_assert(snapshot.has_value());
+  cr_assert_not(snapshot->engines_since.has_value());
+  cr_assert_eq(snapshot->engines.at(0).key, "servers/i-1");
+  cr_assert_eq(snapshot->closed_zones.at(ZoneName("north")), 6U);
+  cr_assert_eq(gateway::encodeSnapshot(*snapshot), kSnapshot,
+               "the previous build expects a full snapshot");
 }
--- a/tests/gateway/service/batch_test.cpp
+++ b/tests/gateway/service/batch_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Batch jobs through whole gateways, against a stand-in store that loses answers and goes away.
+/// End-to-end tests of batch jobs against a store that loses responses and becomes unavailable.
 
 #include <nlohmann/json.hpp>
 
@@ -14,13 +14,13 @@
 
 namespace {
 
-std::string wholeText(const std::string& item, int events) {
+std::string expectedText(const std::string& item, int events) {
   std::string text;
   for (int i = 1; i <= events; ++i) text += (i > 1 ? "\n" : "") + item + "." + std::to_string(i);
   return text;
 }
 
-/// Checks that every item of the job stands in the results once, whole.
+/// Checks that the results contain each item of the job exactly once and complete.
 void checkResults(const std::string& results, const std::string& job, int items, int events) {
   std::set<std::string> seen;
   std::size_t begin = 0;
@@ -28,24 +28,24 @@
     const std::size_t end = results.find('\n', begin);
     const json result = json::parse(results.substr(begin, end - begin));
     const std::string id = result["id"];
-    cr_assert(seen.insert(id).second, "%s stands twice", id.c_str());
+    cr_assert(seen.insert(id).second, "%s is listed twice", id.c_str());
     cr_assert_eq(result["state"], "completed");
-    cr_assert_eq(result["text"], wholeText(id, events));
+    cr_assert_eq(result["text"], expectedText(id, events));
     begin = end + 1;
   }
   cr_assert_eq(seen.size(), static_cast<std::size_t>(items));
   cr_assert(seen.contains(job + "-0"));
 }
 
-/// @return whether the row of the job named "job" has the daemon as its owner.
-bool ownedBy(GatewayFixture& fixture, const std::string& daemon) {
+/// @return whether the daemon owns the job with the id "job".
+bool isOwnedBy(GatewayFixture& fixture, const std::string& daemon) {
   const std::string record = fixture.store().get("linenpier", "job/job").value_or("");
   return record.find("\"owner\":\"" + daemon + "#") != std::string::npos;
 }
 
 }  // namespace
 
-GATEWAY_TEST(batch_jobs, a_job_is_run_and_reads_alike_at_every_daemon, twoGateways(6)) {
+GATEWAY_TEST(batch_jobs, a_job_is_run_and_has_the_same_results_at_every_daemon, twoGateways(6)) {
   const auto accepted = co_await fixture.call(0, fixture.jobRequest("job", 9));
   cr_assert_eq(accepted.response.result_int(), 202U);
   const std::string first = co_await fixture.readAll(0, "job");
@@ -57,10 +57,10 @@
   const auto again = co_await fixture.call(0, endRequest("job"));
   cr_assert_eq(again.response.result_int(), 200U);
   const std::string after = co_await fixture.readAll(1, "job");
-  cr_assert_eq(after, first, "listed results stay");
+  cr_assert_eq(after, first, "published results changed");
 }
 
-GATEWAY_TEST(batch_jobs, the_same_job_handed_in_twice_is_taken_once, twoGateways(3)) {
+GATEWAY_TEST(batch_jobs, a_job_submitted_twice_is_accepted_once, twoGateways(3)) {
   const auto one = co_await fixture.call(0, fixture.jobRequest("job", 4));
   const auto other = co_await fixture.call(1, fixture.jobRequest("job", 4));
   cr_assert_eq(one.response.result_int(), 202U);
@@ -70,16 +70,17 @@
   cr_assert_eq(fixture.model(0).arrivals().size() + fixture.model(1).arrivals().size(), 4U);
 }
 
-GATEWAY_TEST(batch_jobs, a_job_whose_row_was_written_but_not_answered_is_taken, twoGateways(3)) {
+GATEWAY_TEST(batch_jobs, a_job_whose_row_was_written_without_a_response_is_accepted,
+             twoGateways(3)) {
   fixture.store().faults().lose_writes = 1;
   const auto accepted = co_await fixture.call(0, fixture.jobRequest("job", 4));
   cr_assert(accepted.response.result_int() == 202U || accepted.response.result_int() == 502U,
-            "never a promise that it will not run");
+            "must not be reported as not executed");
   const std::string results = co_await fixture.readAll(1, "job");
   checkResults(results, "job", 4, 3);
 }
 
-GATEWAY_TEST(batch_jobs, a_job_is_refused_while_the_store_is_away_and_none_of_it_runs,
+GATEWAY_TEST(batch_jobs, a_job_is_refused_and_not_run_while_the_store_is_unavailable,
              twoGateways(3)) {
   fixture.store().faults().refuse = true;
   const Instant begun = steadyNow();
@@ -92,8 +93,7 @@
   cr_assert(fixture.model(0).arrivals().empty() && fixture.model(1).arrivals().empty());
 }
 
-GATEWAY_TEST(batch_jobs, appends_that_are_done_late_or_not_answered_never_move_a_position,
-             twoGateways(5)) {
+GATEWAY_TEST(batch_jobs, delayed_or_unanswered_appends_never_change_a_position, twoGateways(5)) {
   co_await fixture.call(0, fixture.jobRequest("job", 12));
   fixture.store().faults().lose_writes = 2;
   fixture.store().faults().delay_writes = 1;
@@ -113,7 +113,7 @@
   checkResults(results, "job", 130, 2);
 }
 
-GATEWAY_TEST(batch_jobs, a_planned_stop_hands_the_job_over_with_the_text_made_so_far,
+GATEWAY_TEST(batch_jobs, a_graceful_stop_hands_the_job_over_with_its_partial_results,
              twoGateways(60)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(20));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
@@ -127,10 +127,10 @@
       resumed += arrival.fields.contains("last-event-id") ? 1 : 0;
     }
   }
-  cr_assert(resumed >= 1, "nothing was gone on with");
+  cr_assert(resumed >= 1, "no item was resumed");
 }
 
-GATEWAY_TEST(batch_jobs, items_survive_engines_that_shed_break_off_and_fail, twoGateways(8)) {
+GATEWAY_TEST(batch_jobs, items_complete_although_engines_shed_disconnect_and_fail, twoGateways(8)) {
   for (std::size_t i = 0; i < 2; ++i) {
     auto& script = fixture.model(i).script();
     script = {SamplerAct::kShed, SamplerAct::kCutShort, SamplerAct::kFail, SamplerAct::kClose};
@@ -140,7 +140,7 @@
   checkResults(results, "job", 8, 8);
 }
 
-GATEWAY_TEST(batch_jobs, an_item_that_can_never_be_done_is_listed_as_given_up,
+GATEWAY_TEST(batch_jobs, an_item_that_always_fails_is_listed_as_terminated,
              test::FixtureOptions{}) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).script() = {SamplerAct::kReject};
   co_await fixture.call(0, fixture.jobRequest("job", 1));
@@ -150,7 +150,7 @@
   cr_assert_eq(result["text"], "");
 }
 
-GATEWAY_TEST(batch_jobs, bodies_of_items_are_told_at_every_daemon, twoGateways(40)) {
+GATEWAY_TEST(batch_jobs, item_bodies_can_be_read_at_every_daemon, twoGateways(40)) {
   co_await fixture.call(0, fixture.jobRequest("job", 3));
   for (std::size_t gateway = 0; gateway < 2; ++gateway) {
     http::Request request(boost::beast::http::verb::get, "/linenpier/items/job?id=job-2", 11);
@@ -164,7 +164,7 @@
   cr_assert_eq(outcome.response.result_int(), 404U);
 }
 
-GATEWAY_TEST(batch_jobs, an_unknown_job_is_not_found_only_when_the_store_says_so,
+GATEWAY_TEST(batch_jobs, an_unknown_job_is_not_found_only_if_the_store_confirms_it,
              test::FixtureOptions{}) {
   http::Request request(boost::beast::http::verb::get, "/linenpier/lots/none?afterRev=0", 11);
   auto outcome = co_await fixture.call(0, request);
@@ -175,10 +175,11 @@
   fixture.store().faults().refuse = false;
   fixture.store().faults().nonsense = true;
   outcome = co_await fixture.call(0, request);
-  cr_assert_eq(outcome.response.result_int(), 503U, "a store that answers nonsense is not sure");
+  cr_assert_eq(outcome.response.result_int(), 503U,
+               "an invalid store response must not be taken for a missing job");
 }
 
-GATEWAY_TEST(batch_jobs, an_end_stops_the_work_at_another_daemon, twoGateways(400)) {
+GATEWAY_TEST(batch_jobs, ending_a_job_stops_its_items_at_another_daemon, twoGateways(400)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(10));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(200));
@@ -190,13 +191,13 @@
   cr_assert(stopped);
 }
 
-GATEWAY_TEST(batch_jobs, items_that_come_again_in_a_later_job_are_gone_on_with, twoGateways(60)) {
+GATEWAY_TEST(batch_jobs, items_repeated_in_a_later_job_are_resumed, twoGateways(60)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(10));
   co_await fixture.call(0, fixture.jobRequest("first", 3));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(250));
   co_await fixture.call(1, endRequest("first"));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(250));
-  // Handed in at a daemon that did not run the first job.
+  // Submitted to a daemon that did not run the first job.
   http::Request again = fixture.jobRequest("first", 3);
   again.set("Request-Id", "second");
   again.target("/jobs/second");
@@ -210,19 +211,19 @@
       resumed += arrival.fields.contains("last-event-id") ? 1 : 0;
     }
   }
-  cr_assert(resumed >= 3, "only %d items were gone on with", resumed);
+  cr_assert(resumed >= 3, "only %d items were resumed", resumed);
 }
 
 namespace {
 
-test::FixtureOptions soonRemoved() {
+test::FixtureOptions shortRetention() {
   test::FixtureOptions options = twoGateways(60);
   options.keep_jobs = std::chrono::milliseconds(600);
   return options;
 }
 
-/// @return whether the store holds nothing of the job.
-bool nothingLeft(test::StandinStore& store, const std::string& job) {
+/// @return whether the store has no data of the job.
+bool isRemoved(test::StandinStore& store, const std::string& job) {
   for (const char* table : {"linenpier", "results", "checkpoints"}) {
     for (const std::string& key : store.keys(table)) {
       if (key.find(job) != std::string::npos) return false;
@@ -231,8 +232,8 @@
   return store.objectNames("job-" + job).empty();
 }
 
-/// @return how many rows hold the job's checkpoint.
-std::size_t checkpointRows(test::StandinStore& store, const std::string& job) {
+/// @return the number of checkpoint rows of the job.
+std::size_t countCheckpointRows(test::StandinStore& store, const std::string& job) {
   const std::vector<std::string> keys = store.keys("checkpoints");
   return static_cast<std::size_t>(
       std::count_if(keys.begin(), keys.end(),
@@ -241,18 +242,19 @@
 
 }  // namespace
 
-GATEWAY_TEST(batch_jobs, nothing_of_a_job_stays_once_nobody_may_ask_for_it, soonRemoved()) {
+GATEWAY_TEST(batch_jobs, all_data_of_a_job_is_removed_after_its_retention_time, shortRetention()) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(20));
   co_await fixture.call(0, fixture.jobRequest("open", 2));
   co_await fixture.call(0, fixture.jobRequest("ended", 120));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(1300));
-  cr_assert(checkpointRows(fixture.store(), "ended") > 0);
-  cr_assert(checkpointRows(fixture.store(), "ended") <= 2, "a part each half second");
+  cr_assert(countCheckpointRows(fixture.store(), "ended") > 0);
+  cr_assert(countCheckpointRows(fixture.store(), "ended") <= 2,
+            "more than one checkpoint part per 0.5 s");
   co_await fixture.call(1, endRequest("ended"));
   const bool removed = co_await fixture.waitFor(
-      [&fixture] { return nothingLeft(fixture.store(), "ended"); }, std::chrono::seconds(12));
+      [&fixture] { return isRemoved(fixture.store(), "ended"); }, std::chrono::seconds(12));
   cr_assert(removed);
-  cr_assert_not(nothingLeft(fixture.store(), "open"), "a job that is open stays");
+  cr_assert_not(isRemoved(fixture.store(), "open"), "an open job was removed");
 }
 
 GATEWAY_TEST(batch_jobs, a_malformed_job_gets_every_finding, test::FixtureOptions{}) {
@@ -265,12 +267,11 @@
   cr_assert(outcome.response.body().find("requests[0].path") != std::string::npos);
 }
 
-GATEWAY_TEST(batch_jobs, a_feed_that_hangs_is_not_taken_for_an_owner_that_is_gone,
-             twoGateways(300)) {
+GATEWAY_TEST(batch_jobs, a_hanging_feed_is_not_treated_as_a_lost_owner, twoGateways(300)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(20));
   co_await fixture.call(0, fixture.jobRequest("job", 3));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(300));
-  // The feed of everybody hangs for longer than a lease lasts; writes and reads go on.
+  // All feeds hang for longer than the lease duration; reads and writes still work.
   fixture.store().faults().hang_feeds = true;
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(2000));
   fixture.store().faults().hang_feeds = false;
@@ -297,41 +298,38 @@
   cr_assert(record.find("\"owner\":\"d1#") != std::string::npos, "%s", record.c_str());
 }
 
-GATEWAY_TEST(batch_jobs, renewals_of_leases_are_not_told_to_every_daemon, twoGateways(200)) {
+GATEWAY_TEST(batch_jobs, lease_renewals_are_not_sent_to_every_daemon, twoGateways(200)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(10));
   co_await fixture.call(0, fixture.jobRequest("job", 2));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(300));
   const int before = fixture.store().feedAnswers("linenpier");
   const std::uint64_t writes_before = fixture.store().writes();
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(1500));
-  cr_assert(fixture.store().writes() > writes_before, "nothing was renewed");
+  cr_assert(fixture.store().writes() > writes_before, "no lease was renewed");
   cr_assert_eq(fixture.store().feedAnswers("linenpier"), before);
 }
 
-GATEWAY_TEST(batch_jobs, an_owner_that_falls_silent_is_replaced_and_its_text_gone_on_with,
-             twoGateways(90)) {
+GATEWAY_TEST(batch_jobs, a_silent_owner_is_replaced_and_its_items_are_resumed, twoGateways(90)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(25));
   co_await fixture.call(0, fixture.jobRequest("job", 3));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(900));
   fixture.cutFromStore(0);
-  const bool taken = co_await fixture.waitFor([&fixture] { return ownedBy(fixture, "d1"); });
+  const bool taken = co_await fixture.waitFor([&fixture] { return isOwnedBy(fixture, "d1"); });
   cr_assert(taken);
   const std::string results = co_await fixture.readAll(1, "job");
   checkResults(results, "job", 3, 90);
 }
 
-// Seen in the soak: an accepted job was listed never. Its owner was killed; the next one's takeover
-// was done and not answered, and the feed told of it while the answer was waited for. The daemon
-// then held the job by the store's word, and nobody ran it: a daemon never takes its own life for
-// gone.
-GATEWAY_TEST(batch_jobs, a_takeover_that_the_feed_tells_of_before_its_answer_is_gone_on_with,
+// Guards against an orphaned job: the feed delivers a takeover whose write response was lost, so
+// that the daemon owns the job in the store without running it.
+GATEWAY_TEST(batch_jobs, a_takeover_that_the_feed_reports_before_its_response_is_completed,
              twoGateways(90)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(25));
   co_await fixture.call(0, fixture.jobRequest("job", 3));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(900));
   fixture.store().faults().lose_writes = 1000;
   fixture.cutFromStore(0);
-  const bool taken = co_await fixture.waitFor([&fixture] { return ownedBy(fixture, "d1"); });
+  const bool taken = co_await fixture.waitFor([&fixture] { return isOwnedBy(fixture, "d1"); });
   fixture.store().faults().lose_writes = 0;
   cr_assert(taken);
   const std::string results = co_await fixture.readAll(1, "job");
@@ -355,7 +353,7 @@
   cr_assert_eq(tokens.size(), 1U);
 }
 
-GATEWAY_TEST(batch_jobs, a_daemon_that_stops_hands_over_a_job_that_it_hears_of_afterwards,
+GATEWAY_TEST(batch_jobs, a_stopping_daemon_hands_over_a_job_that_it_learns_of_later,
              twoGateways(200)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(10));
   co_await fixture.call(0, fixture.jobRequest("first", 2));
@@ -374,10 +372,10 @@
         return row.find("\"owner\":\"d0#") == std::string::npos;
       },
       std::chrono::milliseconds(1000));
-  cr_assert(given_up, "its lease would have to run out first");
+  cr_assert(given_up, "the job was not handed over before the lease expired");
 }
 
-GATEWAY_TEST(batch_jobs, an_end_at_a_daemon_that_knows_an_old_row_is_taken, twoGateways(6)) {
+GATEWAY_TEST(batch_jobs, ending_a_job_at_a_daemon_with_a_stale_row_is_accepted, twoGateways(6)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(60));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
   const std::string before = fixture.store().get("linenpier", "job/job").value_or("");
@@ -392,12 +390,11 @@
   cr_assert_eq(ended.response.result_int(), 200U);
   const json row = json::parse(fixture.store().get("linenpier", "job/job").value_or("{}"));
   cr_assert_eq(row.value("ended", false), true);
-  cr_assert_eq(row.value("released", 0), 4, "what was released stays");
+  cr_assert_eq(row.value("released", 0), 4, "released results were withdrawn");
 }
 
-GATEWAY_TEST(batch_jobs, a_daemon_that_does_not_know_the_time_yet_takes_no_job,
-             test::FixtureOptions{}) {
-  // A daemon that has just started, before it has heard the store's clock.
+GATEWAY_TEST(batch_jobs, a_daemon_without_the_store_time_accepts_no_job, test::FixtureOptions{}) {
+  // A daemon that has started but not received the store's time yet.
   fixture.store().faults().no_clock = true;
   fixture.addGateway("late");
   cr_assert(co_await fixture.waitReady(1));
--- a/tests/gateway/service/cold_engines_test.cpp
+++ b/tests/gateway/service/cold_engines_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whole gateways before engines that have just started and bear little.
+/// End-to-end tests of rate limiting for engines that have just started.
 
 #include <algorithm>
 
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr double kColdPerSecond = 4;
-constexpr std::size_t kMost = 8;  ///< 4 x 1.5 + 2 requests in any second.
-constexpr Duration kColdFor = 4s;
-constexpr Duration kEarlierLife = 1400ms;  ///< In which an earlier life's requests still count.
+constexpr std::size_t kMaxPerSecond = 8;  ///< Rate 4 x factor 1.5 + burst 2.
+constexpr Duration kColdDuration = 4s;
+constexpr Duration kRestartWindow = 1400ms;  ///< Requests from before a restart still count.
 
 test::FixtureOptions coldOptions(int model_samplers) {
   test::FixtureOptions options = test::twoGateways(5);
@@ -24,8 +24,8 @@
   return options;
 }
 
-/// @return the most requests that the sampler got within any second.
-std::size_t mostInASecond(const test::StandinSampler& sampler) {
+/// @return the maximum number of requests that the sampler received within one second.
+std::size_t maxPerSecond(const test::StandinSampler& sampler) {
   std::size_t most = 0;
   for (const test::SamplerArrival& first : sampler.arrivals()) {
     const auto within = [&first](const test::SamplerArrival& each) {
@@ -37,10 +37,10 @@
   return most;
 }
 
-/// The samplers' entries say that they are cold, and the gateways have heard it.
-Task<void> turnCold(GatewayFixture& fixture, int samplers) {
+/// Marks the samplers' registry entries as cold and waits until the gateways have read them.
+Task<void> markCold(GatewayFixture& fixture, int samplers) {
   for (int i = 0; i < samplers; ++i) {
-    fixture.model(static_cast<std::size_t>(i)).setColdFor(kColdFor);
+    fixture.model(static_cast<std::size_t>(i)).setColdFor(kColdDuration);
   }
   fixture.putSamplers();
   co_await sleepFor(fixture.loop(), 800ms);
@@ -53,8 +53,8 @@
   int ended() const { return served + refused; }
 };
 
-Task<void> askStream(GatewayFixture& fixture, std::size_t gateway, std::string id,
-                     std::shared_ptr<stream_counts> counts) {
+Task<void> requestStream(GatewayFixture& fixture, std::size_t gateway, std::string id,
+                         std::shared_ptr<stream_counts> counts) {
   http::Request request = fixture.lookupRequest(id, "/say/1");
   const http::CallOutcome outcome = co_await fixture.call(gateway, std::move(request));
   const unsigned status = outcome.response.result_int();
@@ -62,74 +62,80 @@
   if (status == 503) ++counts->refused;
 }
 
-/// Asks both gateways for streams, all at once.
-Task<std::shared_ptr<stream_counts>> askStreams(GatewayFixture& fixture, int each) {
+/// Requests streams from both gateways concurrently.
+Task<std::shared_ptr<stream_counts>> requestStreams(GatewayFixture& fixture, int each) {
   const auto counts = std::make_shared<stream_counts>();
   for (int i = 0; i < each; ++i) {
     for (std::size_t gateway = 0; gateway < 2; ++gateway) {
       const std::string id = "s" + std::to_string(gateway) + "-" + std::to_string(i);
       ++counts->asked;
-      spawn(fixture.loop(),
-            [&fixture, gateway, id, counts] { return askStream(fixture, gateway, id, counts); });
+      spawn(fixture.loop(), [&fixture, gateway, id, counts] {
+        return requestStream(fixture, gateway, id, counts);
+      });
     }
   }
-  // A temporary here would be destroyed twice (GCC 12).
+  // Not a temporary: GCC 12 would destroy it twice.
   const std::function<bool()> all_ended = [counts] { return counts->ended() == counts->asked; };
   const bool ended = co_await fixture.waitFor(all_ended);
-  cr_assert(ended, "%d of %d", counts->ended(), counts->asked);
+  cr_assert(ended, "%d of %d streams ended", counts->ended(), counts->asked);
   co_return counts;
 }
 
 }  // namespace
 
-GATEWAY_TEST(cold_engines_gateway,
-             a_job_before_engines_that_are_all_cold_is_served_within_the_bound, coldOptions(2)) {
-  co_await sleepFor(fixture.loop(), kEarlierLife);
-  co_await turnCold(fixture, 2);
+GATEWAY_TEST(cold_engines_gateway, a_job_is_served_within_the_limit_if_all_engines_are_cold,
+             coldOptions(2)) {
+  co_await sleepFor(fixture.loop(), kRestartWindow);
+  co_await markCold(fixture, 2);
   co_await fixture.call(0, fixture.jobRequest("job", 16));
   co_await sleepFor(fixture.loop(), 2500ms);
   const std::size_t while_cold =
       fixture.model(0).arrivals().size() + fixture.model(1).arrivals().size();
-  cr_assert_gt(while_cold, 0U, "what may be served is served");
+  cr_assert_gt(while_cold, 0U, "no request was admitted while cold");
   const std::string results = co_await fixture.readAll(1, "job");
   cr_assert_eq(std::count(results.begin(), results.end(), '\n'), 16);
   for (std::size_t i = 0; i < 2; ++i) {
-    cr_assert_leq(mostInASecond(fixture.model(i)), kMost, "%zu", mostInASecond(fixture.model(i)));
+    cr_assert_leq(maxPerSecond(fixture.model(i)), kMaxPerSecond, "%zu",
+                  maxPerSecond(fixture.model(i)));
   }
 }
 
-GATEWAY_TEST(cold_engines_gateway, an_engine_that_turned_cold_unheard_gets_no_more_than_it_bears,
-             coldOptions(1)) {
-  co_await sleepFor(fixture.loop(), kEarlierLife);
-  const auto counts = co_await askStreams(fixture, 12);
-  cr_assert_leq(mostInASecond(fixture.model(0)), kMost, "%zu", mostInASecond(fixture.model(0)));
-  cr_assert_eq(counts->served, static_cast<int>(kMost), "it bears that much");
-  cr_assert_eq(counts->refused, counts->asked - counts->served, "at once, and as not run");
+GATEWAY_TEST(cold_engines_gateway,
+             an_engine_that_is_cold_without_notice_gets_no_more_than_its_limit, coldOptions(1)) {
+  co_await sleepFor(fixture.loop(), kRestartWindow);
+  const auto counts = co_await requestStreams(fixture, 12);
+  cr_assert_leq(maxPerSecond(fixture.model(0)), kMaxPerSecond, "%zu",
+                maxPerSecond(fixture.model(0)));
+  cr_assert_eq(counts->served, static_cast<int>(kMaxPerSecond),
+               "the number of served requests differs from the limit");
+  cr_assert_eq(counts->refused, counts->asked - counts->served,
+               "excess requests must be refused as not executed");
 }
 
-GATEWAY_TEST(cold_engines_gateway, an_engine_that_turns_cold_once_more_is_bounded_once_more,
+GATEWAY_TEST(cold_engines_gateway, an_engine_that_turns_cold_again_is_limited_again,
              coldOptions(1)) {
-  co_await sleepFor(fixture.loop(), kEarlierLife);
+  co_await sleepFor(fixture.loop(), kRestartWindow);
   for (int round = 0; round < 2; ++round) {
-    co_await turnCold(fixture, 1);
+    co_await markCold(fixture, 1);
     co_await sleepFor(fixture.loop(), 700ms);
     const std::size_t before = fixture.model(0).arrivals().size();
-    co_await askStreams(fixture, 12);
+    co_await requestStreams(fixture, 12);
     const std::size_t sent = fixture.model(0).arrivals().size() - before;
     cr_assert_geq(sent, 2U);
-    cr_assert_leq(sent, 4U, "%zu in round %d: two daemons, a quarter each", sent, round);
+    cr_assert_leq(sent, 4U, "%zu requests in round %d: each of two daemons may send a quarter",
+                  sent, round);
     fixture.model(0).setColdFor(0s);
     fixture.putSamplers();
-    co_await sleepFor(fixture.loop(), kColdFor);
+    co_await sleepFor(fixture.loop(), kColdDuration);
   }
-  cr_assert_leq(mostInASecond(fixture.model(0)), kMost);
+  cr_assert_leq(maxPerSecond(fixture.model(0)), kMaxPerSecond);
 }
 
-GATEWAY_TEST(cold_engines_gateway, a_daemon_that_has_just_started_sends_nothing_to_a_cold_engine,
+GATEWAY_TEST(cold_engines_gateway, a_daemon_that_just_started_sends_nothing_to_a_cold_engine,
              coldOptions(1)) {
-  fixture.model(0).setColdFor(kColdFor);
+  fixture.model(0).setColdFor(kColdDuration);
   fixture.putSamplers();
-  co_await sleepFor(fixture.loop(), kEarlierLife + 800ms);
+  co_await sleepFor(fixture.loop(), kRestartWindow + 800ms);
   fixture.addGateway("d2");
   cr_assert(co_await fixture.waitReady(2));
   co_await sleepFor(fixture.loop(), 100ms);
@@ -139,9 +145,8 @@
   cr_assert_eq(fixture.model(0).arrivals().size(), before);
 }
 
-GATEWAY_TEST(cold_engines_gateway, services_without_a_bound_are_served_as_ever,
-             test::twoGateways(5)) {
-  co_await turnCold(fixture, 2);
-  const auto counts = co_await askStreams(fixture, 12);
+GATEWAY_TEST(cold_engines_gateway, services_without_a_limit_are_not_limited, test::twoGateways(5)) {
+  co_await markCold(fixture, 2);
+  const auto counts = co_await requestStreams(fixture, 12);
   cr_assert_eq(counts->served, counts->asked);
 }
--- a/tests/gateway/service/order_right_test.cpp
+++ b/tests/gateway/service/engine_order_lock_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The right to order engines, through whole gateways, at engines that do not check fences.
+/// End-to-end tests of the leader lock for engine orders, with and without fencing checks.
 
 #include <nlohmann/json.hpp>
 
@@ -17,14 +17,14 @@
   return options;
 }
 
-test::FixtureOptions checkingTokens() {
+test::FixtureOptions withFencingChecks() {
   test::FixtureOptions options = twoGateways();
   options.tokens_checked = true;
   return options;
 }
 
-/// Orders in the order in which an engine got them.
-std::vector<std::string> holders(GatewayFixture& fixture, std::size_t engine) {
+/// @return the holder of each order, in the sequence in which the engine received them.
+std::vector<std::string> orderHolders(GatewayFixture& fixture, std::size_t engine) {
   std::vector<std::string> names;
   for (const std::string& order : fixture.model(engine).orders()) {
     names.push_back(json::parse(order)["holder"].get<std::string>());
@@ -32,24 +32,24 @@
   return names;
 }
 
-bool orderedBy(GatewayFixture& fixture, const std::string& holder) {
-  const std::vector<std::string> names = holders(fixture, 0);
+bool hasOrderFrom(GatewayFixture& fixture, const std::string& holder) {
+  const std::vector<std::string> names = orderHolders(fixture, 0);
   return std::find(names.begin(), names.end(), holder) != names.end();
 }
 
-/// Names a version, which discovery never shows: whoever holds the right orders again and again.
-/// @return the gateway that orders first.
+/// Requests a version that discovery never reports, so that the leader keeps sending orders.
+/// @return the gateway that sends the first order.
 Task<std::size_t> awaitFirstHolder(GatewayFixture& fixture) {
   fixture.store().put("op", "version/m", R"({"model":"m","version":2})");
   const bool begun = co_await fixture.waitFor(
-      [&fixture] { return orderedBy(fixture, "d0") || orderedBy(fixture, "d1"); });
+      [&fixture] { return hasOrderFrom(fixture, "d0") || hasOrderFrom(fixture, "d1"); });
   cr_assert(begun);
-  co_return orderedBy(fixture, "d0") ? 0 : 1;
+  co_return hasOrderFrom(fixture, "d0") ? 0 : 1;
 }
 
 }  // namespace
 
-GATEWAY_TEST(order_right, a_holder_that_was_cut_off_never_orders_after_the_next_one,
+GATEWAY_TEST(engine_order_lock, a_disconnected_leader_never_sends_an_order_after_its_successor,
              twoGateways()) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setChecksFences(false);
   const std::size_t first = co_await awaitFirstHolder(fixture);
@@ -57,64 +57,67 @@
   const std::string new_holder = "d" + std::to_string(1 - first);
   fixture.cutFromStore(first);
   const bool taken = co_await fixture.waitFor(
-      [&fixture, &new_holder] { return orderedBy(fixture, new_holder); }, std::chrono::seconds(9));
+      [&fixture, &new_holder] { return hasOrderFrom(fixture, new_holder); },
+      std::chrono::seconds(9));
   cr_assert(taken);
-  // Its writes reach the store again, long before its feed tells it what has happened.
+  // Reconnects the old leader for writes while its feed still hides the takeover.
   fixture.store().faults().hang_feeds = true;
-  fixture.joinToStore(first);
+  fixture.reconnectToStore(first);
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(5500));
   for (std::size_t engine = 0; engine < 2; ++engine) {
     bool handed_over = false;
-    for (const std::string& name : holders(fixture, engine)) {
+    for (const std::string& name : orderHolders(fixture, engine)) {
       handed_over = handed_over || name == new_holder;
-      cr_assert(!handed_over || name == new_holder, "%s ordered after %s", old_holder.c_str(),
+      cr_assert(!handed_over || name == new_holder, "%s sent an order after %s", old_holder.c_str(),
                 new_holder.c_str());
     }
   }
 }
 
-GATEWAY_TEST(order_right, where_tokens_are_checked_the_next_holder_orders_at_once,
-             checkingTokens()) {
+GATEWAY_TEST(engine_order_lock, with_fencing_checks_the_next_leader_sends_orders_at_once,
+             withFencingChecks()) {
   const std::size_t first = co_await awaitFirstHolder(fixture);
   const std::string old_holder = "d" + std::to_string(first);
   const std::string new_holder = "d" + std::to_string(1 - first);
-  // A daemon that just started may have ordered in an earlier life.
+  // Waits out the startup delay, which covers orders sent before a restart.
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(3200));
   fixture.cutFromStore(first);
   const Instant cut_at = steadyNow();
   const bool taken = co_await fixture.waitFor(
-      [&fixture, &new_holder] { return orderedBy(fixture, new_holder); }, std::chrono::seconds(9));
+      [&fixture, &new_holder] { return hasOrderFrom(fixture, new_holder); },
+      std::chrono::seconds(9));
   cr_assert(taken);
-  cr_assert_lt(toSeconds(steadyNow() - cut_at), 3.5, "without the pause of 3.1 s");
+  cr_assert_lt(toSeconds(steadyNow() - cut_at), 3.5, "the 3.1 s takeover delay was applied");
 }
 
-GATEWAY_TEST(order_right, two_holders_never_take_turns_where_tokens_are_checked, checkingTokens()) {
+GATEWAY_TEST(engine_order_lock, with_fencing_checks_leaders_never_alternate, withFencingChecks()) {
   fixture.store().put("op", "version/m", R"({"model":"m","version":2})");
-  // When each order came, and whose it was.
+  // Arrival time and holder of each order.
   std::vector<std::pair<Instant, std::string>> orders;
-  const auto look = [&fixture, &orders] {
-    const std::vector<std::string> names = holders(fixture, 0);
+  const auto collectOrders = [&fixture, &orders] {
+    const std::vector<std::string> names = orderHolders(fixture, 0);
     while (orders.size() < names.size()) {
       orders.emplace_back(steadyNow(), names[orders.size()]);
     }
     return false;
   };
-  co_await fixture.waitFor(look, std::chrono::seconds(4));
+  co_await fixture.waitFor(collectOrders, std::chrono::seconds(4));
   cr_assert_not(orders.empty());
-  // Whoever holds the right is cut off for a while, again and again.
+  // Repeatedly disconnects the current leader.
   for (int i = 0; i < 3; ++i) {
     const std::size_t holder = orders.back().second == "d0" ? 0 : 1;
     fixture.cutFromStore(holder);
-    co_await fixture.waitFor(look, std::chrono::milliseconds(2600));
-    fixture.joinToStore(holder);
-    co_await fixture.waitFor(look, std::chrono::milliseconds(1500));
+    co_await fixture.waitFor(collectOrders, std::chrono::milliseconds(2600));
+    fixture.reconnectToStore(holder);
+    co_await fixture.waitFor(collectOrders, std::chrono::milliseconds(1500));
   }
   std::map<std::string, Instant> last;
   std::string before;
   int changes = 0;
   for (const auto& [at, name] : orders) {
     if (name != before && last.contains(name)) {
-      cr_assert_geq(toSeconds(at - last[name]), 3.0, "%s took turns", name.c_str());
+      cr_assert_geq(toSeconds(at - last[name]), 3.0, "%s became leader again too soon",
+                    name.c_str());
     }
     if (name != before) ++changes;
     last[name] = at;
--- a/tests/gateway/service/entries_test.cpp
+++ b/tests/gateway/service/entries_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Entries of engines that another writer spoilt, and engines that start again under their ids.
+/// End-to-end tests of malformed engine entries and of engines that restart with the same id.
 
 #include "support/gateway_fixture.h"
 
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Until a daemon that only forwards requests has heard of a change.
-constexpr Duration kHeard = std::chrono::milliseconds(900);
+/// Upper bound on the time a change takes to reach a gateway through its feed.
+constexpr Duration kFeedDelay = std::chrono::milliseconds(900);
 
-/// @return of 20 lookups, how many were answered.
+/// @return how many of 20 lookups succeeded.
 Task<int> sendLookups(GatewayFixture& fixture, std::string prefix) {
   int answered = 0;
   for (int i = 0; i < 20; ++i) {
@@ -24,25 +24,25 @@
 
 }  // namespace
 
-GATEWAY_TEST(entries, an_engine_whose_entry_is_spoilt_is_sent_nothing_and_the_others_serve,
+GATEWAY_TEST(entries, an_engine_with_a_malformed_entry_gets_no_requests_and_others_serve,
              test::FixtureOptions{}) {
   fixture.store().put("servers", fixture.lookup(0).id(), "{\"service\":\"desk\"}");
   fixture.store().put("servers", "of-another-writer", "\xff\xfe");
-  co_await sleepFor(fixture.loop(), kHeard);
+  co_await sleepFor(fixture.loop(), kFeedDelay);
   const std::size_t before = fixture.lookup(0).arrivals().size();
-  const int answered = co_await sendLookups(fixture, "spoilt-");
+  const int answered = co_await sendLookups(fixture, "malformed-");
   cr_assert_eq(answered, 20);
   cr_assert_eq(fixture.lookup(0).arrivals().size(), before);
   fixture.putSamplers();
-  co_await sleepFor(fixture.loop(), kHeard);
+  co_await sleepFor(fixture.loop(), kFeedDelay);
   fixture.store().put("servers", fixture.lookup(1).id(), "7");
-  co_await sleepFor(fixture.loop(), kHeard);
-  const int again = co_await sendLookups(fixture, "whole-");
-  cr_assert_eq(again, 20, "a whole entry names its engine again");
+  co_await sleepFor(fixture.loop(), kFeedDelay);
+  const int again = co_await sendLookups(fixture, "restored-");
+  cr_assert_eq(again, 20, "a restored entry must make its engine available again");
   cr_assert_gt(fixture.lookup(0).arrivals().size(), before);
 }
 
-GATEWAY_TEST(entries, an_engine_that_starts_again_under_its_id_is_brought_to_the_named_version,
+GATEWAY_TEST(entries, an_engine_that_restarts_with_the_same_id_loads_the_requested_version,
              test::FixtureOptions{}) {
   auto& engine = fixture.model(0);
   engine.setKeepsId();
@@ -57,11 +57,10 @@
   engine.setVersion(1);
   const bool again = co_await fixture.waitFor([&engine] { return engine.version() == 2; },
                                               std::chrono::seconds(8));
-  cr_assert(again, "its orders are counted from its start");
+  cr_assert(again, "the restarted engine was not ordered to load the version");
 }
 
-GATEWAY_TEST(entries, a_daemon_that_knows_the_engines_is_told_none_of_them,
-             test::FixtureOptions{}) {
+GATEWAY_TEST(entries, a_daemon_with_the_current_revision_gets_no_engines, test::FixtureOptions{}) {
   http::ConnectionPool pool(fixture.loop(), {});
   const Address peer = fixture.gateway(0).peerAddress();
   const auto ask = [&](std::string target) -> Task<gateway::PeerSnapshot> {
@@ -69,19 +68,20 @@
     request.set(boost::beast::http::field::host, "peer");
     const Instant deadline = steadyNow() + std::chrono::seconds(2);
     const auto outcome = co_await http::call(pool, peer, std::move(request), deadline);
-    auto told = gateway::decodeSnapshot(outcome.response.body());
-    cr_assert(told.has_value());
-    co_return *told;
+    auto snapshot = gateway::decodeSnapshot(outcome.response.body());
+    cr_assert(snapshot.has_value());
+    co_return *snapshot;
   };
   const auto all = co_await ask("/snapshot");
-  cr_assert_eq(all.engines.size(), 4U, "as a daemon of an earlier build asks");
+  cr_assert_eq(all.engines.size(), 4U,
+               "a daemon of an earlier build sends no revision and must get all engines");
   cr_assert_not(all.configuration.empty());
   const auto known = gateway::snapshotTarget({all.config_version, all.engines_revision});
   const auto none = co_await ask(known);
   cr_assert(none.engines.empty());
   cr_assert(none.configuration.empty());
   fixture.store().remove("servers", fixture.lookup(0).id());
-  co_await sleepFor(fixture.loop(), kHeard);
+  co_await sleepFor(fixture.loop(), kFeedDelay);
   const auto changed = co_await ask(known);
   cr_assert(changed.engines.empty());
   cr_assert_eq(changed.removed_engines.at(0), fixture.lookup(0).id());
--- a/tests/gateway/service/fatal_requests_test.cpp
+++ b/tests/gateway/service/fatal_requests_test.cpp
@@ -1,15 +1,6 @@
 /// @file
-/// A request that ends every engine that begins to run it.
-///
-/// What was seen: one lookup came again and again, each time with an id of its own and at another
-/// daemon, and ended 18 engines of a service that had three; most lookups of others were refused
-/// meanwhile, as no engine was left.
-/// How it came about: each daemon put it on an engine, on a second one after half the target
-/// latency, and answered 502; its caller asked another daemon, and came back with the same body.
-/// Cause: what a request does to engines was known to its own attempts only, and forgotten with
-/// them. What was remembered, in each daemon for itself, was held against the engines.
-/// What proved it: each engine that ended had an attempt of one and the same key (tenant, host,
-/// path, body) in the millisecond before, from ever other daemons; engines ended without one never.
+/// End-to-end tests of requests that crash every engine that executes them. They guard against a
+/// client that retries such a request at other daemons and takes down a whole service.
 
 #include "support/gateway_fixture.h"
 
@@ -18,9 +9,9 @@
 
 namespace {
 
-/// Engines that a request may end: the three that show what it does, and three more.
-constexpr int kMaxEnded = 6;
-constexpr Duration kBetweenTries = std::chrono::milliseconds(150);
+/// Engines that one request may crash: three until it is identified, and three more.
+constexpr int kMaxCrashes = 6;
+constexpr Duration kRetryInterval = std::chrono::milliseconds(150);
 
 test::FixtureOptions threeDaemons() {
   test::FixtureOptions options;
@@ -30,64 +21,65 @@
   return options;
 }
 
-http::Request requestOf(GatewayFixture& fixture, const std::string& id, const std::string& body,
-                        const std::string& path = "/look/1") {
+http::Request makeRequest(GatewayFixture& fixture, const std::string& id, const std::string& body,
+                          const std::string& path = "/look/1") {
   http::Request request = fixture.lookupRequest(id, path);
   request.body() = body;
   request.prepare_payload();
   return request;
 }
 
-/// The same request as every other that this makes, under an id of its own.
+/// The same request each time, with a unique id.
 http::Request fatalLookup(GatewayFixture& fixture, int number) {
-  return requestOf(fixture, "f" + std::to_string(number), "fatal");
+  return makeRequest(fixture, "f" + std::to_string(number), "fatal");
 }
 
-/// Sends the request again and again, to the daemons in turn from `first` on.
+/// Sends the request repeatedly, round-robin to `daemons` daemons starting at `first`.
 Task<void> sendFatal(GatewayFixture& fixture, int times, std::size_t first, std::size_t daemons) {
   for (int i = 0; i < times; ++i) {
     const std::size_t daemon = first + static_cast<std::size_t>(i) % daemons;
     http::Request request = fatalLookup(fixture, i);
     co_await fixture.call(daemon, std::move(request));
-    co_await sleepFor(fixture.loop(), kBetweenTries);
+    co_await sleepFor(fixture.loop(), kRetryInterval);
   }
 }
 
 }  // namespace
 
-GATEWAY_TEST(fatal_requests, one_that_comes_again_anywhere_ends_few_engines, threeDaemons()) {
+GATEWAY_TEST(fatal_requests, a_repeated_request_crashes_few_engines, threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   co_await sendFatal(fixture, 60, 0, 3);
-  cr_assert_leq(fixture.samplersEnded(), kMaxEnded, "%d engines ended", fixture.samplersEnded());
+  cr_assert_leq(fixture.samplerCrashes(), kMaxCrashes, "%d engines crashed",
+                fixture.samplerCrashes());
 }
 
-GATEWAY_TEST(fatal_requests, one_is_known_after_all_daemons_have_started_anew, threeDaemons()) {
+GATEWAY_TEST(fatal_requests, a_request_is_remembered_after_all_daemons_restart, threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   co_await sendFatal(fixture, 50, 0, 3);
-  // Those that were there before are not asked any more.
+  // Only the new daemons receive requests from here on.
   for (const char* name : {"d3", "d4", "d5"}) fixture.addGateway(name);
   for (std::size_t daemon = 3; daemon < 6; ++daemon) cr_assert(co_await fixture.waitReady(daemon));
-  const int before = fixture.samplersEnded();
+  const int before = fixture.samplerCrashes();
   co_await sendFatal(fixture, 20, 3, 3);
-  cr_assert_eq(fixture.samplersEnded(), before, "%d engines more",
-               fixture.samplersEnded() - before);
+  cr_assert_eq(fixture.samplerCrashes(), before, "%d more engines crashed",
+               fixture.samplerCrashes() - before);
 }
 
-GATEWAY_TEST(fatal_requests, an_item_ends_few_engines_and_the_others_are_listed, threeDaemons()) {
+GATEWAY_TEST(fatal_requests, an_item_crashes_few_engines_and_the_others_complete, threeDaemons()) {
   fixture.setFatal({.mark = "prompt 0"});
   const auto handed_in = co_await fixture.call(0, fixture.jobRequest("j1", 4));
   cr_assert_eq(handed_in.response.result_int(), 202U);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(12));
-  cr_assert_leq(fixture.samplersEnded(), kMaxEnded, "%d engines ended", fixture.samplersEnded());
+  cr_assert_leq(fixture.samplerCrashes(), kMaxCrashes, "%d engines crashed",
+                fixture.samplerCrashes());
   http::Request read(boost::beast::http::verb::get, "/linenpier/lots/j1?afterRev=0", 11);
   read.set("Host", "h.example");
   const auto listed = co_await fixture.call(1, std::move(read));
   cr_assert_neq(listed.response.body().find("\"nextToken\":3"), std::string::npos,
-                "the three other items: %s", listed.response.body().c_str());
+                "the three other items are missing: %s", listed.response.body().c_str());
 }
 
-GATEWAY_TEST(fatal_requests, one_that_comes_to_all_daemons_at_once_ends_no_more_engines,
-             threeDaemons()) {
+GATEWAY_TEST(fatal_requests, concurrent_requests_to_all_daemons_crash_few_engines, threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   int answered = 0;
   for (int i = 0; i < 9; ++i) {
@@ -98,38 +90,40 @@
     });
   }
   cr_assert(co_await fixture.waitFor([&answered] { return answered == 9; }));
-  cr_assert_leq(fixture.samplersEnded(), 4, "all engines, before anybody knew");
-  const int before = fixture.samplersEnded();
+  cr_assert_leq(fixture.samplerCrashes(), 4,
+                "more than one crash per engine before the request was identified");
+  const int before = fixture.samplerCrashes();
   co_await sendFatal(fixture, 60, 0, 3);
-  cr_assert_leq(fixture.samplersEnded() - before, 2, "the two that prove it");
+  cr_assert_leq(fixture.samplerCrashes() - before, 2,
+                "more crashes than needed to identify the request");
 }
 
-GATEWAY_TEST(fatal_requests, its_caller_is_told_at_once_and_truly_when_to_come_back,
-             threeDaemons()) {
+GATEWAY_TEST(fatal_requests, the_client_gets_a_retry_time_at_once, threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   http::Request first = fatalLookup(fixture, 0);
   const auto ran = co_await fixture.call(0, std::move(first));
-  cr_assert_eq(ran.response.result_int(), 502U, "it has run: no promise");
+  cr_assert_eq(ran.response.result_int(), 502U,
+               "the request has run and must not be refused as not executed");
   cr_assert_gt(std::stod(http::fieldText(ran.response, "Retry-After")), 4.0);
-  // A write to the store and an answer of the feed, which gathers changes for 0.08 s.
+  // Covers a store write and a feed response, which batches changes for 0.08 s.
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(200));
   const Instant begun = steadyNow();
   http::Request second = fatalLookup(fixture, 1);
   const auto refused = co_await fixture.call(1, std::move(second));
   cr_assert(steadyNow() - begun < std::chrono::milliseconds(100));
-  cr_assert_eq(refused.response.result_int(), 503U, "this one has not run");
+  cr_assert_eq(refused.response.result_int(), 503U, "the request has not run");
   cr_assert_gt(std::stod(http::fieldText(refused.response, "Retry-After")), 4.0);
 }
 
-GATEWAY_TEST(fatal_requests, what_stood_beside_it_is_served_after_each_end, threeDaemons()) {
+GATEWAY_TEST(fatal_requests, unrelated_requests_are_served_after_each_crash, threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   for (int round = 0; round < 4; ++round) {
-    // The same innocent request runs at every engine when all of them end.
+    // An unrelated request runs on every engine when all of them crash.
     int served = 0;
     for (int i = 0; i < 6; ++i) {
       fixture.lookup(static_cast<std::size_t>(i % 4)).script().push_back(test::SamplerAct::kSilent);
       spawn(fixture.loop(), [&fixture, &served, i]() -> Task<void> {
-        http::Request request = requestOf(fixture, "n" + std::to_string(i), "innocent");
+        http::Request request = makeRequest(fixture, "n" + std::to_string(i), "innocent");
         co_await fixture.call(static_cast<std::size_t>(i % 3), std::move(request));
         ++served;
       });
@@ -139,77 +133,79 @@
     cr_assert(co_await fixture.waitFor([&served] { return served == 6; }));
     for (std::size_t i = 0; i < 4; ++i) fixture.lookup(i).script().clear();
     co_await sleepFor(fixture.loop(), std::chrono::milliseconds(1200));
-    http::Request again = requestOf(fixture, "a" + std::to_string(round), "innocent");
+    http::Request again = makeRequest(fixture, "a" + std::to_string(round), "innocent");
     const auto outcome = co_await fixture.call(0, std::move(again));
     cr_assert_eq(outcome.response.result_int(), 200U, "round %d", round);
   }
 }
 
-GATEWAY_TEST(fatal_requests, a_daemon_without_the_store_hears_of_it_from_its_peers,
+GATEWAY_TEST(fatal_requests, a_daemon_without_the_store_learns_of_the_request_from_peers,
              threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   co_await sendFatal(fixture, 50, 0, 2);
-  const int before = fixture.samplersEnded();
+  const int before = fixture.samplerCrashes();
   fixture.cutFromStore(2);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(4));
   co_await sendFatal(fixture, 10, 2, 1);
-  cr_assert_eq(fixture.samplersEnded(), before);
+  cr_assert_eq(fixture.samplerCrashes(), before);
 }
 
-GATEWAY_TEST(fatal_requests, what_a_daemon_without_the_store_saw_reaches_the_others,
+GATEWAY_TEST(fatal_requests, crashes_seen_by_a_daemon_without_the_store_reach_the_others,
              threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   fixture.cutFromStore(2);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(4));
   co_await sendFatal(fixture, 50, 2, 1);
-  const int before = fixture.samplersEnded();
+  const int before = fixture.samplerCrashes();
   cr_assert_leq(before, 4);
   co_await sendFatal(fixture, 10, 0, 2);
-  cr_assert_eq(fixture.samplersEnded(), before);
+  cr_assert_eq(fixture.samplerCrashes(), before);
 }
 
-GATEWAY_TEST(fatal_requests, with_the_store_away_each_daemon_goes_by_what_it_saw, threeDaemons()) {
+GATEWAY_TEST(fatal_requests, without_the_store_each_daemon_uses_its_own_observations,
+             threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   fixture.store().faults().silent = true;
   co_await sleepFor(fixture.loop(), std::chrono::seconds(4));
   co_await sendFatal(fixture, 45, 0, 3);
-  cr_assert_leq(fixture.samplersEnded(), 4 * 3, "at most what proves it, at each");
+  cr_assert_leq(fixture.samplerCrashes(), 4 * 3,
+                "more crashes than each daemon needs to identify the request");
   fixture.store().faults().silent = false;
   co_await sleepFor(fixture.loop(), std::chrono::seconds(3));
-  const int before = fixture.samplersEnded();
+  const int before = fixture.samplerCrashes();
   co_await sendFatal(fixture, 20, 0, 3);
-  cr_assert_leq(fixture.samplersEnded() - before, 1);
+  cr_assert_leq(fixture.samplerCrashes() - before, 1);
 }
 
-GATEWAY_TEST(fatal_requests, a_stream_ends_few_engines, threeDaemons()) {
+GATEWAY_TEST(fatal_requests, a_stream_crashes_few_engines, threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   for (int i = 0; i < 50; ++i) {
-    http::Request request = requestOf(fixture, "s" + std::to_string(i), "fatal", "/talk/1");
+    http::Request request = makeRequest(fixture, "s" + std::to_string(i), "fatal", "/talk/1");
     co_await fixture.call(static_cast<std::size_t>(i % 3), std::move(request));
-    co_await sleepFor(fixture.loop(), kBetweenTries);
+    co_await sleepFor(fixture.loop(), kRetryInterval);
   }
-  cr_assert_leq(fixture.samplersEnded(), 3, "%d engines ended", fixture.samplersEnded());
+  cr_assert_leq(fixture.samplerCrashes(), 3, "%d engines crashed", fixture.samplerCrashes());
 }
 
-GATEWAY_TEST(fatal_requests, a_reward_request_ends_few_engines, threeDaemons()) {
+GATEWAY_TEST(fatal_requests, a_reward_request_crashes_few_engines, threeDaemons()) {
   fixture.setFatal({.mark = "score j1-0"});
   const auto handed_in = co_await fixture.call(0, fixture.scoredJobRequest("j1", 4));
   cr_assert_eq(handed_in.response.result_int(), 202U);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(10));
-  cr_assert_leq(fixture.samplersEnded(), 3, "%d engines ended", fixture.samplersEnded());
+  cr_assert_leq(fixture.samplerCrashes(), 3, "%d engines crashed", fixture.samplerCrashes());
 }
 
-GATEWAY_TEST(fatal_requests, what_a_daemon_saw_just_after_it_was_cut_off_reaches_the_others,
+GATEWAY_TEST(fatal_requests, crashes_seen_just_after_losing_the_store_reach_the_others,
              threeDaemons()) {
   fixture.setFatal({.mark = "fatal"});
   auto* silent = new test::StandinStore(fixture.loop());
   silent->faults().silent = true;
   fixture.moveToStore(2, silent->address());
   co_await sendFatal(fixture, 1, 2, 1);
-  // Its write is given up after 1.5 s. The store counts as lost later than that.
+  // The write times out after 1.5 s, before the store is considered unreachable.
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(1900));
-  const int before = fixture.samplersEnded();
+  const int before = fixture.samplerCrashes();
   cr_assert_eq(before, 2);
   co_await sendFatal(fixture, 2, 0, 2);
-  cr_assert_eq(fixture.samplersEnded(), before);
+  cr_assert_eq(fixture.samplerCrashes(), before);
 }
--- a/tests/gateway/service/forwarding_test.cpp
+++ b/tests/gateway/service/forwarding_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests through a whole gateway, against a stand-in store and samplers that break the protocol.
+/// End-to-end tests of request forwarding to samplers that violate the protocol.
 
 #include <boost/asio/write.hpp>
 
@@ -15,14 +15,14 @@
   return fixture.lookup(0).arrivals().size() + fixture.lookup(1).arrivals().size();
 }
 
-/// Both samplers answer the next request like this.
-void scriptBoth(GatewayFixture& fixture, SamplerAct act) {
+/// Makes both samplers handle their next request with `act`.
+void scriptBothSamplers(GatewayFixture& fixture, SamplerAct act) {
   fixture.lookup(0).script().push_back(act);
   fixture.lookup(1).script().push_back(act);
 }
 
-/// Sends bytes as they are and reads until the connection ends or rests.
-Task<std::string> exchangeRaw(GatewayFixture& fixture, std::string bytes, Duration rest) {
+/// Sends raw bytes and reads until the connection is closed or idle for `idle_timeout`.
+Task<std::string> exchangeRaw(GatewayFixture& fixture, std::string bytes, Duration idle_timeout) {
   http::ConnectionPool pool(fixture.loop(), {});
   const Address address = fixture.gateway().requestAddress();
   const auto connection = co_await pool.connect(address, steadyNow() + std::chrono::seconds(1));
@@ -32,7 +32,7 @@
   std::string answer;
   char piece[4096];
   for (;;) {
-    connection->stream.expires_after(rest);
+    connection->stream.expires_after(idle_timeout);
     const std::size_t received = co_await connection->stream.async_read_some(
         boost::asio::buffer(piece), boost::asio::redirect_error(boost::asio::use_awaitable, error));
     if (error) break;
@@ -63,7 +63,7 @@
   cr_assert(std::stoi(arrival.fields.at("deadline-ms")) <= 1000);
 }
 
-GATEWAY_TEST(forwarding, spoilt_answers_of_every_kind_are_replaced_by_another_engines,
+GATEWAY_TEST(forwarding, invalid_responses_are_replaced_by_those_of_another_engine,
              test::FixtureOptions{}) {
   const std::vector<SamplerAct> acts = {SamplerAct::kCutShort, SamplerAct::kNonsense,
                                         SamplerAct::kUnsigned, SamplerAct::kClose,
@@ -71,8 +71,8 @@
   int number = 0;
   for (const SamplerAct act : acts) {
     const std::string id = "r" + std::to_string(++number);
-    // Only the first engine that is asked misbehaves.
-    scriptBoth(fixture, act);
+    // Only the first engine that receives the request fails.
+    scriptBothSamplers(fixture, act);
     fixture.lookup(0).script().push_back(SamplerAct::kAnswer);
     const std::size_t before = arrivals(fixture);
     auto outcome = co_await fixture.call(0, fixture.lookupRequest(id));
@@ -80,20 +80,20 @@
     if (both_failed) {
       cr_assert(outcome.response.body() != "answer to " + id || act == SamplerAct::kFail);
     }
-    cr_assert(arrivals(fixture) - before <= 2, "at most two engines");
+    cr_assert(arrivals(fixture) - before <= 2, "more than two engines were tried");
     fixture.lookup(0).script().clear();
     fixture.lookup(1).script().clear();
-    // Engines that were left alone come back.
+    // Waits until backed-off engines are used again.
     co_await sleepFor(fixture.loop(), std::chrono::milliseconds(900));
     outcome = co_await fixture.call(0, fixture.lookupRequest(id + "again"));
     cr_assert_eq(outcome.response.body(), "answer to " + id + "again", "after act %d", number);
   }
 }
 
-GATEWAY_TEST(forwarding, a_surplus_answer_never_belongs_to_another_request,
+GATEWAY_TEST(forwarding, a_surplus_response_is_never_matched_to_another_request,
              test::FixtureOptions{}) {
   for (int i = 0; i < 12; ++i) {
-    scriptBoth(fixture, i % 2 == 0 ? SamplerAct::kExtraAfter : SamplerAct::kSurplusFirst);
+    scriptBothSamplers(fixture, i % 2 == 0 ? SamplerAct::kExtraAfter : SamplerAct::kSurplusFirst);
     const std::string id = "r" + std::to_string(i);
     const auto outcome = co_await fixture.call(0, fixture.lookupRequest(id));
     cr_assert_eq(outcome.response.body(), "answer to " + id);
@@ -102,40 +102,43 @@
   }
 }
 
-GATEWAY_TEST(forwarding, an_answer_that_ends_with_its_connection_is_whole, test::FixtureOptions{}) {
-  scriptBoth(fixture, SamplerAct::kUnframed);
+GATEWAY_TEST(forwarding, a_response_delimited_by_connection_close_is_complete,
+             test::FixtureOptions{}) {
+  scriptBothSamplers(fixture, SamplerAct::kUnframed);
   const auto outcome = co_await fixture.call(0, fixture.lookupRequest("r1"));
   cr_assert_eq(outcome.response.result_int(), 200U);
   cr_assert_eq(outcome.response.body(), "answer to r1");
 }
 
-GATEWAY_TEST(forwarding, a_request_that_may_run_once_reaches_one_engine_and_is_not_refused_after,
+GATEWAY_TEST(forwarding, a_non_idempotent_request_reaches_one_engine_and_is_not_refused_after,
              test::FixtureOptions{}) {
-  scriptBoth(fixture, SamplerAct::kClose);
+  scriptBothSamplers(fixture, SamplerAct::kClose);
   auto outcome = co_await fixture.call(0, fixture.lookupRequest("r1", "/once/1"));
-  cr_assert_eq(outcome.response.result_int(), 502U, "it may have run: no promise");
+  cr_assert_eq(outcome.response.result_int(), 502U,
+               "a request that may have run must not be refused as not executed");
   cr_assert_eq(arrivals(fixture), 1U);
   fixture.lookup(0).script().clear();
   fixture.lookup(1).script().clear();
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(900));
-  scriptBoth(fixture, SamplerAct::kShed);
+  scriptBothSamplers(fixture, SamplerAct::kShed);
   outcome = co_await fixture.call(0, fixture.lookupRequest("r2", "/once/1"));
-  cr_assert_eq(outcome.response.result_int(), 503U, "both said that they did not run it");
+  cr_assert_eq(outcome.response.result_int(), 503U,
+               "both engines reported that they did not execute it");
   cr_assert(!http::fieldText(outcome.response, "Retry-After").empty());
   cr_assert_eq(arrivals(fixture), 3U);
 }
 
-GATEWAY_TEST(forwarding, the_engines_own_failure_of_a_request_that_may_run_once_is_passed_on,
+GATEWAY_TEST(forwarding, an_engine_failure_of_a_non_idempotent_request_is_forwarded,
              test::FixtureOptions{}) {
-  scriptBoth(fixture, SamplerAct::kFail);
+  scriptBothSamplers(fixture, SamplerAct::kFail);
   const auto outcome = co_await fixture.call(0, fixture.lookupRequest("r1", "/once/1"));
   cr_assert_eq(outcome.response.result_int(), 500U);
   cr_assert_eq(http::fieldText(outcome.response, "Response-Signature"), "s-r1");
   cr_assert_eq(outcome.response.body(), "failed");
 }
 
-GATEWAY_TEST(forwarding, silence_is_answered_at_the_deadline, test::FixtureOptions{}) {
-  scriptBoth(fixture, SamplerAct::kSilent);
+GATEWAY_TEST(forwarding, a_silent_engine_causes_a_timeout_at_the_deadline, test::FixtureOptions{}) {
+  scriptBothSamplers(fixture, SamplerAct::kSilent);
   http::Request request = fixture.lookupRequest("r1");
   request.set("Deadline-Ms", "300");
   const Instant begun = steadyNow();
@@ -145,8 +148,8 @@
   cr_assert(took >= std::chrono::milliseconds(290) && took < std::chrono::milliseconds(700));
 }
 
-GATEWAY_TEST(forwarding, the_clients_close_stops_the_engines_work, test::FixtureOptions{}) {
-  scriptBoth(fixture, SamplerAct::kSilent);
+GATEWAY_TEST(forwarding, a_client_disconnect_cancels_the_engine_request, test::FixtureOptions{}) {
+  scriptBothSamplers(fixture, SamplerAct::kSilent);
   co_await exchangeRaw(fixture,
                        "POST /look/1 HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r1\r\n"
                        "Deadline-Ms: 1000\r\nContent-Length: 0\r\n\r\n",
@@ -164,12 +167,13 @@
   fixture.store().faults().refuse = true;
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(2600));
   outcome = co_await fixture.call(0, fixture.lookupRequest("r2", "/nowhere/1"));
-  cr_assert_eq(outcome.response.result_int(), 503U, "it may be new");
+  cr_assert_eq(outcome.response.result_int(), 503U,
+               "the route may be newer than the known configuration");
   outcome = co_await fixture.call(0, fixture.lookupRequest("r3"));
   cr_assert_eq(outcome.response.result_int(), 200U, "known routes are served without the store");
 }
 
-GATEWAY_TEST(forwarding, a_new_configuration_is_in_force_at_once_and_an_old_one_never_again,
+GATEWAY_TEST(forwarding, a_new_configuration_applies_at_once_and_an_older_one_never,
              test::FixtureOptions{}) {
   const std::string route =
       R"(,{"name":"new","host":"h.example","pathPrefix":"/new/","kind":"idempotent",
@@ -184,14 +188,14 @@
   cr_assert_eq(outcome.response.result_int(), 200U);
 }
 
-GATEWAY_TEST(forwarding, a_configuration_that_is_wrong_changes_nothing, test::FixtureOptions{}) {
+GATEWAY_TEST(forwarding, an_invalid_configuration_is_ignored, test::FixtureOptions{}) {
   fixture.store().put("op", "config", "{\"version\":50,\"routes\":[{}]}");
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(150));
   const auto outcome = co_await fixture.call(0, fixture.lookupRequest("r1"));
   cr_assert_eq(outcome.response.result_int(), 200U);
 }
 
-GATEWAY_TEST(forwarding, engines_that_drain_or_are_gone_get_nothing_new_also_after_a_lost_history,
+GATEWAY_TEST(forwarding, draining_or_removed_engines_get_no_requests_also_after_a_feed_reset,
              test::FixtureOptions{}) {
   fixture.store().faults().forget_history = true;
   fixture.store().put("servers", "look-0", fixture.lookup(0).entry("desk", "draining"));
@@ -207,7 +211,7 @@
   cr_assert_eq(fixture.lookup(1).arrivals().size(), 8U);
 }
 
-GATEWAY_TEST(forwarding, bad_requests_get_a_clear_answer_and_the_daemon_lives,
+GATEWAY_TEST(forwarding, malformed_requests_get_an_error_status_and_the_daemon_survives,
              test::FixtureOptions{}) {
   const std::string head = "POST /look/1 HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r\r\n";
   struct Case {
@@ -225,14 +229,14 @@
   for (const Case& each : cases) {
     const std::string answer =
         co_await exchangeRaw(fixture, each.bytes, std::chrono::milliseconds(700));
-    cr_assert(answer.starts_with("HTTP/1.1 " + each.status), "%s wanted, got: %s",
+    cr_assert(answer.starts_with("HTTP/1.1 " + each.status), "expected %s, got: %s",
               each.status.c_str(), answer.substr(0, 40).c_str());
   }
   const auto outcome = co_await fixture.call(0, fixture.lookupRequest("after"));
   cr_assert_eq(outcome.response.result_int(), 200U);
 }
 
-GATEWAY_TEST(forwarding, a_chunked_body_arrives_whole, test::FixtureOptions{}) {
+GATEWAY_TEST(forwarding, a_chunked_body_is_forwarded_completely, test::FixtureOptions{}) {
   co_await exchangeRaw(fixture,
                        "POST /look/1 HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r\r\n"
                        "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
@@ -243,7 +247,7 @@
   cr_assert_eq(arrival.body, "abcde");
 }
 
-GATEWAY_TEST(streams, a_broken_stream_goes_on_at_another_engine_without_gap_or_repeat,
+GATEWAY_TEST(streams, a_broken_stream_is_resumed_at_another_engine_without_gap_or_repeat,
              test::FixtureOptions{}) {
   fixture.model(0).script().push_back(SamplerAct::kCutShort);
   fixture.model(1).script().push_back(SamplerAct::kCutShort);
@@ -257,7 +261,7 @@
   cr_assert_eq(http::fieldText(outcome.response, "Response-Signature"), "s-s");
 }
 
-GATEWAY_TEST(streams, a_broken_stream_that_may_not_go_on_does_not_look_complete,
+GATEWAY_TEST(streams, a_broken_stream_that_cannot_be_resumed_does_not_look_complete,
              test::FixtureOptions{}) {
   fixture.model(0).script().push_back(SamplerAct::kCutShort);
   fixture.model(1).script().push_back(SamplerAct::kCutShort);
@@ -266,11 +270,11 @@
   cr_assert_eq(fixture.model(0).arrivals().size() + fixture.model(1).arrivals().size(), 1U);
 }
 
-GATEWAY_TEST(stopping, a_stopping_daemon_is_not_ready_but_finishes_what_it_has,
+GATEWAY_TEST(stopping, a_stopping_daemon_is_not_ready_but_finishes_open_requests,
              test::FixtureOptions{}) {
   fixture.gateway().stop();
   cr_assert_not(fixture.gateway().ready());
   const auto outcome = co_await fixture.call(0, fixture.lookupRequest("r1"));
-  cr_assert_eq(outcome.response.result_int(), 200U, "until the platform sends nobody new");
+  cr_assert_eq(outcome.response.result_int(), 200U, "a stopping daemon must still serve requests");
   cr_assert_eq(http::fieldText(outcome.response, "Connection"), "close");
 }
--- a/tests/gateway/service/metrics_test.cpp
+++ b/tests/gateway/service/metrics_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Metrics of a whole gateway, scraped as an operator's collector would.
+/// End-to-end tests of the metrics endpoint.
 
 #include "support/gateway_fixture.h"
 
@@ -23,8 +23,7 @@
 
 }  // namespace
 
-GATEWAY_TEST(metrics, a_scrape_tells_requests_store_calls_engines_and_state,
-             test::FixtureOptions{}) {
+GATEWAY_TEST(metrics, a_scrape_has_requests_store_calls_engines_and_state, test::FixtureOptions{}) {
   co_await fixture.call(0, fixture.lookupRequest("r1"));
   const std::string text = co_await scrape(fixture);
   cr_assert(contains(text, "linenpier_requests_total{kind=\"idempotent\",outcome=\"answered\""));
@@ -36,7 +35,7 @@
   cr_assert(contains(text, "linenpier_log_lines_dropped 0"));
 }
 
-GATEWAY_TEST(metrics, a_store_that_is_away_shows, test::FixtureOptions{}) {
+GATEWAY_TEST(metrics, an_unavailable_store_is_visible, test::FixtureOptions{}) {
   fixture.store().faults().refuse = true;
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(2600));
   const std::string text = co_await scrape(fixture);
--- a/tests/gateway/service/owner_demand_test.cpp
+++ b/tests/gateway/service/owner_demand_test.cpp
@@ -31,11 +31,11 @@
 
 }  // namespace
 
-Test(owner_demand, without_homes_owners_are_wanted_anywhere) {
+Test(owner_demand, without_allowed_regions_owners_may_be_anywhere) {
   cr_assert(gateway::computeOwnerDemand(twoModels(), kLayout) == wanted(4, {}));
 }
 
-Test(owner_demand, each_set_of_homes_wants_owners_of_its_own) {
+Test(owner_demand, each_set_of_allowed_regions_requires_its_own_owners) {
   routing::Configuration table = twoModels();
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
   const lease::pool_requirements::zone_requirement near{{ZoneName("a"), ZoneName("b")}, 3};
@@ -51,7 +51,7 @@
   cr_assert(gateway::computeOwnerDemand(table, kLayout) == wanted(4, {there}));
 }
 
-Test(owner_demand, other_routes_want_no_owners) {
+Test(owner_demand, other_routes_require_no_owners) {
   routing::Configuration table = twoModels();
   table.routes.front().kind = routing::RequestKind::kIdempotent;
   table.routes.front().residency = fleet::data_residency({RegionName("near")});
--- a/tests/gateway/service/peers_test.cpp
+++ b/tests/gateway/service/peers_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Daemons that cannot reach the store are told by others.
+/// End-to-end tests of daemons that get the shared state from peers while the store is unreachable.
 
 #include "gateway/service/peer_snapshot.h"
 #include "support/gateway_fixture.h"
@@ -7,7 +7,7 @@
 using namespace linenpier;
 using test::GatewayFixture;
 
-GATEWAY_TEST(peers, a_daemon_that_starts_while_the_store_is_away_serves_by_a_peers_word,
+GATEWAY_TEST(peers, a_daemon_that_starts_without_the_store_serves_from_a_peer_snapshot,
              test::FixtureOptions{}) {
   fixture.store().faults().refuse = true;
   fixture.addGateway("late");
@@ -15,7 +15,7 @@
   const auto outcome = co_await fixture.call(1, fixture.lookupRequest("r1"));
   cr_assert_eq(outcome.response.result_int(), 200U);
   const auto unknown = co_await fixture.call(1, fixture.lookupRequest("r2", "/nowhere/1"));
-  cr_assert_eq(unknown.response.result_int(), 503U, "a peer may be behind");
+  cr_assert_eq(unknown.response.result_int(), 503U, "the peer's state may be stale");
 }
 
 GATEWAY_TEST(peers, without_store_and_peers_a_daemon_is_not_ready_and_refuses,
@@ -34,7 +34,7 @@
   std::quick_exit(0);
 }
 
-Test(peer_snapshot, what_is_encoded_is_decoded_and_nonsense_is_not) {
+Test(peer_snapshot, a_snapshot_round_trips_and_invalid_input_is_rejected) {
   gateway::PeerSnapshot snapshot;
   snapshot.config_version = 7;
   snapshot.configuration = "{}";
@@ -51,9 +51,9 @@
   cr_assert_not(gateway::decodeSnapshot("{\"config_version\":1}").has_value());
 }
 
-Test(peer_snapshot, a_daemon_that_tells_nothing_of_zones_is_not_taken_to_say_that_all_are_open) {
+Test(peer_snapshot, a_snapshot_without_zones_does_not_reopen_zones) {
   const auto read = gateway::decodeSnapshot(
       R"({"config_version":7,"configuration":"{}","engines_revision":9,"engines":[]})");
   cr_assert(read.has_value());
-  cr_assert_eq(read->zones_revision, 0U, "never newer than what is known");
+  cr_assert_eq(read->zones_revision, 0U, "a missing revision must be read as 0");
 }
--- a/tests/gateway/service/release_test.cpp
+++ b/tests/gateway/service/release_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Results are stored as they finish and shown to readers once a step is whole.
+/// End-to-end tests of step jobs: results are stored as they finish and released to readers
+/// together.
 
 #include <nlohmann/json.hpp>
 
@@ -15,7 +16,7 @@
 constexpr int kItems = 8;
 constexpr int kEvents = 40;
 
-/// A job whose trainer waits for all of its groups.
+/// A job whose results are released once all of its groups are complete.
 http::Request stepRequest(GatewayFixture& fixture, const std::string& id) {
   http::Request request = fixture.jobRequest(id, kItems);
   json document = json::parse(request.body());
@@ -37,7 +38,7 @@
   return fixture.store().keys("results").size();
 }
 
-/// One engine's items end soon, the other's much later.
+/// Makes the second engine much slower than the first one.
 void makeOneEngineSlow(GatewayFixture& fixture) {
   fixture.model(0).setEventGap(std::chrono::milliseconds(5));
   fixture.model(1).setEventGap(std::chrono::milliseconds(60));
@@ -45,7 +46,8 @@
 
 }  // namespace
 
-GATEWAY_TEST(release, results_of_a_step_are_stored_early_and_shown_together, twoGateways(kEvents)) {
+GATEWAY_TEST(release, results_of_a_step_are_stored_early_and_released_together,
+             twoGateways(kEvents)) {
   makeOneEngineSlow(fixture);
   co_await fixture.call(0, stepRequest(fixture, "job"));
   const bool stored = co_await fixture.waitFor([&fixture] { return storedResults(fixture) > 0; });
@@ -54,7 +56,8 @@
   for (std::size_t gateway = 0; gateway < 2; ++gateway) {
     const auto page = co_await fixture.call(gateway, readRequest("job"));
     cr_assert_eq(page.response.result_int(), 200U);
-    cr_assert_eq(json::parse(page.response.body())["results"].size(), 0U, "held back");
+    cr_assert_eq(json::parse(page.response.body())["results"].size(), 0U,
+                 "unreleased results were listed");
   }
   const std::string results = co_await fixture.readAll(1, "job");
   cr_assert_eq(std::count(results.begin(), results.end(), '\n'), kItems);
@@ -63,7 +66,7 @@
                static_cast<std::size_t>(kItems));
 }
 
-GATEWAY_TEST(release, results_that_were_held_back_are_not_made_again_by_the_next_owner,
+GATEWAY_TEST(release, unreleased_results_are_not_generated_again_by_the_next_owner,
              twoGateways(kEvents)) {
   makeOneEngineSlow(fixture);
   co_await fixture.call(0, stepRequest(fixture, "job"));
@@ -83,13 +86,13 @@
     const bool known = std::count(finished.begin(), finished.end(), id) > 0;
     again += known && !arrival.fields.contains("last-event-id") ? 1 : 0;
   }
-  cr_assert_eq(again, static_cast<int>(finished.size()), "each finished item ran once");
+  cr_assert_eq(again, static_cast<int>(finished.size()), "a finished item ran again");
 }
 
-GATEWAY_TEST(release, a_release_that_was_done_but_not_answered_is_believed, twoGateways(kEvents)) {
+GATEWAY_TEST(release, a_release_without_a_response_is_recognized, twoGateways(kEvents)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(5));
   co_await fixture.call(0, stepRequest(fixture, "job"));
-  // Renewals and checkpoints lose their answers, too.
+  // Includes the writes of lease renewals and checkpoints.
   fixture.store().faults().lose_writes = 6;
   const std::string first = co_await fixture.readAll(1, "job");
   const std::string second = co_await fixture.readAll(0, "job");
@@ -97,7 +100,7 @@
   cr_assert_eq(std::count(first.begin(), first.end(), '\n'), kItems);
 }
 
-GATEWAY_TEST(release, results_are_stored_as_soon_as_a_silent_store_answers_again,
+GATEWAY_TEST(release, results_are_stored_as_soon_as_a_silent_store_responds_again,
              twoGateways(kEvents)) {
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setEventGap(std::chrono::milliseconds(5));
   co_await fixture.call(0, stepRequest(fixture, "job"));
@@ -107,14 +110,15 @@
   const bool stored = co_await fixture.waitFor(
       [&fixture] { return storedResults(fixture) == static_cast<std::size_t>(kItems); },
       std::chrono::milliseconds(500));
-  cr_assert(stored, "a write that waits for an answer that never comes holds them back");
+  cr_assert(stored, "a pending write without a response delays the results");
 }
 
-GATEWAY_TEST(release, a_job_is_taken_as_soon_as_the_store_answers_again, twoGateways(kEvents)) {
+GATEWAY_TEST(release, a_job_is_accepted_as_soon_as_the_store_responds_again, twoGateways(kEvents)) {
   fixture.store().faults().hang_feeds = true;
   const bool lost = co_await fixture.waitFor(
       [&fixture] { return !fixture.gateway(1).storeReachable(); }, std::chrono::seconds(6));
   cr_assert(lost);
   const auto accepted = co_await fixture.call(1, stepRequest(fixture, "job"));
-  cr_assert_eq(accepted.response.result_int(), 202U, "its feeds hang, but the store takes writes");
+  cr_assert_eq(accepted.response.result_int(), 202U,
+               "the store accepts writes although its feeds hang");
 }
--- a/tests/gateway/service/residency_test.cpp
+++ b/tests/gateway/service/residency_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Jobs and requests with homes through whole gateways in two regions: "near" is the region of the
-/// first gateway and "far" that of the second.
+/// End-to-end tests of data residency in two regions: the first gateway is in region "near", the
+/// second one in "far".
 
 #include <nlohmann/json.hpp>
 
@@ -15,7 +15,7 @@
 const std::string kNearOnly = R"(,"allowedRegions":["near"])";
 const std::string kFarOnly = R"(,"allowedRegions":["far"])";
 
-/// A gateway and a model engine in each of two regions; lookups are served in the near one.
+/// A gateway and a model engine in each region; lookup engines only in "near".
 test::FixtureOptions twoRegions(const std::string& job_fields) {
   test::FixtureOptions options = test::twoGateways(4);
   options.zones = {"z", "y"};
@@ -41,23 +41,24 @@
 
 }  // namespace
 
-GATEWAY_TEST(homes, a_job_handed_in_elsewhere_is_run_at_home, twoRegions(kFarOnly)) {
+GATEWAY_TEST(homes, a_job_submitted_elsewhere_is_run_in_its_region, twoRegions(kFarOnly)) {
   const auto accepted = co_await fixture.call(0, fixture.jobRequest("job", 6));
   cr_assert_eq(accepted.response.result_int(), 202U);
   co_await fixture.readAll(0, "job");
   cr_assert_eq(ownerOf(fixture, "job"), "d1");
-  cr_assert(fixture.model(0).arrivals().empty(), "an engine elsewhere got an item");
+  cr_assert(fixture.model(0).arrivals().empty(),
+            "an engine outside the allowed regions received an item");
   cr_assert_eq(fixture.model(1).arrivals().size(), 6U);
 }
 
-GATEWAY_TEST(homes, a_job_handed_in_at_home_stays_there, twoRegions(kFarOnly)) {
+GATEWAY_TEST(homes, a_job_submitted_in_its_region_stays_there, twoRegions(kFarOnly)) {
   co_await fixture.call(1, fixture.jobRequest("job", 6));
   cr_assert_eq(ownerOf(fixture, "job"), "d1");
   co_await fixture.readAll(1, "job");
   cr_assert(fixture.model(0).arrivals().empty());
 }
 
-GATEWAY_TEST(homes, route_and_tenant_bind_both,
+GATEWAY_TEST(homes, regions_of_route_and_tenant_both_apply,
              twoRegions(R"(,"allowedRegions":["near","far"],"public":true)")) {
   fixture.setTenants(R"([{"name":"ada","apiKeys":["k1"],"allowedRegions":["far"]}])");
   fixture.setClientKey("k1");
@@ -72,7 +73,7 @@
   cr_assert(fixture.model(0).arrivals().empty());
 }
 
-GATEWAY_TEST(homes, a_job_without_an_engine_at_home_is_refused_at_once,
+GATEWAY_TEST(homes, a_job_without_an_engine_in_its_regions_is_refused_at_once,
              twoRegions(R"(,"allowedRegions":["elsewhere"])")) {
   const Instant begun = steadyNow();
   const auto refused = co_await fixture.call(0, fixture.jobRequest("job", 4));
@@ -82,7 +83,7 @@
   cr_assert(!fixture.store().get("linenpier", "job/job").has_value());
 }
 
-GATEWAY_TEST(homes, a_request_without_an_engine_at_home_is_refused_at_once, twoRegions("")) {
+GATEWAY_TEST(homes, a_request_without_an_engine_in_its_regions_is_refused_at_once, twoRegions("")) {
   fixture.putConfiguration(
       4, R"(,{"name":"bound","host":"h.example","pathPrefix":"/bound/","kind":"idempotent",
          "timeoutMs":1200,"targetLatencyMs":150,"service":"desk","maxAttempts":2,
@@ -96,7 +97,8 @@
   cr_assert(fixture.lookup(0).arrivals().empty() && fixture.lookup(1).arrivals().empty());
 }
 
-GATEWAY_TEST(homes, an_owner_that_dies_is_followed_by_a_daemon_at_home, threeGateways(kFarOnly)) {
+GATEWAY_TEST(homes, a_dead_owner_is_replaced_by_a_daemon_in_the_same_region,
+             threeGateways(kFarOnly)) {
   fixture.model(1).setEventGap(std::chrono::milliseconds(300));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
   const bool owned =
@@ -114,29 +116,30 @@
   cr_assert(fixture.model(0).arrivals().empty());
 }
 
-GATEWAY_TEST(homes, a_job_waits_while_nobody_at_home_lives_and_goes_on_then, twoRegions(kFarOnly)) {
+GATEWAY_TEST(homes, a_job_waits_until_a_daemon_in_its_region_is_available, twoRegions(kFarOnly)) {
   fixture.model(1).setEventGap(std::chrono::milliseconds(400));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
   const bool owned =
       co_await fixture.waitFor([&fixture] { return ownerOf(fixture, "job") == "d1"; });
   cr_assert(owned);
   fixture.cutFromStore(1);
-  bool told = false;
+  bool reported = false;
   const Instant deadline = steadyNow() + std::chrono::seconds(8);
-  while (!told && steadyNow() < deadline) {
+  while (!reported && steadyNow() < deadline) {
     co_await sleepFor(fixture.loop(), std::chrono::milliseconds(200));
     const std::string page = co_await fixture.metricsPage(0);
-    told = page.find("linenpier_jobs_waiting_for_home 1") != std::string::npos;
+    reported = page.find("linenpier_jobs_waiting_for_home 1") != std::string::npos;
   }
-  cr_assert(told);
-  cr_assert_eq(ownerOf(fixture, "job"), "d1", "nobody elsewhere took it");
+  cr_assert(reported);
+  cr_assert_eq(ownerOf(fixture, "job"), "d1",
+               "a daemon outside the allowed regions took over the job");
   cr_assert(fixture.model(0).arrivals().empty());
-  fixture.joinToStore(1);
+  fixture.reconnectToStore(1);
   co_await fixture.readAll(0, "job");
   cr_assert(fixture.model(0).arrivals().empty());
 }
 
-GATEWAY_TEST(homes, an_owner_that_is_no_longer_at_home_gives_the_job_up, twoRegions(kNearOnly)) {
+GATEWAY_TEST(homes, an_owner_outside_the_changed_regions_releases_the_job, twoRegions(kNearOnly)) {
   fixture.model(0).setEventGap(std::chrono::milliseconds(500));
   co_await fixture.call(0, fixture.jobRequest("job", 4));
   const bool running =
@@ -149,11 +152,12 @@
       co_await fixture.waitFor([&fixture] { return ownerOf(fixture, "job") == "d1"; });
   cr_assert(moved);
   co_await fixture.readAll(0, "job");
-  cr_assert_eq(fixture.model(0).arrivals().size(), 4U, "an item was sent there afterwards");
+  cr_assert_eq(fixture.model(0).arrivals().size(), 4U,
+               "an item was sent to a region that is no longer allowed");
   cr_assert_eq(fixture.model(1).arrivals().size(), 4U);
 }
 
-GATEWAY_TEST(homes, a_job_whose_scorers_have_homes_is_owned_there, twoRegions("")) {
+GATEWAY_TEST(homes, a_job_is_owned_in_the_regions_of_its_reward_route, twoRegions("")) {
   fixture.setRouteFields("", kFarOnly);
   fixture.putConfiguration(4);
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(400));
@@ -165,5 +169,6 @@
   co_await fixture.readAll(0, "job");
   cr_assert_eq(ownerOf(fixture, "job"), "d1");
   cr_assert_eq(fixture.lookup(0).arrivals().size(), 6U);
-  cr_assert(fixture.lookup(1).arrivals().empty(), "an engine elsewhere got a reward request");
+  cr_assert(fixture.lookup(1).arrivals().empty(),
+            "an engine outside the allowed regions received a reward request");
 }
--- a/tests/gateway/service/scaling_settings_test.cpp
+++ b/tests/gateway/service/scaling_settings_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether a number of engines is ordered, as the settings say.
+/// Tests of how the scaling mode is derived from the settings.
 
 #include "gateway/service/gateway_settings.h"
 
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// @return how engines are counted under these settings of duties.
-ScalingMode modeOf(const std::string& duties) {
+/// @return the scaling mode for the given contents of the [duties] table.
+ScalingMode parseScalingMode(const std::string& duties) {
   const std::string text =
       "[daemon]\nid = \"d\"\nzone = \"z\"\n[listen]\nrequests = \"127.0.0.1:1\"\n"
       "readiness = \"127.0.0.1:2\"\n[store]\naddress = \"127.0.0.1:3\"\n[duties]\n" +
@@ -26,14 +26,16 @@
 
 }  // namespace
 
-Test(scaling_settings, engines_are_counted_where_the_platform_has_the_duty) {
+Test(scaling_settings, scaling_is_enabled_if_the_platform_supports_it) {
   const std::string address = "address = \"127.0.0.1:4\"\n";
   const std::string replace = "scaling = \"replace\"\n";
   const std::string both = "names = \"usage_report, autoscale\"\n";
-  cr_assert(modeOf(address + both + replace) == ScalingMode::kReplace);
-  cr_assert(modeOf(address + both + "scaling = \"demand\"\n") == ScalingMode::kDemand);
-  cr_assert(modeOf(address + both) == ScalingMode::kFixed);
-  cr_assert(modeOf(address + replace) == ScalingMode::kFixed);
-  cr_assert(modeOf(address + "names = \"usage_report\"\n" + replace) == ScalingMode::kFixed);
-  cr_assert(modeOf(both + replace) == ScalingMode::kFixed, "there is nobody to ask");
+  cr_assert(parseScalingMode(address + both + replace) == ScalingMode::kReplace);
+  cr_assert(parseScalingMode(address + both + "scaling = \"demand\"\n") == ScalingMode::kDemand);
+  cr_assert(parseScalingMode(address + both) == ScalingMode::kFixed);
+  cr_assert(parseScalingMode(address + replace) == ScalingMode::kFixed);
+  cr_assert(parseScalingMode(address + "names = \"usage_report\"\n" + replace) ==
+            ScalingMode::kFixed);
+  cr_assert(parseScalingMode(both + replace) == ScalingMode::kFixed,
+            "no service address is configured");
 }
--- a/tests/gateway/service/scaling_test.cpp
+++ b/tests/gateway/service/scaling_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Orders for a number of engines through whole gateways, against a stand-in of the platform's
-/// service that adds and takes away entries of engines.
+/// End-to-end tests of scaling orders, against a stand-in of the platform's service that adds and
+/// removes engine entries.
 
 #include <nlohmann/json.hpp>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-scaling::scaling_options quick(scaling::ScalingMode mode) {
+scaling::scaling_options fastOptions(scaling::ScalingMode mode) {
   scaling::scaling_options options;
   options.mode = mode;
   options.settle = std::chrono::milliseconds(300);
@@ -26,18 +26,18 @@
   return options;
 }
 
-test::FixtureOptions scaled(int gateways,
-                            scaling::ScalingMode mode = scaling::ScalingMode::kReplace) {
+test::FixtureOptions withScaling(int gateways,
+                                 scaling::ScalingMode mode = scaling::ScalingMode::kReplace) {
   test::FixtureOptions options;
   options.gateways = gateways;
   options.model_samplers = 0;
-  options.scaling = quick(mode);
+  options.scaling = fastOptions(mode);
   options.scaling_bounds = R"({"min":0,"max":9,"bootTimeS":0.2,"spotPrice":0.22,
       "zonePrices":{"a":1.0,"b":0.8}})";
   return options;
 }
 
-/// Engines of the service with models, as the platform lists them. They share one address.
+/// The registry entries of the model service's engines, which share one address.
 class platform_engines {
  public:
   explicit platform_engines(GatewayFixture& fixture) : fixture_(fixture) {
@@ -51,11 +51,11 @@
       all.pop_back();
     }
     while (all.size() < count) {
-      all.push_back("e-" + std::to_string(++this->named_));
+      all.push_back("e-" + std::to_string(++this->last_id_));
       this->fixture_.store().put("servers", all.back(), this->entry(zone, spot).dump());
     }
   }
-  /// All of a zone's spot engines drain and are gone a second later.
+  /// Drains all spot engines of a zone and removes them after one second.
   void reclaim(const std::string& zone) {
     for (const std::string& id : this->ids_[{zone, true}]) {
       json entry = this->entry(zone, true);
@@ -87,39 +87,39 @@
 
   GatewayFixture& fixture_;
   std::map<std::pair<std::string, bool>, std::vector<std::string>> ids_;
-  int named_ = 0;
+  int last_id_ = 0;
 };
 
-/// @return the engines of a test, which outlive it: its tasks refer to them.
-platform_engines& enginesOf(GatewayFixture& fixture, std::size_t a, std::size_t b) {
+/// @return the engines of a test; never deleted, as its tasks keep references to them.
+platform_engines& makeEngines(GatewayFixture& fixture, std::size_t a, std::size_t b) {
   auto* engines = new platform_engines(fixture);
   engines->put("a", a);
   engines->put("b", b);
   return *engines;
 }
 
-/// Waits until the usual number is written down, and somebody may order.
-Task<bool> waitSettled(GatewayFixture& fixture) {
+/// Waits until the baseline engine count is stored and a leader may send orders.
+Task<bool> waitForBaseline(GatewayFixture& fixture) {
   GatewayFixture* all = &fixture;
   co_return co_await fixture.waitFor(
       [all] { return all->store().get("scaling", "models").has_value(); },
       std::chrono::seconds(12));
 }
 
-std::size_t holder(GatewayFixture& fixture) {
+std::size_t leaderIndex(GatewayFixture& fixture) {
   const auto right = fixture.store().get("linenpier", "right/scaling");
   cr_assert(right.has_value());
   return right->starts_with("d0") ? 0 : 1;
 }
 
-/// Fails if a token is used by two, or falls.
-void assertTokensRise(GatewayFixture& fixture) {
+/// Fails if two holders use the same token or if tokens decrease.
+void assertTokensIncrease(GatewayFixture& fixture) {
   std::map<std::uint64_t, std::string> holders;
   std::uint64_t highest = 0;
   for (const DutyCall& call : fixture.duties().calls()) {
     cr_assert(call.token > 0);
     const auto [at, added] = holders.emplace(call.token, call.holder);
-    cr_assert_eq(at->second, call.holder, "two holders with one token");
+    cr_assert_eq(at->second, call.holder, "two holders used the same token");
     cr_assert(call.token >= highest);
     highest = call.token;
   }
@@ -127,23 +127,24 @@
 
 }  // namespace
 
-GATEWAY_TEST(scaling, engines_that_are_taken_back_are_made_up_for_before_they_are_gone, scaled(2)) {
-  platform_engines& engines = enginesOf(fixture, 2, 2);
+GATEWAY_TEST(scaling, reclaimed_engines_are_replaced_before_they_are_removed, withScaling(2)) {
+  platform_engines& engines = makeEngines(fixture, 2, 2);
   engines.put("b", 3, true);
-  const bool settled = co_await waitSettled(fixture);
+  const bool settled = co_await waitForBaseline(fixture);
   cr_assert(settled);
-  cr_assert(fixture.duties().calls().empty(), "nothing is missing");
+  cr_assert(fixture.duties().calls().empty(), "an order was sent although no engine is missing");
   engines.reclaim("b");
   const bool made_up =
       co_await fixture.waitFor([&engines] { return engines.count("a") + engines.count("b") >= 7; },
                                std::chrono::milliseconds(900));
   cr_assert(made_up);
-  assertTokensRise(fixture);
+  assertTokensIncrease(fixture);
 }
 
-GATEWAY_TEST(scaling, a_zone_that_is_gone_is_made_up_for_and_given_back_slowly, scaled(1)) {
-  platform_engines& engines = enginesOf(fixture, 3, 3);
-  const bool settled = co_await waitSettled(fixture);
+GATEWAY_TEST(scaling, a_lost_zone_is_replaced_and_scaled_down_gradually_after_recovery,
+             withScaling(1)) {
+  platform_engines& engines = makeEngines(fixture, 3, 3);
+  const bool settled = co_await waitForBaseline(fixture);
   cr_assert(settled);
   engines.put("b", 0);
   const bool made_up = co_await fixture.waitFor([&engines] { return engines.count("a") == 6; });
@@ -159,45 +160,46 @@
     const json order = json::parse(call.body);
     if (order["zone"] != "a") continue;
     const std::size_t wanted = order["desired"];
-    cr_assert(wanted + 1 >= before, "more than one engine at a time was taken away");
+    cr_assert(wanted + 1 >= before, "more than one engine was removed at a time");
     before = wanted;
   }
 }
 
-GATEWAY_TEST(scaling, the_next_holder_does_not_undo_the_last_order, scaled(2)) {
-  platform_engines& engines = enginesOf(fixture, 3, 3);
-  const bool settled = co_await waitSettled(fixture);
+GATEWAY_TEST(scaling, the_next_leader_does_not_revert_the_last_order, withScaling(2)) {
+  platform_engines& engines = makeEngines(fixture, 3, 3);
+  const bool settled = co_await waitForBaseline(fixture);
   cr_assert(settled);
   engines.put("b", 0);
   const bool made_up = co_await fixture.waitFor([&engines] { return engines.count("a") == 6; });
   cr_assert(made_up);
-  const std::size_t first = holder(fixture);
+  const std::size_t first = leaderIndex(fixture);
   const std::uint64_t token = fixture.duties().calls().back().token;
   const std::size_t in_a = engines.count("a");
   fixture.cutFromStore(first);
-  // A holder that cannot prove its right sends nothing once the last proof has run out.
+  // A leader that cannot renew its lock sends nothing after the last renewal has expired.
   co_await sleepFor(fixture.loop(), std::chrono::seconds(2));
   const std::size_t calls = fixture.duties().calls().size();
   const bool taken = co_await fixture.waitFor(
-      [&fixture, first] { return holder(fixture) != first; }, std::chrono::seconds(8));
+      [&fixture, first] { return leaderIndex(fixture) != first; }, std::chrono::seconds(8));
   cr_assert(taken);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(5));
-  cr_assert(engines.count("a") >= in_a, "the zone is still gone");
+  cr_assert(engines.count("a") >= in_a,
+            "the replacement engines were removed while the zone is still down");
   engines.put("a", in_a - 2);
   const bool again = co_await fixture.waitFor(
       [&engines, in_a] { return engines.count("a") >= in_a; }, std::chrono::seconds(6));
-  cr_assert(again, "the next holder goes on from the last order");
+  cr_assert(again, "the new leader did not continue from the last order");
   cr_assert(fixture.duties().calls().size() > calls);
   for (std::size_t i = calls; i < fixture.duties().calls().size(); ++i) {
     cr_assert(fixture.duties().calls()[i].token > token);
     cr_assert(fixture.duties().calls()[i].holder != (first == 0 ? "d0" : "d1"));
   }
-  assertTokensRise(fixture);
+  assertTokensIncrease(fixture);
 }
 
-GATEWAY_TEST(scaling, an_order_without_an_answer_is_sent_again_as_it_was, scaled(1)) {
-  platform_engines& engines = enginesOf(fixture, 3, 3);
-  const bool settled = co_await waitSettled(fixture);
+GATEWAY_TEST(scaling, an_unanswered_order_is_repeated_unchanged, withScaling(1)) {
+  platform_engines& engines = makeEngines(fixture, 3, 3);
+  const bool settled = co_await waitForBaseline(fixture);
   cr_assert(settled);
   fixture.duties().faults().delay = 2;
   engines.put("b", 0);
@@ -211,15 +213,15 @@
   }
 }
 
-GATEWAY_TEST(scaling, an_order_that_is_carried_out_after_newer_ones_is_put_right, scaled(1)) {
-  platform_engines& engines = enginesOf(fixture, 3, 3);
-  const bool settled = co_await waitSettled(fixture);
+GATEWAY_TEST(scaling, an_order_executed_after_newer_ones_is_corrected, withScaling(1)) {
+  platform_engines& engines = makeEngines(fixture, 3, 3);
+  const bool settled = co_await waitForBaseline(fixture);
   cr_assert(settled);
   engines.put("b", 0);
   const bool made_up = co_await fixture.waitFor([&engines] { return engines.count("a") == 6; });
   cr_assert(made_up);
   engines.put("b", 3);
-  // The first order for fewer is held up; those after it are not.
+  // Delays only the first scale-down order.
   const std::size_t calls = fixture.duties().calls().size();
   fixture.duties().faults().delay = 1;
   const bool fewer = co_await fixture.waitFor([&engines] { return engines.count("a") == 3; },
@@ -241,9 +243,9 @@
   cr_assert(right);
 }
 
-GATEWAY_TEST(scaling, a_service_that_turns_calls_away_gets_them_later, scaled(1)) {
-  platform_engines& engines = enginesOf(fixture, 3, 3);
-  const bool settled = co_await waitSettled(fixture);
+GATEWAY_TEST(scaling, calls_that_the_service_refuses_are_retried_with_backoff, withScaling(1)) {
+  platform_engines& engines = makeEngines(fixture, 3, 3);
+  const bool settled = co_await waitForBaseline(fixture);
   cr_assert(settled);
   fixture.duties().faults().refuse = true;
   engines.put("b", 0);
@@ -256,10 +258,10 @@
   cr_assert(made_up);
 }
 
-GATEWAY_TEST(scaling, where_there_are_none_another_zone_is_asked, scaled(1)) {
-  platform_engines& engines = enginesOf(fixture, 2, 2);
+GATEWAY_TEST(scaling, another_zone_is_used_if_a_zone_has_no_capacity, withScaling(1)) {
+  platform_engines& engines = makeEngines(fixture, 2, 2);
   engines.put("c", 2);
-  const bool settled = co_await waitSettled(fixture);
+  const bool settled = co_await waitForBaseline(fixture);
   cr_assert(settled);
   fixture.duties().faults().scarce_zone = "b";
   engines.put("c", 0);
@@ -269,9 +271,9 @@
   cr_assert_eq(engines.count("b"), 2U);
 }
 
-GATEWAY_TEST(scaling, nothing_is_ordered_while_the_store_does_not_answer, scaled(1)) {
-  platform_engines& engines = enginesOf(fixture, 3, 3);
-  const bool settled = co_await waitSettled(fixture);
+GATEWAY_TEST(scaling, no_orders_are_sent_while_the_store_does_not_respond, withScaling(1)) {
+  platform_engines& engines = makeEngines(fixture, 3, 3);
+  const bool settled = co_await waitForBaseline(fixture);
   cr_assert(settled);
   fixture.store().faults().silent = true;
   engines.put("b", 0);
@@ -283,9 +285,9 @@
   cr_assert(made_up);
 }
 
-GATEWAY_TEST(scaling, a_fixed_number_takes_no_right_and_sends_nothing,
-             scaled(1, scaling::ScalingMode::kFixed)) {
-  platform_engines& engines = enginesOf(fixture, 3, 3);
+GATEWAY_TEST(scaling, fixed_mode_takes_no_leader_lock_and_sends_no_orders,
+             withScaling(1, scaling::ScalingMode::kFixed)) {
+  platform_engines& engines = makeEngines(fixture, 3, 3);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(2));
   engines.put("b", 0);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(3));
@@ -296,14 +298,14 @@
 
 namespace {
 test::FixtureOptions withoutBounds() {
-  test::FixtureOptions options = scaled(1);
+  test::FixtureOptions options = withScaling(1);
   options.scaling_bounds.clear();
   return options;
 }
 }  // namespace
 
-GATEWAY_TEST(scaling, a_service_without_bounds_is_left_alone, withoutBounds()) {
-  platform_engines& engines = enginesOf(fixture, 3, 3);
+GATEWAY_TEST(scaling, a_service_without_bounds_is_not_scaled, withoutBounds()) {
+  platform_engines& engines = makeEngines(fixture, 3, 3);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(2));
   engines.put("b", 0);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(3));
--- a/tests/gateway/service/scoring_test.cpp
+++ b/tests/gateway/service/scoring_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reward requests through whole gateways: a text is listed only with its score, whatever happens
-/// between both.
+/// End-to-end tests of reward requests: a result is published only together with its score, also
+/// after failures between generation and scoring.
 
 #include <nlohmann/json.hpp>
 
@@ -26,7 +26,7 @@
   return parsed;
 }
 
-/// Checks that every result is completed and carries the signature of its own reward request.
+/// Checks that each result is completed and has the signature of its own reward request as score.
 void checkScores(const std::string& results, std::size_t items) {
   const std::vector<json> parsed = parseLines(results);
   cr_assert_eq(parsed.size(), items);
@@ -36,7 +36,7 @@
   }
 }
 
-std::size_t rewardArrivals(GatewayFixture& fixture) {
+std::size_t countRewardRequests(GatewayFixture& fixture) {
   std::size_t count = 0;
   for (std::size_t i = 0; i < 2; ++i) {
     for (const auto& arrival : fixture.lookup(i).arrivals()) {
@@ -46,8 +46,8 @@
   return count;
 }
 
-/// @return texts that were begun, not gone on with.
-std::size_t textsBegun(GatewayFixture& fixture) {
+/// @return generation requests that started from scratch, without resumed ones.
+std::size_t countNewRuns(GatewayFixture& fixture) {
   std::size_t count = 0;
   for (std::size_t i = 0; i < 2; ++i) {
     for (const auto& arrival : fixture.model(i).arrivals()) {
@@ -57,7 +57,7 @@
   return count;
 }
 
-void scriptRewards(GatewayFixture& fixture, SamplerAct act, std::size_t times) {
+void scriptRewardSamplers(GatewayFixture& fixture, SamplerAct act, std::size_t times) {
   for (std::size_t i = 0; i < 2; ++i) fixture.lookup(i).script().assign(times, act);
 }
 
@@ -68,7 +68,7 @@
   cr_assert_eq(accepted.response.result_int(), 202U);
   const std::string results = co_await fixture.readAll(1, "job");
   checkScores(results, 9);
-  cr_assert_eq(rewardArrivals(fixture), 9U);
+  cr_assert_eq(countRewardRequests(fixture), 9U);
   for (const auto& arrival : fixture.lookup(0).arrivals()) {
     cr_assert_eq(arrival.method, "POST");
     const std::string item = arrival.target.substr(std::string("/reward/").size());
@@ -80,7 +80,7 @@
   }
 }
 
-GATEWAY_TEST(scoring, answers_that_are_late_garbled_or_cut_are_asked_for_again, twoGateways(4)) {
+GATEWAY_TEST(scoring, late_invalid_or_truncated_scores_are_requested_again, twoGateways(4)) {
   for (std::size_t i = 0; i < 2; ++i) {
     fixture.lookup(i).script() = {
         SamplerAct::kShed,  SamplerAct::kCutShort,     SamplerAct::kNonsense, SamplerAct::kUnsigned,
@@ -90,42 +90,43 @@
   co_await fixture.call(0, fixture.scoredJobRequest("job", 8));
   const std::string results = co_await fixture.readAll(0, "job");
   checkScores(results, 8);
-  cr_assert_eq(textsBegun(fixture), 8U, "a whole text is not made again");
+  cr_assert_eq(countNewRuns(fixture), 8U, "a complete text was generated again");
 }
 
-GATEWAY_TEST(scoring, an_item_whose_scoring_always_fails_is_given_up, test::FixtureOptions{}) {
-  scriptRewards(fixture, SamplerAct::kFail, 10);
+GATEWAY_TEST(scoring, an_item_whose_scoring_always_fails_is_terminated, test::FixtureOptions{}) {
+  scriptRewardSamplers(fixture, SamplerAct::kFail, 10);
   co_await fixture.call(0, fixture.scoredJobRequest("job", 1));
   const std::string results = co_await fixture.readAll(0, "job");
   const json result = json::parse(results);
   cr_assert_eq(result["state"], "terminated");
   cr_assert_eq(result["text"], "");
   cr_assert_not(result.contains("score"));
-  // The route allows three; one request asks each of the two samplers once.
-  cr_assert(rewardArrivals(fixture) == 3 || rewardArrivals(fixture) == 4);
+  // The route allows three requests; each of them tries both samplers once.
+  cr_assert(countRewardRequests(fixture) == 3 || countRewardRequests(fixture) == 4);
 }
 
-GATEWAY_TEST(scoring, refusals_and_silence_do_not_count_as_failures, test::FixtureOptions{}) {
-  scriptRewards(fixture, SamplerAct::kShed, 6);
+GATEWAY_TEST(scoring, refusals_and_timeouts_do_not_count_as_failures, test::FixtureOptions{}) {
+  scriptRewardSamplers(fixture, SamplerAct::kShed, 6);
   co_await fixture.call(0, fixture.scoredJobRequest("job", 1));
   const std::string results = co_await fixture.readAll(0, "job");
   checkScores(results, 1);
 }
 
-GATEWAY_TEST(scoring, a_stop_between_text_and_score_costs_neither, twoGateways(12)) {
-  scriptRewards(fixture, SamplerAct::kSilent, 100);
+GATEWAY_TEST(scoring, a_stop_between_text_and_score_loses_neither, twoGateways(12)) {
+  scriptRewardSamplers(fixture, SamplerAct::kSilent, 100);
   co_await fixture.call(0, fixture.scoredJobRequest("job", 4));
-  const bool asked = co_await fixture.waitFor([&fixture] { return rewardArrivals(fixture) >= 4; });
+  const bool asked =
+      co_await fixture.waitFor([&fixture] { return countRewardRequests(fixture) >= 4; });
   cr_assert(asked);
   fixture.gateway(0).stop();
-  scriptRewards(fixture, SamplerAct::kAnswer, 0);
+  scriptRewardSamplers(fixture, SamplerAct::kAnswer, 0);
   const std::string results = co_await fixture.readAll(1, "job");
   checkScores(results, 4);
-  cr_assert_eq(textsBegun(fixture), 4U, "a whole text is not made again");
+  cr_assert_eq(countNewRuns(fixture), 4U, "a complete text was generated again");
 }
 
 GATEWAY_TEST(scoring, an_owner_lost_between_text_and_score_is_replaced, twoGateways(12)) {
-  scriptRewards(fixture, SamplerAct::kSilent, 200);
+  scriptRewardSamplers(fixture, SamplerAct::kSilent, 200);
   co_await fixture.call(0, fixture.scoredJobRequest("job", 4));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(900));
   fixture.cutFromStore(0);
@@ -134,16 +135,17 @@
     return record.find("\"owner\":\"d1#") != std::string::npos;
   });
   cr_assert(taken);
-  scriptRewards(fixture, SamplerAct::kAnswer, 0);
+  scriptRewardSamplers(fixture, SamplerAct::kAnswer, 0);
   const std::string results = co_await fixture.readAll(1, "job");
   checkScores(results, 4);
-  cr_assert_eq(textsBegun(fixture), 4U, "a whole text is not made again");
+  cr_assert_eq(countNewRuns(fixture), 4U, "a complete text was generated again");
 }
 
-GATEWAY_TEST(scoring, no_reward_request_follows_the_end_of_its_job, twoGateways(4)) {
-  scriptRewards(fixture, SamplerAct::kSilent, 100);
+GATEWAY_TEST(scoring, no_reward_request_is_sent_after_the_end_of_its_job, twoGateways(4)) {
+  scriptRewardSamplers(fixture, SamplerAct::kSilent, 100);
   co_await fixture.call(0, fixture.scoredJobRequest("job", 4));
-  const bool asked = co_await fixture.waitFor([&fixture] { return rewardArrivals(fixture) >= 4; });
+  const bool asked =
+      co_await fixture.waitFor([&fixture] { return countRewardRequests(fixture) >= 4; });
   cr_assert(asked);
   const auto ended = co_await fixture.call(1, endRequest("job"));
   cr_assert_eq(ended.response.result_int(), 200U);
@@ -151,15 +153,16 @@
       [&fixture] { return fixture.lookup(0).dropped() + fixture.lookup(1).dropped() >= 4; },
       std::chrono::seconds(2));
   cr_assert(stopped);
-  const std::size_t before = rewardArrivals(fixture);
+  const std::size_t before = countRewardRequests(fixture);
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(800));
-  cr_assert_eq(rewardArrivals(fixture), before);
+  cr_assert_eq(countRewardRequests(fixture), before);
 }
 
-GATEWAY_TEST(scoring, callers_find_room_beside_many_reward_requests, twoGateways(3)) {
-  scriptRewards(fixture, SamplerAct::kSilent, 6);
+GATEWAY_TEST(scoring, client_requests_are_served_beside_many_reward_requests, twoGateways(3)) {
+  scriptRewardSamplers(fixture, SamplerAct::kSilent, 6);
   co_await fixture.call(0, fixture.scoredJobRequest("job", 40));
-  const bool asked = co_await fixture.waitFor([&fixture] { return rewardArrivals(fixture) >= 10; });
+  const bool asked =
+      co_await fixture.waitFor([&fixture] { return countRewardRequests(fixture) >= 10; });
   cr_assert(asked);
   for (std::size_t i = 0; i < 2; ++i) fixture.lookup(i).script().clear();
   const Instant begun = steadyNow();
@@ -181,7 +184,7 @@
   request.prepare_payload();
   co_await fixture.call(0, std::move(request));
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(400));
-  cr_assert(fixture.lookup(0).arrivals().empty(), "there is no route for it yet");
+  cr_assert(fixture.lookup(0).arrivals().empty(), "a reward request was sent without a route");
   fixture.putConfiguration(
       4, R"(,{"name":"later","host":"h.example","pathPrefix":"/later/","kind":"idempotent",
               "timeoutMs":1200,"targetLatencyMs":150,"service":"desk","maxAttempts":3})");
--- a/tests/gateway/service/settings_watcher_test.cpp
+++ b/tests/gateway/service/settings_watcher_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Tests run at the same time, each in a process of its own.
+/// Tests run concurrently, each in its own process.
 const std::string kFile = "/tmp/linenpier-settings-" + std::to_string(getpid()) + ".toml";
 constexpr Duration kPeriod = std::chrono::milliseconds(20);
 constexpr Duration kTimeout = std::chrono::milliseconds(200);
@@ -30,54 +30,54 @@
   file << text;
 }
 
-/// A watch of a file, with what it told.
+/// A watcher with the settings that it reported.
 struct Fixture {
   boost::asio::io_context loop{1};
-  std::vector<GatewaySettings> told;
-  gateway::settings_watcher watch;
+  std::vector<GatewaySettings> reported;
+  gateway::settings_watcher watcher;
 
   Fixture()
-      : watch((write(settingsWith("127.0.0.1:3")), loop), kFile, kPeriod,
-              [this](const GatewaySettings& settings) { told.push_back(settings); }) {}
+      : watcher((write(settingsWith("127.0.0.1:3")), loop), kFile, kPeriod,
+                [this](const GatewaySettings& settings) { reported.push_back(settings); }) {}
 };
 
 }  // namespace
 
-Test(settings_watcher, a_file_that_changes_without_a_signal_is_read_again) {
+Test(settings_watcher, a_changed_file_is_read_without_a_signal) {
   Fixture fixture;
-  fixture.watch.start();
+  fixture.watcher.start();
   fixture.loop.run_for(kTimeout);
-  cr_assert(fixture.told.empty(), "nothing has changed");
+  cr_assert(fixture.reported.empty(), "reported settings without a change");
   write(settingsWith("127.0.0.1:4444"));
   fixture.loop.run_for(kTimeout);
-  cr_assert_eq(fixture.told.size(), 1U);
-  cr_assert_eq(fixture.told[0].store_address.port, 4444);
+  cr_assert_eq(fixture.reported.size(), 1U);
+  cr_assert_eq(fixture.reported[0].store_address.port, 4444);
 }
 
-Test(settings_watcher, the_bound_of_cold_engines_is_read) {
+Test(settings_watcher, the_limit_for_cold_engines_is_read) {
   const std::string file = settingsWith("127.0.0.1:3");
   const auto without = gateway::parseGatewaySettings("f", file);
-  cr_assert(without->cold == engines::cold_limit_options{}, "nothing is bounded");
+  cr_assert(without->cold == engines::cold_limit_options{}, "there must be no limit by default");
   const auto with = gateway::parseGatewaySettings(
       "f", file + "[engines]\ncold_overshoot = 1.5\ncold_slack = 5\n");
   cr_assert(with->cold == (engines::cold_limit_options{1.5, 5}));
 }
 
-Test(settings_watcher, a_wrong_file_changes_nothing_and_is_read_once) {
+Test(settings_watcher, an_invalid_file_is_ignored_and_read_once) {
   Fixture fixture;
-  fixture.watch.start();
+  fixture.watcher.start();
   write("[daemon]\nid = 7\n");
   fixture.loop.run_for(kTimeout);
-  cr_assert(fixture.told.empty());
-  cr_assert_eq(fixture.watch.rejectedReloads(), 1U);
+  cr_assert(fixture.reported.empty());
+  cr_assert_eq(fixture.watcher.rejectedReloads(), 1U);
   write(settingsWith("127.0.0.1:55555"));
   fixture.loop.run_for(kTimeout);
-  cr_assert_eq(fixture.told.size(), 1U);
+  cr_assert_eq(fixture.reported.size(), 1U);
 }
 
 Test(settings_watcher, a_signal_reads_the_file_at_once) {
   Fixture fixture;
   write(settingsWith("127.0.0.1:4"));
-  fixture.watch.reload();
-  cr_assert_eq(fixture.told.size(), 1U);
+  fixture.watcher.reload();
+  cr_assert_eq(fixture.reported.size(), 1U);
 }
--- a/tests/gateway/service/suspension_test.cpp
+++ b/tests/gateway/service/suspension_test.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// A machine that is suspended for some seconds and wakes. The steady clock stands still meanwhile:
-/// what a daemon believes of its rights, of being in touch and of deadlines is older than that
-/// says.
+/// End-to-end tests of a machine that is suspended and resumed. The steady clock does not count the
+/// suspension, so leader locks, connectivity and deadlines must not rely on it.
 
 #include "support/gateway_fixture.h"
 #include "support/suspendable_clock.h"
@@ -13,31 +12,30 @@
 
 constexpr Duration kSuspension = std::chrono::seconds(6);
 
-std::size_t orders(GatewayFixture& fixture) {
+std::size_t countOrders(GatewayFixture& fixture) {
   return fixture.model(0).orders().size() + fixture.model(1).orders().size();
 }
 
 }  // namespace
 
-GATEWAY_TEST(suspension, a_holder_that_wakes_orders_nothing_on_a_right_that_ran_out,
+GATEWAY_TEST(suspension, a_resumed_leader_sends_no_orders_under_an_expired_lock,
              test::FixtureOptions{}) {
   test::suspendable_clock clock;
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setChecksFences(false);
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setBusy(true);
   fixture.store().put("op", "version/m", R"({"model":"m","version":2})");
-  // It holds the right, and asks the engines again and again whether they take an order.
+  // The daemon acquires the leader lock and polls the busy engines.
   co_await sleepFor(fixture.loop(), std::chrono::seconds(6));
-  cr_assert_eq(orders(fixture), 0U);
-  // Nothing tells it that another one may have taken the right.
+  cr_assert_eq(countOrders(fixture), 0U);
+  // The daemon cannot learn whether another one has taken over the lock.
   fixture.store().faults().silent = true;
   for (std::size_t i = 0; i < 2; ++i) fixture.model(i).setBusy(false);
   clock.suspend(kSuspension);
   co_await sleepFor(fixture.loop(), std::chrono::seconds(2));
-  cr_assert_eq(orders(fixture), 0U);
+  cr_assert_eq(countOrders(fixture), 0U);
 }
 
-GATEWAY_TEST(suspension, a_request_whose_deadline_passed_is_answered_on_waking,
-             test::FixtureOptions{}) {
+GATEWAY_TEST(suspension, an_expired_request_is_answered_on_resume, test::FixtureOptions{}) {
   test::suspendable_clock clock;
   for (std::size_t i = 0; i < 2; ++i) {
     fixture.lookup(i).script() = {test::SamplerAct::kSilent, test::SamplerAct::kSilent};
@@ -49,13 +47,13 @@
   });
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(200));
   clock.suspend(kSuspension);
-  // A timer that runs out wakes the loop, at the latest after the longest of the short periods.
+  // The expired deadline is noticed when the next periodic timer fires.
   co_await sleepFor(fixture.loop(), std::chrono::milliseconds(500));
-  cr_assert(status.has_value(), "its second was over long ago");
+  cr_assert(status.has_value(), "the request was not answered after its deadline");
   cr_assert_eq(*status, 504U);
 }
 
-GATEWAY_TEST(suspension, an_answer_that_lay_there_meanwhile_is_no_word_of_now,
+GATEWAY_TEST(suspension, a_response_buffered_during_a_suspension_counts_as_timed_out,
              test::FixtureOptions{}) {
   test::suspendable_clock clock;
   http::ConnectionPool pool(fixture.loop(), {});
@@ -67,12 +65,12 @@
       const Instant deadline = steadyNow() + std::chrono::seconds(10);
       outcome = co_await http::call(pool, fixture.model(0).address(), std::move(request), deadline);
     });
-    // The answer takes ten events, 5 ms each.
+    // The response takes ten events of 5 ms each.
     co_await sleepFor(fixture.loop(), std::chrono::milliseconds(20));
     if (suspended) clock.suspend(kSuspension);
     cr_assert(co_await fixture.waitFor([&outcome] { return outcome.has_value(); }));
     const auto expected = suspended ? http::ExchangeStatus::kTimedOut : http::ExchangeStatus::kOk;
     cr_assert_eq(outcome->status, expected);
-    cr_assert(outcome->sent, "it may have been done");
+    cr_assert(outcome->sent, "the request must count as sent");
   }
 }
--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -11,38 +11,38 @@
 using tcp = asio::ip::tcp;
 
 namespace {
-constexpr Duration kHoldPoll = std::chrono::milliseconds(10);
-constexpr Duration kDelay = std::chrono::milliseconds(150);
+constexpr Duration kBlockPollInterval = std::chrono::milliseconds(10);
+constexpr Duration kChunkDelay = std::chrono::milliseconds(150);
 }  // namespace
 
 const char* toText(LinkMode mode) {
   switch (mode) {
-    case LinkMode::kPass:
+    case LinkMode::kForward:
       return "pass";
-    case LinkMode::kSilent:
+    case LinkMode::kBlockAll:
       return "silent";
-    case LinkMode::kSilentAnswers:
+    case LinkMode::kBlockResponses:
       return "silent_answers";
-    case LinkMode::kDelayed:
+    case LinkMode::kDelay:
       return "delayed";
   }
   return "unknown";
 }
 
 struct fault_proxy::link {
-  explicit link(boost::asio::io_context& loop) : caller(loop), target(loop) {}
+  explicit link(boost::asio::io_context& loop) : client(loop), target(loop) {}
 
-  tcp::socket caller;
+  tcp::socket client;
   tcp::socket target;
 
   void close() {
     boost::system::error_code ignored;
-    this->caller.close(ignored);
+    this->client.close(ignored);
     this->target.close(ignored);
   }
   void reset() {
     boost::system::error_code ignored;
-    this->caller.set_option(asio::socket_base::linger(true, 0), ignored);
+    this->client.set_option(asio::socket_base::linger(true, 0), ignored);
     this->target.set_option(asio::socket_base::linger(true, 0), ignored);
     this->close();
   }
@@ -52,12 +52,12 @@
     : loop_(loop),
       acceptor_(loop, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
       target_(target),
-      own_{0x7f000001, acceptor_.local_endpoint().port()} {
+      address_{0x7f000001, acceptor_.local_endpoint().port()} {
   spawn(this->loop_, [this] { return this->acceptLoop(); });
 }
 
 Address fault_proxy::address() const {
-  return this->own_;
+  return this->address_;
 }
 
 void fault_proxy::stopListening() {
@@ -67,7 +67,7 @@
 }
 
 void fault_proxy::listenAgain() {
-  test::listenAgain(this->acceptor_, this->own_.port);
+  test::listenAgain(this->acceptor_, this->address_.port);
   spawn(this->loop_, [this] { return this->acceptLoop(); });
 }
 
@@ -75,19 +75,20 @@
   for (const auto& each : this->links_) each->reset();
 }
 
-bool fault_proxy::holdsBack(bool answers) const {
-  return this->mode_ == LinkMode::kSilent || (answers && this->mode_ == LinkMode::kSilentAnswers);
+bool fault_proxy::isBlocked(bool responses) const {
+  return this->mode_ == LinkMode::kBlockAll ||
+         (responses && this->mode_ == LinkMode::kBlockResponses);
 }
 
 Task<void> fault_proxy::acceptLoop() {
   for (;;) {
-    const auto made = std::make_shared<link>(this->loop_);
+    const auto accepted = std::make_shared<link>(this->loop_);
     boost::system::error_code error;
-    co_await this->acceptor_.async_accept(made->caller,
+    co_await this->acceptor_.async_accept(accepted->client,
                                           asio::redirect_error(asio::use_awaitable, error));
     if (!this->acceptor_.is_open()) co_return;
     if (error) continue;
-    spawn(this->loop_, [this, made] { return this->serve(made); });
+    spawn(this->loop_, [this, accepted] { return this->serve(accepted); });
   }
 }
 
@@ -97,7 +98,7 @@
   boost::system::error_code error;
   co_await link->target.async_connect(target, asio::redirect_error(asio::use_awaitable, error));
   if (error) {
-    // The target is down: callers see a reset, as from a dead port.
+    // The target is down: reset the client's connection.
     link->reset();
     this->links_.erase(link);
     co_return;
@@ -107,20 +108,20 @@
   this->links_.erase(link);
 }
 
-Task<void> fault_proxy::pump(std::shared_ptr<link> link, bool answers) {
-  tcp::socket& from = answers ? link->target : link->caller;
-  tcp::socket& to = answers ? link->caller : link->target;
+Task<void> fault_proxy::pump(std::shared_ptr<link> link, bool responses) {
+  tcp::socket& from = responses ? link->target : link->client;
+  tcp::socket& to = responses ? link->client : link->target;
   std::array<char, 16384> buffer{};
   for (;;) {
     boost::system::error_code error;
     const std::size_t count = co_await from.async_read_some(
         asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, error));
-    while (this->holdsBack(answers) && link->caller.is_open()) {
-      co_await sleepFor(this->loop_, kHoldPoll);
+    while (this->isBlocked(responses) && link->client.is_open()) {
+      co_await sleepFor(this->loop_, kBlockPollInterval);
     }
     if (error) break;
-    if (this->mode_ == LinkMode::kDelayed) {
-      co_await sleepFor(this->loop_, kDelay);
+    if (this->mode_ == LinkMode::kDelay) {
+      co_await sleepFor(this->loop_, kChunkDelay);
     }
     co_await asio::async_write(to, asio::buffer(buffer.data(), count),
                                asio::redirect_error(asio::use_awaitable, error));
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * A proxy on the loopback interface that stands on a link and does what networks do: it holds bytes
- * back, also in one direction only, delays them, or resets every connection. Test code.
+ * A loopback TCP proxy that injects network faults: it blocks data in one or both directions,
+ * delays it, or resets all connections. Test code.
  */
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,26 +15,26 @@
 namespace linenpier::soak {
 
 enum class LinkMode {
-  kPass,
-  kSilent,         ///< Nothing gets through; connections stay open.
-  kSilentAnswers,  ///< What callers send gets through, nothing comes back.
-  kDelayed,        ///< Each piece is held up.
+  kForward,
+  kBlockAll,        ///< Blocks both directions; connections stay open.
+  kBlockResponses,  ///< Blocks the direction from the target to the client.
+  kDelay,           ///< Delays each chunk.
 };
 
 const char* toText(LinkMode mode);
 
-/** Loop thread only; never destroyed while the loop runs. */
+/** Loop thread only; must outlive the loop. */
 class fault_proxy {
  public:
-  /** @param target where connections are passed on to. */
+  /** @param target the address that connections are forwarded to. */
   fault_proxy(boost::asio::io_context& loop, Address target);
 
-  /** @return where callers connect in place of the target. */
+  /** @return the address that clients connect to instead of the target. */
   Address address() const;
   void setMode(LinkMode mode) { this->mode_ = mode; }
   LinkMode mode() const { return this->mode_; }
   void resetAll();
-  /** As the target's own address while its process is down: connections are refused. */
+  /** Refuses connections, like the address of a process that is down. */
   void stopListening();
   void listenAgain();
 
@@ -42,14 +42,14 @@
   struct link;
   Task<void> acceptLoop();
   Task<void> serve(std::shared_ptr<link> link);
-  Task<void> pump(std::shared_ptr<link> link, bool answers);
-  bool holdsBack(bool answers) const;
+  Task<void> pump(std::shared_ptr<link> link, bool responses);
+  bool isBlocked(bool responses) const;
 
   boost::asio::io_context& loop_;
   boost::asio::ip::tcp::acceptor acceptor_;
   Address target_;
-  Address own_;
-  LinkMode mode_ = LinkMode::kPass;
+  Address address_;
+  LinkMode mode_ = LinkMode::kForward;
   std::set<std::shared_ptr<link>> links_;
 };
 
--- a/tests/soak/soak_checker.h
+++ b/tests/soak/soak_checker.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /** @file
- * What callers, trainers and engines saw in a soak, held against the promises of the product. Pure.
- * Test code.
+ * Checks the events of a soak test, as seen by clients, trainers and engines, against the
+ * guarantees of the gateway. Does no I/O. Test code.
  */
 
 #include <cstdint>
@@ -13,21 +13,19 @@
 
 namespace linenpier::soak {
 
-/** The promises that are checked. */
-enum class Promise {
-  kOwnAnswer,      ///< A success is the engine's whole answer to that very request.
-  kOnce,           ///< A request that may run once runs once at most.
-  kHonestRefusal,  ///< A refused request or job has not run and never will.
-  kItemOnce,     ///< Each item stands once, at a position that keeps it, whole, with its versions.
-  kNothingLost,  ///< An accepted job is read to its end.
-  kFewEnds,      ///< A request that ends its engines ends few of them, wherever it comes.
-  kNamedEngine,  ///< Nothing is sent to an address that only a spoilt entry names.
-  kServedAgain,  ///< Some time after the last fault requests are served.
+enum class Guarantee {
+  kMatchingResponse,       ///< A 200 response is the engine's complete response to that request.
+  kAtMostOnce,             ///< A non-idempotent request runs at most once.
+  kRefusedNotRun,          ///< A refused request or job is never run.
+  kItemExactlyOnce,        ///< Each item is listed once and complete, at a stable position.
+  kNoJobLost,              ///< All results of an accepted job can be read.
+  kFewCrashes,             ///< A request that crashes engines crashes only a few of them.
+  kRegisteredEnginesOnly,  ///< No request is sent to an address from a malformed entry.
+  kRecovers,               ///< Requests are served again some time after the last fault.
 };
 
-const char* toText(Promise promise);
+const char* toText(Guarantee guarantee);
 
-/** A result as a reader got it. */
 struct read_result {
   std::string item;
   std::string state;
@@ -39,45 +37,45 @@
 
 class soak_checker {
  public:
-  /** @param events of each whole text. */
+  /** @param events number of events in the complete text of an item. */
   explicit soak_checker(int events) : events_(events) {}
 
-  // What engines saw.
-  /** An engine ran a request. @param version of the weights it had. */
+  // Events at engines.
+  /** An engine ran a request. @param version the engine's weights at that time. */
   void onRun(const std::string& request, std::uint64_t version);
 
-  // What callers saw.
-  void onSent(const std::string& request, bool once);
-  void onAnswer(const std::string& request, unsigned status, const std::string& signature,
-                const std::string& body);
+  // Events at clients.
+  void onSent(const std::string& request, bool at_most_once);
+  void onResponse(const std::string& request, unsigned status, const std::string& signature,
+                  const std::string& body);
 
-  // What trainers saw.
+  // Events at trainers.
   void onJobSent(const std::string& job, const std::vector<std::string>& items);
   void onJobAccepted(const std::string& job) { this->jobs_.at(job).accepted = true; }
-  /** Every try was refused. */
+  /** All attempts to submit the job were refused. */
   void onJobRefused(const std::string& job) { this->jobs_.at(job).refused = true; }
   void onResult(const std::string& job, std::size_t position, const read_result& result);
-  /** A daemon said that there is no such job, some time after it was accepted. */
+  /** A daemon reported an accepted job as unknown. */
   void onJobDenied(const std::string& job);
 
-  /** A request came to an address that no whole entry names. */
-  void onUnnamedReached(const std::string& target);
-  /** An engine ended under the one request that ends its engines. */
-  void onEngineEnded() { ++this->ended_; }
+  /** A request arrived at an address that is only listed in malformed entries. */
+  void onUnregisteredRequest(const std::string& target);
+  /** An engine crashed while running the fatal request. */
+  void onEngineCrashed() { ++this->crashes_; }
 
-  /** @param served of the last requests, after the faults. */
+  /** @param served successful ones of the requests sent after the faults. */
   void onSettled(std::size_t served, std::size_t sent);
-  /** Looks at what can only be said when all is over. */
+  /** Runs the checks that need the complete history. */
   void finish();
 
   std::size_t requests() const { return this->requests_.size(); }
   std::size_t items() const { return this->items_; }
-  std::size_t ended() const { return this->ended_; }
+  std::size_t crashes() const { return this->crashes_; }
   const std::vector<std::string>& violations() const { return this->violations_; }
 
  private:
   struct request {
-    bool once = false;
+    bool at_most_once = false;
     bool refused = false;
   };
   struct job {
@@ -86,16 +84,16 @@
     bool refused = false;
     std::map<std::size_t, read_result> results;  ///< By position.
   };
-  void report(Promise promise, const std::string& what);
-  void checkText(const std::string& job, const read_result& result);
+  void report(Guarantee guarantee, const std::string& what);
+  void checkItem(const std::string& job, const read_result& result);
   std::size_t runsOf(const std::string& request) const;
 
   int events_;
   std::map<std::string, request> requests_;
   std::map<std::string, std::vector<std::uint64_t>> runs_;  ///< Versions, by request or item.
   std::map<std::string, job> jobs_;
-  std::size_t ended_ = 0;
-  std::size_t items_ = 0;  ///< Results read, each position once.
+  std::size_t crashes_ = 0;
+  std::size_t items_ = 0;  ///< Number of distinct positions read.
   std::vector<std::string> violations_;
 };
 
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -13,27 +13,28 @@
 
 constexpr int kEvents = 12;
 constexpr int kItems = 8;
-constexpr Duration kEventGap = std::chrono::milliseconds(15);
-constexpr Duration kCallGap = std::chrono::milliseconds(25);
-constexpr Duration kFatalGap = std::chrono::milliseconds(400);
-constexpr Duration kEngineDown = std::chrono::milliseconds(600);
+constexpr Duration kEventInterval = std::chrono::milliseconds(15);
+constexpr Duration kCallInterval = std::chrono::milliseconds(25);
+constexpr Duration kFatalInterval = std::chrono::milliseconds(400);
+constexpr Duration kRestartDelay = std::chrono::milliseconds(600);
 constexpr char kFatalMark[] = "ends its engine";
-constexpr Duration kJobGap = std::chrono::milliseconds(900);
-constexpr Duration kEntryGap = std::chrono::milliseconds(700);  ///< Some half a heartbeat.
-constexpr Duration kCallTime = std::chrono::milliseconds(1500);
-constexpr Duration kJobCallTime = std::chrono::milliseconds(4500);
-/// Of the longest fault. The last ones end by themselves before the time to settle begins.
-constexpr Duration kMaxFault = std::chrono::milliseconds(3500);
-/// From the last fault until requests must be served again: a lease that ran out, an outage of the
-/// store that has to be noticed, and the longest time for which an engine is left alone.
-constexpr Duration kSettle = std::chrono::seconds(9);
-constexpr Duration kWatched = std::chrono::seconds(2);
-constexpr Duration kMaxJob = std::chrono::seconds(40);
+constexpr Duration kJobInterval = std::chrono::milliseconds(900);
+/// About half a heartbeat interval.
+constexpr Duration kEntryInterval = std::chrono::milliseconds(700);
+constexpr Duration kCallTimeout = std::chrono::milliseconds(1500);
+constexpr Duration kJobCallTimeout = std::chrono::milliseconds(4500);
+/// Maximum duration of a fault. All faults have ended before the settle time begins.
+constexpr Duration kMaxFaultDuration = std::chrono::milliseconds(3500);
+/// From the end of the last fault until requests must be served again. Covers lease expiry,
+/// detection of a store outage and the maximum backoff of an engine.
+constexpr Duration kRecoveryTime = std::chrono::seconds(9);
+constexpr Duration kRecoveryCheckTime = std::chrono::seconds(2);
+constexpr Duration kJobTimeout = std::chrono::seconds(40);
 constexpr Duration kStartTime = std::chrono::seconds(15);
-/// After which a daemon must not deny an accepted job.
-constexpr Duration kKnownBy = std::chrono::seconds(1);
+/// After this time every daemon must know an accepted job.
+constexpr Duration kJobVisibilityDelay = std::chrono::seconds(1);
 
-/// @return a port of this host that nobody listens on just now.
+/// @return a port of this host that is currently free.
 std::uint16_t freePort(boost::asio::io_context& loop) {
   using tcp = boost::asio::ip::tcp;
   tcp::acceptor acceptor(loop, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
@@ -53,13 +54,13 @@
       options_(options),
       out_(out),
       random_(options.seed),
-      choice_(options.seed + 1),
-      fatal_choice_(options.seed + 2),
+      call_random_(options.seed + 1),
+      fatal_random_(options.seed + 2),
       pool_(loop, {}),
       store_(loop),
       checker_(kEvents) {}
 
-void soak_run::say(const std::string& line) {
+void soak_run::print(const std::string& line) {
   this->out_ << line << std::endl;
 }
 
@@ -67,8 +68,8 @@
   this->makeEngines();
   this->putConfiguration();
   this->makeGateways();
-  this->breakPromise();
-  spawn(this->loop_, [this] { return this->direct(); });
+  this->violateGuarantee();
+  spawn(this->loop_, [this] { return this->run(); });
 }
 
 void soak_run::makeEngines() {
@@ -76,16 +77,16 @@
                           int events) {
     engines.push_back(std::make_unique<test::StandinSampler>(this->loop_, id, events));
     test::StandinSampler& engine = *engines.back();
-    engine.setEventGap(kEventGap);
+    engine.setEventGap(kEventInterval);
     this->engine_links_.push_back(std::make_unique<fault_proxy>(this->loop_, engine.address()));
     engine.setListedAddress(this->engine_links_.back()->address());
-    engine.setFatal({.mark = kFatalMark, .down = kEngineDown});
-    // Every other engine starts again under the id that it had.
+    engine.setFatal({.mark = kFatalMark, .down = kRestartDelay});
+    // Every other engine keeps its id when it restarts.
     if (engines.size() % 2 == 0) engine.setKeepsId();
     fault_proxy& link = *this->engine_links_.back();
-    engine.onEnd([this, &link] {
+    engine.onCrash([this, &link] {
       link.stopListening();
-      this->checker_.onEngineEnded();
+      this->checker_.onEngineCrashed();
     });
     engine.onRestart([this, &engine, &link, service](const std::string& before) {
       link.listenAgain();
@@ -94,9 +95,10 @@
     });
     this->store_.put("servers", id, engine.entry(service));
   };
-  for (int i = 0; i < 2; ++i) add(this->desks_, "desk-" + std::to_string(i), "desk", 0);
-  for (int i = 0; i < 2; ++i) add(this->models_, "model-" + std::to_string(i), "models", kEvents);
-  this->stray_ = std::make_unique<test::StandinSampler>(this->loop_, "stray", 0);
+  for (int i = 0; i < 2; ++i) add(this->lookup_engines_, "desk-" + std::to_string(i), "desk", 0);
+  for (int i = 0; i < 2; ++i)
+    add(this->model_engines_, "model-" + std::to_string(i), "models", kEvents);
+  this->unregistered_engine_ = std::make_unique<test::StandinSampler>(this->loop_, "stray", 0);
 }
 
 void soak_run::putConfiguration() {
@@ -135,16 +137,19 @@
          << "\"\n[store]\naddress = \"" << toString(links.store->address()) << "\"\n";
     this->gateways_.push_back(std::move(links));
   }
-  this->say("settings written");
+  this->print("settings written");
 }
 
-void soak_run::breakPromise() {
-  const auto lieOf = [this](auto& engines, test::SamplerLie lie) {
-    for (auto& each : engines) each->setLie(lie);
+void soak_run::violateGuarantee() {
+  const auto setViolations = [this](auto& engines, test::SamplerViolation violation) {
+    for (auto& each : engines) each->setViolation(violation);
   };
-  if (this->options_.broken == "answer") lieOf(this->desks_, test::SamplerLie::kOtherAnswer);
-  if (this->options_.broken == "refusal") lieOf(this->desks_, test::SamplerLie::kRefusesRun);
-  if (this->options_.broken == "text") lieOf(this->models_, test::SamplerLie::kRepeatsEvents);
+  if (this->options_.broken == "answer")
+    setViolations(this->lookup_engines_, test::SamplerViolation::kWrongResponse);
+  if (this->options_.broken == "refusal")
+    setViolations(this->lookup_engines_, test::SamplerViolation::kFalseRefusal);
+  if (this->options_.broken == "text")
+    setViolations(this->model_engines_, test::SamplerViolation::kRepeatsEvents);
 }
 
 Task<http::CallOutcome> soak_run::call(std::size_t gateway, http::Request request, Duration limit) {
@@ -153,42 +158,42 @@
   co_return co_await http::call(this->pool_, front, std::move(request), deadline);
 }
 
-Task<void> soak_run::direct() {
-  const bool up = co_await this->waitServed();
-  if (!up) this->say("no gateway served in time");
+Task<void> soak_run::run() {
+  const bool up = co_await this->waitForGateways();
+  if (!up) this->print("no gateway served in time");
   spawn(this->loop_, [this] { return this->callLoop(); });
   spawn(this->loop_, [this] { return this->fatalLoop(); });
-  spawn(this->loop_, [this] { return this->trainLoop(); });
+  spawn(this->loop_, [this] { return this->jobLoop(); });
   spawn(this->loop_, [this] { return this->versionLoop(); });
-  spawn(this->loop_, [this] { return this->entryLoop(); });
-  spawn(this->loop_, [this] { return this->strayLoop(); });
+  spawn(this->loop_, [this] { return this->engineEntryLoop(); });
+  spawn(this->loop_, [this] { return this->malformedEntryLoop(); });
   spawn(this->loop_, [this] { return this->faultLoop(); });
   co_await sleepFor(this->loop_, this->options_.length);
-  this->striking_ = false;
-  co_await sleepFor(this->loop_, kMaxFault);
-  co_await sleepFor(this->loop_, kSettle);
-  this->served_ = 0;
+  this->faults_enabled_ = false;
+  co_await sleepFor(this->loop_, kMaxFaultDuration);
+  co_await sleepFor(this->loop_, kRecoveryTime);
+  this->succeeded_ = 0;
   this->sent_ = 0;
-  co_await sleepFor(this->loop_, kWatched);
-  this->checker_.onSettled(this->served_, this->sent_);
-  this->traffic_ = false;
-  const Instant latest = steadyNow() + kMaxJob;
+  co_await sleepFor(this->loop_, kRecoveryCheckTime);
+  this->checker_.onSettled(this->succeeded_, this->sent_);
+  this->traffic_enabled_ = false;
+  const Instant latest = steadyNow() + kJobTimeout;
   while (this->open_jobs_ > 0 && steadyNow() < latest) {
-    co_await sleepFor(this->loop_, kCallGap);
+    co_await sleepFor(this->loop_, kCallInterval);
   }
-  co_await sleepFor(this->loop_, kCallTime);
-  this->noteRuns();
+  co_await sleepFor(this->loop_, kCallTimeout);
+  this->recordRuns();
   this->checker_.finish();
-  for (const std::string& each : this->checker_.violations()) this->say("violation " + each);
-  this->say("soak: seed " + std::to_string(this->options_.seed) + ", " +
-            std::to_string(this->checker_.requests()) + " requests, " +
-            std::to_string(this->checker_.items()) + " items, " + std::to_string(this->faults_) +
-            " faults, " + std::to_string(this->checker_.ended()) + " engines ended, " +
-            std::to_string(this->violations()) + " violations");
+  for (const std::string& each : this->checker_.violations()) this->print("violation " + each);
+  this->print("soak: seed " + std::to_string(this->options_.seed) + ", " +
+              std::to_string(this->checker_.requests()) + " requests, " +
+              std::to_string(this->checker_.items()) + " items, " + std::to_string(this->faults_) +
+              " faults, " + std::to_string(this->checker_.crashes()) + " engines ended, " +
+              std::to_string(this->violations()) + " violations");
   this->loop_.stop();
 }
 
-Task<bool> soak_run::waitServed() {
+Task<bool> soak_run::waitForGateways() {
   const Instant latest = steadyNow() + kStartTime;
   for (std::size_t i = 0; i < this->gateways_.size(); ++i) {
     for (int attempt = 0;; ++attempt) {
@@ -197,52 +202,52 @@
       http::Request request = makeRequest(boost::beast::http::verb::post, "/look/1");
       request.set("Request-Id", id);
       request.prepare_payload();
-      const http::CallOutcome outcome = co_await this->call(i, std::move(request), kCallTime);
+      const http::CallOutcome outcome = co_await this->call(i, std::move(request), kCallTimeout);
       const unsigned status = outcome.response.result_int();
       if (outcome.status == http::ExchangeStatus::kOk && status != 404) break;
-      co_await sleepFor(this->loop_, kCallGap);
+      co_await sleepFor(this->loop_, kCallInterval);
     }
   }
   co_return true;
 }
 
-// --- Callers ------------------------------------------------------------------------------------
+// --- Clients ------------------------------------------------------------------------------------
 
 Task<void> soak_run::callLoop() {
-  for (int i = 0; this->traffic_; ++i) {
-    const bool once = i % 3 == 0;
-    const std::string id = (once ? "once-" : "look-") + std::to_string(i);
-    spawn(this->loop_, [this, id, once] { return this->callOnce(id, once); });
-    co_await sleepFor(this->loop_, kCallGap);
+  for (int i = 0; this->traffic_enabled_; ++i) {
+    const bool at_most_once = i % 3 == 0;
+    const std::string id = (at_most_once ? "once-" : "look-") + std::to_string(i);
+    spawn(this->loop_, [this, id, at_most_once] { return this->sendLookup(id, at_most_once); });
+    co_await sleepFor(this->loop_, kCallInterval);
   }
 }
 
 Task<void> soak_run::fatalLoop() {
-  for (int i = 0; this->traffic_; ++i) {
+  for (int i = 0; this->traffic_enabled_; ++i) {
     const std::string id = "fatal-" + std::to_string(i);
-    // A request that is another one each time can't be known again.
+    // Unique bodies prevent the gateways from recognizing the request.
     const std::string what = this->options_.broken == "ends" ? id : "";
     spawn(this->loop_, [this, id, what] { return this->sendFatal(id, kFatalMark + what); });
-    co_await sleepFor(this->loop_, kFatalGap);
+    co_await sleepFor(this->loop_, kFatalInterval);
   }
 }
 
 Task<void> soak_run::sendFatal(std::string id, std::string body) {
   sent_request each{std::move(id), "/look/1", std::move(body), false};
-  const std::size_t gateway = this->fatal_choice_.below(this->gateways_.size());
+  const std::size_t gateway = this->fatal_random_.below(this->gateways_.size());
   co_await this->send(std::move(each), gateway);
 }
 
-Task<void> soak_run::callOnce(std::string id, bool once) {
+Task<void> soak_run::sendLookup(std::string id, bool at_most_once) {
   sent_request each;
   each.id = id;
-  each.path = once ? "/once/1" : "/look/1";
+  each.path = at_most_once ? "/once/1" : "/look/1";
   each.body = "body of " + id;
-  each.once = once;
+  each.at_most_once = at_most_once;
   ++this->sent_;
-  const std::size_t gateway = this->choice_.below(this->gateways_.size());
+  const std::size_t gateway = this->call_random_.below(this->gateways_.size());
   const unsigned status = co_await this->send(std::move(each), gateway);
-  if (status == 200) ++this->served_;
+  if (status == 200) ++this->succeeded_;
 }
 
 Task<unsigned> soak_run::send(sent_request each, std::size_t gateway) {
@@ -251,48 +256,49 @@
   request.set("Deadline-Ms", "1000");
   request.body() = each.body;
   request.prepare_payload();
-  this->checker_.onSent(each.id, each.once);
-  const http::CallOutcome outcome = co_await this->call(gateway, std::move(request), kCallTime);
+  this->checker_.onSent(each.id, each.at_most_once);
+  const http::CallOutcome outcome = co_await this->call(gateway, std::move(request), kCallTimeout);
   if (outcome.status != http::ExchangeStatus::kOk) co_return 0;
   const unsigned status = outcome.response.result_int();
-  this->checker_.onAnswer(each.id, status, http::fieldText(outcome.response, "Response-Signature"),
-                          outcome.response.body());
+  this->checker_.onResponse(each.id, status,
+                            http::fieldText(outcome.response, "Response-Signature"),
+                            outcome.response.body());
   co_return status;
 }
 
 // --- The trainer --------------------------------------------------------------------------------
 
-Task<void> soak_run::trainLoop() {
-  for (int step = 0; this->traffic_; ++step) {
+Task<void> soak_run::jobLoop() {
+  for (int step = 0; this->traffic_enabled_; ++step) {
     job each;
     each.id = "job-" + std::to_string(step);
     for (int i = 0; i < kItems; ++i) each.items.push_back(each.id + "-" + std::to_string(i));
     this->checker_.onJobSent(each.id, each.items);
     ++this->open_jobs_;
     spawn(this->loop_, [this, each] { return this->runJob(each); });
-    co_await sleepFor(this->loop_, kJobGap);
+    co_await sleepFor(this->loop_, kJobInterval);
   }
 }
 
 Task<void> soak_run::runJob(job each) {
-  const bool accepted = co_await this->handIn(&each);
+  const bool accepted = co_await this->submitJob(&each);
   if (accepted) {
     if (this->options_.broken == "job") {
       this->store_.remove("linenpier", "job/" + each.id);
     }
-    const std::size_t first = this->choice_.below(this->gateways_.size());
-    const std::size_t second = this->choice_.below(this->gateways_.size());
-    const bool whole = co_await this->readWhole(each, first);
-    // Read once more, at another daemon perhaps: positions keep what they hold.
-    if (whole) {
-      co_await this->readWhole(each, second);
+    const std::size_t first = this->call_random_.below(this->gateways_.size());
+    const std::size_t second = this->call_random_.below(this->gateways_.size());
+    const bool valid = co_await this->readAllResults(each, first);
+    // Read again, possibly from another daemon: the results at each position must not change.
+    if (valid) {
+      co_await this->readAllResults(each, second);
       co_await this->endJob(each.id);
     }
   }
   --this->open_jobs_;
 }
 
-Task<bool> soak_run::handIn(job* each) {
+Task<bool> soak_run::submitJob(job* each) {
   json requests = json::array();
   for (std::size_t i = 0; i < each->items.size(); ++i) {
     requests.push_back({{"id", each->items[i]},
@@ -309,9 +315,9 @@
     request.set("Request-Id", each->id);
     request.body() = body;
     request.prepare_payload();
-    const std::size_t gateway = this->choice_.below(this->gateways_.size());
+    const std::size_t gateway = this->call_random_.below(this->gateways_.size());
     const http::CallOutcome outcome =
-        co_await this->call(gateway, std::move(request), kJobCallTime);
+        co_await this->call(gateway, std::move(request), kJobCallTimeout);
     const unsigned status =
         outcome.status == http::ExchangeStatus::kOk ? outcome.response.result_int() : 0;
     if (status == 202) {
@@ -319,7 +325,7 @@
       this->checker_.onJobAccepted(each->id);
       co_return true;
     }
-    // Without a connection nothing was sent.
+    // Without a connection the job was not sent.
     const bool sent = outcome.sent;
     if (sent && status != 429 && status != 503) all_refused = false;
     co_await sleepFor(this->loop_, std::chrono::milliseconds(300));
@@ -329,21 +335,21 @@
 }
 
 Task<void> soak_run::endJob(std::string id) {
-  const Instant latest = steadyNow() + kMaxJob;
+  const Instant latest = steadyNow() + kJobTimeout;
   while (steadyNow() < latest) {
     http::Request request = makeRequest(boost::beast::http::verb::delete_, "/linenpier/lots/" + id);
-    const std::size_t gateway = this->choice_.below(this->gateways_.size());
+    const std::size_t gateway = this->call_random_.below(this->gateways_.size());
     const http::CallOutcome outcome =
-        co_await this->call(gateway, std::move(request), kJobCallTime);
+        co_await this->call(gateway, std::move(request), kJobCallTimeout);
     const bool ended =
         outcome.status == http::ExchangeStatus::kOk && outcome.response.result_int() == 200;
     if (ended) co_return;
-    co_await sleepFor(this->loop_, kCallGap);
+    co_await sleepFor(this->loop_, kCallInterval);
   }
 }
 
-Task<bool> soak_run::readWhole(job each, std::size_t gateway) {
-  const Instant latest = steadyNow() + kMaxJob;
+Task<bool> soak_run::readAllResults(job each, std::size_t gateway) {
+  const Instant latest = steadyNow() + kJobTimeout;
   std::size_t position = 0;
   while (position < each.items.size()) {
     if (steadyNow() >= latest) co_return false;
@@ -352,8 +358,8 @@
       position = *next;
       continue;
     }
-    gateway = this->choice_.below(this->gateways_.size());
-    co_await sleepFor(this->loop_, kCallGap);
+    gateway = this->call_random_.below(this->gateways_.size());
+    co_await sleepFor(this->loop_, kCallInterval);
   }
   co_return true;
 }
@@ -365,10 +371,11 @@
                   "/linenpier/lots/" + each.id + "?afterRev=" + std::to_string(position));
   request.set("Wait-Ms", "500");
   const Instant asked_at = steadyNow();
-  const http::CallOutcome outcome = co_await this->call(gateway, std::move(request), kCallTime);
+  const http::CallOutcome outcome = co_await this->call(gateway, std::move(request), kCallTimeout);
   if (outcome.status != http::ExchangeStatus::kOk) co_return std::nullopt;
   const bool denied = outcome.response.result_int() == 404;
-  if (denied && asked_at > each.accepted_at + kKnownBy) this->checker_.onJobDenied(each.id);
+  if (denied && asked_at > each.accepted_at + kJobVisibilityDelay)
+    this->checker_.onJobDenied(each.id);
   if (outcome.response.result_int() != 200) co_return std::nullopt;
   const json page = json::parse(outcome.response.body());
   for (const json& entry : page["results"]) {
@@ -379,17 +386,17 @@
     for (const json& version : entry.value("versions", json::array())) {
       result.versions.insert(version.get<std::uint64_t>());
     }
-    this->noteRuns();
+    this->recordRuns();
     this->checker_.onResult(each.id, position++, result);
   }
   co_return position;
 }
 
-void soak_run::noteRuns() {
-  for (const test::SamplerArrival& each : this->stray_->takeArrivals()) {
-    this->checker_.onUnnamedReached(each.target);
+void soak_run::recordRuns() {
+  for (const test::SamplerArrival& each : this->unregistered_engine_->takeArrivals()) {
+    this->checker_.onUnregisteredRequest(each.target);
   }
-  for (auto* engines : {&this->desks_, &this->models_}) {
+  for (auto* engines : {&this->lookup_engines_, &this->model_engines_}) {
     for (auto& engine : *engines) {
       for (const test::SamplerArrival& each : engine->takeArrivals()) {
         if (each.ran) this->checker_.onRun(each.fields.at("request-id"), each.version);
@@ -399,36 +406,36 @@
 }
 
 Task<void> soak_run::versionLoop() {
-  for (int version = 2; this->traffic_; ++version) {
+  for (int version = 2; this->traffic_enabled_; ++version) {
     co_await sleepFor(this->loop_, std::chrono::seconds(4));
     const json named = {{"model", "m"}, {"version", version}};
     this->store_.put("op", "version/m", named.dump());
   }
 }
 
-Task<void> soak_run::entryLoop() {
-  std::map<std::string, std::uint64_t> told;
+Task<void> soak_run::engineEntryLoop() {
+  std::map<std::string, std::uint64_t> published_versions;
   for (;;) {
-    co_await sleepFor(this->loop_, kEntryGap);
-    for (const auto& engine : this->models_) {
-      std::uint64_t& version = told[engine->id()];
+    co_await sleepFor(this->loop_, kEntryInterval);
+    for (const auto& engine : this->model_engines_) {
+      std::uint64_t& version = published_versions[engine->id()];
       if (std::exchange(version, engine->version()) == engine->version()) continue;
       this->store_.put("servers", engine->id(), engine->entry("models"));
     }
   }
 }
 
-Task<void> soak_run::strayLoop() {
-  const json whole = json::parse(this->stray_->entry("desk"));
-  const std::map<std::string, json> spoilt = {
+Task<void> soak_run::malformedEntryLoop() {
+  const json valid = json::parse(this->unregistered_engine_->entry("desk"));
+  const std::map<std::string, json> malformed_fields = {
       {"state", nullptr}, {"slots", 0}, {"zone", 7}, {"born", 1.5}, {"models", "none"}};
-  while (this->traffic_) {
-    for (const auto& [field, value] : spoilt) {
-      json entry = whole;
+  while (this->traffic_enabled_) {
+    for (const auto& [field, value] : malformed_fields) {
+      json entry = valid;
       if (this->options_.broken != "entry") entry[field] = value;
       this->store_.put("servers", "stray", entry.dump());
       this->store_.put("servers", "unreadable", "\xff\xfe{");
-      co_await sleepFor(this->loop_, kEntryGap);
+      co_await sleepFor(this->loop_, kEntryInterval);
     }
   }
 }
@@ -436,28 +443,28 @@
 // --- Faults -------------------------------------------------------------------------------------
 
 Task<void> soak_run::faultLoop() {
-  while (this->striking_) {
+  while (this->faults_enabled_) {
     co_await sleepFor(this->loop_, std::chrono::milliseconds(200 + this->random_.below(1200)));
-    if (!this->striking_) co_return;
+    if (!this->faults_enabled_) co_return;
     ++this->faults_;
-    // Faults lie over each other: some last longer than the pause between two.
+    // Faults may overlap, as some last longer than the interval between them.
     switch (this->random_.below(4)) {
       case 0:
-        spawn(this->loop_, [this] { return this->strikeLink(); });
+        spawn(this->loop_, [this] { return this->injectLinkFault(); });
         break;
       case 1:
-        spawn(this->loop_, [this] { return this->strikeProcess(); });
+        spawn(this->loop_, [this] { return this->injectProcessFault(); });
         break;
       case 2:
-        spawn(this->loop_, [this] { return this->strikeStore(); });
+        spawn(this->loop_, [this] { return this->injectStoreFault(); });
         break;
       default:
-        spawn(this->loop_, [this] { return this->strikeEngine(); });
+        spawn(this->loop_, [this] { return this->injectEngineFault(); });
     }
   }
 }
 
-Task<void> soak_run::strikeLink() {
+Task<void> soak_run::injectLinkFault() {
   std::vector<fault_proxy*> links;
   for (auto& each : this->gateways_)
     links.insert(links.end(), {each.front.get(), each.store.get()});
@@ -468,26 +475,26 @@
     link.resetAll();
     co_return;
   }
-  const LinkMode modes[] = {LinkMode::kSilent, LinkMode::kSilentAnswers, LinkMode::kDelayed};
+  const LinkMode modes[] = {LinkMode::kBlockAll, LinkMode::kBlockResponses, LinkMode::kDelay};
   link.setMode(modes[kind]);
-  const auto lasts = std::chrono::milliseconds(500 + this->random_.below(3000));
-  co_await sleepFor(this->loop_, lasts);
-  link.setMode(LinkMode::kPass);
+  const auto duration = std::chrono::milliseconds(500 + this->random_.below(3000));
+  co_await sleepFor(this->loop_, duration);
+  link.setMode(LinkMode::kForward);
 }
 
-Task<void> soak_run::strikeProcess() {
+Task<void> soak_run::injectProcessFault() {
   const std::string index = std::to_string(this->random_.below(this->gateways_.size()));
   if (this->random_.below(2) == 0) {
-    this->say("signal KILL " + index);
+    this->print("signal KILL " + index);
     co_return;
   }
-  this->say("signal STOP " + index);
-  const auto lasts = std::chrono::milliseconds(500 + this->random_.below(3000));
-  co_await sleepFor(this->loop_, lasts);
-  this->say("signal CONT " + index);
+  this->print("signal STOP " + index);
+  const auto duration = std::chrono::milliseconds(500 + this->random_.below(3000));
+  co_await sleepFor(this->loop_, duration);
+  this->print("signal CONT " + index);
 }
 
-Task<void> soak_run::strikeStore() {
+Task<void> soak_run::injectStoreFault() {
   test::StoreFaults& faults = this->store_.faults();
   switch (this->random_.below(6)) {
     case 0:
@@ -508,19 +515,19 @@
     default:
       faults.hang_feeds = true;
   }
-  const auto lasts = std::chrono::milliseconds(500 + this->random_.below(2500));
-  co_await sleepFor(this->loop_, lasts);
+  const auto duration = std::chrono::milliseconds(500 + this->random_.below(2500));
+  co_await sleepFor(this->loop_, duration);
   faults.refuse = false;
   faults.silent = false;
   faults.hang_feeds = false;
 }
 
-Task<void> soak_run::strikeEngine() {
+Task<void> soak_run::injectEngineFault() {
   using test::SamplerAct;
   const SamplerAct acts[] = {
       SamplerAct::kShed,     SamplerAct::kFail,  SamplerAct::kCutShort, SamplerAct::kSurplusFirst,
       SamplerAct::kNonsense, SamplerAct::kClose, SamplerAct::kUnsigned};
-  auto& engines = this->random_.below(2) == 0 ? this->desks_ : this->models_;
+  auto& engines = this->random_.below(2) == 0 ? this->lookup_engines_ : this->model_engines_;
   auto& engine = engines.at(this->random_.below(engines.size()));
   for (int i = 0; i < 3; ++i) {
     engine->script().push_back(acts[this->random_.below(std::size(acts))]);
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /** @file
- * A soak: real gateways, as processes that somebody else starts, between a caller and a trainer on
- * one side and a stand-in store and stand-in engines on the other, with a proxy on every link.
- * Everything but the gateways runs here, in one process. Test code.
+ * A soak test: a client and a trainer send requests through gateway processes to a stand-in store
+ * and stand-in engines, with a fault proxy on every link. Everything but the gateways, which the
+ * caller starts, runs in this process. Test code.
  */
 
 #include <functional>
@@ -23,28 +23,30 @@
 
 struct soak_options {
   std::uint64_t seed = 1;
-  Duration length = std::chrono::seconds(20);  ///< Of the time with faults.
+  Duration length = std::chrono::seconds(20);  ///< Duration of the fault phase.
   std::size_t gateways = 3;
-  std::string directory;  ///< Where the gateways' settings are written.
-  /** Breaks a promise on purpose: "answer", "refusal", "text", "job", "ends"; empty: none. */
+  std::string directory;  ///< Receives the gateways' settings files.
+  /** Guarantee to violate on purpose, to test the checker: "answer", "refusal", "text", "job",
+   * "ends" or "entry"; empty: none.
+   */
   std::string broken;
 };
 
 /** Loop thread only. */
 class soak_run {
  public:
-  /** @param out takes a line for each signal that a gateway's process is to be sent, as
-   *     "signal NAME INDEX", and the last line.
+  /** @param out receives a line "signal NAME INDEX" for each signal that the caller must send to a
+   *     gateway process, and the summary.
    */
   soak_run(boost::asio::io_context& loop, const soak_options& options, std::ostream& out);
 
-  /** Writes the gateways' settings and begins. */
+  /** Writes the gateways' settings and starts the test. */
   void start();
-  /** @return the violations found; the loop has stopped by then. */
+  /** @return the number of violations found. Valid once the loop has stopped. */
   std::size_t violations() const { return this->checker_.violations().size(); }
 
  private:
-  /** A gateway's links. */
+  /** Proxies on a gateway's links. */
   struct gateway_links {
     std::unique_ptr<fault_proxy> front;
     std::unique_ptr<fault_proxy> store;
@@ -53,7 +55,7 @@
     std::string id;
     std::string path;
     std::string body;
-    bool once = false;  ///< It may run once at most.
+    bool at_most_once = false;  ///< Not idempotent.
   };
   struct job {
     std::string id;
@@ -64,57 +66,58 @@
   void makeEngines();
   void putConfiguration();
   void makeGateways();
-  Task<void> direct();
-  Task<bool> waitServed();
+  Task<void> run();
+  Task<bool> waitForGateways();
   Task<void> callLoop();
-  /** Sends one and the same request, which ends the engines that run it, again and again. */
+  /** Repeatedly sends the same request, which crashes the engines that run it. */
   Task<void> fatalLoop();
   Task<void> sendFatal(std::string id, std::string body);
-  /** @return the status of the answer; 0: there was none. */
+  /** @return the response status; 0 if there was no response. */
   Task<unsigned> send(sent_request each, std::size_t gateway);
-  Task<void> callOnce(std::string id, bool once);
-  Task<void> trainLoop();
+  Task<void> sendLookup(std::string id, bool at_most_once);
+  Task<void> jobLoop();
   Task<void> runJob(job each);
-  Task<bool> handIn(job* each);
-  Task<bool> readWhole(job each, std::size_t gateway);
-  /** @return the next position to read; nothing if the page did not come. */
+  Task<bool> submitJob(job* each);
+  Task<bool> readAllResults(job each, std::size_t gateway);
+  /** @return the next position to read; nothing if the page could not be read. */
   Task<std::optional<std::size_t>> readPage(job each, std::size_t position, std::size_t gateway);
   Task<void> versionLoop();
-  /** Engines tell of their weights in their entries, a little late. */
-  Task<void> entryLoop();
-  /** Another writer leaves entries that name no engine beside those of the engines. */
-  Task<void> strayLoop();
+  /** Publishes the engines' weights in their entries with a delay. */
+  Task<void> engineEntryLoop();
+  /** Writes malformed entries beside those of the engines. */
+  Task<void> malformedEntryLoop();
   Task<void> endJob(std::string id);
   Task<void> faultLoop();
-  Task<void> strikeLink();
-  Task<void> strikeProcess();
-  Task<void> strikeStore();
-  Task<void> strikeEngine();
-  void breakPromise();
-  void noteRuns();
+  Task<void> injectLinkFault();
+  Task<void> injectProcessFault();
+  Task<void> injectStoreFault();
+  Task<void> injectEngineFault();
+  void violateGuarantee();
+  void recordRuns();
   Task<http::CallOutcome> call(std::size_t gateway, http::Request request, Duration limit);
-  void say(const std::string& line);
+  void print(const std::string& line);
 
   boost::asio::io_context& loop_;
   soak_options options_;
   std::ostream& out_;
-  Random random_;  ///< Of faults; calls have a generator of their own.
-  Random choice_;
-  Random fatal_choice_;  ///< Of the gateways that get the request which ends its engines.
+  Random random_;  ///< For faults only, so that calls do not change their sequence.
+  Random call_random_;
+  Random fatal_random_;  ///< Selects the gateways that get the fatal request.
   http::ConnectionPool pool_;
   test::StandinStore store_;
-  std::vector<std::unique_ptr<test::StandinSampler>> desks_;
-  std::vector<std::unique_ptr<test::StandinSampler>> models_;
-  std::unique_ptr<test::StandinSampler> stray_;  ///< Only spoilt entries give its address.
+  std::vector<std::unique_ptr<test::StandinSampler>> lookup_engines_;
+  std::vector<std::unique_ptr<test::StandinSampler>> model_engines_;
+  /** Its address is only listed in malformed entries. */
+  std::unique_ptr<test::StandinSampler> unregistered_engine_;
   std::vector<std::unique_ptr<fault_proxy>> engine_links_;
   std::vector<gateway_links> gateways_;
   soak_checker checker_;
   std::size_t open_jobs_ = 0;
   std::size_t faults_ = 0;
-  std::size_t served_ = 0;  ///< Requests since the count was last set back.
+  std::size_t succeeded_ = 0;  ///< Successful requests since the last reset of the counters.
   std::size_t sent_ = 0;
-  bool traffic_ = true;
-  bool striking_ = true;
+  bool traffic_enabled_ = true;
+  bool faults_enabled_ = true;
 };
 
 }  // namespace linenpier::soak
--- a/tests/support/engine_lists.h
+++ b/tests/support/engine_lists.h
@@ -1,8 +1,7 @@
 #pragma once
 
 /** @file
- * Gives a registry a complete list of engines, as the feed of the platform's table does at each
- * read of it.
+ * Passes a complete list of engines to a registry, as the feed does on each full read of the table.
  */
 
 #include <set>
@@ -12,7 +11,7 @@
 
 namespace linenpier::test {
 
-/** @return the addresses of the engines that are known no longer. */
+/** @return the addresses of the engines that were removed. */
 inline std::vector<Address> listEngines(engines::engine_registry& registry, Instant now,
                                         const std::vector<engines::engine_record>& records) {
   std::set<EngineId> present;
--- a/tests/support/gateway_fixture.cpp
+++ b/tests/support/gateway_fixture.cpp
@@ -140,10 +140,10 @@
   for (const auto& each : models_) follow(*each, "models");
 }
 
-int GatewayFixture::samplersEnded() const {
+int GatewayFixture::samplerCrashes() const {
   int ended = 0;
-  for (const auto& each : lookups_) ended += each->ends();
-  for (const auto& each : models_) ended += each->ends();
+  for (const auto& each : lookups_) ended += each->crashes();
+  for (const auto& each : models_) ended += each->crashes();
   return ended;
 }
 
@@ -156,7 +156,7 @@
     loop_.stop();
   });
   loop_.run_for(kMaxTest);
-  cr_assert(finished, "the test did not end in time, or failed within a task");
+  cr_assert(finished, "the test timed out or failed within a task");
 }
 
 Task<http::CallOutcome> GatewayFixture::call(std::size_t gateway, http::Request request) {
--- a/tests/support/gateway_fixture.h
+++ b/tests/support/gateway_fixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One or more gateways on one event loop, with a stand-in store and stand-in samplers. Test code.
+/// Runs gateways, a stand-in store and stand-in samplers on one event loop. Test code.
 
 #include <functional>
 #include <memory>
@@ -20,7 +20,7 @@
 
 namespace linenpier::test {
 
-/// A gateway with what belongs to it.
+/// A gateway with the objects that it depends on.
 struct GatewayUnderTest {
   GatewayUnderTest(boost::asio::io_context& loop, const gateway::GatewaySettings& settings);
 
@@ -39,23 +39,23 @@
   int gateways = 1;
   int lookup_samplers = 2;
   int model_samplers = 2;
-  int events = 10;                                  ///< Of a model sampler's stream.
-  std::optional<Duration> keep_jobs;                ///< Until an ended job may be removed.
-  std::optional<usage::usage_options> usage;        ///< Absent: the platform has no duties.
-  std::optional<scaling::scaling_options> scaling;  ///< Absent: no number of engines is ordered.
-  std::string scaling_bounds;   ///< Of the service with models, as JSON; empty: none.
-  bool tokens_checked = false;  ///< By whom orders and duties reach.
-  std::string tenants;          ///< Of the configuration, as its list; empty: none.
-  double cold_per_second = 0;   ///< That a model sampler bears; 0: no bound.
+  int events = 10;                            ///< Number of events in a model sampler's stream.
+  std::optional<Duration> keep_jobs;          ///< Retention time of ended jobs.
+  std::optional<usage::usage_options> usage;  ///< Absent: no usage reports.
+  std::optional<scaling::scaling_options> scaling;  ///< Absent: no scaling.
+  std::string scaling_bounds;   ///< Scaling bounds of the model service, as JSON; empty: none.
+  bool tokens_checked = false;  ///< Whether the receivers of orders and reports check tokens.
+  std::string tenants;          ///< Tenant list of the configuration, as JSON; empty: none.
+  double cold_per_second = 0;   ///< Request rate limit of a cold model sampler; 0: none.
   engines::cold_limit_options cold;
-  std::vector<std::string> zones;  ///< Of the gateways, by index; absent: "z".
+  std::vector<std::string> zones;  ///< Zones of the gateways, by index; absent: "z".
   fleet::fleet_layout layout;
-  std::vector<std::string> model_zones;  ///< Of the model samplers, by index; absent: "z".
-  std::string job_fields;                ///< Of the route of jobs, added to its others.
-  std::string reward_fields;             ///< Of the route of reward requests, likewise.
+  std::vector<std::string> model_zones;  ///< Zones of the model samplers, by index; absent: "z".
+  std::string job_fields;                ///< Additional fields of the job route.
+  std::string reward_fields;             ///< Additional fields of the reward route.
 };
 
-/// @return options for two gateways before samplers whose streams have so many events.
+/// @return options for two gateways and samplers whose streams have `events` events.
 FixtureOptions twoGateways(int events);
 /// @return the request that ends a job.
 http::Request endRequest(const std::string& id);
@@ -64,7 +64,7 @@
  public:
   explicit GatewayFixture(FixtureOptions options = {});
 
-  /// Runs `test` on the loop and stops it afterwards; fails the test if that takes too long.
+  /// Runs `test` on the loop and stops the loop afterwards. Fails the test on a timeout.
   void run(std::function<Task<void>(GatewayFixture&)> test);
 
   boost::asio::io_context& loop() { return loop_; }
@@ -73,50 +73,50 @@
   StandinSampler& lookup(std::size_t index) { return *lookups_.at(index); }
   StandinSampler& model(std::size_t index) { return *models_.at(index); }
   gateway::Gateway& gateway(std::size_t index = 0) { return gateways_.at(index)->gateway; }
-  /// From now on the gateway reaches no store.
+  /// Makes the store unreachable for the gateway.
   void cutFromStore(std::size_t index) {
     gateways_.at(index)->platform.store().setAddress({0x7f000001, 1});
   }
-  /// From now on the gateway asks another store.
+  /// Connects the gateway to another store.
   void moveToStore(std::size_t index, const Address& store) {
     gateways_.at(index)->platform.store().setAddress(store);
   }
-  /// The platform's service for duties is elsewhere from now on.
+  /// Changes the address of the platform's usage and scaling service.
   void moveDuties(std::size_t index, const Address& address) {
     gateways_.at(index)->platform.setAddresses(store_->address(), address);
   }
-  /// The gateway reaches the store again.
-  void joinToStore(std::size_t index) {
+  /// Makes the store reachable again for the gateway.
+  void reconnectToStore(std::size_t index) {
     gateways_.at(index)->platform.store().setAddress(store_->address());
   }
   void addGateway(const std::string& name);
 
   void putConfiguration(std::uint64_t version, const std::string& more_routes = "");
   void putSamplers();
-  /// Requests with the mark in their bodies end the sampler that begins to run them.
+  /// Makes requests with the mark in their bodies crash the samplers that execute them.
   void setFatal(const FatalRequests& fatal);
-  /// @return how often samplers have ended, in all.
-  int samplersEnded() const;
-  /// Of the configurations that are put from now on.
+  /// @return the total number of sampler crashes.
+  int samplerCrashes() const;
+  /// Sets the tenants of subsequent configurations.
   void setTenants(const std::string& tenants) { options_.tenants = tenants; }
-  /// The same, such as `,"allowedRegions":["a"]`.
+  /// Sets the job route's fields in subsequent configurations, such as `,"allowedRegions":["a"]`.
   void setRouteFields(const std::string& jobs, const std::string& rewards = "") {
     options_.job_fields = jobs;
     options_.reward_fields = rewards;
   }
-  /// The key of `readAll`.
+  /// Sets the API key that `readAll` uses.
   void setClientKey(const std::string& key) { client_key_ = key; }
 
-  /// Sends a request to a gateway and reads the whole answer.
+  /// Sends a request to a gateway and reads the complete response.
   Task<http::CallOutcome> call(std::size_t gateway, http::Request request);
-  /// @return what the gateway tells a collector of metrics.
+  /// @return the response of the gateway's metrics endpoint.
   Task<std::string> metricsPage(std::size_t gateway);
   http::Request lookupRequest(const std::string& id, const std::string& path = "/look/1") const;
-  /// @return the request that hands in a job of `items` items.
+  /// @return a request that submits a job of `items` items.
   http::Request jobRequest(const std::string& id, int items) const;
-  /// @return the same, each item with a scorer whose id is the item's after "r-".
+  /// @return the same, with a reward request for each item whose id is "r-" and the item's id.
   http::Request scoredJobRequest(const std::string& id, int items) const;
-  /// Reads a job's results until all are listed.
+  /// Reads a job's results until they are complete.
   Task<std::string> readAll(std::size_t gateway, std::string id);
   Task<bool> waitReady(std::size_t gateway);
   Task<bool> waitFor(std::function<bool()> condition, Duration limit = std::chrono::seconds(5));
@@ -135,16 +135,16 @@
 
 }  // namespace linenpier::test
 
-/// Runs `body` on a fixture that is never destroyed: its tasks hold references to each other, and
-/// the process of the test ends anyway.
+/// Runs `body` on a fixture that is never destroyed, as its tasks refer to each other. Each test
+/// runs in its own process.
 inline void runOnFixture(const linenpier::test::FixtureOptions& options,
                          linenpier::Task<void> (*body)(linenpier::test::GatewayFixture&)) {
   auto* fixture = new linenpier::test::GatewayFixture(options);
   fixture->run(body);
 }
 
-/// A test whose body is a task of the fixture's loop. (A task within Criterion's own function does
-/// not compile: GCC gives its parts the same symbol.)
+/// Defines a test whose body is a coroutine on the fixture's loop. The body is a separate function,
+/// as GCC emits duplicate symbols for a coroutine within Criterion's test function.
 #define GATEWAY_TEST(suite, name, options)                                                      \
   static linenpier::Task<void> suite##_##name##_body(linenpier::test::GatewayFixture& fixture); \
   Test(suite, name) {                                                                           \
--- a/tests/support/listen_again.h
+++ b/tests/support/listen_again.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Listens at a port that was listened at before, as a process that is back does. Test code.
+/// Listens on a previously used port again, like a restarted process. Test code.
 
 #include <boost/asio/ip/tcp.hpp>
 
--- a/tests/support/standin_duties.cpp
+++ b/tests/support/standin_duties.cpp
@@ -22,20 +22,20 @@
   return found;
 }
 
-std::string StandinDuties::subjectOf(const DutyCall& call) {
+std::string StandinDuties::tokenScope(const DutyCall& call) {
   if (call.path != "/scale") return call.path;
   const auto order = nlohmann::json::parse(call.body);
   return call.path + " " + order["service"].get<std::string>() + " " +
          order["zone"].get<std::string>();
 }
 
-unsigned StandinDuties::carryOut(DutyCall call) {
-  std::uint64_t& highest = highest_token_[subjectOf(call)];
+unsigned StandinDuties::execute(DutyCall call) {
+  std::uint64_t& highest = highest_token_[tokenScope(call)];
   const bool scarce =
-      !faults_.scarce_zone.empty() && subjectOf(call).ends_with(" " + faults_.scarce_zone);
+      !faults_.scarce_zone.empty() && tokenScope(call).ends_with(" " + faults_.scarce_zone);
   call.status = faults_.refuse ? 429 : call.token < highest || scarce ? 409 : 200;
   highest = std::max(highest, faults_.refuse ? 0 : call.token);
-  if (call.status == 200 && on_done_) on_done_(call);
+  if (call.status == 200 && callback_) callback_(call);
   calls_.push_back(call);
   return call.status;
 }
@@ -50,12 +50,12 @@
     --faults_.delay;
     spawn(loop_, [this, call]() -> Task<void> {
       co_await sleepFor(loop_, std::chrono::seconds(2));
-      carryOut(call);
+      execute(call);
     });
     writer.abortConnection();
     co_return;
   }
-  const unsigned status = carryOut(std::move(call));
+  const unsigned status = execute(std::move(call));
   if (faults_.lose > 0) {
     --faults_.lose;
     co_await sleepFor(loop_, std::chrono::milliseconds(20));
--- a/tests/support/standin_duties.h
+++ b/tests/support/standin_duties.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /** @file
- * A stand-in of the platform's service for duties, with faults on order. Test code.
+ * A stand-in for the platform's usage and scaling service, with fault injection. Test code.
  */
 
 #include <functional>
@@ -13,20 +13,20 @@
 
 namespace linenpier::test {
 
-/** A call as the service got it. */
+/** A call as received by the service. */
 struct DutyCall {
   std::string path;
   std::string holder;
   std::uint64_t token = 0;
   std::string body;
-  unsigned status = 0;  ///< As it was carried out; also where the answer was lost.
+  unsigned status = 0;  ///< Result of the call, also if no response was sent.
 };
 
 struct DutyFaults {
-  bool refuse = false;  ///< 429: nothing is done.
-  int lose = 0;         ///< So many calls are carried out and not answered.
-  int delay = 0;        ///< So many calls are not answered, and carried out two seconds later.
-  /// 409 for orders of engines in this zone, as where there are none to be had.
+  bool refuse = false;  ///< 429 without any effect.
+  int lose = 0;         ///< Number of calls to execute without a response.
+  int delay = 0;        ///< Number of calls to execute two seconds later, without a response.
+  /// Zone without capacity: orders of engines in it get 409.
   std::string scarce_zone;
 };
 
@@ -37,24 +37,24 @@
   Address address() const { return server_.address(); }
   DutyFaults& faults() { return faults_; }
   const std::vector<DutyCall>& calls() const { return calls_; }
-  /** Told of each call when it is carried out. */
-  void setOnDone(std::function<void(const DutyCall&)> callback) { on_done_ = std::move(callback); }
-  /** @return the bodies that were taken, by the number of their window. */
+  /** Sets a callback for executed calls. */
+  void setOnDone(std::function<void(const DutyCall&)> callback) { callback_ = std::move(callback); }
+  /** @return the accepted bodies by window number. */
   std::map<std::int64_t, std::vector<std::string>> reports() const;
 
  private:
   Task<void> handle(http::Request& request, http::ResponseWriter& writer);
-  /** Looks at the token, carries the call out and notes it. @return its status. */
-  unsigned carryOut(DutyCall call);
-  /** @return what tokens are compared within: windows together, orders by service and zone. */
-  static std::string subjectOf(const DutyCall& call);
+  /** Checks the token, executes and records the call. @return its status. */
+  unsigned execute(DutyCall call);
+  /** @return the scope of the token: one for all windows, one for each service and zone. */
+  static std::string tokenScope(const DutyCall& call);
 
   boost::asio::io_context& loop_;
   http::Server server_;
   DutyFaults faults_;
   std::vector<DutyCall> calls_;
-  std::map<std::string, std::uint64_t> highest_token_;  ///< By subject.
-  std::function<void(const DutyCall&)> on_done_;
+  std::map<std::string, std::uint64_t> highest_token_;  ///< By scope.
+  std::function<void(const DutyCall&)> callback_;
 };
 
 }  // namespace linenpier::test
--- a/tests/support/standin_sampler.cpp
+++ b/tests/support/standin_sampler.cpp
@@ -21,7 +21,7 @@
   tcp::socket socket;
   boost::beast::flat_buffer buffer;
 
-  bool clientGone() {
+  bool clientDisconnected() {
     char byte = 0;
     return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
   }
@@ -41,7 +41,7 @@
 
 std::string StandinSampler::entry(const std::string& service, const std::string& state) const {
   json document = {{"service", service},
-                   {"address", toString(listed_.value_or(address()))},
+                   {"address", toString(listed_address_.value_or(address()))},
                    {"zone", zone_},
                    {"slots", 8},
                    {"state", state},
@@ -66,18 +66,18 @@
 
 void StandinSampler::crash() {
   const Address address = this->address();
-  ++ends_;
+  ++crashes_;
   boost::system::error_code ignored;
   acceptor_.close(ignored);
   for (const auto& each : connections_) {
     if (const auto connection = each.lock()) connection->socket.close(ignored);
   }
   connections_.clear();
-  if (ended_) ended_();
-  spawn(loop_, [this, address] { return comeBack(address); });
+  if (crash_callback_) crash_callback_();
+  spawn(loop_, [this, address] { return restart(address); });
 }
 
-Task<void> StandinSampler::comeBack(Address address) {
+Task<void> StandinSampler::restart(Address address) {
   co_await sleepFor(loop_, fatal_.down);
   listenAgain(acceptor_, address.port);
   const std::string before = id_;
@@ -86,17 +86,17 @@
     sequence_ = 0;
     fence_ = 0;
   } else {
-    id_ = before.substr(0, before.find('+')) + "+" + std::to_string(ends_);
+    id_ = before.substr(0, before.find('+')) + "+" + std::to_string(crashes_);
   }
   spawn(loop_, [this] { return acceptLoop(); });
-  if (restarted_) restarted_(before);
+  if (restart_callback_) restart_callback_(before);
 }
 
-Task<void> StandinSampler::runFatal(Connection& connection) {
-  const int before = ends_;
+Task<void> StandinSampler::executeFatal(Connection& connection) {
+  const int before = crashes_;
   co_await sleepFor(loop_, fatal_.after);
-  if (ends_ != before) co_return;
-  if (connection.clientGone()) {
+  if (crashes_ != before) co_return;
+  if (connection.clientDisconnected()) {
     ++dropped_;
     co_return;
   }
@@ -125,15 +125,15 @@
       arrival.fields[boost::to_lower_copy(std::string(field.name_string()))] =
           std::string(field.value());
     }
-    bool goes_on = true;
+    bool keep_open = true;
     if (arrival.target == "/linenpier/order") {
       std::string answer_text = order(arrival.body);
-      goes_on = co_await write(*connection, std::move(answer_text));
+      keep_open = co_await write(*connection, std::move(answer_text));
     } else if (arrival.target == "/linenpier/report") {
       json report = {{"busy", busy_}, {"seq", sequence_}, {"running", 0}, {"waiting", 0}};
       if (start_ != 0) report["born"] = start_;
-      std::string text = plain("", 200, "", report.dump());
-      goes_on = co_await write(*connection, std::move(text));
+      std::string text = makeResponse("", 200, "", report.dump());
+      keep_open = co_await write(*connection, std::move(text));
     } else {
       SamplerAct act = SamplerAct::kAnswer;
       if (!script_.empty()) {
@@ -147,17 +147,17 @@
       const bool fatal = arrival.ran && !fatal_.mark.empty() &&
                          arrival.body.find(fatal_.mark) != std::string::npos;
       if (fatal) {
-        co_await runFatal(*connection);
+        co_await executeFatal(*connection);
         co_return;
       }
-      goes_on = co_await answer(*connection, std::move(arrival), act);
+      keep_open = co_await answer(*connection, std::move(arrival), act);
     }
-    if (!goes_on) co_return;
+    if (!keep_open) co_return;
   }
 }
 
-std::string StandinSampler::plain(const std::string& id, unsigned status, const std::string& more,
-                                  const std::string& body) const {
+std::string StandinSampler::makeResponse(const std::string& id, unsigned status,
+                                         const std::string& more, const std::string& body) const {
   return "HTTP/1.1 " + std::to_string(status) + " Status\r\nRequest-Id: " + id +
          "\r\nInstance-Load: 1,0,8\r\n" + more + "Content-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
@@ -166,78 +166,81 @@
 std::string StandinSampler::order(const std::string& body) {
   const json document = json::parse(body);
   const auto fence = document["fence"].get<std::uint64_t>();
-  if (checks_fences_ && fence < fence_) return plain("", 412, "", "");
+  if (checks_fences_ && fence < fence_) return makeResponse("", 412, "", "");
   fence_ = fence;
-  if (busy_) return plain("", 409, "", "");
+  if (busy_) return makeResponse("", 409, "", "");
   if (document.contains("expected") && document["expected"].get<std::uint64_t>() != sequence_) {
-    return plain("", 409, "", "");
+    return makeResponse("", 409, "", "");
   }
   ++sequence_;
   orders_.push_back(body);
   version_ = document["version"].get<std::uint64_t>();
-  return plain("", 202, "", "");
+  return makeResponse("", 202, "", "");
 }
 
 Task<bool> StandinSampler::answer(Connection& connection, SamplerArrival arrival, SamplerAct act) {
   const std::string id = arrival.fields["request-id"];
   const std::string signature = "Response-Signature: s-" + id + "\r\n";
   if (arrival.fields["target-instance"] != id_) {
-    std::string misdirected = plain(id, 421, "Instance-Id: " + id_ + "\r\n", "");
+    std::string misdirected = makeResponse(id, 421, "Instance-Id: " + id_ + "\r\n", "");
     co_return co_await write(connection, std::move(misdirected));
   }
-  const std::string body = "answer to " + (lie_ == SamplerLie::kOtherAnswer ? "somebody" : id);
-  if (lie_ == SamplerLie::kRefusesRun) {
-    std::string refusal = plain(id, 503, "Not-Executed: 1\r\n", "");
+  const std::string body =
+      "answer to " + (violation_ == SamplerViolation::kWrongResponse ? "somebody" : id);
+  if (violation_ == SamplerViolation::kFalseRefusal) {
+    std::string refusal = makeResponse(id, 503, "Not-Executed: 1\r\n", "");
     co_return co_await write(connection, std::move(refusal));
   }
   std::string bytes;
-  bool goes_on = true;
+  bool keep_open = true;
   switch (act) {
     case SamplerAct::kAnswer:
       if (events_ > 0) co_return co_await stream(connection, arrival, false);
-      bytes = plain(id, 200, signature, body);
+      bytes = makeResponse(id, 200, signature, body);
       break;
     case SamplerAct::kShed:
-      bytes = plain(id, 503, "Not-Executed: 1\r\n", "");
+      bytes = makeResponse(id, 503, "Not-Executed: 1\r\n", "");
       break;
     case SamplerAct::kFail:
-      bytes = plain(id, 500, signature, "failed");
+      bytes = makeResponse(id, 500, signature, "failed");
       break;
     case SamplerAct::kReject:
-      bytes = plain(id, 422, signature, "never");
+      bytes = makeResponse(id, 422, signature, "never");
       break;
     case SamplerAct::kCutShort:
       if (events_ > 0) co_return co_await stream(connection, arrival, true);
-      bytes = plain(id, 200, signature, body);
+      bytes = makeResponse(id, 200, signature, body);
       bytes.resize(bytes.size() - 3);
-      goes_on = false;
+      keep_open = false;
       break;
     case SamplerAct::kSurplusFirst:
-      bytes = plain("someone-else", 200, signature, "not yours") + plain(id, 200, signature, body);
+      bytes = makeResponse("someone-else", 200, signature, "not yours") +
+              makeResponse(id, 200, signature, body);
       break;
     case SamplerAct::kExtraAfter:
-      bytes = plain(id, 200, signature, body) + plain(id, 200, signature, "again");
+      bytes = makeResponse(id, 200, signature, body) + makeResponse(id, 200, signature, "again");
       break;
     case SamplerAct::kNonsense:
       bytes = "what is this?\r\n\r\n";
-      goes_on = false;
+      keep_open = false;
       break;
     case SamplerAct::kUnframed:
       bytes = "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\n" + signature + "\r\n" + body;
-      goes_on = false;
+      keep_open = false;
       break;
     case SamplerAct::kUnsigned:
-      bytes = plain(id, 200, "", body);
+      bytes = makeResponse(id, 200, "", body);
       break;
     case SamplerAct::kClose:
       co_return false;
     case SamplerAct::kSilent:
-      while (!connection.clientGone()) co_await sleepFor(loop_, std::chrono::milliseconds(10));
+      while (!connection.clientDisconnected())
+        co_await sleepFor(loop_, std::chrono::milliseconds(10));
       ++dropped_;
       co_return false;
   }
   const bool written = co_await write(connection, std::move(bytes));
-  co_return written&& goes_on;
+  co_return written&& keep_open;
 }
 
 Task<bool> StandinSampler::stream(Connection& connection, const SamplerArrival& arrival, bool cut) {
@@ -256,13 +259,14 @@
   while (event < stop_after) {
     co_await sleepFor(loop_, event_gap_);
     ++event;
-    const int told = lie_ == SamplerLie::kRepeatsEvents ? std::max(1, event - 1) : event;
-    const std::string text =
-        "id: " + std::to_string(event) + "\ndata: " + id + "." + std::to_string(told) + "\n\n";
+    const int sent_number =
+        violation_ == SamplerViolation::kRepeatsEvents ? std::max(1, event - 1) : event;
+    const std::string text = "id: " + std::to_string(event) + "\ndata: " + id + "." +
+                             std::to_string(sent_number) + "\n\n";
     char size[16];
     std::snprintf(size, sizeof(size), "%zx\r\n", text.size());
     std::string chunk = size + text + "\r\n";
-    if (connection.clientGone() || !co_await write(connection, std::move(chunk))) {
+    if (connection.clientDisconnected() || !co_await write(connection, std::move(chunk))) {
       ++dropped_;
       co_return false;
     }
--- a/tests/support/standin_store.cpp
+++ b/tests/support/standin_store.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Duration kLate = std::chrono::milliseconds(400);
+constexpr Duration kWriteDelay = std::chrono::milliseconds(400);
 constexpr std::size_t kMaxEntries = 100;
 
 std::string parameter(const std::string& target, const std::string& name) {
@@ -38,31 +38,31 @@
     : loop_(loop),
       server_(loop, [this](http::Request& request, Instant,
                            http::ResponseWriter& writer) { return handle(request, writer); }),
-      changed_(loop) {
+      change_signal_(loop) {
   server_.listen({0x7f000001, 0});
 }
 
 void StandinStore::put(const std::string& table, const std::string& key, const std::string& value) {
   rows_[{table, key}] = {value, ++version_, false};
-  changed_.notifyAll();
+  change_signal_.notifyAll();
 }
 
 void StandinStore::remove(const std::string& table, const std::string& key) {
   rows_[{table, key}] = {"", ++version_, true};
-  changed_.notifyAll();
+  change_signal_.notifyAll();
 }
 
 std::optional<std::string> StandinStore::get(const std::string& table,
                                              const std::string& key) const {
   const auto at = rows_.find({table, key});
-  if (at == rows_.end() || at->second.gone) return std::nullopt;
+  if (at == rows_.end() || at->second.removed) return std::nullopt;
   return at->second.value;
 }
 
 std::vector<std::string> StandinStore::keys(const std::string& table) const {
   std::vector<std::string> found;
   for (const auto& [key, row] : rows_) {
-    if (key.first == table && !row.gone) found.push_back(key.second);
+    if (key.first == table && !row.removed) found.push_back(key.second);
   }
   return found;
 }
@@ -85,12 +85,12 @@
 
 std::uint64_t StandinStore::versionOf(const Key& key) const {
   const auto at = rows_.find(key);
-  return at == rows_.end() || at->second.gone ? 0 : at->second.version;
+  return at == rows_.end() || at->second.removed ? 0 : at->second.version;
 }
 
 std::string StandinStore::rowJson(const Key& key, const Row& row) const {
   json document = {{"table", key.first}, {"part", ""}, {"key", key.second}, {"ver", row.version}};
-  if (row.gone) {
+  if (row.removed) {
     document["gone"] = true;
   } else {
     document["value"] = encodeBase64(row.value);
@@ -120,7 +120,7 @@
   std::size_t count = 0;
   bool more = false;
   for (const auto& [key, row] : rows_) {
-    if (key.first != table || row.gone || key.second < from) continue;
+    if (key.first != table || row.removed || key.second < from) continue;
     if (!until.empty() && key.second >= until) continue;
     if (count == limit) {
       more = true;
@@ -138,14 +138,14 @@
   const std::size_t entries =
       document["expected"].size() + document["put"].size() + document["remove"].size();
   if (entries > kMaxEntries) return {400, "{}"};
-  bool holds = true;
+  bool matches = true;
   std::string current;
   for (const json& entry : document["expected"]) {
     const Key key = keyOf(entry);
-    if (versionOf(key) != entry["ver"].get<std::uint64_t>()) holds = false;
+    if (versionOf(key) != entry["ver"].get<std::uint64_t>()) matches = false;
     if (versionOf(key) > 0) current += (current.empty() ? "" : ",") + rowJson(key, rows_.at(key));
   }
-  if (!holds) {
+  if (!matches) {
     return {412, "{\"rows\":[" + current + "],\"ver\":" + std::to_string(version_) + "}"};
   }
   ++version_;
@@ -154,7 +154,7 @@
     rows_[keyOf(entry)] = {*decodeBase64(entry["value"].get<std::string>()), version_, false};
   }
   for (const json& entry : document["remove"]) rows_[keyOf(entry)] = {"", version_, true};
-  changed_.notifyAll();
+  change_signal_.notifyAll();
   return {200, "{\"ver\":" + std::to_string(version_) + ",\"now_ms\":" + std::to_string(clockMs()) +
                    "}"};
 }
@@ -189,7 +189,7 @@
                      "{\"rows\":[" + rows + "],\"ver\":" + std::to_string(version_) + "}");
       co_return;
     }
-    co_await changed_.waitFor(until - now);
+    co_await change_signal_.waitFor(until - now);
     if (writer.cancellation().requested()) co_return;
   }
 }
@@ -214,7 +214,7 @@
       --faults_.delay_writes;
       const std::string body = request.body();
       spawn(loop_, [this, body]() -> Task<void> {
-        co_await sleepFor(loop_, kLate);
+        co_await sleepFor(loop_, kWriteDelay);
         transact(body);
       });
       co_await hang(writer);
@@ -233,8 +233,8 @@
   } else if (path == "/linenpier/rows-feed") {
     co_await handleFeed(target, writer);
   } else if (path.starts_with("/linenpier/blob-put/")) {
-    const bool fresh = objects_.emplace(path.substr(20), request.body()).second;
-    co_await reply(writer, fresh ? 200 : 412, "{}");
+    const bool created = objects_.emplace(path.substr(20), request.body()).second;
+    co_await reply(writer, created ? 200 : 412, "{}");
   } else if (path.starts_with("/linenpier/blob-get/")) {
     const auto at = objects_.find(path.substr(20));
     std::string bytes = at == objects_.end() ? std::string() : at->second;
