--- a/src/gateway/service/owner_demand.cpp
+++ b/src/gateway/service/owner_demand.cpp
@@ -59,9 +59,10 @@
     const std::size_t min_candidates =
         modelCount(configuration, route) + kSpareOwnersPerZoneRequirement;
     const auto add = [&](const fleet::data_residency& residency) {
-      if (residency.isRestricted())
+      if (residency.isRestricted()) {
         mergeZoneRequirement(demand.zone_requirements, allowedZones(layout, residency),
                              min_candidates);
+      }
     };
     add(route.residency);
     for (const routing::tenant& each : configuration.tenants.all())
